--- a/command/status.go
+++ b/command/status.go
@@ -77,7 +77,7 @@
 	}
 	fmt.Fprintln(out, "\nDATA CENTRE\tREACHABLE\tLIVE\tBEHIND")
 	for _, d := range s.DataCentres {
-		fmt.Fprintf(out, "%s\t%s\t%d\t%d\n", d.DataCentre, yesNo(d.Reachable), d.Live, d.Behind)
+		fmt.Fprintf(out, "%s\t%s\t%d\t%d\n", d.DataCentre, yesNo(d.Reachable), d.Live, d.Outdated)
 	}
 	fmt.Fprintln(out, "\nINSTANCE\tDATA CENTRE\tINCARNATION\tADDRESS\tSTATE\tSIZE\tCONFIG\tSTORE\tREACHED\tAGE")
 	for _, i := range s.Instances {
@@ -99,12 +99,12 @@
 		version += " behind"
 	}
 	state := i.State
-	if i.Left {
+	if i.LeftGracefully {
 		state = "left"
 	}
 	age := time.Duration(i.AgeSeconds * float64(time.Second)).Round(100 * time.Millisecond)
 	fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", i.Instance, i.DataCentre, i.Incarnation,
-		i.Address, state, i.Size, version, i.Store, yesNo(i.Reached), age)
+		i.Address, state, i.Size, version, i.Store, yesNo(i.Reachable), age)
 }
 
 func yesNo(b bool) string {
--- a/command/status_test.go
+++ b/command/status_test.go
@@ -35,12 +35,12 @@
 	is := is.New(t)
 	status := control.Status{
 		ConfigVersion: 12,
-		DataCentres:   []control.StatusCentre{{DataCentre: "bzh1", Reachable: true, Live: 2, Behind: 1}},
+		DataCentres:   []control.StatusDataCentre{{DataCentre: "bzh1", Reachable: true, Live: 2, Outdated: 1}},
 		Instances: []control.StatusInstance{
-			{Instance: "a", DataCentre: "bzh1", State: "live", ConfigVersion: 12, Store: "healthy", Reached: true},
+			{Instance: "a", DataCentre: "bzh1", State: "live", ConfigVersion: 12, Store: "healthy", Reachable: true},
 			{Instance: "b", DataCentre: "bzh1", State: "live", ConfigVersion: 11, Store: "unhealthy"},
 		},
-		Gone: []control.StatusInstance{{Instance: "c", DataCentre: "bzh1", State: "dead", Left: true, ConfigVersion: 4}},
+		Gone: []control.StatusInstance{{Instance: "c", DataCentre: "bzh1", State: "dead", LeftGracefully: true, ConfigVersion: 4}},
 	}
 	text := runStatus(t, status)
 	is.Equal(strings.Count(text, "behind"), 1)
--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -98,7 +98,7 @@
 func (a *account) answer(q ask, share int64, now time.Time) result {
 	v := result{ask: q}
 	if !a.follow(q, now) {
-		v.refusal = Behind
+		v.refusal = PlanOutdated
 		// Money given back still counts, whoever gives it.
 		a.takeBack(q)
 		return v
--- a/internal/budget/allotment.go
+++ b/internal/budget/allotment.go
@@ -272,7 +272,7 @@
 	a.refusal = v.refusal
 	a.refusedUntil = now.Add(believeExhausted)
 	a.refillAfter = a.refusedUntil
-	if v.refusal == Behind {
+	if v.refusal == PlanOutdated {
 		a.refusedUntil = now.Add(believeBehind)
 	}
 }
--- a/internal/budget/bench_test.go
+++ b/internal/budget/bench_test.go
@@ -25,10 +25,10 @@
 	return plans
 }
 
-func benchKeeper(s *standin.Store, plans []plan.Plan) (*Keeper, *lists) {
+func benchKeeper(s *standin.Store, plans []plan.Plan) (*Allocator, *lists) {
 	l := &lists{changed: make(chan struct{})}
 	l.set(plan.Restore(plans), 1)
-	return NewKeeper(s, l, Options{StoreRate: 1e6}), l
+	return NewAllocator(s, l, Options{StoreRate: 1e6}), l
 }
 
 // BenchmarkReserve is a reservation and its settlement on what is held, with
@@ -114,12 +114,12 @@
 	plans := manyPlans(1, budget)
 	s := standin.NewStore()
 	ctx, cancel := context.WithCancel(context.Background())
-	var keepers []*Keeper
+	var keepers []*Allocator
 	done := make(chan struct{})
 	for range instances {
 		l := &lists{changed: make(chan struct{})}
 		l.set(plan.Restore(plans), 1)
-		k := NewKeeper(s, l, Options{})
+		k := NewAllocator(s, l, Options{})
 		keepers = append(keepers, k)
 		go func() { _ = k.Run(ctx); done <- struct{}{} }()
 	}
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -23,7 +23,7 @@
 )
 
 // start begins a draw of a shard unless one is under way; then another follows it.
-func (k *Keeper) start(s *shard) <-chan struct{} {
+func (k *Allocator) start(s *shard) <-chan struct{} {
 	s.drawing.Lock()
 	defer s.drawing.Unlock()
 	if s.done != nil {
@@ -36,7 +36,7 @@
 }
 
 // run draws until no new need has come up meanwhile.
-func (k *Keeper) run(s *shard) {
+func (k *Allocator) run(s *shard) {
 	for {
 		ctx, cancel := context.WithTimeout(k.ctx, drawTime)
 		err := k.renew(ctx, s)
@@ -58,7 +58,7 @@
 
 // noteOutage keeps the time before which the store is not asked again, with
 // backoff and jitter, so that an outage costs few calls and its end no rush.
-func (k *Keeper) noteOutage(err error) {
+func (k *Allocator) noteOutage(err error) {
 	k.outage.Lock()
 	defer k.outage.Unlock()
 	if err == nil {
@@ -69,7 +69,7 @@
 	k.retryAt = k.options.Now().Add(k.pause.NextBackOff())
 }
 
-func (k *Keeper) untilRetry(now time.Time) time.Duration {
+func (k *Allocator) untilRetry(now time.Time) time.Duration {
 	k.outage.Lock()
 	defer k.outage.Unlock()
 	return max(0, k.retryAt.Sub(now))
@@ -84,7 +84,7 @@
 
 // renew brings a shard's allotments in line with their wants by one
 // conditional update, tried again after conflicts.
-func (k *Keeper) renew(ctx context.Context, s *shard) error {
+func (k *Allocator) renew(ctx context.Context, s *shard) error {
 	pending := k.collect(s)
 	if len(pending) == 0 && len(s.lost) == 0 {
 		return nil
@@ -105,7 +105,7 @@
 }
 
 // collect gathers what the shard's allotments ask for.
-func (k *Keeper) collect(s *shard) []asked {
+func (k *Allocator) collect(s *shard) []asked {
 	now := k.options.Now()
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -146,7 +146,7 @@
 var errUnsettled = errors.New("budget: a draw's outcome is unknown")
 
 // update reads the shard's object, applies the asks and writes it.
-func (k *Keeper) update(ctx context.Context, s *shard, pending []asked) error {
+func (k *Allocator) update(ctx context.Context, s *shard, pending []asked) error {
 	key := store.Key{Kind: KindBudget, Name: fmt.Sprintf("%03d", s.number)}
 	b, base, err := k.read(ctx, key)
 	if err != nil {
@@ -174,7 +174,7 @@
 
 // resolveLost learns from a read of the object what became of lost writes.
 // While their base still stands they may yet take effect, and stay lost.
-func (k *Keeper) resolveLost(s *shard, b *accountSet, version store.Version) {
+func (k *Allocator) resolveLost(s *shard, b *accountSet, version store.Version) {
 	kept := s.lost[:0]
 	for _, l := range s.lost {
 		found, known := b.wrote(l.mark)
@@ -190,7 +190,7 @@
 	s.lost = kept
 }
 
-func (k *Keeper) read(ctx context.Context, key store.Key) (*accountSet, store.Version, error) {
+func (k *Allocator) read(ctx context.Context, key store.Key) (*accountSet, store.Version, error) {
 	object, err := k.client.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
 		return &accountSet{}, 0, nil
@@ -205,7 +205,7 @@
 // write updates the object. A lost answer is settled by reading back: the
 // write's id is there, or a write of others took its base, so that it can't
 // take effect any more, or the base still stands and it is written again.
-func (k *Keeper) write(ctx context.Context, key store.Key, b *accountSet, base store.Version, m mark) error {
+func (k *Allocator) write(ctx context.Context, key store.Key, b *accountSet, base store.Version, m mark) error {
 	value, err := b.encode()
 	if err != nil {
 		return err
@@ -221,7 +221,7 @@
 	return k.settle(ctx, key, value, base, m)
 }
 
-func (k *Keeper) settle(ctx context.Context, key store.Key, value []byte, base store.Version, m mark) error {
+func (k *Allocator) settle(ctx context.Context, key store.Key, value []byte, base store.Version, m mark) error {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval = settleInterval
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
@@ -241,7 +241,7 @@
 // errNotWritten says that a write had no effect and can have none any more.
 var errNotWritten = errors.New("budget: not written")
 
-func (k *Keeper) readBack(ctx context.Context, key store.Key, value []byte, base store.Version, m mark) error {
+func (k *Allocator) readBack(ctx context.Context, key store.Key, value []byte, base store.Version, m mark) error {
 	b, version, err := k.read(ctx, key)
 	if err != nil {
 		return err
@@ -263,7 +263,7 @@
 }
 
 // deliver hands the store's results to the allotments.
-func (k *Keeper) deliver(pending []asked, results []result) {
+func (k *Allocator) deliver(pending []asked, results []result) {
 	now := k.options.Now()
 	for _, p := range pending {
 		p.allotment.mu.Lock()
@@ -276,6 +276,6 @@
 	}
 }
 
-func (k *Keeper) logDraw(p asked) {
+func (k *Allocator) logDraw(p asked) {
 	k.options.Log.WithFields(log.Fields{"plan": p.allotment.plan, "asks": len(p.asks)}).Debug("budget drawn")
 }
--- a/internal/budget/failure_test.go
+++ b/internal/budget/failure_test.go
@@ -159,7 +159,7 @@
 		holder.lists.set(onePlan(399), 2)
 		other.lists.set(onePlan(399), 2)
 		time.Sleep(3 * drawTime)
-		is.Equal(holder.Keeper.metrics.unsettled.Count(), int64(1))
+		is.Equal(holder.Allocator.metrics.unsettled.Count(), int64(1))
 		spent, refusal := holder.spend(is, 1)
 		is.Equal(spent, int64(0))
 		is.Equal(refusal.Reason, StoreUnavailable)
@@ -202,7 +202,7 @@
 		}
 		_, err = w.nodes[0].reserve(1)
 		is.NoErr(err)
-		is.Equal(w.nodes[0].Keeper.metrics.unsettled.Count(), int64(0))
+		is.Equal(w.nodes[0].Allocator.metrics.unsettled.Count(), int64(0))
 	})
 }
 
@@ -221,7 +221,7 @@
 		r.Release()
 		_, err = w.nodes[1].reserve(1)
 		refusal := refusalOf(is, err)
-		is.Equal(refusal.Reason, Behind)
+		is.Equal(refusal.Reason, PlanOutdated)
 		is.True(refusal.RetryAfter <= believeBehind)
 		w.nodes[1].lists.set(onePlan(50), 2)
 		_, err = w.nodes[1].reserve(1)
@@ -248,7 +248,7 @@
 	is.Equal(results[0].granted, Cost{Tokens: 200})
 	// The old length is now behind.
 	results, _ = b.apply([]ask{{plan: "p", budget: before, version: 1, window: w, need: Cost{Tokens: 1}}}, 1, now)
-	is.Equal(results[0].refusal, Behind)
+	is.Equal(results[0].refusal, PlanOutdated)
 }
 
 // lateStore holds a write back, says that its outcome is unknown, and lets it
@@ -281,7 +281,7 @@
 		late := &lateStore{Client: standin.NewStore()}
 		l := &lists{changed: make(chan struct{})}
 		l.set(onePlan(400), 1)
-		k := NewKeeper(late, l, Options{Shards: 1, Share: 4})
+		k := NewAllocator(late, l, Options{Shards: 1, Share: 4})
 		sleepUntil(10 * time.Second)
 		drawn := func() int64 {
 			b, _, err := k.read(context.Background(), store.Key{Kind: KindBudget, Name: "000"})
--- a/internal/budget/joint_fuzz_test.go
+++ b/internal/budget/joint_fuzz_test.go
@@ -17,7 +17,7 @@
 // the keeper that follows it.
 type site struct {
 	*config.Source
-	keeper *Keeper
+	keeper *Allocator
 	link   *link
 	fleet  *[]*site
 	alone  atomic.Bool
@@ -50,7 +50,7 @@
 func newSite(l *link, fleet *[]*site) *site {
 	s := &site{link: l, fleet: fleet}
 	s.Source = config.NewSource(l, config.Options{Peers: s})
-	s.keeper = NewKeeper(l, s.Source, Options{Shards: 1, Horizon: 20 * time.Second, Share: 4, Lead: 5 * time.Second, Renew: 5 * time.Second})
+	s.keeper = NewAllocator(l, s.Source, Options{Shards: 1, Horizon: 20 * time.Second, Share: 4, Lead: 5 * time.Second, Renew: 5 * time.Second})
 	return s
 }
 
--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -86,7 +86,7 @@
 
 // Keeper holds an instance's allotments. Its methods may be called at once
 // from many goroutines.
-type Keeper struct {
+type Allocator struct {
 	client  *store.Limited
 	plans   Plans
 	options Options
@@ -131,14 +131,14 @@
 }
 
 // NewKeeper returns a keeper that holds nothing.
-func NewKeeper(client store.Client, plans Plans, options Options) *Keeper {
+func NewAllocator(client store.Client, plans Plans, options Options) *Allocator {
 	options = options.withDefaults()
 	registry := options.Registry
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("budget."+name, registry) }
 	gauge := func(name string) metrics.Gauge { return metrics.GetOrRegisterGauge("budget."+name, registry) }
 	limiter := rate.NewLimiter(rate.Limit(options.StoreRate), 2*options.Shards)
-	k := &Keeper{
-		client: store.LimitPart(client, limiter, registry, "budget.store"), plans: plans, options: options,
+	k := &Allocator{
+		client: store.LimitShared(client, limiter, registry, "budget.store"), plans: plans, options: options,
 		metrics: keeperMetrics{
 			draws: counter("draws"), conflicts: counter("conflicts"), unsettled: counter("unsettled"),
 			exhausted: counter("refused.exhausted"), outage: counter("refused.outage"), overrun: counter("overrun"),
@@ -189,7 +189,7 @@
 // Reservation is a cost set aside in the budget. Exactly one of Settle and
 // Release ends it; later calls of either do nothing.
 type Reservation struct {
-	keeper     *Keeper
+	keeper     *Allocator
 	allotment  *allotment
 	cost       Cost
 	budget     plan.Budget
@@ -202,7 +202,7 @@
 // Reserve sets aside the worst cost of a call before it is placed. It does no
 // I/O; where too little is held it waits briefly for a draw. The error is a
 // *Refusal. The spending belongs to the window in which it was reserved.
-func (k *Keeper) Reserve(ctx context.Context, p *plan.Plan, cost Cost) (*Reservation, error) {
+func (k *Allocator) Reserve(ctx context.Context, p *plan.Plan, cost Cost) (*Reservation, error) {
 	list, version := k.plans.Plans()
 	if list == nil || list.Lookup(p.Name) == nil {
 		return nil, &Refusal{Plan: p.Name, Reason: Removed}
@@ -225,7 +225,7 @@
 }
 
 // take reserves from what is held, or returns nil.
-func (k *Keeper) take(name string, budget plan.Budget, version uint64, cost Cost) *Reservation {
+func (k *Allocator) take(name string, budget plan.Budget, version uint64, cost Cost) *Reservation {
 	a := k.lock(name, budget, version)
 	defer a.mu.Unlock()
 	window, both, ok := a.take(cost, k.options.Now())
@@ -238,7 +238,7 @@
 // reserveAfterDraw draws because too little is held. The caller waits for the
 // draw, which may have been under way before and not have known this need, and
 // then for the one after it, within drawWait.
-func (k *Keeper) reserveAfterDraw(ctx context.Context, name string, cost Cost) (*Reservation, error) {
+func (k *Allocator) reserveAfterDraw(ctx context.Context, name string, cost Cost) (*Reservation, error) {
 	ctx, cancel := context.WithTimeout(ctx, drawWait)
 	defer cancel()
 	for {
@@ -264,7 +264,7 @@
 
 // draw has a need drawn, unless it is known already that it can't be. The
 // channel is closed when the draw under way, or beginning with this, has ended.
-func (k *Keeper) draw(name string, budget plan.Budget, version uint64, need Cost) (<-chan struct{}, *Refusal) {
+func (k *Allocator) draw(name string, budget plan.Budget, version uint64, need Cost) (<-chan struct{}, *Refusal) {
 	a := k.lock(name, budget, version)
 	refusal := k.standing(a)
 	if refusal == nil {
@@ -278,7 +278,7 @@
 }
 
 // standing returns the refusal that is known without asking the store again.
-func (k *Keeper) standing(a *allotment) *Refusal {
+func (k *Allocator) standing(a *allotment) *Refusal {
 	now := k.options.Now()
 	if now.Before(a.refusedUntil) {
 		return k.refuse(a, now)
@@ -290,9 +290,9 @@
 	return nil
 }
 
-func (k *Keeper) refuse(a *allotment, now time.Time) *Refusal {
-	if a.refusal == Behind {
-		return &Refusal{Plan: a.plan, Reason: Behind, RetryAfter: a.refusedUntil.Sub(now)}
+func (k *Allocator) refuse(a *allotment, now time.Time) *Refusal {
+	if a.refusal == PlanOutdated {
+		return &Refusal{Plan: a.plan, Reason: PlanOutdated, RetryAfter: a.refusedUntil.Sub(now)}
 	}
 	k.metrics.exhausted.Inc(1)
 	first, both := windowsAt(now, lengthOf(a.budget))
@@ -338,10 +338,10 @@
 	}
 }
 
-func (k *Keeper) shardOf(name string) *shard { return k.shards[shardOf(name, len(k.shards))] }
+func (k *Allocator) shardOf(name string) *shard { return k.shards[shardOf(name, len(k.shards))] }
 
 // lock returns the plan's allotment, brought to the budget in force and locked.
-func (k *Keeper) lock(name string, budget plan.Budget, version uint64) *allotment {
+func (k *Allocator) lock(name string, budget plan.Budget, version uint64) *allotment {
 	s := k.shardOf(name)
 	for {
 		a := s.allotment(name, budget, version)
--- a/internal/budget/refusal.go
+++ b/internal/budget/refusal.go
@@ -17,7 +17,7 @@
 	// StoreUnavailable says that nothing is held and the store can't be asked.
 	StoreUnavailable Reason = "object API unavailable"
 	// Behind says that the plan was edited and this instance has not got the edit yet.
-	Behind Reason = "the plan's edit has not arrived yet"
+	PlanOutdated Reason = "the plan's edit has not arrived yet"
 	// Removed says that the plan is not in the list in force.
 	Removed Reason = "plan removed"
 	// Busy says that a draw is under way and did not end soon enough.
--- a/internal/budget/run.go
+++ b/internal/budget/run.go
@@ -8,7 +8,7 @@
 
 // Run renews allotments in the background and follows edits of the plans until
 // ctx ends. It gives nothing back; Close does.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Allocator) Run(ctx context.Context) error {
 	tick := time.NewTicker(rateTick)
 	defer tick.Stop()
 	// The channel is kept until it is closed: one taken anew after each event
@@ -30,7 +30,7 @@
 }
 
 // followEdit applies the list in force to everything that is held.
-func (k *Keeper) followEdit() {
+func (k *Allocator) followEdit() {
 	list, version := k.plans.Plans()
 	if list == nil || k.closed.Load() {
 		return
@@ -50,7 +50,7 @@
 	}
 }
 
-func (k *Keeper) tick() {
+func (k *Allocator) tick() {
 	now := k.options.Now()
 	var held Cost
 	for _, s := range k.shards {
@@ -80,7 +80,7 @@
 // to be returned. The draws are spread over a tick: after an edit all
 // instances have to update one object, and at once they would mostly meet
 // conflicts. An edit ends the spreading, and begins it anew.
-func (k *Keeper) renewWhereDue(ctx context.Context, edited <-chan struct{}) {
+func (k *Allocator) renewWhereDue(ctx context.Context, edited <-chan struct{}) {
 	if k.closed.Load() || k.untilRetry(k.options.Now()) > 0 {
 		return
 	}
@@ -107,7 +107,7 @@
 
 // due reports whether the shard has anything to ask: what became of a lost
 // write and what was marked for return at once, anything else when it is time to renew.
-func (k *Keeper) due(s *shard) bool {
+func (k *Allocator) due(s *shard) bool {
 	now := k.options.Now()
 	s.drawing.Lock()
 	early, unresolved := now.Before(s.renewAt), s.unresolved
@@ -130,7 +130,7 @@
 
 // Close stops reserving and returns everything that is not reserved: the
 // planned stop, after the instance's calls have ended.
-func (k *Keeper) Close(ctx context.Context) error {
+func (k *Allocator) Close(ctx context.Context) error {
 	k.closed.Store(true)
 	defer k.draws.Wait()
 	defer k.cancel()
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func (k *Keeper) closeShard(ctx context.Context, s *shard) error {
+func (k *Allocator) closeShard(ctx context.Context, s *shard) error {
 	s.mu.RLock()
 	empty := len(s.allotments) == 0
 	for _, a := range s.allotments {
--- a/internal/budget/world_test.go
+++ b/internal/budget/world_test.go
@@ -140,7 +140,7 @@
 
 // node is one instance's keeper through its lives.
 type node struct {
-	*Keeper
+	*Allocator
 	lists *lists
 	link  *link
 	skew  time.Duration
@@ -168,11 +168,11 @@
 }
 
 func (n *node) start() {
-	n.Keeper = NewKeeper(n.link, n.lists, Options{
+	n.Allocator = NewAllocator(n.link, n.lists, Options{
 		Shards: 1, Horizon: 20 * time.Second, Share: 4, Lead: 5 * time.Second, Renew: 5 * time.Second,
 		Now: func() time.Time { return time.Now().Add(n.skew) },
 	})
-	keeper := n.Keeper
+	keeper := n.Allocator
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	n.done = make(chan struct{})
@@ -186,9 +186,9 @@
 // crash ends the keeper's life without returning anything.
 func (n *node) crash() {
 	n.stop()
-	n.Keeper.cancel()
+	n.Allocator.cancel()
 	<-n.done
-	n.Keeper.draws.Wait()
+	n.Allocator.draws.Wait()
 }
 
 func (w *world) close() {
@@ -200,7 +200,7 @@
 
 func (n *node) reserve(tokens int64) (*Reservation, error) {
 	p := &plan.Plan{Name: "p"}
-	return n.Keeper.Reserve(context.Background(), p, Cost{Tokens: tokens})
+	return n.Allocator.Reserve(context.Background(), p, Cost{Tokens: tokens})
 }
 
 // inBubble runs f in virtual time and hands its panic, by which rapid reports
--- a/internal/cache/bench_test.go
+++ b/internal/cache/bench_test.go
@@ -42,7 +42,7 @@
 		chain := make([]uint64, 1)
 		for i := range blocks {
 			chain[0] = uint64(i+1) * 0x9e3779b97f4a7c15
-			view.Sent(1, chain)
+			view.RecordSent(1, chain)
 		}
 		b.ReportMetric(float64(heap()-before)/blocks, "B/block")
 		runtime.KeepAlive(view)
--- a/internal/cache/view.go
+++ b/internal/cache/view.go
@@ -72,7 +72,7 @@
 }
 
 // Sent notes that the engine was sent a prompt with this chain of blocks.
-func (v *View) Sent(id uint32, chain []uint64) {
+func (v *View) RecordSent(id uint32, chain []uint64) {
 	slot := v.slotOf(id)
 	v.addAll(slot, chain)
 }
@@ -87,7 +87,7 @@
 
 // Lost notes that an answer showed the engine to hold only the first part of
 // the chain: what lies behind was evicted without our hearing of it.
-func (v *View) Lost(id uint32, chain []uint64, kept int) {
+func (v *View) MarkEvicted(id uint32, chain []uint64, kept int) {
 	slot := v.slotOf(id)
 	for _, hash := range chain[min(kept, len(chain)):] {
 		if hash&v.mask == 0 {
@@ -183,7 +183,7 @@
 // Compare takes in how many tokens an engine had cached against what the view
 // expected. A single miss is ordinary, since blocks are evicted between a
 // decision and the call; a row of them means that events are being lost.
-func (v *View) Compare(id uint32, expected, cached int) {
+func (v *View) ObserveCached(id uint32, expected, cached int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	h := v.holder(id)
--- a/internal/cache/view_test.go
+++ b/internal/cache/view_test.go
@@ -188,7 +188,7 @@
 	chainAt := func(i int) []uint64 { return []uint64{uint64(i+1) * 0x9e3779b97f4a7c15} }
 	var m Matches
 	for i := range 2 * slotCount {
-		view.Sent(1, chainAt(i))
+		view.RecordSent(1, chainAt(i))
 		view.Resync(1, engine.State{Boot: fmt.Sprint(i)})
 		for n := max(0, i-slotCount-4); n < i-slotCount+4; n++ {
 			view.Lookup(chainAt(n), &m)
@@ -201,7 +201,7 @@
 	is := is.New(t)
 	view := New(Options{MaxBlocks: 64 * 16})
 	for i := range 100000 {
-		view.Sent(1, []uint64{uint64(i) * 0x9e3779b97f4a7c15})
+		view.RecordSent(1, []uint64{uint64(i) * 0x9e3779b97f4a7c15})
 	}
 	is.True(view.Blocks() <= 64*16)
 }
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -90,7 +90,7 @@
 	}
 	limiter := rate.NewLimiter(rate.Limit(options.StoreRate), DefaultStoreBurst)
 	s := &Source{
-		client: store.LimitPart(client, limiter, options.Registry, "config.store"), options: options,
+		client: store.LimitShared(client, limiter, options.Registry, "config.store"), options: options,
 		stale: counter("stale"), refused: counter("refused"), installs: counter("installs"),
 		offered: counter("peers.offered"),
 		version: metrics.GetOrRegisterGauge("config.version", options.Registry),
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -28,22 +28,22 @@
 	// Answered is the cohort of the instance that answers.
 	Answered string `json:"answered"`
 	// Isolated says that it lost most of its data centre at once.
-	Isolated      bool             `json:"isolated"`
-	ConfigVersion uint64           `json:"config_version"`
-	DataCentres   []StatusCentre   `json:"data_centres"`
-	Instances     []StatusInstance `json:"instances"`
+	Isolated      bool               `json:"isolated"`
+	ConfigVersion uint64             `json:"config_version"`
+	DataCentres   []StatusDataCentre `json:"data_centres"`
+	Instances     []StatusInstance   `json:"instances"`
 	// Gone are the instances that were declared dead or left lately.
 	Gone   []StatusInstance `json:"gone"`
 	Leases []StatusLease    `json:"leases"`
 }
 
 // StatusCentre is a data centre in a Status.
-type StatusCentre struct {
+type StatusDataCentre struct {
 	DataCentre string `json:"data_centre"`
 	Reachable  bool   `json:"reachable"`
 	Live       int    `json:"live"`
 	// Behind is the number of instances with an older version than the newest.
-	Behind int `json:"behind"`
+	Outdated int `json:"behind"`
 }
 
 // StatusInstance is an instance in a Status.
@@ -54,15 +54,15 @@
 	Address     string `json:"address"`
 	State       string `json:"state"`
 	// Left says that a dead instance announced its own end.
-	Left          bool   `json:"left,omitempty"`
-	Size          uint32 `json:"size"`
-	ConfigVersion uint64 `json:"config_version"`
+	LeftGracefully bool   `json:"left,omitempty"`
+	Size           uint32 `json:"size"`
+	ConfigVersion  uint64 `json:"config_version"`
 	// Store is "healthy" or "unhealthy", as the instance last reported.
 	Store string `json:"store"`
 	// AgeSeconds is the age of the report.
 	AgeSeconds float64 `json:"age_seconds"`
 	// Reached says whether the answering instance reaches this one.
-	Reached bool `json:"reached"`
+	Reachable bool `json:"reached"`
 }
 
 // StatusLease is a duty of the answering instance's data centre.
@@ -138,14 +138,14 @@
 		Answered:      string(view.Self.Cohort),
 		Isolated:      view.Isolated,
 		ConfigVersion: newestVersion(view),
-		DataCentres:   []StatusCentre{},
+		DataCentres:   []StatusDataCentre{},
 		Instances:     []StatusInstance{},
 		Gone:          []StatusInstance{},
 		Leases:        []StatusLease{},
 	}
-	centres := map[string]*StatusCentre{}
-	for _, c := range view.Centres() {
-		centres[c.Name] = &StatusCentre{DataCentre: c.Name, Reachable: c.Reachable}
+	centres := map[string]*StatusDataCentre{}
+	for _, c := range view.DataCentres() {
+		centres[c.Name] = &StatusDataCentre{DataCentre: c.Name, Reachable: c.Reachable}
 	}
 	for _, m := range view.Members() {
 		if m.State == membership.Dead {
@@ -158,10 +158,10 @@
 			centre.Live++
 		}
 		if m.Report.ConfigVersion < status.ConfigVersion {
-			centre.Behind++
+			centre.Outdated++
 		}
 	}
-	for _, c := range view.Centres() {
+	for _, c := range view.DataCentres() {
 		status.DataCentres = append(status.DataCentres, *centres[c.Name])
 	}
 	for _, d := range s.Leases.Duties {
@@ -177,16 +177,16 @@
 	}
 	parts := strings.Split(string(m.Cohort), ".")
 	return StatusInstance{
-		Instance:      m.Instance(),
-		DataCentre:    m.DataCentre(),
-		Incarnation:   parts[len(parts)-1],
-		Address:       m.Address,
-		State:         m.State.String(),
-		Left:          m.Left,
-		Size:          m.Report.Size,
-		ConfigVersion: m.Report.ConfigVersion,
-		Store:         store,
-		AgeSeconds:    max(now.Sub(m.Heard).Seconds(), 0),
-		Reached:       m.Unreached.IsZero(),
+		Instance:       m.Instance(),
+		DataCentre:     m.DataCentre(),
+		Incarnation:    parts[len(parts)-1],
+		Address:        m.Address,
+		State:          m.State.String(),
+		LeftGracefully: m.LeftGracefully,
+		Size:           m.Report.Size,
+		ConfigVersion:  m.Report.ConfigVersion,
+		Store:          store,
+		AgeSeconds:     max(now.Sub(m.LastReport).Seconds(), 0),
+		Reachable:      m.UnreachableSince.IsZero(),
 	}
 }
--- a/internal/control/operator_test.go
+++ b/internal/control/operator_test.go
@@ -27,7 +27,7 @@
 
 func newFleet(now time.Time) *fleet {
 	self := membership.Report{Size: 4, ConfigVersion: 9, StoreHealthy: true}
-	f := &fleet{table: membership.NewTable("bzh1.a.x1", "10.0.0.1:7000", self, membership.DefaultTimes(), now)}
+	f := &fleet{table: membership.NewTable("bzh1.a.x1", "10.0.0.1:7000", self, membership.DefaultTiming(), now)}
 	f.table.Announce(membership.Live, now)
 	f.merge("bzh1.b.x2", membership.Live, 1, 8, now)
 	f.merge("bzh2.c.x3", membership.Leaving, 1, 9, now)
@@ -37,11 +37,11 @@
 
 func (f *fleet) merge(cohort string, state membership.State, beat, version uint64, now time.Time) {
 	f.table.Merge(membership.Record{
-		Cohort:  program.Cohort(cohort),
-		Address: "10.0.0.2:7000",
-		State:   state,
-		Beat:    beat,
-		Report:  membership.Report{Size: 2, ConfigVersion: version, StoreHealthy: true},
+		Cohort:         program.Cohort(cohort),
+		Address:        "10.0.0.2:7000",
+		State:          state,
+		ReportSequence: beat,
+		Report:         membership.Report{Size: 2, ConfigVersion: version, StoreHealthy: true},
 	}, now)
 }
 
@@ -51,7 +51,7 @@
 	for _, m := range f.table.View(time.Now()).Members() {
 		if m.State != membership.Dead && ask(m) {
 			f.asked++
-			f.merge(string(m.Cohort), m.State, m.Beat+1, 9, now)
+			f.merge(string(m.Cohort), m.State, m.ReportSequence+1, 9, now)
 		}
 	}
 	return f.table.View(time.Now())
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -39,7 +39,7 @@
 	settled  []Cost
 	sent     []string
 	tool     func(ctx context.Context, address string) (tool.Answer, error)
-	engine   func(ctx context.Context, address string, onChunk func(engine.Chunk) error) (*engine.Answer, error)
+	engine   func(ctx context.Context, address string, onChunk func(engine.Chunk) error) (*engine.Response, error)
 	noBudget bool
 }
 
@@ -86,7 +86,7 @@
 	return f.tool(ctx, c.Address)
 }
 
-func (f *fakes) Complete(ctx context.Context, addr string, _ *engine.Request, onChunk func(engine.Chunk) error) (*engine.Answer, error) {
+func (f *fakes) Complete(ctx context.Context, addr string, _ *engine.Request, onChunk func(engine.Chunk) error) (*engine.Response, error) {
 	f.note(addr)
 	return f.engine(ctx, addr, onChunk)
 }
@@ -192,7 +192,7 @@
 		is := is.New(t)
 		f, e := newFakes(t)
 		f.tool = func(context.Context, string) (tool.Answer, error) { return tool.Answer{}, tool.ErrNotSent }
-		f.engine = func(context.Context, string, func(engine.Chunk) error) (*engine.Answer, error) {
+		f.engine = func(context.Context, string, func(engine.Chunk) error) (*engine.Response, error) {
 			return nil, &engine.Error{Class: engine.ErrUnknown}
 		}
 		w.MaySend = func() bool { return false }
@@ -225,8 +225,8 @@
 	is.Equal(len(f.sent), 0)
 }
 
-func answerOf(text string) *engine.Answer {
-	return &engine.Answer{Message: chat.Message{Role: "assistant", Raw: []byte(text)}, FinishReason: "stop"}
+func answerOf(text string) *engine.Response {
+	return &engine.Response{Message: chat.Message{Role: "assistant", Raw: []byte(text)}, FinishReason: "stop"}
 }
 
 // An engine takes a model call and gives no token. After its patience the call
@@ -236,7 +236,7 @@
 		is := is.New(t)
 		f, e := newFakes(t)
 		hung := ""
-		f.engine = func(ctx context.Context, address string, _ func(engine.Chunk) error) (*engine.Answer, error) {
+		f.engine = func(ctx context.Context, address string, _ func(engine.Chunk) error) (*engine.Response, error) {
 			if hung == "" {
 				hung = address
 				<-ctx.Done()
@@ -262,7 +262,7 @@
 func TestNoRetryBehindAPartOfTheAnswer(t *testing.T) {
 	is := is.New(t)
 	f, e := newFakes(t)
-	f.engine = func(_ context.Context, _ string, onChunk func(engine.Chunk) error) (*engine.Answer, error) {
+	f.engine = func(_ context.Context, _ string, onChunk func(engine.Chunk) error) (*engine.Response, error) {
 		if err := onChunk(engine.Chunk{Data: []byte("{}")}); err != nil {
 			return nil, err
 		}
@@ -308,7 +308,7 @@
 		is := is.New(t)
 		f, e := newFakes(t)
 		failure := engine.ErrUnknown
-		f.engine = func(_ context.Context, _ string, onChunk func(engine.Chunk) error) (*engine.Answer, error) {
+		f.engine = func(_ context.Context, _ string, onChunk func(engine.Chunk) error) (*engine.Response, error) {
 			err := &engine.Error{Class: failure, Partial: failure != engine.ErrRejected}
 			failure = then
 			if err.Partial {
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -55,7 +55,7 @@
 
 // Engines sends model calls.
 type Engines interface {
-	Complete(ctx context.Context, addr string, r *engine.Request, onChunk func(engine.Chunk) error) (*engine.Answer, error)
+	Complete(ctx context.Context, addr string, r *engine.Request, onChunk func(engine.Chunk) error) (*engine.Response, error)
 }
 
 // Tools sends calls to services.
--- a/internal/dispatch/model.go
+++ b/internal/dispatch/model.go
@@ -48,7 +48,7 @@
 		if err == nil {
 			return m.done(upstream, answer)
 		}
-		m.unsettled = m.unsettled || engine.Ran(err)
+		m.unsettled = m.unsettled || engine.MayHaveRun(err)
 		if errors.Is(err, engine.ErrRejected) {
 			return m.rejected(upstream, err)
 		}
@@ -62,15 +62,15 @@
 
 // attempt sends the call to the granted engine. The answer is always streamed
 // from it, also for callers that want it whole: only so a hanging engine shows.
-func (m *modelStep) attempt(ctx context.Context, sink step.Sink) (*engine.Answer, error) {
+func (m *modelStep) attempt(ctx context.Context, sink step.Sink) (*engine.Response, error) {
 	grant := m.grant
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	grant.Sent()
-	patience := time.AfterFunc(grant.Patience, func() { cancel(errPatience) })
+	patience := time.AfterFunc(grant.ProgressTimeout, func() { cancel(errPatience) })
 	defer patience.Stop()
 	answer, err := m.executor.o.Engines.Complete(attemptCtx, grant.Address, m.engineRequest(), func(c engine.Chunk) error {
-		patience.Reset(grant.Patience)
+		patience.Reset(grant.ProgressTimeout)
 		grant.FirstToken()
 		m.begun = true
 		return m.pass(sink, c)
@@ -120,7 +120,7 @@
 	return json.Unmarshal(r.Extra["stream_options"], &options) == nil && options.IncludeUsage
 }
 
-func (m *modelStep) done(upstream string, answer *engine.Answer) step.Result {
+func (m *modelStep) done(upstream string, answer *engine.Response) step.Result {
 	e := m.executor
 	e.prompt.Inc(int64(answer.Usage.PromptTokens))
 	e.cached.Inc(int64(answer.CachedTokens()))
--- a/internal/dispatch/tool.go
+++ b/internal/dispatch/tool.go
@@ -143,7 +143,7 @@
 	if err == nil {
 		return nil
 	}
-	return &upstream.Failure{Kind: kindOf(err), Leaving: errors.Is(err, tool.ErrLeaving)}
+	return &upstream.Failure{Kind: kindOf(err), Draining: errors.Is(err, tool.ErrLeaving)}
 }
 
 func kindOf(err error) upstream.Kind {
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -177,7 +177,7 @@
 // due returns the engines to read in this round.
 func (k *Keeper) due(all bool) []*upstream.Upstream {
 	var engines []*upstream.Upstream
-	for _, u := range k.table.Members().All {
+	for _, u := range k.table.Snapshot().All {
 		if u.DataCentre == k.settings.DataCentre && u.Service == "" {
 			engines = append(engines, u)
 		}
@@ -197,7 +197,7 @@
 // next round, which sees what is still missing.
 func (k *Keeper) carryOut(ctx context.Context, actions []Action, valid func() bool) {
 	for _, a := range actions {
-		u := k.table.Members().Upstream(a.Engine)
+		u := k.table.Snapshot().Upstream(a.Engine)
 		if u == nil {
 			continue
 		}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -85,7 +85,7 @@
 func (s *site) second() *site {
 	other := &site{fleet: s.fleet, table: upstream.NewTable()}
 	var listed []usage.Upstream
-	for _, u := range s.table.Members().All {
+	for _, u := range s.table.Snapshot().All {
 		listed = append(listed, u.Upstream)
 	}
 	other.table.Apply(listed, time.Now())
--- a/internal/duty/models.go
+++ b/internal/duty/models.go
@@ -14,7 +14,7 @@
 // publish tells the table under which name each engine serves each model: the
 // version wanted where it is ready, or else another that is.
 func (k *Keeper) publish(seen []observed) {
-	members := k.table.Members()
+	members := k.table.Snapshot()
 	for _, m := range k.settings.Models() {
 		for _, cell := range members.Model(m.Name) {
 			for _, o := range seen {
@@ -75,7 +75,7 @@
 				}
 			}
 		}
-		for _, cell := range k.table.Members().Model(m.Name) {
+		for _, cell := range k.table.Snapshot().Model(m.Name) {
 			slots += cell.Upstream.Slots
 			allowed++
 		}
--- a/internal/engine/assemble.go
+++ b/internal/engine/assemble.go
@@ -102,7 +102,7 @@
 
 // answer returns what has been assembled; without a finish reason or usage the
 // stream was not whole.
-func (a *assembler) answer() (*Answer, error) {
+func (a *assembler) answer() (*Response, error) {
 	if a.reason == "" || !a.usageSeen {
 		return nil, errTruncated
 	}
@@ -119,5 +119,5 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "message")
 	}
-	return &Answer{Message: chat.Message{Role: "assistant", Raw: raw}, FinishReason: a.reason, Usage: a.usage}, nil
+	return &Response{Message: chat.Message{Role: "assistant", Raw: raw}, FinishReason: a.reason, Usage: a.usage}, nil
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -54,7 +54,7 @@
 // request asks for a stream, onChunk is called for each chunk as it comes; an
 // error from it, or the end of ctx, closes the connection, which frees the
 // engine's slot. A failure is an *Error.
-func (c *Client) Complete(ctx context.Context, addr string, r *Request, onChunk func(Chunk) error) (*Answer, error) {
+func (c *Client) Complete(ctx context.Context, addr string, r *Request, onChunk func(Chunk) error) (*Response, error) {
 	body, err := EncodeRequest(r)
 	if err != nil {
 		return nil, &Error{Class: ErrNotSent, Cause: err}
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	var answer *Answer
+	var answer *Response
 	if r.Chat.Stream {
 		answer, err = readStreamed(resp.Body, begin, onChunk)
 	} else {
@@ -78,7 +78,7 @@
 	return answer, nil
 }
 
-func readWhole(r io.Reader, begin time.Time) (*Answer, error) {
+func readWhole(r io.Reader, begin time.Time) (*Response, error) {
 	body, err := readBounded(r, maxAnswer)
 	if err != nil {
 		return nil, &Error{Class: ErrUnknown, Cause: err}
@@ -91,7 +91,7 @@
 	return answer, nil
 }
 
-func readStreamed(r io.Reader, begin time.Time, onChunk func(Chunk) error) (*Answer, error) {
+func readStreamed(r io.Reader, begin time.Time, onChunk func(Chunk) error) (*Response, error) {
 	var a assembler
 	var firstToken time.Duration
 	err := readStream(r, func(data []byte) error {
@@ -154,7 +154,7 @@
 		Class:      ErrUnknown,
 		Status:     resp.StatusCode,
 		RetryAfter: retryAfter(resp.Header),
-		Leaving:    resp.Header.Get(HeaderLeaving) == "true",
+		Draining:   resp.Header.Get(HeaderLeaving) == "true",
 		Cause:      errors.New(strings.TrimSpace(string(message))),
 	}
 	switch {
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -31,7 +31,7 @@
 	// RetryAfter is what the engine asked for; 0 if nothing.
 	RetryAfter time.Duration
 	// Leaving says that the engine drains.
-	Leaving bool
+	Draining bool
 	// Partial says that a part of the answer had come.
 	Partial bool
 	// Cause is the transport's error or the engine's message.
@@ -53,6 +53,6 @@
 func (e *Error) Unwrap() error { return e.Cause }
 
 // Ran reports whether the call may have run, for a failure of any kind.
-func Ran(err error) bool {
+func MayHaveRun(err error) bool {
 	return !errors.Is(err, ErrNotSent) && !errors.Is(err, ErrNotRun) && !errors.Is(err, ErrRejected)
 }
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -56,7 +56,7 @@
 }
 
 // Answer is a whole answer.
-type Answer struct {
+type Response struct {
 	// Body is the engine's JSON, nil where the answer was streamed.
 	Body []byte
 	// Message is the assistant's message as it belongs into a history.
@@ -69,7 +69,7 @@
 }
 
 // CachedTokens returns the prompt tokens that the engine found in its cache.
-func (a *Answer) CachedTokens() int {
+func (a *Response) CachedTokens() int {
 	if a.Usage.Details == nil {
 		return 0
 	}
@@ -87,7 +87,7 @@
 	PrefillTokens int `json:"prefill_tokens"`
 	// CacheTokens is the number of tokens that the prefix cache holds.
 	CacheTokens int  `json:"cache_tokens"`
-	Leaving     bool `json:"leaving"`
+	Draining    bool `json:"leaving"`
 }
 
 // EventKind tells what happened to blocks of the prefix cache.
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -114,7 +114,7 @@
 	Usage chat.Usage `json:"usage"`
 }
 
-func decodeCompletion(body []byte) (*Answer, error) {
+func decodeCompletion(body []byte) (*Response, error) {
 	var c completion
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, errors.Wrap(err, "answer")
@@ -123,5 +123,5 @@
 		return nil, errors.New("answer without a choice")
 	}
 	first := c.Choices[0]
-	return &Answer{Body: body, Message: first.Message, FinishReason: first.FinishReason, Usage: c.Usage}, nil
+	return &Response{Body: body, Message: first.Message, FinishReason: first.FinishReason, Usage: c.Usage}, nil
 }
--- a/internal/experiment/entry.go
+++ b/internal/experiment/entry.go
@@ -52,7 +52,7 @@
 // choice is a placed turn.
 type choice struct {
 	engine   int
-	cell     *upstream.Cell
+	cell     *upstream.Endpoint
 	step     placement.Step
 	estimate placement.Estimate
 	trial    uint64
@@ -65,10 +65,10 @@
 func (e *modelEntry) place(p *program, out int, tried []int) (*choice, bool) {
 	e.turn++
 	step := placement.Step{
-		Prompt: p.prompt, Output: out, Latency: 1, Cache: 0.5,
+		Prompt: p.prompt, Output: out, LatencyWeight: 1, CacheWeight: 0.5,
 		Key: uint64(p.number), Turn: e.turn, Random: e.random.Uint64(),
 	}
-	cells := e.table.Members().Model(modelName)
+	cells := e.table.Snapshot().Model(modelName)
 	e.view.Lookup(p.blocks, &e.found)
 	candidates := make([]placement.Candidate, 0, len(cells))
 	for i, cell := range cells {
@@ -78,7 +78,7 @@
 			Cached: min(p.prompt, e.found.Depth(u.ID)*blockTokens),
 		}
 		if isTried(u, tried) {
-			c.Refused = placement.Tried
+			c.Rejection = placement.Tried
 		}
 		candidates = append(candidates, c)
 	}
@@ -98,7 +98,7 @@
 		batch: chosen.Load.Total + 1, cached: chosen.Cached, sent: e.clock.now,
 	}
 	cell.Upstream.Begin(e.clock.now.UnixNano(), c.uncached(), patience)
-	e.view.Sent(cell.Upstream.ID, p.blocks)
+	e.view.RecordSent(cell.Upstream.ID, p.blocks)
 	return c, true
 }
 
@@ -136,7 +136,7 @@
 // failed notes that the engine answered with a failure.
 func (e *modelEntry) failed(c *choice) {
 	e.refused(c)
-	c.cell.Upstream.Failed(e.clock.now, upstream.Failure{Kind: upstream.Erred})
+	c.cell.Upstream.Failed(e.clock.now, upstream.Failure{Kind: upstream.Errored})
 	c.cell.Upstream.ReleaseTrial(c.trial)
 }
 
@@ -148,11 +148,11 @@
 	u.Succeeded(now)
 	u.ReleaseTrial(c.trial)
 	total := now.Sub(c.sent)
-	u.Compare(now, total, c.estimate.Expected(&c.step, made))
+	u.ObserveLatency(now, total, c.estimate.Expected(&c.step, made))
 	c.cell.Learn(upstream.Sample{
 		Uncached: c.step.Prompt - cached, Output: made, Batch: min(c.batch, u.Slots), FirstToken: first, Total: total,
 	})
-	e.view.Compare(u.ID, c.cached, cached)
+	e.view.ObserveCached(u.ID, c.cached, cached)
 }
 
 // load is what an entry tells the others.
@@ -163,9 +163,9 @@
 
 func (e *modelEntry) loads() map[string]load {
 	loads := map[string]load{}
-	for _, u := range e.table.Members().All {
+	for _, u := range e.table.Snapshot().All {
 		l := u.Load(e.clock.now.UnixNano())
-		loads[u.Name] = load{calls: l.Own, backlog: max(0, l.OwnBacklog), erring: u.Erring(e.clock.now)}
+		loads[u.Name] = load{calls: l.Own, backlog: max(0, l.OwnBacklog), erring: u.HasHighErrorRate(e.clock.now)}
 	}
 	return loads
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -276,11 +276,11 @@
 	}
 	r.clock.after(way, func() {
 		for i, e := range r.entries {
-			for _, u := range e.table.Members().All {
+			for _, u := range e.table.Snapshot().All {
 				sum, mine := sums[u.Name], own[i][u.Name]
-				u.OthersHave(sum.calls-mine.calls, sum.backlog-mine.backlog, r.clock.now.Add(tellLife))
+				u.SetRemoteLoad(sum.calls-mine.calls, sum.backlog-mine.backlog, r.clock.now.Add(tellLife))
 				if sum.erring {
-					u.PeerSaysErring(r.clock.now.Add(tellLife))
+					u.PeerReportedErrors(r.clock.now.Add(tellLife))
 				}
 			}
 		}
--- a/internal/gateway/attempts_machine_test.go
+++ b/internal/gateway/attempts_machine_test.go
@@ -35,22 +35,22 @@
 		breaksOff = resumed(breaksOff, streams(io.ErrUnexpectedEOF))
 	}
 	return []behaviour{
-		{"loses the answer", true, fails(httpconn.ErrLost)},
+		{"loses the answer", true, fails(httpconn.ErrResponseLost)},
 		{"refuses", false, refuses},
 		{"breaks off", true, breaksOff},
-		{"is behind a connection that went silent", true, afterPause(100*time.Millisecond, fails(httpconn.ErrSilent))},
+		{"is behind a connection that went silent", true, afterPause(100*time.Millisecond, fails(httpconn.ErrUnresponsive))},
 		{"answers late", true, afterPause(700*time.Millisecond, answer)},
 		{"takes no connection", false, fails(httpconn.ErrNotSent)},
-		{"has no connection free", false, fails(httpconn.ErrFull)},
+		{"has no connection free", false, fails(httpconn.ErrConnectionLimit)},
 		{"hangs", true, hangs},
-		{"sends nonsense", true, answers(Answer{Status: 200, Run: true}, "unsigned")},
+		{"sends nonsense", true, answers(Response{Status: 200, Executed: true}, "unsigned")},
 		{"answers", true, answer},
 	}
 }
 
 // resumed answers one way from the start, and another behind the first event.
 func resumed(start, behind script) script {
-	return func(ctx context.Context, s *Send) (*Answer, error) {
+	return func(ctx context.Context, s *Attempt) (*Response, error) {
 		if s.ResumeAfter != "" {
 			return behind(ctx, s)
 		}
@@ -60,7 +60,7 @@
 
 // afterPause runs the script after a time, unless the caller leaves.
 func afterPause(pause time.Duration, then script) script {
-	return func(ctx context.Context, s *Send) (*Answer, error) {
+	return func(ctx context.Context, s *Attempt) (*Response, error) {
 		select {
 		case <-time.After(pause):
 			return then(ctx, s)
@@ -78,7 +78,7 @@
 func scripted(drawn []behaviour, cut map[string]bool, ran ran) []script {
 	var steps []script
 	for _, b := range drawn {
-		steps = append(steps, func(ctx context.Context, s *Send) (*Answer, error) {
+		steps = append(steps, func(ctx context.Context, s *Attempt) (*Response, error) {
 			if cut[s.Target.ID] {
 				ran[s.Target.ID]++
 				return hangs(ctx, s)
@@ -99,12 +99,12 @@
 		// rapid prefers small numbers, with which most calls are answered at once.
 		draw := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0))
 		route := []routing.Route{
-			{Repeat: routing.Once}, {Repeat: routing.Idempotent},
-			{Repeat: routing.Stream}, {Repeat: routing.Stream, Resumable: true},
+			{Kind: routing.Once}, {Kind: routing.Idempotent},
+			{Kind: routing.Stream}, {Kind: routing.Stream, Resumable: true},
 		}[draw.IntN(4)]
 		route.Attempts = 1 + draw.IntN(3)
 		route.GapObjective = 150 * time.Millisecond
-		menu := behaviours(route.Repeat == routing.Stream)
+		menu := behaviours(route.Kind == routing.Stream)
 		var drawn []behaviour
 		var names []string
 		for range 8 {
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -18,9 +18,9 @@
 
 // slowly streams an event at once and the next ones after pauses, unless its caller leaves.
 func slowly(pause time.Duration, events ...string) script {
-	return func(ctx context.Context, _ *Send) (*Answer, error) {
+	return func(ctx context.Context, _ *Attempt) (*Response, error) {
 		body := &slowReader{ctx: ctx, pause: pause, events: events}
-		return NewAnswer(Answer{Status: 200, Verified: true, Run: true, Length: -1, Body: body}, func() {}), nil
+		return NewResponse(Response{Status: 200, Verified: true, Executed: true, Length: -1, Body: body}, func() {}), nil
 	}
 }
 
@@ -64,15 +64,15 @@
 // silent while its replicas answer.
 func TestAttemptsHoldWhileInstancesAreSilentAndReplicasAnswer(t *testing.T) {
 	is := is.New(t)
-	route := routing.Route{Repeat: routing.Stream, Resumable: true, Attempts: 1}
+	route := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 1}
 	out := serveThrough(t, silentOnce(300*time.Millisecond), route, Call{}, nil,
 		slowly(200*time.Millisecond, event(1), event(2), event(3), event(4)), streams(nil, event(9)))
 	is.Equal(distinct(out.sends), 1)
 	is.Equal(out.result.Outcome, Answered)
 	is.Equal(out.body, event(1)+event(2)+event(3)+event(4))
 
-	idempotent := routing.Route{Repeat: routing.Idempotent, Attempts: 1}
-	late := func(ctx context.Context, s *Send) (*Answer, error) {
+	idempotent := routing.Route{Kind: routing.Idempotent, Attempts: 1}
+	late := func(ctx context.Context, s *Attempt) (*Response, error) {
 		time.Sleep(400 * time.Millisecond)
 		if ctx.Err() != nil {
 			return hangs(ctx, s)
@@ -88,27 +88,27 @@
 // replica accepts new ones and runs on. The same replica must be asked again.
 func TestAttemptsHoldWhereOnlyAConnectionIsSilent(t *testing.T) {
 	is := is.New(t)
-	idempotent := routing.Route{Repeat: routing.Idempotent, Attempts: 1}
-	out := serve(t, idempotent, Call{}, nil, fails(httpconn.ErrSilent), good("again"))
+	idempotent := routing.Route{Kind: routing.Idempotent, Attempts: 1}
+	out := serve(t, idempotent, Call{}, nil, fails(httpconn.ErrUnresponsive), good("again"))
 	is.Equal(out.body, "again")
 	is.Equal(distinct(out.sends), 1)
 
-	stream := routing.Route{Repeat: routing.Stream, Resumable: true, Attempts: 1}
+	stream := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 1}
 	timedOut := os.NewSyscallError("read", syscall.ETIMEDOUT)
 	out = serve(t, stream, Call{}, nil, streams(timedOut, event(1)), streams(nil, event(2)))
 	is.Equal(out.body, event(1)+event(2))
 	is.Equal(distinct(out.sends), 1)
 	out = serve(t, stream, Call{}, nil, streams(timedOut, event(1)))
-	is.Equal(out.result.Outcome, BrokenOff)
+	is.Equal(out.result.Outcome, Truncated)
 	is.Equal(distinct(out.sends), 1)
 }
 
 // A caller waits for a connection into a cut in vain: its data centre is silent as well.
 func TestReplicaOfASilentDataCentreIsNotAskedAgain(t *testing.T) {
 	is := is.New(t)
-	silent := Settings{Silence: func(string) time.Duration { return heardWithin }}
-	route := routing.Route{Repeat: routing.Idempotent, Attempts: 1}
-	out := serveFor(t, nil, silent, route, Call{}, nil, fails(httpconn.ErrSilent), good("again"))
+	silent := Settings{SilentFor: func(string) time.Duration { return heardWithin }}
+	route := routing.Route{Kind: routing.Idempotent, Attempts: 1}
+	out := serveFor(t, nil, silent, route, Call{}, nil, fails(httpconn.ErrUnresponsive), good("again"))
 	is.Equal(out.result.Outcome, Unknown)
 	is.Equal(len(out.sends), 1)
 }
@@ -117,16 +117,16 @@
 // loses an answer and refuses the second sending, which hides that it may have run the first.
 func TestRefusedSecondSendingDoesNotHideTheFirst(t *testing.T) {
 	is := is.New(t)
-	stream := routing.Route{Repeat: routing.Stream, Resumable: true, Attempts: 1}
-	idempotent := routing.Route{Repeat: routing.Idempotent, Attempts: 1}
-	for _, second := range []script{refuses, fails(httpconn.ErrNotSent), fails(httpconn.ErrFull)} {
+	stream := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 1}
+	idempotent := routing.Route{Kind: routing.Idempotent, Attempts: 1}
+	for _, second := range []script{refuses, fails(httpconn.ErrNotSent), fails(httpconn.ErrConnectionLimit)} {
 		out := serve(t, stream, Call{}, nil, streams(io.ErrUnexpectedEOF, event(1)), second, streams(nil, event(2)))
 		is.Equal(distinct(out.sends), 1)
-		is.Equal(out.result.Outcome, BrokenOff)
-		out = serve(t, stream, Call{}, nil, fails(httpconn.ErrLost), second)
+		is.Equal(out.result.Outcome, Truncated)
+		out = serve(t, stream, Call{}, nil, fails(httpconn.ErrResponseLost), second)
 		is.Equal(distinct(out.sends), 1)
 		is.Equal(out.result.Outcome, Unknown)
-		out = serve(t, idempotent, Call{}, nil, fails(httpconn.ErrLost), second, good("second"))
+		out = serve(t, idempotent, Call{}, nil, fails(httpconn.ErrResponseLost), second, good("second"))
 		is.Equal(distinct(out.sends), 1)
 		is.Equal(out.result.Outcome, Unknown)
 	}
@@ -136,7 +136,7 @@
 // leaves no line.
 func TestEndOfASendingIsTold(t *testing.T) {
 	is := is.New(t)
-	route := routing.Route{Repeat: routing.Stream, Resumable: true, Attempts: 2}
+	route := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}
 	out := serveThrough(t, silentOnce(300*time.Millisecond), route, Call{ID: "r"}, nil, slowly(time.Second, event(1), event(2)), streams(nil, event(2)))
 	is.Equal(out.result.Outcome, Answered)
 	line := out.line("sending ended")
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -73,9 +73,9 @@
 	// Unknown says that the call may have run.
 	Unknown
 	// BrokenOff says that the answer ended early, after its head was passed on.
-	BrokenOff
+	Truncated
 	// Gone says that the caller left.
-	Gone
+	CallerGone
 )
 
 // String returns the outcome's name in log lines.
@@ -88,24 +88,24 @@
 
 // The reasons.
 const (
-	NoConfiguration Reason = "no_configuration"
-	NoRoute         Reason = "no_route"
-	KeyUnknown      Reason = "key_unknown"
-	OverQuota       Reason = "over_quota"
-	QuotaUnknown    Reason = "quota_unknown"
-	BadRequest      Reason = "bad_request"
-	TooLarge        Reason = "too_large"
-	BudgetSpent     Reason = "budget_spent"
-	NoSuchTurn      Reason = "no_such_turn"
-	TurnsUnreached  Reason = "turns_unreached"
-	NoReplica       Reason = "no_replica"
-	Overloaded      Reason = "overloaded"
-	ReplicaRefused  Reason = "replica_refused"
-	ReplicaLost     Reason = "replica_lost"
-	ReplicaSpoiled  Reason = "replica_spoiled"
-	TimedOut        Reason = "timed_out"
-	NotKept         Reason = "not_kept"
-	CallerLeft      Reason = "caller_left"
+	NoConfiguration        Reason = "no_configuration"
+	NoRoute                Reason = "no_route"
+	UnknownKey             Reason = "key_unknown"
+	OverQuota              Reason = "over_quota"
+	QuotaUnknown           Reason = "quota_unknown"
+	BadRequest             Reason = "bad_request"
+	TooLarge               Reason = "too_large"
+	BudgetExhausted        Reason = "budget_spent"
+	NoSuchTurn             Reason = "no_such_turn"
+	TurnsUnavailable       Reason = "turns_unreached"
+	NoReplica              Reason = "no_replica"
+	Overloaded             Reason = "overloaded"
+	ReplicaRefused         Reason = "replica_refused"
+	ReplicaLost            Reason = "replica_lost"
+	ReplicaInvalidResponse Reason = "replica_spoiled"
+	TimedOut               Reason = "timed_out"
+	TurnNotRetained        Reason = "not_kept"
+	CallerDisconnected     Reason = "caller_left"
 )
 
 // Result is the end of a call.
@@ -115,9 +115,9 @@
 	// RetryAfter is when it is worth to come again; 0 for at once.
 	RetryAfter time.Duration
 	// Status is the replica's, where it answered.
-	Status  int
-	Replica string
-	Sends   int
+	Status   int
+	Replica  string
+	Attempts int
 	// Cause is what is known of why a turn was refused; nil for most.
 	Cause error
 }
--- a/internal/gateway/customer_test.go
+++ b/internal/gateway/customer_test.go
@@ -48,11 +48,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			route := routing.Route{Repeat: routing.Once, Attempts: 1, Priority: 4, Public: c.public}
+			route := routing.Route{Kind: routing.Once, Attempts: 1, Priority: 4, Public: c.public}
 			out := serveFor(t, customers, Settings{}, route, Call{ID: "r", Key: c.key}, nil, good("done"))
 			is.Equal(out.result.Outcome, c.outcome)
 			if c.outcome == NotRun {
-				is.Equal(out.result.Reason, KeyUnknown)
+				is.Equal(out.result.Reason, UnknownKey)
 				is.Equal(len(out.sent), 0)
 				return
 			}
@@ -91,7 +91,7 @@
 // A call beyond its customer's quota runs, or waits for its end before it is refused.
 func TestCallsBeyondTheQuotaAreRefusedAtOnce(t *testing.T) {
 	customers := customersOf(t, routing.Customer{Name: "one", Keys: []routing.KeyDigest{*key("k1")}})
-	for verdict, reason := range map[limit.Verdict]Reason{limit.Over: OverQuota, limit.Unknown: QuotaUnknown} {
+	for verdict, reason := range map[limit.Verdict]Reason{limit.OverQuota: OverQuota, limit.Undetermined: QuotaUnknown} {
 		is := is.New(t)
 		quotas, turns := &fakeQuotas{verdict: verdict}, &fakeTurns{}
 		call := turnCall()
@@ -110,11 +110,11 @@
 // A customer's quota is used up by calls that were refused and have not run.
 func TestCallsThatHaveNotRunDoNotCountAgainstTheQuota(t *testing.T) {
 	customers := customersOf(t, routing.Customer{Name: "one", Keys: []routing.KeyDigest{*key("k1")}})
-	route := routing.Route{Repeat: routing.Once, Attempts: 1}
+	route := routing.Route{Kind: routing.Once, Attempts: 1}
 	for _, c := range []struct {
 		script   script
 		returned int
-	}{{refuses, 1}, {good("done"), 0}, {fails(httpconn.ErrLost), 0}} {
+	}{{refuses, 1}, {good("done"), 0}, {fails(httpconn.ErrResponseLost), 0}} {
 		is := is.New(t)
 		quotas := &fakeQuotas{}
 		serveFor(t, customers, Settings{Quotas: quotas}, route, Call{ID: "r", Key: key("k1")}, nil, c.script)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -57,7 +57,7 @@
 		return f.refusal(refusal)
 	}
 	result := refused(ReplicaRefused, refusedAfter)
-	result.Sends, result.Replica = f.sends, f.replica
+	result.Attempts, result.Replica = f.sends, f.replica
 	return result
 }
 
@@ -71,10 +71,10 @@
 	case f.late():
 		reason = TimedOut
 	case v == spoiled:
-		reason = ReplicaSpoiled
+		reason = ReplicaInvalidResponse
 	}
 	if f.begun {
-		return f.end(BrokenOff, reason, 0)
+		return f.end(Truncated, reason, 0)
 	}
 	return f.end(Unknown, reason, 0)
 }
@@ -83,7 +83,7 @@
 // answer was lost is sent to the same replica once more where the route allows
 // no other: that is no further replica, and one that lost an answer mostly
 // still runs.
-func (f *flight) try(ctx context.Context, g *scheduler.Grant) (*Answer, []byte, verdict) {
+func (f *flight) try(ctx context.Context, g *scheduler.Grant) (*Response, []byte, verdict) {
 	answer, body, v := f.sendOnce(ctx, g, f.patience(g))
 	if f.sameAgain(ctx, g, v) {
 		var again verdict
@@ -98,7 +98,7 @@
 }
 
 func (f *flight) sameAgain(ctx context.Context, g *scheduler.Grant, v verdict) bool {
-	return f.route.Repeat == routing.Idempotent && len(f.runs) >= f.route.Attempts && f.mayAnswer(ctx, g, v)
+	return f.route.Kind == routing.Idempotent && len(f.runs) >= f.route.Attempts && f.mayAnswer(ctx, g, v)
 }
 
 // heardWithin is how lately a data centre must have been heard for a replica there to be asked
@@ -107,7 +107,7 @@
 
 // mayAnswer reports whether the replica may answer a second sending after what the first came to.
 func (f *flight) mayAnswer(ctx context.Context, g *scheduler.Grant, v verdict) bool {
-	alive := v == lost || v == spoiled || v == cutOff && f.gateway.settings.Silence(g.DataCentre) < heardWithin
+	alive := v == lost || v == spoiled || v == cutOff && f.gateway.settings.SilentFor(g.DataCentre) < heardWithin
 	return alive && ctx.Err() == nil && !f.late()
 }
 
@@ -123,13 +123,13 @@
 // as long as the caller waits.
 func (f *flight) patience(g *scheduler.Grant) time.Duration {
 	mean := g.MeanCall()
-	if f.route.Repeat != routing.Idempotent || mean == 0 {
+	if f.route.Kind != routing.Idempotent || mean == 0 {
 		return 0
 	}
 	return max(patienceLeast, patienceFactor*mean)
 }
 
-func (f *flight) sendOnce(ctx context.Context, g *scheduler.Grant, limit time.Duration) (*Answer, []byte, verdict) {
+func (f *flight) sendOnce(ctx context.Context, g *scheduler.Grant, limit time.Duration) (*Response, []byte, verdict) {
 	if limit > 0 {
 		limited, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
@@ -147,7 +147,7 @@
 }
 
 // receive sends the call and reads the whole answer.
-func (f *flight) receive(ctx context.Context, s *sending) (*Answer, []byte, verdict) {
+func (f *flight) receive(ctx context.Context, s *sending) (*Response, []byte, verdict) {
 	answer, err := f.sendTo(ctx, s.grant, "")
 	if err != nil {
 		return nil, nil, s.failedAs(ctx, err)
@@ -174,11 +174,11 @@
 }
 
 // judge tells from an answer's head whether its body may be passed on.
-func judge(a *Answer) verdict {
+func judge(a *Response) verdict {
 	switch {
-	case !a.Run || a.Misdirected:
+	case !a.Executed || a.Misdirected:
 		return notRun
-	case a.Encoded:
+	case a.BodyAltered:
 		return spoiled
 	case a.Status < 300 && !a.Verified:
 		return spoiled
@@ -194,7 +194,7 @@
 // while others could serve it.
 func (f *flight) untilSilent(ctx context.Context, g *scheduler.Grant) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := f.gateway.settings.WhenSilent(g.DataCentre, func() { cancel(errDataCentreSilent) })
+	stop := f.gateway.settings.OnSilence(g.DataCentre, func() { cancel(errDataCentreSilent) })
 	return ctx, func() {
 		stop()
 		cancel(nil)
@@ -204,7 +204,7 @@
 func wasSilent(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errDataCentreSilent) }
 
 // report feeds back what a sending came to, unless this side ended the call.
-func (f *flight) report(ctx context.Context, g *scheduler.Grant, a *Answer, v verdict) {
+func (f *flight) report(ctx context.Context, g *scheduler.Grant, a *Response, v verdict) {
 	if ctx.Err() != nil {
 		g.Done(scheduler.Feedback{Cancelled: true})
 		return
@@ -216,22 +216,22 @@
 	case notSent:
 		failure.Kind = upstream.NotSent
 	case cutOff:
-		failure.Kind = upstream.Silent
+		failure.Kind = upstream.Unresponsive
 	}
-	failure.Leaving = a != nil && (a.Leaving || a.Misdirected)
+	failure.Draining = a != nil && (a.Draining || a.Misdirected)
 	g.Done(scheduler.Feedback{Failure: &failure})
 }
 
 // pass hands a whole answer to the caller.
-func (f *flight) pass(a *Answer, body []byte) Result {
+func (f *flight) pass(a *Response, body []byte) Result {
 	f.begun = true
 	f.firstAt = time.Now()
 	if err := f.caller.Begin(a.Status, a.Header, int64(len(body))); err != nil {
-		return f.end(Gone, CallerLeft, a.Status)
+		return f.end(CallerGone, CallerDisconnected, a.Status)
 	}
 	if len(body) > 0 {
 		if err := f.caller.Write(body); err != nil {
-			return f.end(Gone, CallerLeft, a.Status)
+			return f.end(CallerGone, CallerDisconnected, a.Status)
 		}
 	}
 	return f.end(Answered, "", a.Status)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,7 +39,7 @@
 	settling sync.WaitGroup
 
 	latency  metrics.Histogram
-	outcomes [Gone + 1]metrics.Counter
+	outcomes [CallerGone + 1]metrics.Counter
 	refusals *refusals
 	sendings *sendings
 }
@@ -53,14 +53,14 @@
 	Instances func() int
 	// CutOffFor returns for how long this instance has been cut off from the
 	// other data centres.
-	CutOffFor func() time.Duration
+	IsolatedFor func() time.Duration
 	// Quotas holds customers to their quotas.
 	Quotas Quotas
 	// Silence returns for how long nothing was heard from a data centre; 0 where that can't be said.
-	Silence func(dataCentre string) time.Duration
+	SilentFor func(dataCentre string) time.Duration
 	// WhenSilent has f called should a data centre fall silent before stop is called. The
 	// replicas there may answer all the same.
-	WhenSilent func(dataCentre string, f func()) (stop func())
+	OnSilence func(dataCentre string, f func()) (stop func())
 }
 
 // Quotas holds customers to their quotas over the whole fleet.
@@ -89,7 +89,7 @@
 	f := &flight{gateway: g, call: call, caller: caller, gone: ctx}
 	result := f.serve(ctx)
 	if ctx.Err() != nil && result.Outcome != Answered {
-		result.Outcome, result.Reason = Gone, CallerLeft
+		result.Outcome, result.Reason = CallerGone, CallerDisconnected
 	}
 	g.latency.Update(time.Since(call.Arrived).Microseconds())
 	g.outcomes[result.Outcome].Inc(1)
@@ -153,7 +153,7 @@
 		return refused(NoRoute, 0)
 	}
 	if !f.identify() {
-		return refused(KeyUnknown, 0)
+		return refused(UnknownKey, 0)
 	}
 	f.service = f.table.Service(f.route.Choose(f.key()))
 	if f.service == nil {
@@ -176,15 +176,15 @@
 		return nil
 	}
 	verdict, after := f.gateway.settings.Quotas.Admit(limit.Call{
-		Customer: f.customer.Name,
-		Program:  f.call.Program.ID,
-		Head:     f.route.Repeat == routing.Stream && f.call.Previous == "",
+		Customer:      f.customer.Name,
+		Program:       f.call.Program.ID,
+		StartsProgram: f.route.Kind == routing.Stream && f.call.Previous == "",
 	}, time.Now())
 	if verdict == limit.Admitted {
 		return nil
 	}
 	reason := OverQuota
-	if verdict == limit.Unknown {
+	if verdict == limit.Undetermined {
 		reason = QuotaUnknown
 	}
 	result := refused(reason, after)
@@ -201,10 +201,10 @@
 	defer cancel()
 	f.body = f.call.Body
 	f.blocks = blocksOf(f.service.Name, f.call.Prompt)
-	if f.route.Repeat != routing.Stream {
+	if f.route.Kind != routing.Stream {
 		return f.exchange(ctx)
 	}
-	if f.gateway.turns != nil && (f.route.KeepsTurns || f.call.Program.Budget > 0) {
+	if f.gateway.turns != nil && (f.route.RetainsTurns || f.call.Program.Budget > 0) {
 		return f.turn(ctx)
 	}
 	return f.stream(ctx, &record{})
@@ -249,19 +249,19 @@
 // acquire gets a replica from the scheduler.
 func (f *flight) acquire(ctx context.Context) (*scheduler.Grant, *scheduler.Refusal) {
 	r := scheduler.Request{
-		Customer:     f.customerName(),
-		Program:      f.call.Program.ID,
-		Priority:     priorityMost - min(priorityMost, f.priority()),
-		Deadline:     f.deadline,
-		Tried:        f.tried,
-		MaxTokens:    f.call.MaxOutput,
-		OutputHint:   min(f.call.OutputHint, f.call.MaxOutput),
-		Blocks:       f.blocks,
-		PromptTokens: f.call.PromptTokens,
-		Plan:         f.route.Name,
-		Home:         f.home,
-		HomeBlocks:   f.sharedBlocks(),
-		Repeatable:   f.route.Repeatable(),
+		Customer:           f.customerName(),
+		Program:            f.call.Program.ID,
+		Priority:           priorityMost - min(priorityMost, f.priority()),
+		Deadline:           f.deadline,
+		Tried:              f.tried,
+		MaxTokens:          f.call.MaxOutput,
+		OutputHint:         min(f.call.OutputHint, f.call.MaxOutput),
+		Blocks:             f.blocks,
+		PromptTokens:       f.call.PromptTokens,
+		Plan:               f.route.Name,
+		LastUpstream:       f.home,
+		LastUpstreamBlocks: f.sharedBlocks(),
+		Repeatable:         f.route.Repeatable(),
 	}
 	if r.Program == "" {
 		r.Program = f.call.ID
@@ -296,24 +296,24 @@
 		reason = NoReplica
 	}
 	result := refused(reason, r.RetryAfter)
-	result.Sends, result.Replica = f.sends, f.replica
+	result.Attempts, result.Replica = f.sends, f.replica
 	return result
 }
 
 // sendTo sends the call once to the granted replica.
-func (f *flight) sendTo(ctx context.Context, g *scheduler.Grant, resumeAfter string) (*Answer, error) {
+func (f *flight) sendTo(ctx context.Context, g *scheduler.Grant, resumeAfter string) (*Response, error) {
 	f.replica = g.Upstream
 	f.sends++
 	g.Sent()
-	s := &Send{
-		Call:        f.call,
-		Target:      Target{ID: g.Upstream, Address: g.Address},
-		Body:        f.body,
-		Left:        time.Until(f.deadline),
-		Priority:    f.priority(),
-		Customer:    f.customerName(),
-		ResumeAfter: resumeAfter,
-		Limit:       f.connections(),
+	s := &Attempt{
+		Call:           f.call,
+		Target:         Target{ID: g.Upstream, Address: g.Address},
+		Body:           f.body,
+		Timeout:        time.Until(f.deadline),
+		Priority:       f.priority(),
+		Customer:       f.customerName(),
+		ResumeAfter:    resumeAfter,
+		MaxConnections: f.connections(),
 	}
 	began := time.Now()
 	defer func() { f.stages.sending += time.Since(began) }()
@@ -332,7 +332,7 @@
 const unlimited = 1 << 10
 
 func (f *flight) end(outcome Outcome, reason Reason, status int) Result {
-	return Result{Outcome: outcome, Reason: reason, Status: status, Replica: f.replica, Sends: f.sends}
+	return Result{Outcome: outcome, Reason: reason, Status: status, Replica: f.replica, Attempts: f.sends}
 }
 
 func (f *flight) late() bool { return time.Until(f.deadline) < leastLeft }
@@ -343,7 +343,7 @@
 		"request": f.call.ID,
 		"outcome": r.Outcome.String(),
 		"ms":      time.Since(f.call.Arrived).Milliseconds(),
-		"sends":   r.Sends,
+		"sends":   r.Attempts,
 	}
 	if f.call.Program.ID != "" {
 		fields["program"] = f.call.Program.ID
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -30,14 +30,14 @@
 // fakeReplicas answers sendings by a script, one step for each.
 type fakeReplicas struct {
 	mu    sync.Mutex
-	steps []func(ctx context.Context, s *Send) (*Answer, error)
-	sends []Send
+	steps []func(ctx context.Context, s *Attempt) (*Response, error)
+	sends []Attempt
 }
 
 // replicaNames are the replicas of the service.
 var replicaNames = []string{"a", "b", "c", "d"}
 
-func (f *fakeReplicas) Send(ctx context.Context, s *Send) (*Answer, error) {
+func (f *fakeReplicas) Send(ctx context.Context, s *Attempt) (*Response, error) {
 	f.mu.Lock()
 	n := len(f.sends)
 	f.sends = append(f.sends, *s)
@@ -54,39 +54,41 @@
 	return list
 }
 
-type script = func(context.Context, *Send) (*Answer, error)
+type script = func(context.Context, *Attempt) (*Response, error)
 
 func fails(err error) script {
-	return func(context.Context, *Send) (*Answer, error) { return nil, err }
+	return func(context.Context, *Attempt) (*Response, error) { return nil, err }
 }
 
-func hangs(ctx context.Context, _ *Send) (*Answer, error) {
+func hangs(ctx context.Context, _ *Attempt) (*Response, error) {
 	<-ctx.Done()
-	return nil, errors.Wrap(httpconn.ErrLost, "cancelled")
+	return nil, errors.Wrap(httpconn.ErrResponseLost, "cancelled")
 }
 
-func answers(a Answer, body string) script {
-	return func(context.Context, *Send) (*Answer, error) {
+func answers(a Response, body string) script {
+	return func(context.Context, *Attempt) (*Response, error) {
 		a.Body = strings.NewReader(body)
 		if a.Length == 0 {
 			a.Length = int64(len(body))
 		}
-		return NewAnswer(a, func() {}), nil
+		return NewResponse(a, func() {}), nil
 	}
 }
 
-func good(body string) script { return answers(Answer{Status: 200, Verified: true, Run: true}, body) }
+func good(body string) script {
+	return answers(Response{Status: 200, Verified: true, Executed: true}, body)
+}
 
-var refuses = answers(Answer{Status: 503}, "full")
+var refuses = answers(Response{Status: 503}, "full")
 
 // streams sends events and then ends, or breaks off with an error.
 func streams(err error, events ...string) script {
-	return func(context.Context, *Send) (*Answer, error) {
+	return func(context.Context, *Attempt) (*Response, error) {
 		readers := []io.Reader{strings.NewReader(strings.Join(events, ""))}
 		if err != nil {
 			readers = append(readers, errorReader{err})
 		}
-		return NewAnswer(Answer{Status: 200, Verified: true, Run: true, Length: -1, Body: io.MultiReader(readers...)}, func() {}), nil
+		return NewResponse(Response{Status: 200, Verified: true, Executed: true, Length: -1, Body: io.MultiReader(readers...)}, func() {}), nil
 	}
 }
 
@@ -102,7 +104,7 @@
 	err     error
 	chain   []Turn
 	settled error
-	endings []Ending
+	endings []Settlement
 	// settleAfter is how long a settling takes.
 	settleAfter time.Duration
 }
@@ -111,7 +113,7 @@
 	return Reserved{Chain: f.chain}, f.err
 }
 
-func (f *fakeTurns) Settle(_ context.Context, e Ending) error {
+func (f *fakeTurns) Settle(_ context.Context, e Settlement) error {
 	time.Sleep(f.settleAfter)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,7 +142,7 @@
 	body   string
 	took   time.Duration
 	sends  []string
-	sent   []Send
+	sent   []Attempt
 	// exceeded counts the calls that the gateway says ran at more replicas than allowed.
 	exceeded int64
 	lines    []*log.Entry
@@ -154,7 +156,7 @@
 
 // serveThrough is the same where a data centre may fall silent.
 func serveThrough(t *testing.T, whenSilent func(string, func()) func(), route routing.Route, call Call, turns *fakeTurns, steps ...script) outcome {
-	return serveFor(t, nil, Settings{WhenSilent: whenSilent}, route, call, turns, steps...)
+	return serveFor(t, nil, Settings{OnSilence: whenSilent}, route, call, turns, steps...)
 }
 
 // serveFor is the same with customers, and settings of which those not given are quiet ones.
@@ -162,12 +164,12 @@
 	var out outcome
 	synctest.Test(t, func(t *testing.T) {
 		replicas := &fakeReplicas{steps: steps}
-		route.Host, route.Prefix, route.Shares = "h", "/", []routing.Share{{Service: "s", Weight: 1}}
+		route.Host, route.Prefix, route.Services = "h", "/", []routing.WeightedService{{Service: "s", Weight: 1}}
 		if route.Timeout == 0 {
 			route.Timeout = 5 * time.Second
 		}
 		service := routing.Service{Name: "s"}
-		if route.Repeat == routing.Stream {
+		if route.Kind == routing.Stream {
 			service.Engine = &routing.Engine{TokensPerEvent: 2}
 		}
 		table := routing.NewTable(1, routing.Limits{}, customers, []routing.Route{route}, []routing.Service{service})
@@ -185,15 +187,15 @@
 		sched := scheduler.New(scheduler.Settings{}, upstreams, cache.New(cache.Options{MaxBlocks: 1 << 10}))
 		settings.Table = func() *routing.Table { return table }
 		settings.Instances = func() int { return 1 }
-		settings.CutOffFor = func() time.Duration { return time.Second }
+		settings.IsolatedFor = func() time.Duration { return time.Second }
 		if settings.Quotas == nil {
 			settings.Quotas = limit.NewQuotas("entry", 1, limit.Tolerance{})
 		}
-		if settings.Silence == nil {
-			settings.Silence = func(string) time.Duration { return 0 }
+		if settings.SilentFor == nil {
+			settings.SilentFor = func(string) time.Duration { return 0 }
 		}
-		if settings.WhenSilent == nil {
-			settings.WhenSilent = func(string, func()) func() { return func() {} }
+		if settings.OnSilence == nil {
+			settings.OnSilence = func(string, func()) func() { return func() {} }
 		}
 		g := New(settings, sched, replicas, turns, &log.Logger{Handler: lines}, registry)
 		call.Host, call.Path, call.Arrived = "h", "/x", time.Now()
@@ -223,13 +225,13 @@
 // so it may have run; sent again it would run again. It must end as unknown.
 func TestCallThatMayHaveRunIsNotSentAgain(t *testing.T) {
 	for _, script := range []script{
-		fails(httpconn.ErrLost), fails(httpconn.ErrSilent), hangs,
-		answers(Answer{Status: 200, Verified: true, Run: true, Length: 99}, "cut short"),
-		answers(Answer{Status: 200, Run: true}, "unsigned"),
-		answers(Answer{Status: 200, Verified: true, Run: true, Encoded: true}, "packed"),
+		fails(httpconn.ErrResponseLost), fails(httpconn.ErrUnresponsive), hangs,
+		answers(Response{Status: 200, Verified: true, Executed: true, Length: 99}, "cut short"),
+		answers(Response{Status: 200, Executed: true}, "unsigned"),
+		answers(Response{Status: 200, Verified: true, Executed: true, BodyAltered: true}, "packed"),
 	} {
 		is := is.New(t)
-		out := serve(t, routing.Route{Repeat: routing.Once, Attempts: 3}, Call{ID: "r"}, nil, script, good("second"))
+		out := serve(t, routing.Route{Kind: routing.Once, Attempts: 3}, Call{ID: "r"}, nil, script, good("second"))
 		is.Equal(out.result.Outcome, Unknown)
 		is.Equal(len(out.sends), 1)
 		is.Equal(out.body, "")
@@ -239,9 +241,9 @@
 // A caller is refused although another replica is free. A replica that says
 // that it did not run the call, or that could not be reached, costs nothing.
 func TestCallThatHasNotRunGoesToAnother(t *testing.T) {
-	for _, script := range []script{fails(httpconn.ErrNotSent), refuses, answers(Answer{Status: 421, Run: true, Misdirected: true}, "")} {
+	for _, script := range []script{fails(httpconn.ErrNotSent), refuses, answers(Response{Status: 421, Executed: true, Misdirected: true}, "")} {
 		is := is.New(t)
-		out := serve(t, routing.Route{Repeat: routing.Once, Attempts: 1}, Call{ID: "r"}, nil, script, good("second"))
+		out := serve(t, routing.Route{Kind: routing.Once, Attempts: 1}, Call{ID: "r"}, nil, script, good("second"))
 		is.Equal(out.result.Outcome, Answered)
 		is.Equal(out.body, "second")
 		is.True(out.sends[0] != out.sends[1])
@@ -252,7 +254,7 @@
 // run at one replica before the others refused it.
 func TestRefusalAfterALostAnswerIsNotPromised(t *testing.T) {
 	is := is.New(t)
-	out := serve(t, routing.Route{Repeat: routing.Idempotent, Attempts: 2}, Call{ID: "r"}, nil, fails(httpconn.ErrLost), refuses)
+	out := serve(t, routing.Route{Kind: routing.Idempotent, Attempts: 2}, Call{ID: "r"}, nil, fails(httpconn.ErrResponseLost), refuses)
 	is.Equal(out.result.Outcome, Unknown)
 }
 
@@ -260,10 +262,10 @@
 // one is allowed, the same is asked again.
 func TestIdempotentCallIsRepeatedWithinTheAttempts(t *testing.T) {
 	is := is.New(t)
-	out := serve(t, routing.Route{Repeat: routing.Idempotent, Attempts: 1}, Call{ID: "r"}, nil, fails(httpconn.ErrLost), good("second"))
+	out := serve(t, routing.Route{Kind: routing.Idempotent, Attempts: 1}, Call{ID: "r"}, nil, fails(httpconn.ErrResponseLost), good("second"))
 	is.Equal(out.body, "second")
 	is.Equal(out.sends[0], out.sends[1])
-	out = serve(t, routing.Route{Repeat: routing.Idempotent, Attempts: 2}, Call{ID: "r"}, nil, fails(httpconn.ErrLost), good("second"))
+	out = serve(t, routing.Route{Kind: routing.Idempotent, Attempts: 2}, Call{ID: "r"}, nil, fails(httpconn.ErrResponseLost), good("second"))
 	is.Equal(out.body, "second")
 	is.True(out.sends[0] != out.sends[1])
 }
@@ -271,8 +273,8 @@
 // A caller waits past the time that operators gave the route.
 func TestRouteTimeoutEndsTheCall(t *testing.T) {
 	is := is.New(t)
-	out := serve(t, routing.Route{Repeat: routing.Once, Attempts: 1, Timeout: 700 * time.Millisecond}, Call{ID: "r"}, nil, hangs)
-	is.Equal(out.result, Result{Outcome: Unknown, Reason: TimedOut, Replica: out.sends[0], Sends: 1})
+	out := serve(t, routing.Route{Kind: routing.Once, Attempts: 1, Timeout: 700 * time.Millisecond}, Call{ID: "r"}, nil, hangs)
+	is.Equal(out.result, Result{Outcome: Unknown, Reason: TimedOut, Replica: out.sends[0], Attempts: 1})
 	is.Equal(out.took, 700*time.Millisecond)
 }
 
@@ -282,7 +284,7 @@
 func TestResumedStreamHasEachEventOnce(t *testing.T) {
 	is := is.New(t)
 	broken := streams(io.ErrUnexpectedEOF, event(1), event(2), "id: 3\ndata: d")
-	out := serve(t, routing.Route{Repeat: routing.Stream, Resumable: true, Attempts: 1}, Call{ID: "r"}, nil, broken, streams(nil, event(3), event(4)))
+	out := serve(t, routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 1}, Call{ID: "r"}, nil, broken, streams(nil, event(3), event(4)))
 	is.Equal(out.result.Outcome, Answered)
 	is.Equal(out.body, event(1)+event(2)+event(3)+event(4))
 	is.Equal(out.sends[0], out.sends[1])
@@ -292,8 +294,8 @@
 // resumed must end in a way that shows it.
 func TestBrokenStreamIsNotResumedWhereItMayNot(t *testing.T) {
 	is := is.New(t)
-	out := serve(t, routing.Route{Repeat: routing.Stream, Attempts: 2}, Call{ID: "r"}, nil, streams(io.ErrUnexpectedEOF, event(1)), streams(nil, event(2)))
-	is.Equal(out.result.Outcome, BrokenOff)
+	out := serve(t, routing.Route{Kind: routing.Stream, Attempts: 2}, Call{ID: "r"}, nil, streams(io.ErrUnexpectedEOF, event(1)), streams(nil, event(2)))
+	is.Equal(out.result.Outcome, Truncated)
 	is.Equal(len(out.sends), 1)
 }
 
@@ -301,7 +303,7 @@
 	return Call{ID: "t2", Body: []byte("new"), Previous: "t1", MaxOutput: 20, Program: Program{ID: "p", Budget: 100}}
 }
 
-var turnRoute = routing.Route{Repeat: routing.Stream, Attempts: 1, KeepsTurns: true, Retention: time.Minute}
+var turnRoute = routing.Route{Kind: routing.Stream, Attempts: 1, RetainsTurns: true, Retention: time.Minute}
 
 // A turn reaches the engine without what was said before, or is kept without
 // what the engine said.
@@ -309,16 +311,16 @@
 	is := is.New(t)
 	turns := &fakeTurns{chain: []Turn{{ID: "t1", Input: []byte("old"), Events: [][]byte{[]byte("x"), []byte("y")}}}}
 	var body string
-	out := serve(t, turnRoute, turnCall(), turns, func(ctx context.Context, s *Send) (*Answer, error) {
+	out := serve(t, turnRoute, turnCall(), turns, func(ctx context.Context, s *Attempt) (*Response, error) {
 		body = string(s.Body)
 		return streams(nil, event(1), event(2))(ctx, s)
 	})
 	is.Equal(out.result.Outcome, Answered)
 	is.Equal(body, "oldx\ny\nnew")
 	is.Equal(len(turns.endings), 1)
-	is.Equal(turns.endings[0].Made, 4)
-	is.Equal(string(turns.endings[0].Kept.Input), "new")
-	is.Equal(turns.endings[0].Kept.Events, [][]byte{[]byte("d1"), []byte("d2")})
+	is.Equal(turns.endings[0].OutputTokens, 4)
+	is.Equal(string(turns.endings[0].RetainedTurn.Input), "new")
+	is.Equal(turns.endings[0].RetainedTurn.Events, [][]byte{[]byte("d1"), []byte("d2")})
 }
 
 // A caller continues a turn that is not there. Its end may only be passed on
@@ -327,8 +329,8 @@
 	is := is.New(t)
 	turns := &fakeTurns{settled: errors.New("no disk")}
 	out := serve(t, turnRoute, turnCall(), turns, streams(nil, event(1)))
-	is.Equal(out.result.Outcome, BrokenOff)
-	is.Equal(out.result.Reason, NotKept)
+	is.Equal(out.result.Outcome, Truncated)
+	is.Equal(out.result.Reason, TurnNotRetained)
 }
 
 // A caller waits for keepers that change, though its turn need not be kept: its
@@ -337,12 +339,12 @@
 	is := is.New(t)
 	turns := &fakeTurns{settleAfter: time.Second}
 	route := turnRoute
-	route.KeepsTurns = false
+	route.RetainsTurns = false
 	out := serve(t, route, turnCall(), turns, streams(nil, event(1), event(2)))
 	is.Equal(out.result.Outcome, Answered)
 	is.True(out.took < turns.settleAfter)
 	is.Equal(len(turns.endings), 1)
-	is.Equal(turns.endings[0].Made, 4)
+	is.Equal(turns.endings[0].OutputTokens, 4)
 }
 
 // A program is refused too soon, as if it had used all that its last turn might have
@@ -352,8 +354,8 @@
 	turns := &fakeTurns{settled: errors.New("no disk")}
 	serve(t, turnRoute, turnCall(), turns, streams(nil, event(1)))
 	is.Equal(len(turns.endings), 2)
-	is.True(turns.endings[1].Kept == nil)
-	is.Equal(turns.endings[1].Made, 2)
+	is.True(turns.endings[1].RetainedTurn == nil)
+	is.Equal(turns.endings[1].OutputTokens, 2)
 }
 
 // An instance that stops leaves turns unsettled, and their programs are refused too
@@ -378,26 +380,26 @@
 // attempt, and go on waiting where it does not: the replica may run on.
 func TestCallsLeaveASilentDataCentreWithinTheirAttempts(t *testing.T) {
 	silentAfter, timeout := 300*time.Millisecond, 2*time.Second
-	halfway := func(ctx context.Context, s *Send) (*Answer, error) {
+	halfway := func(ctx context.Context, s *Attempt) (*Response, error) {
 		body := &hangingReader{ctx: ctx, begin: strings.NewReader(event(1))}
-		return NewAnswer(Answer{Status: 200, Length: -1, Verified: true, Run: true, Body: body}, func() {}), nil
+		return NewResponse(Response{Status: 200, Length: -1, Verified: true, Executed: true, Body: body}, func() {}), nil
 	}
 	is := is.New(t)
-	route := routing.Route{Repeat: routing.Idempotent, Attempts: 2, Timeout: timeout}
+	route := routing.Route{Kind: routing.Idempotent, Attempts: 2, Timeout: timeout}
 	out := serveThrough(t, silentOnce(silentAfter), route, Call{}, nil, hangs, good("done"))
 	is.Equal(out.result.Outcome, Answered)
 	is.Equal(out.took, silentAfter)
 
-	stream := routing.Route{Repeat: routing.Stream, Resumable: true, Attempts: 2, Timeout: timeout}
+	stream := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2, Timeout: timeout}
 	out = serveThrough(t, silentOnce(silentAfter), stream, Call{}, nil, halfway, streams(nil, event(2)))
 	is.Equal(out.result.Outcome, Answered)
 	is.Equal(out.body, event(1)+event(2))
 	is.Equal(out.took, silentAfter)
 
 	for _, one := range []routing.Route{
-		{Repeat: routing.Idempotent, Attempts: 1, Timeout: timeout},
-		{Repeat: routing.Stream, Resumable: true, Attempts: 1, Timeout: timeout},
-		{Repeat: routing.Once, Attempts: 2, Timeout: timeout},
+		{Kind: routing.Idempotent, Attempts: 1, Timeout: timeout},
+		{Kind: routing.Stream, Resumable: true, Attempts: 1, Timeout: timeout},
+		{Kind: routing.Once, Attempts: 2, Timeout: timeout},
 	} {
 		out = serveThrough(t, silentOnce(silentAfter), one, Call{}, nil, hangs, hangs, good("twice"))
 		is.Equal(out.took, timeout)
@@ -426,18 +428,18 @@
 	turns := &fakeTurns{}
 	out := serve(t, turnRoute, turnCall(), turns, refuses)
 	is.Equal(out.result.Outcome, NotRun)
-	is.Equal(turns.endings[0].Made, 0)
+	is.Equal(turns.endings[0].OutputTokens, 0)
 	turns = &fakeTurns{}
 	out = serve(t, turnRoute, turnCall(), turns, streams(io.ErrUnexpectedEOF, event(1), event(2)))
-	is.Equal(out.result.Outcome, BrokenOff)
-	is.Equal(turns.endings[0].Made, 4)
-	is.True(turns.endings[0].Kept == nil)
+	is.Equal(out.result.Outcome, Truncated)
+	is.Equal(turns.endings[0].OutputTokens, 4)
+	is.True(turns.endings[0].RetainedTurn == nil)
 }
 
 // What is refused before it is sent says so, and why.
 func TestTurnsAreRefusedTruthfully(t *testing.T) {
 	for err, reason := range map[error]Reason{
-		ErrBudgetSpent: BudgetSpent, ErrNoSuchTurn: NoSuchTurn, ErrIsolated: TurnsUnreached, errors.New("x"): TurnsUnreached,
+		ErrBudgetExhausted: BudgetExhausted, ErrNoSuchTurn: NoSuchTurn, ErrIsolated: TurnsUnavailable, errors.New("x"): TurnsUnavailable,
 	} {
 		is := is.New(t)
 		out := serve(t, turnRoute, turnCall(), &fakeTurns{err: err}, good("never"))
@@ -460,12 +462,12 @@
 // must count against it; a call's fault and a passed deadline must not.
 func TestOwnFailuresCountAgainstAReplica(t *testing.T) {
 	is := is.New(t)
-	is.Equal(ownFailure(500).Kind, upstream.Erred)
-	is.Equal(ownFailure(503).Kind, upstream.Erred)
+	is.Equal(ownFailure(500).Kind, upstream.Errored)
+	is.Equal(ownFailure(503).Kind, upstream.Errored)
 	for _, status := range []int{200, 402, 404, 504} {
 		is.True(ownFailure(status) == nil)
 	}
-	out := serve(t, turnRoute, turnCall(), &fakeTurns{}, answers(Answer{Status: 500, Verified: true, Run: true}, "broken"))
+	out := serve(t, turnRoute, turnCall(), &fakeTurns{}, answers(Response{Status: 500, Verified: true, Executed: true}, "broken"))
 	is.Equal(out.status, 500)
 	is.Equal(out.body, "broken")
 	is.Equal(out.result.Outcome, Answered)
--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -14,13 +14,13 @@
 }
 
 // Send is one sending of a call.
-type Send struct {
+type Attempt struct {
 	Call   *Call
 	Target Target
 	// Body is what the replica is to receive.
 	Body []byte
 	// Left is the time that the replica may take.
-	Left time.Duration
+	Timeout time.Duration
 	// Priority is the rank at an engine, 0 the first.
 	Priority int
 	// Customer names the client account whose call it is; empty for none.
@@ -28,11 +28,11 @@
 	// ResumeAfter is the last event of an earlier run that was passed on; empty for none.
 	ResumeAfter string
 	// Limit is the number of connections that this instance may have there.
-	Limit int
+	MaxConnections int
 }
 
 // Answer is a replica's answer, its body still to be read. Close must be called.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the body's length, or -1.
@@ -41,27 +41,27 @@
 	// Verified says that the answer bears the replica's signature.
 	Verified bool
 	// Run is false where the replica says that it did not run the call.
-	Run bool
+	Executed bool
 	// Misdirected says that another replica has the address.
 	Misdirected bool
 	// Encoded says that the body was changed on the way.
-	Encoded bool
+	BodyAltered bool
 	// Leaving says that the replica drains.
-	Leaving bool
-	close   func()
+	Draining bool
+	close    func()
 }
 
 // NewAnswer returns an answer that is ended by the function.
-func NewAnswer(a Answer, end func()) *Answer {
+func NewResponse(a Response, end func()) *Response {
 	a.close = end
 	return &a
 }
 
 // Close ends the answer; a body not read to its end tells the replica to stop.
-func (a *Answer) Close() { a.close() }
+func (a *Response) Close() { a.close() }
 
 // Replicas sends calls to replicas. An error that is httpconn.ErrNotSent says
 // that no byte of the call left.
 type Replicas interface {
-	Send(ctx context.Context, s *Send) (*Answer, error)
+	Send(ctx context.Context, s *Attempt) (*Response, error)
 }
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -76,11 +76,11 @@
 func (s *sending) failedAs(ctx context.Context, err error) verdict {
 	s.err = err
 	switch {
-	case errors.Is(err, httpconn.ErrFull):
+	case errors.Is(err, httpconn.ErrConnectionLimit):
 		return full
 	case errors.Is(err, httpconn.ErrNotSent):
 		return notSent
-	case wasSilent(ctx), errors.Is(err, httpconn.ErrSilent), netdial.Silent(err):
+	case wasSilent(ctx), errors.Is(err, httpconn.ErrUnresponsive), netdial.Unresponsive(err):
 		return cutOff
 	default:
 		return lost
@@ -119,7 +119,7 @@
 		"events":      s.events,
 		"ran_at":      len(f.runs),
 		"attempts":    f.route.Attempts,
-		"unheard_ms":  f.gateway.settings.Silence(s.grant.DataCentre).Milliseconds(),
+		"unheard_ms":  f.gateway.settings.SilentFor(s.grant.DataCentre).Milliseconds(),
 	}
 	if cause := context.Cause(ctx); cause != nil {
 		fields["cause"] = cause.Error()
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -69,7 +69,7 @@
 }
 
 // runOnce sends the call once and passes events on until the stream ends.
-func (f *flight) runOnce(ctx context.Context, g *scheduler.Grant, rec *record) (verdict, *Answer, Result) {
+func (f *flight) runOnce(ctx context.Context, g *scheduler.Grant, rec *record) (verdict, *Response, Result) {
 	if f.mayLeave(g) {
 		silent, stop := f.untilSilent(ctx, g)
 		defer stop()
@@ -86,7 +86,7 @@
 }
 
 // follow sends the call and passes on what comes.
-func (f *flight) follow(ctx context.Context, s *sending, rec *record, watch *watchdog) (verdict, *Answer, Result) {
+func (f *flight) follow(ctx context.Context, s *sending, rec *record, watch *watchdog) (verdict, *Response, Result) {
 	answer, err := f.sendTo(ctx, s.grant, f.resumePoint(rec))
 	if err != nil {
 		return s.failedAs(ctx, err), nil, Result{}
@@ -111,7 +111,7 @@
 }
 
 // passFailure passes on a replica's own failure.
-func (f *flight) passFailure(s *sending, a *Answer) (verdict, Result) {
+func (f *flight) passFailure(s *sending, a *Response) (verdict, Result) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer))
 	if err != nil || f.begun {
 		s.err = err
@@ -127,11 +127,11 @@
 	if status < http.StatusInternalServerError || status == http.StatusGatewayTimeout {
 		return nil
 	}
-	return &upstream.Failure{Kind: upstream.Erred}
+	return &upstream.Failure{Kind: upstream.Errored}
 }
 
 // relay passes on whole events as they come.
-func (f *flight) relay(ctx context.Context, s *sending, a *Answer, rec *record, watch *watchdog) (verdict, Result) {
+func (f *flight) relay(ctx context.Context, s *sending, a *Response, rec *record, watch *watchdog) (verdict, Result) {
 	var split splitter
 	var first time.Duration
 	before := rec.events
@@ -150,7 +150,7 @@
 			}
 			if !f.passEvents(a, events, rec) {
 				s.grant.Done(scheduler.Feedback{Cancelled: true})
-				return whole, f.end(Gone, CallerLeft, a.Status)
+				return whole, f.end(CallerGone, CallerDisconnected, a.Status)
 			}
 		}
 		if err == nil {
@@ -215,12 +215,12 @@
 
 // finish ends a whole stream. A turn must be durable before its answer's end
 // is passed on, since from then on the caller may continue from it.
-func (f *flight) finish(a *Answer, rec *record) Result {
+func (f *flight) finish(a *Response, rec *record) Result {
 	if !f.begin(a) {
-		return f.end(Gone, CallerLeft, a.Status)
+		return f.end(CallerGone, CallerDisconnected, a.Status)
 	}
 	if rec.settle != nil && !rec.settle() {
-		return f.end(BrokenOff, NotKept, a.Status)
+		return f.end(Truncated, TurnNotRetained, a.Status)
 	}
 	return f.end(Answered, "", a.Status)
 }
@@ -233,7 +233,7 @@
 }
 
 // begin passes the head on, once: a resumed stream keeps its first replica's.
-func (f *flight) begin(a *Answer) bool {
+func (f *flight) begin(a *Response) bool {
 	if f.begun {
 		return true
 	}
@@ -242,7 +242,7 @@
 	return f.caller.Begin(a.Status, a.Header, -1) == nil
 }
 
-func (f *flight) passEvents(a *Answer, events []Event, rec *record) bool {
+func (f *flight) passEvents(a *Response, events []Event, rec *record) bool {
 	for _, e := range events {
 		if !f.begin(a) {
 			return false
--- a/internal/gateway/turn.go
+++ b/internal/gateway/turn.go
@@ -29,15 +29,15 @@
 // chain, and kept before its answer ends.
 func (f *flight) turn(ctx context.Context) Result {
 	reservation := Reservation{
-		Customer: f.customerName(),
-		Program:  f.call.Program.ID,
-		Turn:     f.call.ID,
-		Previous: f.call.Previous,
-		Most:     f.call.MaxOutput,
-		Budget:   f.call.Program.Budget,
-		Deadline: f.deadline,
+		Customer:        f.customerName(),
+		Program:         f.call.Program.ID,
+		Turn:            f.call.ID,
+		Previous:        f.call.Previous,
+		MaxOutputTokens: f.call.MaxOutput,
+		Budget:          f.call.Program.Budget,
+		Deadline:        f.deadline,
 
-		Kept:      f.route.KeepsTurns,
+		Retain:    f.route.RetainsTurns,
 		Retention: f.route.Retention,
 	}
 	began := time.Now()
@@ -48,9 +48,9 @@
 	}
 	f.home = reserved.Replica
 	f.body = chainBody(reserved.Chain, f.call.Body)
-	rec := &record{keep: f.route.KeepsTurns}
+	rec := &record{keep: f.route.RetainsTurns}
 	var foreign []Turn
-	if reserved.Foreign {
+	if reserved.ForeignChain {
 		foreign = reserved.Chain
 	}
 	kept := false
@@ -73,14 +73,14 @@
 
 // unreserved is the end of a turn that could not be reserved.
 func (f *flight) unreserved(err error) Result {
-	result := refused(TurnsUnreached, unreachedAfter)
+	result := refused(TurnsUnavailable, unreachedAfter)
 	switch {
-	case errors.Is(err, ErrBudgetSpent):
-		result = refused(BudgetSpent, 0)
+	case errors.Is(err, ErrBudgetExhausted):
+		result = refused(BudgetExhausted, 0)
 	case errors.Is(err, ErrNoSuchTurn):
 		result = refused(NoSuchTurn, 0)
 	case errors.Is(err, ErrIsolated):
-		result.RetryAfter = max(isolatedLeast, movedAfter-f.gateway.settings.CutOffFor())
+		result.RetryAfter = max(isolatedLeast, movedAfter-f.gateway.settings.IsolatedFor())
 	}
 	result.Cause = err
 	return result
@@ -105,13 +105,13 @@
 }
 
 // ending settles the turn by what it made.
-func (f *flight) ending(rec *record) Ending {
-	e := Ending{
-		Customer:  f.customerName(),
-		Program:   f.call.Program.ID,
-		Turn:      f.call.ID,
-		Made:      rec.events * f.tokensPerEvent(),
-		Retention: f.route.Retention,
+func (f *flight) ending(rec *record) Settlement {
+	e := Settlement{
+		Customer:     f.customerName(),
+		Program:      f.call.Program.ID,
+		Turn:         f.call.ID,
+		OutputTokens: rec.events * f.tokensPerEvent(),
+		Retention:    f.route.Retention,
 	}
 	if rec.events > 0 {
 		e.Replica = f.replica
@@ -122,7 +122,7 @@
 // keep settles a whole turn and keeps it, after the chain that it continued.
 func (f *flight) keep(ctx context.Context, rec *record, chain []Turn) error {
 	e := f.ending(rec)
-	e.Kept = &Turn{ID: f.call.ID, Previous: f.call.Previous, Input: f.call.Body, Events: rec.data, Ended: time.Now(), Replica: f.replica}
+	e.RetainedTurn = &Turn{ID: f.call.ID, Previous: f.call.Previous, Input: f.call.Body, Events: rec.data, Ended: time.Now(), Replica: f.replica}
 	e.Chain = chain
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepTime)
 	defer cancel()
--- a/internal/gateway/turns.go
+++ b/internal/gateway/turns.go
@@ -28,13 +28,13 @@
 	// Previous names the turn to continue from; empty for none.
 	Previous string
 	// Most is the number of tokens that the turn may make at the most.
-	Most int
+	MaxOutputTokens int
 	// Budget is what all turns of the program may make; 0 for no bound.
 	Budget int
 	// Deadline is when the caller gives up.
 	Deadline time.Time
 	// Kept says that the turn is to be kept.
-	Kept bool
+	Retain bool
 	// Retention is how long the account is kept after its last turn.
 	Retention time.Duration
 }
@@ -44,20 +44,20 @@
 	// Chain holds the turns before this one, the oldest first.
 	Chain []Turn
 	// Foreign says that the chain is another program's.
-	Foreign bool
+	ForeignChain bool
 	// Replica is the engine that most likely has the prompt cached; empty if unknown.
 	Replica string
 }
 
 // Ending settles a reservation.
-type Ending struct {
+type Settlement struct {
 	Customer, Program, Turn string
 	// Replica is the engine that ran the turn; empty if none did.
 	Replica string
 	// Made is the number of tokens that were passed on.
-	Made int
+	OutputTokens int
 	// Kept is the whole turn, where its answer is complete and is to be kept.
-	Kept *Turn
+	RetainedTurn *Turn
 	// Chain holds the turns before it, for a program that continued another's.
 	Chain []Turn
 	// Retention is how long the turn is kept.
@@ -67,8 +67,8 @@
 // The outcomes of a reservation other than a grant. Any other error says that
 // nothing is known, and that the turn must not run.
 var (
-	ErrBudgetSpent = errors.New("gateway: the program's tokens are spent")
-	ErrNoSuchTurn  = errors.New("gateway: no such turn")
+	ErrBudgetExhausted = errors.New("gateway: the program's tokens are spent")
+	ErrNoSuchTurn      = errors.New("gateway: no such turn")
 	// ErrIsolated says that turns can't be kept from here before a cut heals.
 	ErrIsolated = errors.New("gateway: cut off from the keepers of turns")
 )
@@ -77,5 +77,5 @@
 type Turns interface {
 	Reserve(ctx context.Context, r Reservation) (Reserved, error)
 	// Settle returns once the ending is durable. It may be repeated.
-	Settle(ctx context.Context, e Ending) error
+	Settle(ctx context.Context, e Settlement) error
 }
--- a/internal/history/allowance.go
+++ b/internal/history/allowance.go
@@ -76,8 +76,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.programs[keyOf(&r.Customer, r.Program)]
-	most := int64(r.Most)
-	if a == nil || r.Kept || r.Previous != "" || a.made+a.committed+most > a.limit {
+	most := int64(r.MaxOutputTokens)
+	if a == nil || r.Retain || r.Previous != "" || a.made+a.committed+most > a.limit {
 		return false
 	}
 	a.committed += most
@@ -87,7 +87,7 @@
 }
 
 // settle ends a turn that ran on an allowance; false if it did not.
-func (s *allowances) settle(e gateway.Ending) (*allowance, bool) {
+func (s *allowances) settle(e gateway.Settlement) (*allowance, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.turns[e.Turn]
@@ -96,7 +96,7 @@
 	}
 	delete(s.turns, e.Turn)
 	t.of.committed -= t.most
-	t.of.made += int64(e.Made)
+	t.of.made += int64(e.OutputTokens)
 	if e.Replica != "" {
 		t.of.replica = e.Replica
 	}
@@ -111,7 +111,7 @@
 	key := keyOf(&r.Customer, r.Program)
 	a := s.programs[key]
 	if a == nil {
-		a = &allowance{customer: r.Customer, program: r.Program, most: int64(r.Most), budget: int64(r.Budget), retention: r.Retention}
+		a = &allowance{customer: r.Customer, program: r.Program, most: int64(r.MaxOutputTokens), budget: int64(r.Budget), retention: r.Retention}
 		s.programs[key] = a
 	}
 	a.used = now
@@ -141,7 +141,7 @@
 	}
 	a.drawing = true
 	return &historypb.DrawRequest{
-		Slice:       SliceOf(a.program),
+		Slice:       ShardOf(a.program),
 		Program:     a.program,
 		Customer:    &a.customer,
 		Allowance:   s.name,
--- a/internal/history/alone.go
+++ b/internal/history/alone.go
@@ -42,8 +42,8 @@
 }
 
 // alone reports that this keeper holds the slice with no partner.
-func (k *Keeper) alone(s *slice) bool {
-	return s.role.Primary == k.settings.Name && len(s.role.Partners) == 0
+func (k *Keeper) alone(s *shard) bool {
+	return s.role.Primary == k.settings.Name && len(s.role.Backups) == 0
 }
 
 // justBack reports that the keeper is heard again and counts as lost for now.
@@ -57,7 +57,7 @@
 // A keeper that holds a slice alone may have been cut off since, and its disk be
 // the next to go while the others are whole again and know nothing of what it
 // acknowledges. So it does so only while each other keeper is lost or just back.
-func (k *Keeper) serves(s *slice, now time.Time) historypb.Verdict {
+func (k *Keeper) serves(s *shard, now time.Time) historypb.Verdict {
 	if !k.alone(s) {
 		if k.isolated() {
 			return historypb.Verdict_ISOLATED
--- a/internal/history/alone_test.go
+++ b/internal/history/alone_test.go
@@ -59,7 +59,7 @@
 // find looks a turn up, for a program of its own.
 func find(w *world, turn string) error {
 	_, err := w.client(entryIn(north)).Reserve(context.Background(), gateway.Reservation{
-		Program: "heir-" + turn, Turn: "heir", Previous: turn, Most: 1, Budget: 10,
+		Program: "heir-" + turn, Turn: "heir", Previous: turn, MaxOutputTokens: 1, Budget: 10,
 	})
 	return errors.Wrapf(err, "after %s", turn)
 }
@@ -93,7 +93,7 @@
 		time.Sleep(settledIn)
 		w.powerAll()
 		time.Sleep(settledIn)
-		if !w.whole() || len(w.role("p").Partners) != 1 {
+		if !w.whole() || len(w.role("p").Backups) != 1 {
 			fail(errors.New("not on two disks after the cut"))
 		}
 		fail(find(w, "third"))
@@ -131,8 +131,8 @@
 		time.Sleep(settledIn)
 		w.cut("a", "c", true)
 		time.Sleep(settledIn)
-		for s, role := range w.assigned().Slices {
-			if len(role.Partners) == 0 {
+		for s, role := range w.assigned().Shards {
+			if len(role.Backups) == 0 {
 				fail(errors.Errorf("slice %d is held by %s alone", s, role.Primary))
 			}
 		}
@@ -158,12 +158,12 @@
 		k := w.machine("c").process.keeper
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		s := k.slices[SliceOf("p")]
+		s := k.shards[ShardOf("p")]
 		if v := k.serves(s, time.Now()); v != historypb.Verdict_DONE {
 			fail(errors.Errorf("alone: %v", v))
 		}
 		k.mu.Unlock()
-		k.Woke()
+		k.ResetAfterPause()
 		k.mu.Lock()
 		if v := k.serves(s, time.Now()); v == historypb.Verdict_DONE {
 			fail(errors.New("serves by an old word"))
@@ -199,7 +199,7 @@
 		time.Sleep(aloneIn)
 		fail(keep(w.client(entryIn(north)), "p", "first", ""))
 		w.cutDataCentre(east, false)
-		for len(w.role("p").Partners) == 0 {
+		for len(w.role("p").Backups) == 0 {
 			time.Sleep(wayTime)
 		}
 		w.cutDataCentre(east, true)
@@ -234,9 +234,9 @@
 		fail(keep(w.client(entryIn(north)), "p", "first", ""))
 		w.machine("a").stop()
 		time.Sleep(aloneIn)
-		for s, role := range w.assigned().Slices {
-			if len(role.Partners) != 1 {
-				fail(errors.Errorf("slice %d has %d partners", s, len(role.Partners)))
+		for s, role := range w.assigned().Shards {
+			if len(role.Backups) != 1 {
+				fail(errors.Errorf("slice %d has %d partners", s, len(role.Backups)))
 			}
 		}
 		w.machine("b").stop()
@@ -260,8 +260,8 @@
 	inWorldOf(t, twoKeepers, func(w *world, fail func(error)) {
 		w.machine("b").stop()
 		time.Sleep(settledIn)
-		for s, role := range w.assigned().Slices {
-			if len(role.Partners) == 0 {
+		for s, role := range w.assigned().Shards {
+			if len(role.Backups) == 0 {
 				fail(errors.Errorf("slice %d is held by %s alone", s, role.Primary))
 			}
 		}
@@ -277,12 +277,12 @@
 		w.setRetiring("c")
 		time.Sleep(aloneIn)
 		fail(keep(w.client(entryIn(north)), "p", "first", ""))
-		if w.machine("c").process.keeper.Empty() {
+		if w.machine("c").process.keeper.Drained() {
 			fail(errors.New("the last keeper says that it is empty"))
 		}
 		w.cutDataCentre(east, false)
 		time.Sleep(settledIn)
-		if !w.machine("c").process.keeper.Empty() {
+		if !w.machine("c").process.keeper.Drained() {
 			fail(errors.Errorf("not emptied: %v", w.role("p")))
 		}
 		w.machine("c").wipe()
--- a/internal/history/assignment.go
+++ b/internal/history/assignment.go
@@ -23,11 +23,11 @@
 
 // SliceCount is the number of slices. Two dozen keepers have a few each, and
 // the object that assigns them stays at 3 KB.
-const SliceCount = 32
+const ShardCount = 32
 
 // SliceOf returns the slice that a program belongs to.
-func SliceOf(program string) uint32 {
-	return uint32(xxhash.Sum64String(program) % SliceCount)
+func ShardOf(program string) uint32 {
+	return uint32(xxhash.Sum64String(program) % ShardCount)
 }
 
 // assignmentForm is the form in which assignments are written. Form 1, which has no
@@ -37,12 +37,12 @@
 // Assignment tells who holds which slice.
 type Assignment struct {
 	// Form is that of the object in the store.
-	Form   int              `json:"form,omitempty"`
-	Slices [SliceCount]Role `json:"slices"`
+	FormatVersion int                         `json:"form,omitempty"`
+	Shards        [ShardCount]ShardAssignment `json:"slices"`
 }
 
 // ErrForm says that an assignment was written by a later version of foxhall.
-var ErrForm = errors.New("history: assignment of an unknown form")
+var ErrUnknownFormat = errors.New("history: assignment of an unknown form")
 
 // DecodeAssignment reads an assignment from the store.
 func DecodeAssignment(data []byte) (Assignment, error) {
@@ -50,15 +50,15 @@
 	if err := json.Unmarshal(data, &a); err != nil {
 		return Assignment{}, errors.Wrap(err, "assignment")
 	}
-	if a.Form > assignmentForm {
-		return Assignment{}, errors.Wrapf(ErrForm, "form %d, known up to %d", a.Form, assignmentForm)
+	if a.FormatVersion > assignmentForm {
+		return Assignment{}, errors.Wrapf(ErrUnknownFormat, "form %d, known up to %d", a.FormatVersion, assignmentForm)
 	}
 	return a, nil
 }
 
 // Encode returns the assignment as the store holds it.
 func (a *Assignment) Encode() ([]byte, error) {
-	a.Form = assignmentForm
+	a.FormatVersion = assignmentForm
 	return json.Marshal(a)
 }
 
@@ -72,17 +72,17 @@
 
 // First returns the assignment of a system that has never run: slices go round
 // the keepers. Of each slice, disksLost holders may be lost at once.
-func First(keepers []Candidate, disksLost int) (Assignment, bool) {
+func InitialAssignment(keepers []Candidate, disksLost int) (Assignment, bool) {
 	var a Assignment
 	if len(keepers) < 2 {
 		return a, false
 	}
 	c := chooser{assignment: &a, keepers: keepers, disksLost: disksLost, held: map[string]int{}}
-	for s := range a.Slices {
+	for s := range a.Shards {
 		primary := keepers[s%len(keepers)]
 		partners := c.partnersFor(s, primary)
-		a.Slices[s] = Role{Ensemble: ensembleOf(1, primary, partners, disksLost)}
-		c.count(&a.Slices[s])
+		a.Shards[s] = ShardAssignment{Ensemble: ensembleOf(1, primary, partners, disksLost)}
+		c.count(&a.Shards[s])
 	}
 	return a, true
 }
@@ -90,8 +90,8 @@
 // held counts the slices that a keeper holds in either role.
 func (a *Assignment) held(name string) int {
 	n := 0
-	for i := range a.Slices {
-		if r := &a.Slices[i]; r.Epoch > 0 && r.holds(name) {
+	for i := range a.Shards {
+		if r := &a.Shards[i]; r.Epoch > 0 && r.holds(name) {
 			n++
 		}
 	}
@@ -102,11 +102,11 @@
 func ensembleOf(epoch uint64, primary Candidate, partners []Candidate, disksLost int) Ensemble {
 	e := Ensemble{Epoch: epoch, Primary: primary.Name, Disks: []string{primary.Disk}}
 	for _, p := range partners {
-		e.Partners = append(e.Partners, p.Name)
+		e.Backups = append(e.Backups, p.Name)
 		e.Disks = append(e.Disks, p.Disk)
 	}
 	if len(partners) > disksLost && sparesOne(append([]Candidate{primary}, partners...)) {
-		e.Spare = spareMost
+		e.OptionalBackups = spareMost
 	}
 	return e
 }
--- a/internal/history/choose.go
+++ b/internal/history/choose.go
@@ -15,7 +15,7 @@
 }
 
 // count takes in a slice's holders.
-func (c *chooser) count(r *Role) {
+func (c *chooser) count(r *ShardAssignment) {
 	for _, name := range r.holders() {
 		c.held[name]++
 	}
@@ -70,7 +70,7 @@
 // nearerTo prefers a keeper that holds the slice already, then one in the primary's data
 // centre, to which bytes cost nothing, then the one with the fewest slices.
 func (c *chooser) nearerTo(slice int, primary, k, best Candidate) bool {
-	holds, bestHolds := c.assignment.Slices[slice].partner(k.Name), c.assignment.Slices[slice].partner(best.Name)
+	holds, bestHolds := c.assignment.Shards[slice].partner(k.Name), c.assignment.Shards[slice].partner(best.Name)
 	if holds != bestHolds {
 		return holds
 	}
@@ -83,7 +83,7 @@
 
 // cheaper prefers a keeper that holds the slice already, then the one with the fewest.
 func (c *chooser) cheaper(slice int, k, best Candidate) bool {
-	holds, bestHolds := c.assignment.Slices[slice].partner(k.Name), c.assignment.Slices[slice].partner(best.Name)
+	holds, bestHolds := c.assignment.Shards[slice].partner(k.Name), c.assignment.Shards[slice].partner(best.Name)
 	if holds != bestHolds {
 		return holds
 	}
--- a/internal/history/client.go
+++ b/internal/history/client.go
@@ -27,17 +27,17 @@
 )
 
 // ErrUnreached says that no keeper of the slice could be asked in time.
-var ErrUnreached = errors.New("history: no keeper reached")
+var ErrKeepersUnreachable = errors.New("history: no keeper reached")
 
 // Keepers calls keepers by name.
 type Keepers interface {
 	// Keeper returns false for one that is out of reach.
 	Keeper(name string) (historypb.Keeper, bool)
 	// WhenSilent has f called should the keeper fall silent before stop is called.
-	WhenSilent(name string, f func()) (stop func())
+	OnSilence(name string, f func()) (stop func())
 	// CutOff reports whether this instance reaches no other data centre, so that
 	// nothing can be made durable from here.
-	CutOff() bool
+	Isolated() bool
 }
 
 // Client reserves and settles turns at the keepers. It is safe for concurrent use.
@@ -50,7 +50,7 @@
 
 	mu sync.Mutex
 	// newer holds roles that keepers told before the assignment came.
-	newer [SliceCount]Role
+	newer [ShardCount]ShardAssignment
 }
 
 var _ gateway.Turns = (*Client)(nil)
@@ -60,14 +60,14 @@
 	return &Client{keepers: keepers, assignment: assignment, allowances: newAllowances(), logger: logger}
 }
 
-func (c *Client) role(slice uint32) Role {
+func (c *Client) role(slice uint32) ShardAssignment {
 	a, _ := c.assignment()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.newer[slice].Epoch > a.Slices[slice].Epoch {
+	if c.newer[slice].Epoch > a.Shards[slice].Epoch {
 		return c.newer[slice]
 	}
-	return a.Slices[slice]
+	return a.Shards[slice]
 }
 
 // learn takes in a keeper's word on a slice's role.
@@ -78,7 +78,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r.Epoch > c.newer[slice].Epoch {
-		c.newer[slice] = Role{Ensemble: Ensemble{Epoch: r.Epoch, Primary: r.Primary, Partners: r.Partners}}
+		c.newer[slice] = ShardAssignment{Ensemble: Ensemble{Epoch: r.Epoch, Primary: r.Primary, Backups: r.Partners}}
 	}
 }
 
@@ -115,13 +115,13 @@
 				hope = true
 			}
 		}
-		if giveUp && (!hope || c.keepers.CutOff()) {
+		if giveUp && (!hope || c.keepers.Isolated()) {
 			return gateway.ErrIsolated
 		}
 		sleep(ctx, retryPause)
 	}
 	role := c.role(slice)
-	return errors.Wrapf(ErrUnreached, "slice %d in epoch %d of %s with %v", slice, role.Epoch, role.Primary, role.Partners)
+	return errors.Wrapf(ErrKeepersUnreachable, "slice %d in epoch %d of %s with %v", slice, role.Epoch, role.Primary, role.Backups)
 }
 
 // askOne asks one keeper. One that falls silent meanwhile is given up at once: the
@@ -129,7 +129,7 @@
 func (c *Client) askOne(ctx context.Context, name string, k historypb.Keeper, call func(context.Context, historypb.Keeper) reply) reply {
 	ctx, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
-	defer c.keepers.WhenSilent(name, cancel)()
+	defer c.keepers.OnSilence(name, cancel)()
 	return call(ctx, k)
 }
 
@@ -148,7 +148,7 @@
 		return gateway.Reserved{}, nil
 	}
 	reserved, err := c.reserveAtKeepers(ctx, r)
-	if err == nil && !r.Kept && r.Budget >= allowanceLeast*r.Most {
+	if err == nil && !r.Retain && r.Budget >= allowanceLeast*r.MaxOutputTokens {
 		c.refill(c.allowances.open(r, time.Now()))
 	}
 	return reserved, err
@@ -160,12 +160,12 @@
 
 func (c *Client) reserveAtKeepers(ctx context.Context, r gateway.Reservation) (gateway.Reserved, error) {
 	request := &historypb.ReserveRequest{
-		Slice:       SliceOf(r.Program),
+		Slice:       ShardOf(r.Program),
 		Program:     r.Program,
 		Customer:    &r.Customer,
 		Turn:        r.Turn,
 		Previous:    r.Previous,
-		Most:        int64(r.Most),
+		Most:        int64(r.MaxOutputTokens),
 		Budget:      int64(r.Budget),
 		RetentionMs: r.Retention.Milliseconds(),
 	}
@@ -189,7 +189,7 @@
 	if err != nil {
 		return gateway.Reserved{}, err
 	}
-	reserved := gateway.Reserved{Chain: turns(chain), Foreign: true, Replica: response.Replica}
+	reserved := gateway.Reserved{Chain: turns(chain), ForeignChain: true, Replica: response.Replica}
 	if last := chain[len(chain)-1]; last.Replica != "" {
 		reserved.Replica = last.Replica
 	}
@@ -207,11 +207,11 @@
 	case historypb.Verdict_DONE:
 		return nil
 	case historypb.Verdict_SPENT:
-		return gateway.ErrBudgetSpent
+		return gateway.ErrBudgetExhausted
 	case historypb.Verdict_NO_TURN:
 		return gateway.ErrNoSuchTurn
 	default:
-		return ErrUnreached
+		return ErrKeepersUnreachable
 	}
 }
 
@@ -253,22 +253,22 @@
 }
 
 // Settle implements gateway.Turns.
-func (c *Client) Settle(ctx context.Context, e gateway.Ending) error {
+func (c *Client) Settle(ctx context.Context, e gateway.Settlement) error {
 	if a, ok := c.allowances.settle(e); ok {
 		c.refill(a)
 		return nil
 	}
 	request := &historypb.SettleRequest{
-		Slice:       SliceOf(e.Program),
+		Slice:       ShardOf(e.Program),
 		Program:     e.Program,
 		Customer:    &e.Customer,
 		Turn:        e.Turn,
-		Made:        int64(e.Made),
+		Made:        int64(e.OutputTokens),
 		RetentionMs: e.Retention.Milliseconds(),
 		Replica:     e.Replica,
 	}
-	if e.Kept != nil {
-		request.Kept = wireTurn(e.Kept, &e)
+	if e.RetainedTurn != nil {
+		request.Kept = wireTurn(e.RetainedTurn, &e)
 	}
 	for i := range e.Chain {
 		request.Chain = append(request.Chain, wireTurn(&e.Chain[i], &e))
@@ -297,7 +297,7 @@
 	defer cancel()
 	absent := map[uint32]bool{}
 	for ctx.Err() == nil {
-		if c.keepers.CutOff() {
+		if c.keepers.Isolated() {
 			return nil, gateway.ErrIsolated
 		}
 		for _, name := range c.holders(absent) {
@@ -317,19 +317,19 @@
 				absent[s] = true
 			}
 		}
-		if len(absent) == SliceCount {
+		if len(absent) == ShardCount {
 			return nil, gateway.ErrNoSuchTurn
 		}
 		sleep(ctx, retryPause)
 	}
-	return nil, ErrUnreached
+	return nil, ErrKeepersUnreachable
 }
 
 // holders returns the keepers of the slices that have not said yet.
 func (c *Client) holders(absent map[uint32]bool) []string {
 	var names []string
 	seen := map[string]bool{}
-	for s := range uint32(SliceCount) {
+	for s := range uint32(ShardCount) {
 		role := c.role(s)
 		if absent[s] {
 			continue
@@ -352,7 +352,7 @@
 	return out
 }
 
-func wireTurn(t *gateway.Turn, e *gateway.Ending) *historypb.Turn {
+func wireTurn(t *gateway.Turn, e *gateway.Settlement) *historypb.Turn {
 	return &historypb.Turn{
 		Id:          t.ID,
 		Previous:    t.Previous,
--- a/internal/history/cost_test.go
+++ b/internal/history/cost_test.go
@@ -65,8 +65,8 @@
 		w.cutDataCentre(lost, true)
 		time.Sleep(suspectAfter + rolesEvery + aloneIn/2)
 		a := w.assigned()
-		for s := range a.Slices {
-			for _, name := range a.Slices[s].holders() {
+		for s := range a.Shards {
+			for _, name := range a.Shards[s].holders() {
 				if w.machine(name).dataCentre == lost {
 					fail(errors.Errorf("slice %d is still held by %s", s, name))
 				}
@@ -90,10 +90,10 @@
 		const turns, size = 60, 8 << 10
 		for n := range turns {
 			program := fmt.Sprint("p", n)
-			_, err := c.Reserve(context.Background(), gateway.Reservation{Program: program, Turn: program, Most: 1, Retention: time.Hour})
+			_, err := c.Reserve(context.Background(), gateway.Reservation{Program: program, Turn: program, MaxOutputTokens: 1, Retention: time.Hour})
 			fail(err)
 			kept := &gateway.Turn{ID: program, Input: bytes.Repeat([]byte("x"), size), Ended: time.Now()}
-			fail(c.Settle(context.Background(), gateway.Ending{Program: program, Turn: program, Kept: kept, Retention: time.Hour}))
+			fail(c.Settle(context.Background(), gateway.Settlement{Program: program, Turn: program, RetainedTurn: kept, Retention: time.Hour}))
 		}
 		time.Sleep(time.Second)
 		before := w.moved.Load()
--- a/internal/history/customer_test.go
+++ b/internal/history/customer_test.go
@@ -18,13 +18,13 @@
 func keepFor(c *Client, customer, program, turn, previous string) error {
 	ctx := context.Background()
 	_, err := c.Reserve(ctx, gateway.Reservation{
-		Customer: customer, Program: program, Turn: turn, Previous: previous, Most: 60, Budget: 100, Retention: time.Hour,
+		Customer: customer, Program: program, Turn: turn, Previous: previous, MaxOutputTokens: 60, Budget: 100, Retention: time.Hour,
 	})
 	if err != nil {
 		return err
 	}
 	kept := &gateway.Turn{ID: turn, Previous: previous, Input: []byte(customer), Ended: time.Now()}
-	return c.Settle(ctx, gateway.Ending{Customer: customer, Program: program, Turn: turn, Made: 60, Kept: kept, Retention: time.Hour})
+	return c.Settle(ctx, gateway.Settlement{Customer: customer, Program: program, Turn: turn, OutputTokens: 60, RetainedTurn: kept, Retention: time.Hour})
 }
 
 // A customer reads another's conversation by naming its turn, in a program of the same id
@@ -50,11 +50,11 @@
 		c := w.client("entry")
 		fail(keepFor(c, "one", "p", "t", ""))
 		fail(keepFor(c, "two", "p", "t", ""))
-		if err := keepFor(c, "two", "p", "more", "t"); !errors.Is(err, gateway.ErrBudgetSpent) {
+		if err := keepFor(c, "two", "p", "more", "t"); !errors.Is(err, gateway.ErrBudgetExhausted) {
 			fail(errors.Errorf("spent twice: %v", err))
 		}
 		reserved, err := c.Reserve(context.Background(), gateway.Reservation{
-			Customer: "two", Program: "heir", Turn: "heir", Previous: "t", Most: 1, Budget: 10,
+			Customer: "two", Program: "heir", Turn: "heir", Previous: "t", MaxOutputTokens: 1, Budget: 10,
 		})
 		fail(err)
 		if len(reserved.Chain) != 1 || string(reserved.Chain[0].Input) != "two" {
--- a/internal/history/ensemble.go
+++ b/internal/history/ensemble.go
@@ -8,16 +8,16 @@
 	Epoch   uint64 `json:"epoch"`
 	Primary string `json:"primary"`
 	// Partners hold the same as the primary.
-	Partners []string `json:"partners"`
+	Backups []string `json:"partners"`
 	// Disks names the disks of the holders, the primary's first. A holder whose
 	// disk has another name lost what it held. Empty in assignments of form 1.
 	Disks []string `json:"disks,omitempty"`
 	// Spare is the number of partners on whose disks a decision need not be.
-	Spare int `json:"spare,omitempty"`
+	OptionalBackups int `json:"spare,omitempty"`
 }
 
 // Role tells who holds a slice.
-type Role struct {
+type ShardAssignment struct {
 	Ensemble
 	// Before lists earlier ensembles, the oldest first, that may hold decisions
 	// which the primary has to fetch before it decides.
@@ -29,10 +29,10 @@
 const spareMost = 1
 
 // holders returns the primary and its partners.
-func (e *Ensemble) holders() []string { return append([]string{e.Primary}, e.Partners...) }
+func (e *Ensemble) holders() []string { return append([]string{e.Primary}, e.Backups...) }
 
 // partner reports whether a keeper is a partner.
-func (e *Ensemble) partner(name string) bool { return slices.Contains(e.Partners, name) }
+func (e *Ensemble) partner(name string) bool { return slices.Contains(e.Backups, name) }
 
 // holds reports whether a keeper is a holder.
 func (e *Ensemble) holds(name string) bool { return e.Primary == name || e.partner(name) }
@@ -47,12 +47,12 @@
 }
 
 // acks returns on how many partners' disks a decision must be.
-func (e *Ensemble) acks() int { return len(e.Partners) - e.Spare }
+func (e *Ensemble) acks() int { return len(e.Backups) - e.OptionalBackups }
 
 // sameHolders reports that the other ensemble has the same primary and partners, in any
 // order, on the same disks, and the same spare.
 func (e *Ensemble) sameHolders(other *Ensemble) bool {
-	if e.Primary != other.Primary || e.Spare != other.Spare || len(e.Partners) != len(other.Partners) {
+	if e.Primary != other.Primary || e.OptionalBackups != other.OptionalBackups || len(e.Backups) != len(other.Backups) {
 		return false
 	}
 	for _, name := range e.holders() {
@@ -81,14 +81,14 @@
 // ensemble, have all of its decisions between them: each is on the primary's disk, and
 // on those of all partners but the spare ones.
 func (e *Ensemble) complete(names []string) bool {
-	return slices.Contains(names, e.Primary) || len(names) > e.Spare
+	return slices.Contains(names, e.Primary) || len(names) > e.OptionalBackups
 }
 
 // chain returns the ensembles that may hold decisions, the oldest first.
-func (r *Role) chain() []Ensemble { return append(slices.Clone(r.Before), r.Ensemble) }
+func (r *ShardAssignment) chain() []Ensemble { return append(slices.Clone(r.Before), r.Ensemble) }
 
 // everHeld returns the holders of all these ensembles.
-func (r *Role) everHeld() map[string]bool {
+func (r *ShardAssignment) everHeld() map[string]bool {
 	names := map[string]bool{}
 	for _, e := range r.chain() {
 		for _, name := range e.holders() {
@@ -99,7 +99,7 @@
 }
 
 // oldest returns the lowest base with which a keeper may take the slice over.
-func (r *Role) oldest() uint64 {
+func (r *ShardAssignment) oldest() uint64 {
 	if len(r.Before) > 0 {
 		return r.Before[0].Epoch
 	}
--- a/internal/history/failure_test.go
+++ b/internal/history/failure_test.go
@@ -21,18 +21,18 @@
 
 func keep(c *Client, program, turn, previous string) error {
 	ctx := context.Background()
-	_, err := c.Reserve(ctx, gateway.Reservation{Program: program, Turn: turn, Previous: previous, Most: 1, Retention: time.Hour})
+	_, err := c.Reserve(ctx, gateway.Reservation{Program: program, Turn: turn, Previous: previous, MaxOutputTokens: 1, Retention: time.Hour})
 	if err != nil {
 		return err
 	}
 	kept := &gateway.Turn{ID: turn, Previous: previous, Input: []byte(turn), Ended: time.Now()}
-	return c.Settle(ctx, gateway.Ending{Program: program, Turn: turn, Kept: kept, Retention: time.Hour})
+	return c.Settle(ctx, gateway.Settlement{Program: program, Turn: turn, RetainedTurn: kept, Retention: time.Hour})
 }
 
-func (w *world) role(program string) Role {
+func (w *world) role(program string) ShardAssignment {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.assignment.Slices[SliceOf(program)]
+	return w.assignment.Shards[ShardOf(program)]
 }
 
 // A caller's next turn is denied. The primary of its slice proposed another
@@ -49,15 +49,15 @@
 		role := w.role("p")
 		w.machine(role.Primary).wipe()
 		w.mu.Lock()
-		late := Role{Before: []Ensemble{role.Ensemble}}
+		late := ShardAssignment{Before: []Ensemble{role.Ensemble}}
 		late.Epoch, late.Primary, late.Disks = role.Epoch+1, role.Primary, []string{role.disk(role.Primary)}
 		for _, m := range w.machines {
 			if !role.holds(m.name) {
-				late.Partners = append(late.Partners, m.name)
+				late.Backups = append(late.Backups, m.name)
 				late.Disks = append(late.Disks, m.process.keeper.disk)
 			}
 		}
-		w.assignment.Slices[SliceOf("p")] = late
+		w.assignment.Shards[ShardOf("p")] = late
 		w.version++
 		w.mu.Unlock()
 		w.machine(role.Primary).start()
@@ -72,19 +72,19 @@
 func TestFillingOfALostDiskDoesNotMakeItWhole(t *testing.T) {
 	inWorld(t, func(w *world, fail func(error)) {
 		role := w.role("p")
-		partner := w.machine(role.Partners[0])
+		partner := w.machine(role.Backups[0])
 		ctx := context.Background()
 		before, err := partner.process.keeper.Status(ctx, &historypb.StatusRequest{})
 		if err != nil {
 			fail(err)
 			return
 		}
-		w.cut(role.Primary, role.Partners[0], true)
+		w.cut(role.Primary, role.Backups[0], true)
 		partner.wipe()
 		partner.start()
 		k := partner.process.keeper
 		last := &historypb.AppendRequest{Slices: []*historypb.SliceAppend{
-			{Slice: SliceOf("p"), Epoch: role.Epoch, Complete: true, Disk: before.Disk},
+			{Slice: ShardOf("p"), Epoch: role.Epoch, Complete: true, Disk: before.Disk},
 		}}
 		// The first has it read the assignment, without which it follows nobody.
 		for range 2 {
@@ -94,7 +94,7 @@
 			time.Sleep(mirrorTime)
 		}
 		after, err := k.Status(ctx, &historypb.StatusRequest{})
-		if err != nil || markOf(after.Slices[SliceOf("p")]).Base > 0 {
+		if err != nil || markOf(after.Slices[ShardOf("p")]).Base > 0 {
 			fail(errors.New("an empty disk counts as whole"))
 		}
 	})
@@ -108,23 +108,23 @@
 		c := w.client("entry")
 		ctx := context.Background()
 		role := w.role("p")
-		if _, err := c.Reserve(ctx, gateway.Reservation{Program: "p", Turn: "one", Most: 60, Budget: 100}); err != nil {
+		if _, err := c.Reserve(ctx, gateway.Reservation{Program: "p", Turn: "one", MaxOutputTokens: 60, Budget: 100}); err != nil {
 			fail(err)
 			return
 		}
 		old := w.machine(role.Primary)
 		old.freeze()
 		time.Sleep(3 * suspectAfter)
-		if _, err := c.Reserve(ctx, gateway.Reservation{Program: "p", Turn: "two", Most: 40, Budget: 100}); err != nil {
+		if _, err := c.Reserve(ctx, gateway.Reservation{Program: "p", Turn: "two", MaxOutputTokens: 40, Budget: 100}); err != nil {
 			fail(err)
 			return
 		}
 		old.unfreeze()
 		response, err := old.process.keeper.Reserve(ctx, &historypb.ReserveRequest{
-			Slice: SliceOf("p"), Program: "p", Turn: "three", Most: 40, Budget: 100,
+			Slice: ShardOf("p"), Program: "p", Turn: "three", Most: 40, Budget: 100,
 		})
 		if err != nil || response.Verdict == historypb.Verdict_DONE {
-			fail(ErrUnreached)
+			fail(ErrKeepersUnreachable)
 		}
 	})
 }
@@ -156,10 +156,10 @@
 }
 
 // alone is an assignment that gives the role to all slices.
-func (r Role) alone() (Assignment, bool) {
+func (r ShardAssignment) alone() (Assignment, bool) {
 	var a Assignment
-	for s := range a.Slices {
-		a.Slices[s] = r
+	for s := range a.Shards {
+		a.Shards[s] = r
 	}
 	return a, true
 }
@@ -173,7 +173,7 @@
 		time.Sleep(2 * suspectAfter)
 		c := NewClient(&entryPoint{world: w, name: "entry", only: role.Primary}, role.alone, w.logger("entry"))
 		began := time.Now()
-		_, err := c.Reserve(context.Background(), gateway.Reservation{Program: "p", Turn: "t", Most: 1})
+		_, err := c.Reserve(context.Background(), gateway.Reservation{Program: "p", Turn: "t", MaxOutputTokens: 1})
 		if !errors.Is(err, gateway.ErrIsolated) || time.Since(began) > 10*wayTime {
 			fail(errors.Errorf("%v after %v", err, time.Since(began)))
 		}
@@ -187,11 +187,11 @@
 func TestCallerCutOffWithAPartnerIsRefusedAtOnce(t *testing.T) {
 	inWorld(t, func(w *world, fail func(error)) {
 		role := w.role("p")
-		w.isolate(role.Partners[0])
+		w.isolate(role.Backups[0])
 		time.Sleep(2 * suspectAfter)
-		c := NewClient(&entryPoint{world: w, name: "entry", only: role.Partners[0], cutOff: true}, role.alone, w.logger("entry"))
+		c := NewClient(&entryPoint{world: w, name: "entry", only: role.Backups[0], cutOff: true}, role.alone, w.logger("entry"))
 		began := time.Now()
-		_, err := c.Reserve(context.Background(), gateway.Reservation{Program: "p", Turn: "t", Most: 1})
+		_, err := c.Reserve(context.Background(), gateway.Reservation{Program: "p", Turn: "t", MaxOutputTokens: 1})
 		if !errors.Is(err, gateway.ErrIsolated) {
 			fail(errors.Errorf("reserve: %v", err))
 		}
@@ -213,11 +213,11 @@
 		turn := func(n int) error {
 			id := string(rune('a' + n))
 			ctx := context.Background()
-			r := gateway.Reservation{Program: "p", Turn: id, Most: 100, Budget: 2400, Retention: time.Minute}
+			r := gateway.Reservation{Program: "p", Turn: id, MaxOutputTokens: 100, Budget: 2400, Retention: time.Minute}
 			if _, err := c.Reserve(ctx, r); err != nil {
 				return err
 			}
-			return c.Settle(ctx, gateway.Ending{Program: "p", Turn: id, Made: 25, Retention: time.Minute})
+			return c.Settle(ctx, gateway.Settlement{Program: "p", Turn: id, OutputTokens: 25, Retention: time.Minute})
 		}
 		if err := turn(0); err != nil {
 			fail(err)
@@ -258,7 +258,7 @@
 		if !silent {
 			fail(errors.New("the others are not judged silent before"))
 		}
-		k.Woke()
+		k.ResetAfterPause()
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		for name, o := range k.opinions(time.Now()) {
@@ -280,12 +280,12 @@
 		input := bytes.Repeat([]byte("x"), 16<<10)
 		for n := range 100 {
 			program := "p" + strconv.Itoa(n)
-			reservation := gateway.Reservation{Program: program, Turn: program + "-1", Most: 1, Retention: time.Hour}
+			reservation := gateway.Reservation{Program: program, Turn: program + "-1", MaxOutputTokens: 1, Retention: time.Hour}
 			if _, err := c.Reserve(context.Background(), reservation); err != nil {
 				fail(err)
 			}
 			kept := &gateway.Turn{ID: program + "-1", Input: input, Ended: time.Now()}
-			if err := c.Settle(context.Background(), gateway.Ending{Program: program, Turn: kept.ID, Kept: kept, Retention: time.Hour}); err != nil {
+			if err := c.Settle(context.Background(), gateway.Settlement{Program: program, Turn: kept.ID, RetainedTurn: kept, Retention: time.Hour}); err != nil {
 				fail(err)
 			}
 		}
@@ -307,13 +307,13 @@
 // whole reports that each slice is whole on the disks of both its holders.
 func (w *world) whole() bool {
 	w.mu.Lock()
-	roles := w.assignment.Slices
+	roles := w.assignment.Shards
 	w.mu.Unlock()
 	for s, role := range roles {
 		for _, name := range role.holders() {
 			k := w.machine(name).process.keeper
 			k.mu.Lock()
-			has := k.slices[s].mark.whole(role.Epoch)
+			has := k.shards[s].mark.whole(role.Epoch)
 			k.mu.Unlock()
 			if !has {
 				return false
@@ -345,7 +345,7 @@
 		time.Sleep(time.Second)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		for s, role := range w.assignment.Slices {
+		for s, role := range w.assignment.Shards {
 			if role.Primary == w.machines[0].name || role.partner(w.machines[0].name) {
 				fail(errors.Errorf("slice %d is still held by the lost keeper", s))
 				return
@@ -359,7 +359,7 @@
 // then it was cut off, and took the old word for a lost disk again and again.
 func TestOldWordOfAPrimaryIsNoLoss(t *testing.T) {
 	is := is.New(t)
-	s := &slice{number: 1, role: Role{Ensemble: Ensemble{Epoch: 3}}}
+	s := &shard{number: 1, role: ShardAssignment{Ensemble: Ensemble{Epoch: 3}}}
 	word := opinion{heard: true, at: time.Now()}
 	word.marks[1] = mark{Epoch: 2, Base: 2}
 	is.True(!s.primaryLost(word))
@@ -413,8 +413,8 @@
 		time.Sleep(settledIn)
 		w.machine("c").start()
 		time.Sleep(settledIn)
-		for s, role := range w.assigned().Slices {
-			if role.Primary != "c" && !role.partner("c") || len(role.Partners) != 1 {
+		for s, role := range w.assigned().Shards {
+			if role.Primary != "c" && !role.partner("c") || len(role.Backups) != 1 {
 				fail(errors.Errorf("slice %d is on %v", s, role.holders()))
 				return
 			}
@@ -433,7 +433,7 @@
 		c := w.client("entry")
 		fail(keep(c, "p", "first", ""))
 		role := w.role("p")
-		w.setRetiring(role.Partners[0])
+		w.setRetiring(role.Backups[0])
 		for w.role("p").Epoch == role.Epoch {
 			time.Sleep(wayTime)
 		}
--- a/internal/history/fill.go
+++ b/internal/history/fill.go
@@ -10,7 +10,7 @@
 
 // fillIfNeeded has a partner that is not known to have all of the slice be sent it, or
 // be told so where each part is on its way already; the lock is held.
-func (k *Keeper) fillIfNeeded(ctx context.Context, s *slice, name string, partner opinion) {
+func (k *Keeper) fillIfNeeded(ctx context.Context, s *shard, name string, partner opinion) {
 	l := s.link(name)
 	known := partner.has(int(s.number), s.role.Epoch)
 	if l.filling || !partner.heard || l.filled && known || l.disk != "" && l.disk != partner.disk {
@@ -31,7 +31,7 @@
 
 // filling is the sending of a whole slice to one partner's disk.
 type filling struct {
-	slice   *slice
+	slice   *shard
 	link    *link
 	epoch   uint64
 	partner string
--- a/internal/history/holders.go
+++ b/internal/history/holders.go
@@ -14,7 +14,7 @@
 	}
 	leaving := k.leavingNow()
 	choose := k.newChooser(&next, opinions)
-	for _, s := range k.slices {
+	for _, s := range k.shards {
 		// One that leaves hands its slices to others that have them, and what only
 		// it has is its to share first.
 		if leaving && k.othersHave(s, opinions) || !k.mustChange(s, opinions, now) {
@@ -25,7 +25,7 @@
 		case !found:
 			stuck++
 		case s.forced == role.Epoch || !role.sameHolders(&s.role.Ensemble):
-			next.Slices[s.number] = role
+			next.Shards[s.number] = role
 			changed = true
 		}
 	}
@@ -40,9 +40,9 @@
 		o, known := opinions[name]
 		return !known || !o.heard || o.out
 	}
-	for i := range next.Slices {
-		if next.Slices[i].Epoch > 0 {
-			c.count(&next.Slices[i])
+	for i := range next.Shards {
+		if next.Shards[i].Epoch > 0 {
+			c.count(&next.Shards[i])
 		}
 	}
 	return c
@@ -50,14 +50,14 @@
 
 // nextRole returns a slice's next role with this keeper as the primary: alone where it
 // is the last one. It returns false where no partner is to be had now.
-func (k *Keeper) nextRole(choose *chooser, s *slice, opinions map[string]opinion, now time.Time) (Role, bool) {
+func (k *Keeper) nextRole(choose *chooser, s *shard, opinions map[string]opinion, now time.Time) (ShardAssignment, bool) {
 	me := Candidate{Name: k.settings.Name, DataCentre: k.settings.DataCentre, Disk: k.disk}
 	partners := choose.partnersFor(int(s.number), me)
 	if len(partners) == 0 && !k.lastKeeper(now) {
-		return Role{}, false
+		return ShardAssignment{}, false
 	}
 	partners = k.withHolders(s, partners, choose.keepers, opinions)
-	role := Role{Ensemble: ensembleOf(s.role.Epoch+1, me, partners, k.disksLost()), Before: s.role.chain()}
+	role := ShardAssignment{Ensemble: ensembleOf(s.role.Epoch+1, me, partners, k.disksLost()), Before: s.role.chain()}
 	switch {
 	case k.settled(s, opinions):
 		role.Before = []Ensemble{s.role.Ensemble}
@@ -74,17 +74,17 @@
 // settled reports that this keeper decides for the slice, and that as many partners as
 // may be lost at once have all that was decided before its epoch: whoever takes the slice
 // over needs none of the earlier ensembles.
-func (k *Keeper) settled(s *slice, opinions map[string]opinion) bool {
+func (k *Keeper) settled(s *shard, opinions map[string]opinion) bool {
 	if !k.primary(s) {
 		return false
 	}
 	have := 0
-	for _, name := range s.role.Partners {
+	for _, name := range s.role.Backups {
 		if opinions[name].has(int(s.number), s.role.Epoch) {
 			have++
 		}
 	}
-	return have >= min(k.disksLost(), len(s.role.Partners))
+	return have >= min(k.disksLost(), len(s.role.Backups))
 }
 
 // tellStuck says why slices that should be held by others are not: no keeper is
@@ -109,11 +109,11 @@
 const stuckEvery = time.Second
 
 // disksLost is the number of disks that may be lost at once.
-func (k *Keeper) disksLost() int { return max(1, k.settings.DisksLost) }
+func (k *Keeper) disksLost() int { return max(1, k.settings.MaxDiskFailures) }
 
 // tooFew reports that a slice could have more partners than it has.
-func (k *Keeper) tooFew(s *slice, opinions map[string]opinion) bool {
-	if len(s.role.Partners) > k.disksLost() {
+func (k *Keeper) tooFew(s *shard, opinions map[string]opinion) bool {
+	if len(s.role.Backups) > k.disksLost() {
 		return false
 	}
 	usable := 0
@@ -122,11 +122,11 @@
 			usable++
 		}
 	}
-	return usable > len(s.role.Partners)
+	return usable > len(s.role.Backups)
 }
 
 // othersHave reports that another holder is there and has all of the slice.
-func (k *Keeper) othersHave(s *slice, opinions map[string]opinion) bool {
+func (k *Keeper) othersHave(s *shard, opinions map[string]opinion) bool {
 	for _, name := range s.role.holders() {
 		if name != k.settings.Name && opinions[name].has(int(s.number), s.role.Epoch) {
 			return true
@@ -138,7 +138,7 @@
 // withHolders returns the partners chosen for a slice, and beside them its present
 // ones until the chosen have all of it: else the primary would have it alone while
 // they are filled, and its loss would leave nobody who knows all.
-func (k *Keeper) withHolders(s *slice, chosen, keepers []Candidate, opinions map[string]opinion) []Candidate {
+func (k *Keeper) withHolders(s *shard, chosen, keepers []Candidate, opinions map[string]opinion) []Candidate {
 	number, epoch := int(s.number), s.role.Epoch
 	if !k.primary(s) || allHave(chosen, opinions, number, epoch) {
 		return chosen
@@ -163,7 +163,7 @@
 // couldSpread reports that two holders of a slice share a data centre while a keeper
 // of another one is to be had: it was lost, and the slice went to what was left. A
 // cut would take the slice whole.
-func (k *Keeper) couldSpread(s *slice, opinions map[string]opinion, now time.Time) bool {
+func (k *Keeper) couldSpread(s *shard, opinions map[string]opinion, now time.Time) bool {
 	centres := map[string]string{}
 	for _, c := range k.settings.Keepers() {
 		centres[c.Name] = c.DataCentre
@@ -172,7 +172,7 @@
 	for _, name := range s.role.holders() {
 		held[centres[name]]++
 	}
-	if len(held) > min(k.disksLost(), len(s.role.Partners)) {
+	if len(held) > min(k.disksLost(), len(s.role.Backups)) {
 		return false
 	}
 	for name, o := range opinions {
@@ -187,7 +187,7 @@
 
 // mustChange reports that this keeper should give a slice other holders: as its primary,
 // or because it can take the place of one that is gone. The lock is held.
-func (k *Keeper) mustChange(s *slice, opinions map[string]opinion, now time.Time) bool {
+func (k *Keeper) mustChange(s *shard, opinions map[string]opinion, now time.Time) bool {
 	switch {
 	case k.primary(s):
 		return k.partnersMustChange(s, opinions, now)
@@ -211,13 +211,13 @@
 
 // partnersMustChange reports that a slice's partners are not those it should have, or
 // that others may be better.
-func (k *Keeper) partnersMustChange(s *slice, opinions map[string]opinion, now time.Time) bool {
-	for _, name := range s.role.Partners {
+func (k *Keeper) partnersMustChange(s *shard, opinions map[string]opinion, now time.Time) bool {
+	for _, name := range s.role.Backups {
 		o, known := opinions[name]
 		if !known && now.Sub(k.started) > bootTime || o.out || o.heard && o.disk != "" && o.disk != s.role.disk(name) {
 			return true
 		}
 	}
-	surplus := len(s.role.Partners) > k.disksLost()+1 || len(s.role.Partners) > k.disksLost() && s.role.Spare == 0
+	surplus := len(s.role.Backups) > k.disksLost()+1 || len(s.role.Backups) > k.disksLost() && s.role.OptionalBackups == 0
 	return surplus || k.tooFew(s, opinions) || k.couldSpread(s, opinions, now)
 }
--- a/internal/history/keeper.go
+++ b/internal/history/keeper.go
@@ -36,7 +36,7 @@
 	Append(ctx context.Context, name string, r *historypb.AppendRequest) (*historypb.AppendResponse, error)
 	Status(ctx context.Context, name string, r *historypb.StatusRequest) (*historypb.StatusResponse, error)
 	// Tell tells all other keepers how this one stands. It may be lost.
-	Tell(status *historypb.StatusResponse)
+	BroadcastStatus(status *historypb.StatusResponse)
 	Fetch(ctx context.Context, name string, r *historypb.FetchRequest) (*historypb.FetchResponse, error)
 	List(ctx context.Context, name string, r *historypb.ListRequest) (*historypb.ListResponse, error)
 	// Witnesses asks entries of each data centre whether they hear a keeper. Those
@@ -63,7 +63,7 @@
 	// Folder is where the log is kept.
 	Folder string
 	// DisksLost is the number of disks that may be lost at once.
-	DisksLost int
+	MaxDiskFailures int
 	// Keepers returns the keepers that are registered, this one among them.
 	Keepers func() []Candidate
 	// Retiring reports that operators want a keeper emptied.
@@ -84,11 +84,11 @@
 	// edition is that of the marks that were told last. It begins at random, so that a
 	// keeper that was restarted is not taken for the one before.
 	edition   uint64
-	toldMarks [SliceCount]mark
+	toldMarks [ShardCount]mark
 	started   time.Time
 
 	mu     sync.Mutex
-	slices [SliceCount]*slice
+	shards [ShardCount]*shard
 	known  Assignment
 	// version is the store's of the known assignment.
 	version store.Version
@@ -119,13 +119,13 @@
 }
 
 // slice is one slice as this keeper holds it. The keeper's lock guards it.
-type slice struct {
+type shard struct {
 	number uint32
 	state  *state
 	// mark is up to which epoch this keeper follows the slice; a primary of a
 	// lower epoch is refused.
 	mark mark
-	role Role
+	role ShardAssignment
 	// links are the ways to the partners, by name.
 	links map[string]*link
 	// tenure counts how often this keeper ceased to decide for the slice.
@@ -177,8 +177,8 @@
 		storeWaits:  newStoreWaits(),
 		edition:     rand.Uint64(),
 	}
-	for i := range k.slices {
-		k.slices[i] = &slice{number: uint32(i), state: newState(), links: map[string]*link{}}
+	for i := range k.shards {
+		k.shards[i] = &shard{number: uint32(i), state: newState(), links: map[string]*link{}}
 	}
 	l, err := openLog(s.Folder, k.replay)
 	if err != nil {
@@ -189,7 +189,7 @@
 		k.disk = strconv.FormatUint(rand.Uint64(), 36)
 	}
 	k.starts++
-	for _, s := range k.slices {
+	for _, s := range k.shards {
 		s.state.starts = k.starts
 	}
 	if err := l.compact(k.everything()); err != nil {
@@ -204,10 +204,10 @@
 		k.disk, k.starts = name, max(k.starts, r.Starts)
 		return
 	}
-	if r.Slice >= SliceCount {
+	if r.Slice >= ShardCount {
 		return
 	}
-	s := k.slices[r.Slice]
+	s := k.shards[r.Slice]
 	if m := r.GetMark(); m != nil {
 		s.mark.raise(markOf(m))
 		k.verified = true
@@ -220,7 +220,7 @@
 func (k *Keeper) everything() []*historypb.Record {
 	now := time.Now()
 	all := []*historypb.Record{{Body: &historypb.Record_Disk{Disk: k.disk}, Starts: k.starts}}
-	for _, s := range k.slices {
+	for _, s := range k.shards {
 		s.state.expire(now)
 		if s.mark.Epoch > 0 {
 			all = append(all, markRecord(s.number, s.mark))
@@ -245,7 +245,7 @@
 
 // Woke is called after a pause of this process. What was not heard in it says
 // nothing of the other keepers: judged by it, all of them would be replaced.
-func (k *Keeper) Woke() {
+func (k *Keeper) ResetAfterPause() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.started = time.Now()
@@ -256,15 +256,15 @@
 }
 
 // primary reports that this keeper decides for the slice.
-func (k *Keeper) primary(s *slice) bool {
+func (k *Keeper) primary(s *shard) bool {
 	return s.role.Primary == k.settings.Name && s.mark.Epoch == s.role.Epoch && s.mark.whole(s.role.Epoch)
 }
 
 // submit sends a change to the disks of the slice; the lock is held. Without
 // records it only asks the partners whether this keeper is still the primary.
-func (k *Keeper) submit(s *slice, records []*historypb.Record) *entry {
+func (k *Keeper) submit(s *shard, records []*historypb.Record) *entry {
 	e := &entry{records: records, tenure: s.tenure, done: make(chan struct{})}
-	for _, partner := range s.role.Partners {
+	for _, partner := range s.role.Backups {
 		s.link(partner).queue(e)
 		k.wakeSender(partner)
 	}
@@ -281,7 +281,7 @@
 }
 
 // judge ends an entry that is on enough disks; the lock is held.
-func (s *slice) judge(e *entry) {
+func (s *shard) judge(e *entry) {
 	if e.ended || !e.stored || e.tenure != s.tenure {
 		return
 	}
@@ -299,7 +299,7 @@
 
 // drop ends what waits in a slice that this keeper no longer decides for. Its
 // callers hear that it may not last, and ask the new primary.
-func (s *slice) drop() {
+func (s *shard) drop() {
 	for _, l := range s.links {
 		for _, e := range l.entries {
 			if !e.ended {
--- a/internal/history/machine_test.go
+++ b/internal/history/machine_test.go
@@ -379,7 +379,7 @@
 	defer cancel()
 	reserved, err := client.Reserve(ctx, gateway.Reservation{
 		Customer: customerName(p), Program: programName(p), Turn: id, Previous: before.id,
-		Most: testMost, Budget: testBudget, Retention: time.Hour, Kept: true,
+		MaxOutputTokens: testMost, Budget: testBudget, Retention: time.Hour, Retain: true,
 	})
 	if err != nil {
 		r.judgeRefusal(err, before)
@@ -388,15 +388,15 @@
 	r.judgeChain(reserved.Chain, before)
 	r.count(p, testMost)
 	time.Sleep(a.For / 20)
-	ending := gateway.Ending{Customer: customerName(p), Program: programName(p), Turn: id, Made: testMost, Retention: time.Hour}
+	ending := gateway.Settlement{Customer: customerName(p), Program: programName(p), Turn: id, OutputTokens: testMost, Retention: time.Hour}
 	if a.Kind == "turn" {
-		ending.Made = a.B % testMost
-		r.count(p, ending.Made-testMost)
-		ending.Kept = &gateway.Turn{ID: id, Previous: before.id, Input: []byte(id), Ended: time.Now()}
+		ending.OutputTokens = a.B % testMost
+		r.count(p, ending.OutputTokens-testMost)
+		ending.RetainedTurn = &gateway.Turn{ID: id, Previous: before.id, Input: []byte(id), Ended: time.Now()}
 	}
 	err = client.Settle(ctx, ending)
-	r.trace.say("%s of %s in slice %d after %q settled: %v", id, programName(p), SliceOf(programName(p)), before.id, err)
-	if err == nil && ending.Kept != nil {
+	r.trace.say("%s of %s in slice %d after %q settled: %v", id, programName(p), ShardOf(programName(p)), before.id, err)
+	if err == nil && ending.RetainedTurn != nil {
 		r.oracle.mu.Lock()
 		r.kept[p] = append(r.kept[p], keptAnswer{id: id, chain: append(append([]string(nil), before.chain...), id)})
 		r.oracle.mu.Unlock()
@@ -426,7 +426,7 @@
 		id := fmt.Sprintf("turn-%d", r.turns)
 		r.oracle.mu.Unlock()
 		began := time.Now()
-		_, err := c.Reserve(ctx, gateway.Reservation{Program: program, Turn: id, Most: drawMost, Budget: drawBudget, Retention: time.Hour})
+		_, err := c.Reserve(ctx, gateway.Reservation{Program: program, Turn: id, MaxOutputTokens: drawMost, Budget: drawBudget, Retention: time.Hour})
 		if err != nil {
 			r.judgeRefusal(err, keptAnswer{})
 			time.Sleep(a.For / 20)
@@ -444,7 +444,7 @@
 			r.fail("%s made %d of %d tokens", program, total, drawBudget)
 		}
 		time.Sleep(a.For / 20)
-		if err := c.Settle(ctx, gateway.Ending{Program: program, Turn: id, Made: made, Retention: time.Hour}); err != nil {
+		if err := c.Settle(ctx, gateway.Settlement{Program: program, Turn: id, OutputTokens: made, Retention: time.Hour}); err != nil {
 			r.judgeRefusal(err, keptAnswer{})
 		}
 	}
@@ -485,7 +485,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	_, err := client.Reserve(ctx, gateway.Reservation{
-		Program: programName(programs + a.A), Turn: fmt.Sprintf("after-nothing-%d", a.B), Previous: "nothing", Most: 1, Budget: 10,
+		Program: programName(programs + a.A), Turn: fmt.Sprintf("after-nothing-%d", a.B), Previous: "nothing", MaxOutputTokens: 1, Budget: 10,
 	})
 	if err == nil {
 		r.fail("a turn that never was is continued")
@@ -499,7 +499,7 @@
 	for p := range programs {
 		for i, k := range r.kept[p] {
 			reserved, err := client.Reserve(context.Background(), gateway.Reservation{
-				Customer: customerName(p), Program: fmt.Sprintf("heir-%d-%d", p, i), Turn: "heir", Previous: k.id, Most: 1, Budget: 10,
+				Customer: customerName(p), Program: fmt.Sprintf("heir-%d-%d", p, i), Turn: "heir", Previous: k.id, MaxOutputTokens: 1, Budget: 10,
 			})
 			if err != nil {
 				r.fail("turn %s not served after the faults: %v%s", k.id, err, r.whereIs(k.id))
@@ -514,7 +514,7 @@
 // checkStranger has another customer ask for a turn.
 func (r *run) checkStranger(client *Client, p int, k keptAnswer) {
 	_, err := client.Reserve(context.Background(), gateway.Reservation{
-		Customer: customerName(p + 1), Program: programName(p), Turn: "stranger-" + k.id, Previous: k.id, Most: 1, Budget: 10,
+		Customer: customerName(p + 1), Program: programName(p), Turn: "stranger-" + k.id, Previous: k.id, MaxOutputTokens: 1, Budget: 10,
 	})
 	if !errors.Is(err, gateway.ErrNoSuchTurn) {
 		r.fail("turn %s of %s asked for by another customer: %v", k.id, customerName(p), err)
@@ -527,8 +527,8 @@
 	for _, m := range r.machines {
 		k := m.process.keeper
 		k.mu.Lock()
-		for _, s := range k.slices {
-			if s.state.anyTurn(turn) != nil || s.number == SliceOf(programName(0)) {
+		for _, s := range k.shards {
+			if s.state.anyTurn(turn) != nil || s.number == ShardOf(programName(0)) {
 				fmt.Fprintf(&b, "; %s slice %d: here %v, mark %v, role %v, primary %v",
 					m.name, s.number, s.state.anyTurn(turn) != nil, s.mark, s.role, k.primary(s))
 			}
--- a/internal/history/opinion.go
+++ b/internal/history/opinion.go
@@ -23,7 +23,7 @@
 	heard bool
 	// at is when they were told.
 	at    time.Time
-	marks [SliceCount]mark
+	marks [ShardCount]mark
 	// disk names its disk.
 	disk string
 	// spares says that it knows decisions that are not on all disks of a slice.
@@ -50,7 +50,7 @@
 			o.disk, o.spares = v.status.Disk, v.status.Spares
 			o.out = o.out || v.status.Leaving || v.status.StalledMs > stalledAfter.Milliseconds()
 			for _, m := range v.status.Slices {
-				if m.Slice < SliceCount {
+				if m.Slice < ShardCount {
 					o.marks[m.Slice] = markOf(m)
 				}
 			}
--- a/internal/history/quorum_test.go
+++ b/internal/history/quorum_test.go
@@ -58,13 +58,13 @@
 			fail(keep(c, "p", "first", ""))
 			w.setStore(true)
 			role := w.role("p")
-			w.machine(role.Partners[len(role.Partners)-1]).stop()
+			w.machine(role.Backups[len(role.Backups)-1]).stop()
 			fail(keepWithin(100*time.Millisecond, c, "p", "second", "first"))
 			time.Sleep(5 * time.Second)
 			fail(keepWithin(100*time.Millisecond, c, "p", "third", "second"))
 			w.setStore(false)
 			time.Sleep(settledIn)
-			if role := w.role("p"); role.Spare != spareMost {
+			if role := w.role("p"); role.OptionalBackups != spareMost {
 				fail(errors.Errorf("no spare partner again: %v", role))
 			}
 			fail(keep(c, "p", "fourth", "third"))
@@ -76,7 +76,7 @@
 func TestFrozenPartnerDelaysNoTurn(t *testing.T) {
 	inWorld(t, func(w *world, fail func(error)) {
 		c := w.client("entry")
-		w.machine(w.role("p").Partners[0]).freeze()
+		w.machine(w.role("p").Backups[0]).freeze()
 		fail(keepWithin(100*time.Millisecond, c, "p", "first", ""))
 	})
 }
@@ -85,13 +85,13 @@
 func (w *world) takenOver(program, by string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := &w.assignment.Slices[SliceOf(program)]
-	next := Role{Before: r.chain()}
-	next.Epoch, next.Primary, next.Spare = r.Epoch+1, by, r.Spare
+	r := &w.assignment.Shards[ShardOf(program)]
+	next := ShardAssignment{Before: r.chain()}
+	next.Epoch, next.Primary, next.OptionalBackups = r.Epoch+1, by, r.OptionalBackups
 	next.Disks = []string{r.disk(by)}
 	for _, name := range r.holders() {
 		if name != by {
-			next.Partners = append(next.Partners, name)
+			next.Backups = append(next.Backups, name)
 			next.Disks = append(next.Disks, r.disk(name))
 		}
 	}
@@ -106,12 +106,12 @@
 	inWorld(t, func(w *world, fail func(error)) {
 		c := w.client("entry")
 		role := w.role("p")
-		w.cut(role.Primary, role.Partners[0], true)
+		w.cut(role.Primary, role.Backups[0], true)
 		fail(keepWithin(100*time.Millisecond, c, "p", "first", ""))
 		w.machine(role.Primary).wipe()
-		w.takenOver("p", role.Partners[0])
+		w.takenOver("p", role.Backups[0])
 		time.Sleep(settledIn)
-		if now := w.role("p"); now.Epoch > role.Epoch+1 && now.Primary != role.Partners[0] {
+		if now := w.role("p"); now.Epoch > role.Epoch+1 && now.Primary != role.Backups[0] {
 			fail(errors.Errorf("taken over by another: %v", now))
 		}
 		fail(keep(c, "p", "second", "first"))
@@ -125,11 +125,11 @@
 	inWorldOf(t, build, func(w *world, fail func(error)) {
 		c := w.client("entry")
 		role := w.role("p")
-		w.cut(role.Primary, role.Partners[0], true)
+		w.cut(role.Primary, role.Backups[0], true)
 		fail(keepWithin(100*time.Millisecond, c, "p", "first", ""))
 		w.machine(role.Primary).wipe()
-		w.machine(role.Partners[1]).wipe()
-		w.takenOver("p", role.Partners[1])
+		w.machine(role.Backups[1]).wipe()
+		w.takenOver("p", role.Backups[1])
 		time.Sleep(settledIn)
 		fail(keep(c, "p", "second", "first"))
 	})
@@ -139,14 +139,14 @@
 // has nothing, counted for what was on that disk.
 func TestHolderWithANewDiskIsNoSource(t *testing.T) {
 	is := is.New(t)
-	e := Ensemble{Epoch: 7, Primary: "a", Partners: []string{"b", "c"}, Disks: []string{"a1", "b1", "c1"}, Spare: 1}
+	e := Ensemble{Epoch: 7, Primary: "a", Backups: []string{"b", "c"}, Disks: []string{"a1", "b1", "c1"}, OptionalBackups: 1}
 	is.True(e.keeps("b", "b1", 0))
 	is.True(!e.keeps("b", "b2", 7))
 	is.True(!e.keeps("d", "", 7))
 	is.True(!e.complete([]string{"b"}))
 	is.True(e.complete([]string{"b", "c"}))
 	is.True(e.complete([]string{"a"}))
-	e.Disks, e.Spare = nil, 0
+	e.Disks, e.OptionalBackups = nil, 0
 	is.True(e.keeps("b", "b2", 6))
 	is.True(!e.keeps("b", "b2", 5))
 	is.True(!e.keeps("b", "b2", 0))
@@ -158,14 +158,14 @@
 func TestKeeperWithANewDiskTakesNoRecordsForTheOld(t *testing.T) {
 	inWorld(t, func(w *world, fail func(error)) {
 		role := w.role("p")
-		partner := w.machine(role.Partners[0])
+		partner := w.machine(role.Backups[0])
 		w.setStore(true)
 		partner.wipe()
 		partner.start()
 		k := partner.process.keeper
 		k.verified = true
 		response, err := k.Append(context.Background(), &historypb.AppendRequest{Slices: []*historypb.SliceAppend{
-			{Slice: SliceOf("p"), Epoch: role.Epoch, Disk: role.disk(partner.name)},
+			{Slice: ShardOf("p"), Epoch: role.Epoch, Disk: role.disk(partner.name)},
 		}})
 		if err != nil || len(response.Refused) != 1 {
 			fail(errors.Errorf("taken: %v, %v", response, err))
@@ -209,23 +209,23 @@
 			name := string(rune('a' + i))
 			list = append(list, Candidate{Name: name, DataCentre: string(rune('A' + dc)), Disk: name + "1"})
 		}
-		a, ok := First(list, disksLost)
+		a, ok := InitialAssignment(list, disksLost)
 		if !ok {
 			rt.Fatal("not assigned")
 		}
-		for s := range a.Slices {
-			r := &a.Slices[s]
+		for s := range a.Shards {
+			r := &a.Shards[s]
 			c := chooser{assignment: &a, keepers: list, disksLost: disksLost, held: map[string]int{}}
-			for i := range a.Slices {
-				c.count(&a.Slices[i])
+			for i := range a.Shards {
+				c.count(&a.Shards[i])
 			}
 			primary := list[slices.IndexFunc(list, func(k Candidate) bool { return k.Name == r.Primary })]
 			again := ensembleOf(r.Epoch, primary, c.partnersFor(s, primary), disksLost)
 			if !again.sameHolders(&r.Ensemble) {
 				rt.Fatalf("slice %d: %v, then %v", s, r.Ensemble, again)
 			}
-			if want := min(disksLost, len(list)-1); len(r.Partners) < want || len(r.Partners) > disksLost+1 {
-				rt.Fatalf("slice %d has %d partners", s, len(r.Partners))
+			if want := min(disksLost, len(list)-1); len(r.Backups) < want || len(r.Backups) > disksLost+1 {
+				rt.Fatalf("slice %d has %d partners", s, len(r.Backups))
 			}
 		}
 	})
@@ -240,24 +240,24 @@
 		c := w.client("entry")
 		ctx := context.Background()
 		reserve := func(turn string) error {
-			_, err := c.Reserve(ctx, gateway.Reservation{Program: "p", Turn: turn, Most: 10, Budget: 100, Retention: time.Hour})
+			_, err := c.Reserve(ctx, gateway.Reservation{Program: "p", Turn: turn, MaxOutputTokens: 10, Budget: 100, Retention: time.Hour})
 			return err
 		}
 		fail(reserve("one"))
 		primary := w.machine(role.Primary).process.keeper
-		lost := primary.slices[SliceOf("p")].state.accounts["p"].Version + 1
+		lost := primary.shards[ShardOf("p")].state.accounts["p"].Version + 1
 		w.machine(role.Primary).stop()
-		for _, name := range role.Partners {
-			s := w.machine(name).process.keeper.slices[SliceOf("p")]
+		for _, name := range role.Backups {
+			s := w.machine(name).process.keeper.shards[ShardOf("p")]
 			s.state.accounts["p"] = &historypb.Account{Program: "p", Version: lost, TouchedUnixMs: time.Now().UnixMilli(), RetentionMs: time.Hour.Milliseconds()}
 		}
 		w.machine(role.Primary).start()
 		time.Sleep(200 * time.Millisecond)
 		fail(reserve("two"))
-		for _, name := range role.Partners {
+		for _, name := range role.Backups {
 			k := w.machine(name).process.keeper
 			k.mu.Lock()
-			a := k.slices[SliceOf("p")].state.accounts["p"]
+			a := k.shards[ShardOf("p")].state.accounts["p"]
 			k.mu.Unlock()
 			if !slices.ContainsFunc(a.Open, func(o *historypb.OpenTurn) bool { return o.Id == "two" }) {
 				fail(errors.Errorf("%s acknowledged a turn and has %v", name, a))
@@ -276,14 +276,14 @@
 			m.stop()
 		}
 		// As if all had been written by the version before: two holders, no disks' names.
-		before := Role{Ensemble: Ensemble{Epoch: 40, Primary: role.Primary, Partners: role.Partners[:1]}}
+		before := ShardAssignment{Ensemble: Ensemble{Epoch: 40, Primary: role.Primary, Backups: role.Backups[:1]}}
 		for _, name := range before.holders() {
 			l, err := openLog(w.machine(name).folder, func(*historypb.Record) {})
 			fail(err)
 			var framed []byte
 			for _, r := range []*historypb.Record{
-				turnRecord(SliceOf("p"), &historypb.Turn{Id: "first", EndedUnixMs: time.Now().UnixMilli(), RetentionMs: time.Hour.Milliseconds()}),
-				{Slice: SliceOf("p"), Body: &historypb.Record_Mark{Mark: &historypb.Mark{Epoch: 40, Synced: true}}},
+				turnRecord(ShardOf("p"), &historypb.Turn{Id: "first", EndedUnixMs: time.Now().UnixMilli(), RetentionMs: time.Hour.Milliseconds()}),
+				{Slice: ShardOf("p"), Body: &historypb.Record_Mark{Mark: &historypb.Mark{Epoch: 40, Synced: true}}},
 			} {
 				framed, err = frame(framed, r)
 				fail(err)
@@ -292,7 +292,7 @@
 			fail(l.close())
 		}
 		w.mu.Lock()
-		w.assignment.Slices[SliceOf("p")] = before
+		w.assignment.Shards[ShardOf("p")] = before
 		w.version++
 		w.mu.Unlock()
 		for _, m := range w.machines {
@@ -300,7 +300,7 @@
 		}
 		time.Sleep(settledIn)
 		fail(keep(c, "p", "second", "first"))
-		if now := w.role("p"); now.Spare != spareMost || len(now.Disks) != len(now.Partners)+1 {
+		if now := w.role("p"); now.OptionalBackups != spareMost || len(now.Disks) != len(now.Backups)+1 {
 			fail(errors.Errorf("not of the new form: %v", now))
 		}
 	})
@@ -315,10 +315,10 @@
 	}}, disk: "a1"}
 	opinions := map[string]opinion{"b": {heard: true, disk: "b1"}, "c": {heard: true, disk: "c1", spares: true}}
 	list := k.candidates(opinions)
-	is.Equal(ensembleOf(2, list[0], list[1:], 1).Spare, 0)
+	is.Equal(ensembleOf(2, list[0], list[1:], 1).OptionalBackups, 0)
 	opinions["b"] = opinion{heard: true, disk: "b1", spares: true}
 	list = k.candidates(opinions)
-	is.Equal(ensembleOf(2, list[0], list[1:], 1).Spare, 1)
+	is.Equal(ensembleOf(2, list[0], list[1:], 1).OptionalBackups, 1)
 }
 
 // An assignment of a later version is misread and written over. It must be refused, with
@@ -326,7 +326,7 @@
 func TestAssignmentOfAnUnknownFormIsRefused(t *testing.T) {
 	is := is.New(t)
 	_, err := DecodeAssignment([]byte(`{"form":3,"slices":[]}`))
-	is.True(errors.Is(err, ErrForm))
+	is.True(errors.Is(err, ErrUnknownFormat))
 	is.Equal(err.Error(), "form 3, known up to 2: history: assignment of an unknown form")
 	var a Assignment
 	data, err := a.Encode()
@@ -354,7 +354,7 @@
 func TestFetchedKeeperRefusesThePrimaryBefore(t *testing.T) {
 	inWorld(t, func(w *world, fail func(error)) {
 		role := w.role("p")
-		slice, holder := SliceOf("p"), w.machine(role.Partners[0])
+		slice, holder := ShardOf("p"), w.machine(role.Backups[0])
 		w.cut(role.Primary, holder.name, true)
 		ctx := context.Background()
 		fetched, err := holder.process.keeper.Fetch(ctx, &historypb.FetchRequest{Slice: slice, Epoch: role.Epoch + 1, Disk: role.disk(holder.name)})
@@ -381,11 +381,11 @@
 func TestFetchIsRefusedByAnotherDiskAndALaterEpoch(t *testing.T) {
 	inWorld(t, func(w *world, fail func(error)) {
 		role := w.role("p")
-		k := w.machine(role.Partners[0]).process.keeper
+		k := w.machine(role.Backups[0]).process.keeper
 		for _, r := range []*historypb.FetchRequest{
-			{Slice: SliceOf("p"), Epoch: role.Epoch + 1, Disk: "another"},
-			{Slice: SliceOf("p"), Epoch: role.Epoch - 1, Disk: k.disk},
-			{Slice: SliceCount, Epoch: role.Epoch + 1, Disk: k.disk},
+			{Slice: ShardOf("p"), Epoch: role.Epoch + 1, Disk: "another"},
+			{Slice: ShardOf("p"), Epoch: role.Epoch - 1, Disk: k.disk},
+			{Slice: ShardCount, Epoch: role.Epoch + 1, Disk: k.disk},
 		} {
 			if response, err := k.Fetch(context.Background(), r); err != nil || !response.Refused {
 				fail(errors.Errorf("%v: %v, %v", r, response, err))
@@ -402,7 +402,7 @@
 		c := w.client("entry")
 		fail(keep(c, "p", "first", ""))
 		role := w.role("p")
-		w.machine(role.Partners[0]).stop()
+		w.machine(role.Backups[0]).stop()
 		w.machine(role.Primary).wipe()
 		w.machine(role.Primary).start()
 		time.Sleep(defaultRetention / 2)
--- a/internal/history/reads.go
+++ b/internal/history/reads.go
@@ -25,7 +25,7 @@
 		k.storeBack()
 		k.verified = true
 		k.mu.Unlock()
-		k.Adopt(a, version)
+		k.ApplyAssignment(a, version)
 		// A burst of refusals asks for one read.
 		time.Sleep(readPause)
 	}
@@ -40,7 +40,7 @@
 
 // readUnlessTold has the assignment read if a later epoch of the slice than the known one
 // is followed and no instance tells of it soon; the lock is held.
-func (k *Keeper) readUnlessTold(s *slice) {
+func (k *Keeper) readUnlessTold(s *shard) {
 	time.AfterFunc(tellTime, func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
--- a/internal/history/recover.go
+++ b/internal/history/recover.go
@@ -22,7 +22,7 @@
 
 // kept returns the keepers that still have what they acknowledged in an ensemble, this
 // one among them, as far as they are heard; the lock is held.
-func (k *Keeper) kept(s *slice, e *Ensemble, opinions map[string]opinion) []string {
+func (k *Keeper) kept(s *shard, e *Ensemble, opinions map[string]opinion) []string {
 	var names []string
 	for _, name := range e.holders() {
 		o := opinions[name]
@@ -40,7 +40,7 @@
 
 // collectable reports that this keeper has, or can fetch, all that was decided in the
 // slice; the lock is held.
-func (k *Keeper) collectable(s *slice, opinions map[string]opinion) bool {
+func (k *Keeper) collectable(s *shard, opinions map[string]opinion) bool {
 	if s.mark.Base == 0 || s.mark.Base < s.role.oldest() {
 		return false
 	}
@@ -54,7 +54,7 @@
 
 // exhausted reports that no holder of an ensemble but those that are heard will ever have
 // what it acknowledged: the others have new disks. The lock is held.
-func (k *Keeper) exhausted(s *slice, e *Ensemble, opinions map[string]opinion) bool {
+func (k *Keeper) exhausted(s *shard, e *Ensemble, opinions map[string]opinion) bool {
 	kept := k.kept(s, e, opinions)
 	for _, name := range e.holders() {
 		o := opinions[name]
@@ -68,7 +68,7 @@
 
 // sources returns the keepers to fetch from, so that with what this one has all decisions
 // of the earlier ensembles are there; false where they can't be had now. The lock is held.
-func (k *Keeper) sources(s *slice, opinions map[string]opinion) (map[string]string, bool) {
+func (k *Keeper) sources(s *shard, opinions map[string]opinion) (map[string]string, bool) {
 	forced := s.forced == s.role.Epoch
 	if s.mark.Base < s.role.oldest() && !forced {
 		return nil, false
@@ -100,7 +100,7 @@
 
 // collectIfNeeded has this keeper, which the store made a slice's primary, fetch what it
 // may lack of the decisions before; the lock is held.
-func (k *Keeper) collectIfNeeded(ctx context.Context, s *slice, opinions map[string]opinion) {
+func (k *Keeper) collectIfNeeded(ctx context.Context, s *shard, opinions map[string]opinion) {
 	if s.role.Primary != k.settings.Name || s.role.Epoch == 0 || s.mark.Epoch > s.role.Epoch || s.marking || s.collecting {
 		return
 	}
@@ -122,7 +122,7 @@
 
 // tellLost says which earlier ensembles lost more disks than may be lost at once: what
 // was on these alone is gone. The lock is held.
-func (k *Keeper) tellLost(s *slice, opinions map[string]opinion) {
+func (k *Keeper) tellLost(s *shard, opinions map[string]opinion) {
 	for _, e := range s.role.Before {
 		if e.Epoch >= s.mark.Base && !e.complete(k.kept(s, &e, opinions)) {
 			k.settings.Logger.WithField("slice", s.number).WithField("epoch", e.Epoch).WithField("holders", e.holders()).
@@ -133,7 +133,7 @@
 
 // collect fetches what the keepers have of a slice, each by the name of its disk. With
 // that, this keeper has all of it.
-func (k *Keeper) collect(ctx context.Context, s *slice, epoch uint64, from map[string]string) {
+func (k *Keeper) collect(ctx context.Context, s *shard, epoch uint64, from map[string]string) {
 	ctx, cancel := context.WithTimeout(ctx, opTime)
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
@@ -179,7 +179,7 @@
 
 // behind reports that another keeper could take the slice over with less to fetch; the
 // lock is held.
-func (k *Keeper) behind(s *slice, opinions map[string]opinion) bool {
+func (k *Keeper) behind(s *shard, opinions map[string]opinion) bool {
 	for name := range s.role.everHeld() {
 		if o := opinions[name]; name != k.settings.Name && o.heard && !o.out && o.marks[s.number].Base > s.mark.Base {
 			return true
@@ -190,7 +190,7 @@
 
 // primaryGone reports that the slice's primary does not decide and is not about to; the
 // lock is held.
-func (k *Keeper) primaryGone(s *slice, opinions map[string]opinion, now time.Time) bool {
+func (k *Keeper) primaryGone(s *shard, opinions map[string]opinion, now time.Time) bool {
 	o, known := opinions[s.role.Primary]
 	return o.out || !known && now.Sub(k.started) > bootTime || s.primaryLost(o)
 }
@@ -198,7 +198,7 @@
 // primaryLost reports that the primary lives and does not have its slice: its disk is
 // lost, or it can't fetch what it lacks. Its last word before a cut says nothing of what
 // it has had since.
-func (s *slice) primaryLost(o opinion) bool {
+func (s *shard) primaryLost(o opinion) bool {
 	if !o.heard || o.has(int(s.number), s.role.Epoch) {
 		s.primaryLostSince = time.Time{}
 		return false
@@ -221,7 +221,7 @@
 // has to go on with what it has: soon where all its holders are heard, else after the time
 // for which the decisions of the silent ones are kept at all. More disks were lost then
 // than may be at once.
-func (k *Keeper) abandoned(s *slice, opinions map[string]opinion, now time.Time) bool {
+func (k *Keeper) abandoned(s *shard, opinions map[string]opinion, now time.Time) bool {
 	if s.role.Epoch == 0 || s.marking || s.collecting || !k.verified || !k.firstToAbandon(s, opinions) {
 		s.lostSince = time.Time{}
 		return false
@@ -245,7 +245,7 @@
 
 // allHeard reports that all other holders of the slice are heard, also those of earlier
 // ensembles that may be needed; the lock is held.
-func (k *Keeper) allHeard(s *slice, opinions map[string]opinion) bool {
+func (k *Keeper) allHeard(s *shard, opinions map[string]opinion) bool {
 	for name := range s.role.everHeld() {
 		if name != k.settings.Name && !opinions[name].heard {
 			return false
@@ -257,7 +257,7 @@
 // firstToAbandon reports that this keeper is a holder and that no other that is heard has
 // more of the slice; of equals the primary goes on, else the one with the lowest name. The
 // lock is held.
-func (k *Keeper) firstToAbandon(s *slice, opinions map[string]opinion) bool {
+func (k *Keeper) firstToAbandon(s *shard, opinions map[string]opinion) bool {
 	holders := s.role.everHeld()
 	for name := range holders {
 		other := opinions[name].marks[s.number].Base
--- a/internal/history/roles.go
+++ b/internal/history/roles.go
@@ -38,7 +38,7 @@
 )
 
 // Adopt takes in an assignment of the store; an older one changes nothing.
-func (k *Keeper) Adopt(a Assignment, version store.Version) {
+func (k *Keeper) ApplyAssignment(a Assignment, version store.Version) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if version <= k.version {
@@ -47,8 +47,8 @@
 	k.known, k.version = a, version
 	// A newer assignment came from the store, so it is back.
 	k.storeBack()
-	for _, s := range k.slices {
-		if next := &a.Slices[s.number]; next.Epoch > s.role.Epoch {
+	for _, s := range k.shards {
+		if next := &a.Shards[s.number]; next.Epoch > s.role.Epoch {
 			k.assign(s, *next)
 		}
 	}
@@ -56,10 +56,10 @@
 }
 
 // assign puts a slice's newer role in force; the lock is held.
-func (k *Keeper) assign(s *slice, next Role) {
+func (k *Keeper) assign(s *shard, next ShardAssignment) {
 	k.settings.Logger.WithField("slice", s.number).WithField("epoch", next.Epoch).
-		WithField("primary", next.Primary).WithField("partners", next.Partners).
-		WithField("spare", next.Spare).WithField("mark", s.mark.Epoch).WithField("base", s.mark.Base).Info("slice assigned")
+		WithField("primary", next.Primary).WithField("partners", next.Backups).
+		WithField("spare", next.OptionalBackups).WithField("mark", s.mark.Epoch).WithField("base", s.mark.Base).Info("slice assigned")
 	continues := k.primary(s) && next.Epoch == s.role.Epoch+1 && next.Primary == k.settings.Name
 	s.role = next
 	s.lostSince, s.primaryLostSince = time.Time{}, time.Time{}
@@ -79,7 +79,7 @@
 
 // carriesOn reports that this keeper was made the primary by an assignment of form 1,
 // and had not written that down when it was stopped.
-func (k *Keeper) carriesOn(s *slice) bool {
+func (k *Keeper) carriesOn(s *shard) bool {
 	r := &s.role
 	return r.Primary == k.settings.Name && len(r.Disks) == 0 && s.mark.Epoch < r.Epoch && s.mark.whole(r.Epoch-1)
 }
@@ -87,7 +87,7 @@
 // relink makes the ways to the partners those of the new role; the lock is held. A new
 // partner is sent everything that is not on enough disks yet, and what waited for one
 // that is gone is judged without it.
-func (k *Keeper) relink(s *slice) {
+func (k *Keeper) relink(s *shard) {
 	var waiting []*entry
 	for _, l := range s.links {
 		for _, e := range l.entries {
@@ -98,7 +98,7 @@
 	}
 	old := s.links
 	s.links = map[string]*link{}
-	for _, name := range s.role.Partners {
+	for _, name := range s.role.Backups {
 		if l := old[name]; l != nil && l.disk == s.role.disk(name) {
 			s.links[name] = l
 		} else {
@@ -113,7 +113,7 @@
 
 // makeWhole makes this keeper one that has all of the slice in the present epoch, once
 // that is on its disk; the lock is held.
-func (k *Keeper) makeWhole(s *slice) {
+func (k *Keeper) makeWhole(s *shard) {
 	whole := mark{Epoch: s.role.Epoch, Base: s.role.Epoch}
 	s.marking = true
 	k.persist([]*historypb.Record{markRecord(s.number, whole)}, func() {
@@ -146,7 +146,7 @@
 func (k *Keeper) expire() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, s := range k.slices {
+	for _, s := range k.shards {
 		s.state.expire(time.Now())
 	}
 }
@@ -165,12 +165,12 @@
 	next, changed := k.propose(opinions, time.Now())
 	changed = changed && time.Now().After(k.storeAfter)
 	base := k.version
-	for _, s := range k.slices {
+	for _, s := range k.shards {
 		if !k.primary(s) {
 			k.collectIfNeeded(ctx, s, opinions)
 			continue
 		}
-		for _, name := range s.role.Partners {
+		for _, name := range s.role.Backups {
 			k.fillIfNeeded(ctx, s, name, opinions[name])
 		}
 	}
@@ -199,10 +199,10 @@
 		return
 	}
 	if version > 0 {
-		k.Adopt(a, version)
+		k.ApplyAssignment(a, version)
 		return
 	}
-	if first, ok := First(keepers, k.disksLost()); ok {
+	if first, ok := InitialAssignment(keepers, k.disksLost()); ok {
 		k.write(ctx, first, 0)
 	}
 }
@@ -238,7 +238,7 @@
 	case err == nil, errors.Is(err, store.ErrConflict) && version > 0:
 		// Many keepers change the assignment at once after a loss. Each that came too late
 		// goes on from what it was told, without a call and a pause to read it.
-		k.Adopt(present, version)
+		k.ApplyAssignment(present, version)
 	case errors.Is(err, store.ErrUnavailable):
 		// Surely not written: there is nothing to read either.
 		k.settings.Logger.WithError(err).Warn("assignment not written")
--- a/internal/history/sender.go
+++ b/internal/history/sender.go
@@ -30,7 +30,7 @@
 }
 
 // link returns the way to a partner.
-func (s *slice) link(partner string) *link {
+func (s *shard) link(partner string) *link {
 	if s.links[partner] == nil {
 		s.links[partner] = &link{disk: s.role.disk(partner)}
 	}
@@ -86,7 +86,7 @@
 	defer k.mu.Unlock()
 	request := &historypb.AppendRequest{From: k.settings.Name}
 	sent := map[uint32][]*entry{}
-	for _, s := range k.slices {
+	for _, s := range k.shards {
 		l := s.links[partner]
 		if l == nil || len(l.entries) == 0 && !l.declare || !k.primary(s) {
 			continue
@@ -116,7 +116,7 @@
 	defer k.mu.Unlock()
 	refused := k.noteRefused(response)
 	for _, a := range r.Slices {
-		s := k.slices[a.Slice]
+		s := k.shards[a.Slice]
 		// What was dropped meanwhile, at the loss of the role, counts no more.
 		l := s.links[partner]
 		if refused[a.Slice] || s.role.Epoch != a.Epoch || l == nil || !k.primary(s) {
@@ -132,7 +132,7 @@
 }
 
 // acknowledge takes in that the partner's disk has the entries; the lock is held.
-func (l *link) acknowledge(s *slice, partner string, entries []*entry) {
+func (l *link) acknowledge(s *shard, partner string, entries []*entry) {
 	for _, e := range entries {
 		e.acks = append(e.acks, partner)
 		s.judge(e)
@@ -160,7 +160,7 @@
 	refused := map[uint32]bool{}
 	for _, m := range response.Refused {
 		refused[m.Slice] = true
-		if m.Slice < SliceCount && m.Epoch > k.slices[m.Slice].role.Epoch {
+		if m.Slice < ShardCount && m.Epoch > k.shards[m.Slice].role.Epoch {
 			notify(k.wakeRead)
 		}
 	}
--- a/internal/history/serve.go
+++ b/internal/history/serve.go
@@ -108,7 +108,7 @@
 func (k *Keeper) Find(ctx context.Context, r *historypb.FindRequest) (*historypb.FindResponse, error) {
 	k.mu.Lock()
 	asked := map[uint32]*entry{}
-	for _, s := range k.slices {
+	for _, s := range k.shards {
 		if chain, ok := s.state.chain(r.Customer, r.Turn); ok {
 			k.mu.Unlock()
 			return &historypb.FindResponse{Chain: chain}, nil
@@ -135,7 +135,7 @@
 	durable := make(chan struct{})
 	k.mu.Lock()
 	var records []*historypb.Record
-	var complete []*slice
+	var complete []*shard
 	var epochs []uint64
 	for _, a := range r.Slices {
 		s := k.sliceFor(a.Slice)
@@ -177,7 +177,7 @@
 // lost are not: the ones before them are lost too. A keeper that lost its disk knows
 // nothing of later epochs, so it first reads the assignment: a primary that was
 // replaced long ago could else win it over.
-func (k *Keeper) accepts(s *slice, a *historypb.SliceAppend) bool {
+func (k *Keeper) accepts(s *shard, a *historypb.SliceAppend) bool {
 	if !k.verified {
 		notify(k.wakeRead)
 		return false
@@ -188,7 +188,7 @@
 // sameDisk reports that this keeper has the named disk, or that none is named.
 func (k *Keeper) sameDisk(name string) bool { return name == "" || name == k.disk }
 
-func (k *Keeper) refusal(a *historypb.SliceAppend, s *slice) *historypb.SliceMark {
+func (k *Keeper) refusal(a *historypb.SliceAppend, s *shard) *historypb.SliceMark {
 	m := &historypb.SliceMark{Slice: a.Slice}
 	if s != nil && k.verified && k.sameDisk(a.Disk) {
 		m.Epoch = max(s.mark.Epoch, s.role.Epoch)
@@ -198,7 +198,7 @@
 
 // follow has this keeper refuse lower epochs; the lock is held. What it had in them
 // it still has.
-func (k *Keeper) follow(s *slice, epoch uint64) {
+func (k *Keeper) follow(s *shard, epoch uint64) {
 	s.mark.raise(mark{Epoch: epoch})
 	s.drop()
 	if epoch > s.role.Epoch {
@@ -242,7 +242,7 @@
 // status is how this keeper stands; the lock is held.
 func (k *Keeper) status() *historypb.StatusResponse {
 	response := &historypb.StatusResponse{Name: k.settings.Name, Leaving: k.leaving, StalledMs: k.stalled().Milliseconds(), Disk: k.disk, Spares: true}
-	for i, s := range k.slices {
+	for i, s := range k.shards {
 		response.Slices = append(response.Slices, sliceMark(s.number, s.mark))
 		if k.toldMarks[i] != s.mark {
 			k.toldMarks[i] = s.mark
@@ -261,16 +261,16 @@
 	return time.Since(k.writingSince)
 }
 
-func (k *Keeper) sliceFor(number uint32) *slice {
-	if number >= SliceCount {
+func (k *Keeper) sliceFor(number uint32) *shard {
+	if number >= ShardCount {
 		return nil
 	}
-	return k.slices[number]
+	return k.shards[number]
 }
 
-func (k *Keeper) roleOf(s *slice) *historypb.Role {
+func (k *Keeper) roleOf(s *shard) *historypb.Role {
 	if s == nil {
 		return nil
 	}
-	return &historypb.Role{Epoch: s.role.Epoch, Primary: s.role.Primary, Partners: s.role.Partners}
+	return &historypb.Role{Epoch: s.role.Epoch, Primary: s.role.Primary, Partners: s.role.Backups}
 }
--- a/internal/history/telling_test.go
+++ b/internal/history/telling_test.go
@@ -23,7 +23,7 @@
 		}
 		w.machines[3].freeze()
 		time.Sleep(suspectAfter + statusEvery)
-		for s, role := range w.assigned().Slices {
+		for s, role := range w.assigned().Shards {
 			if role.holds(w.machines[3].name) {
 				fail(errors.Errorf("slice %d is still held by the frozen one", s))
 			}
@@ -46,9 +46,9 @@
 			w.mu.Unlock()
 			time.Sleep(lossyFor)
 			after := w.assigned()
-			for s := range after.Slices {
-				if after.Slices[s].Epoch != before.Slices[s].Epoch {
-					t.Errorf("%d keepers: slice %d went from %v to %v", keepers, s, before.Slices[s], after.Slices[s])
+			for s := range after.Shards {
+				if after.Shards[s].Epoch != before.Shards[s].Epoch {
+					t.Errorf("%d keepers: slice %d went from %v to %v", keepers, s, before.Shards[s], after.Shards[s])
 				}
 			}
 			w.stopAll()
@@ -64,7 +64,7 @@
 	began := time.Now()
 	k := &Keeper{settings: Settings{Name: "a", Retiring: func(string) bool { return false }}, views: map[string]*view{}, wakeRoles: make(chan struct{}, 1)}
 	told := func(edition uint64, slices ...*historypb.SliceMark) {
-		k.Heard(&historypb.StatusResponse{Name: "b", Disk: "b1", Edition: edition, Slices: slices})
+		k.ObserveStatus(&historypb.StatusResponse{Name: "b", Disk: "b1", Edition: edition, Slices: slices})
 	}
 	told(1)
 	is.Equal(len(k.views), 0)
@@ -77,8 +77,8 @@
 	is.True(k.views["b"].heard.After(began.Add(-time.Second)))
 	told(2, sliceMark(3, mark{Epoch: 6, Base: 5}))
 	is.True(!k.opinions(began)["b"].has(3, 6))
-	k.Heard(&historypb.StatusResponse{Name: "a", Edition: 1})
-	k.Heard(&historypb.StatusResponse{})
+	k.ObserveStatus(&historypb.StatusResponse{Name: "a", Edition: 1})
+	k.ObserveStatus(&historypb.StatusResponse{})
 	is.Equal(len(k.views), 1)
 }
 
@@ -90,8 +90,8 @@
 		w.lossy = 1
 		w.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		if after := w.assigned(); after.Slices[0].Epoch != before.Slices[0].Epoch {
-			fail(errors.Errorf("holders changed: %v", after.Slices[0]))
+		if after := w.assigned(); after.Shards[0].Epoch != before.Shards[0].Epoch {
+			fail(errors.Errorf("holders changed: %v", after.Shards[0]))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
--- a/internal/history/views.go
+++ b/internal/history/views.go
@@ -36,7 +36,7 @@
 			status.Slices = nil
 		}
 		told = status.Edition
-		k.peers.Tell(status)
+		k.peers.BroadcastStatus(status)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -46,7 +46,7 @@
 }
 
 // Heard takes in what another keeper tells.
-func (k *Keeper) Heard(status *historypb.StatusResponse) {
+func (k *Keeper) ObserveStatus(status *historypb.StatusResponse) {
 	if status.Name == k.settings.Name || status.Name == "" {
 		return
 	}
--- a/internal/history/witness.go
+++ b/internal/history/witness.go
@@ -31,8 +31,8 @@
 
 // Witness is what an entry says of a keeper.
 type Witness struct {
-	DataCentre string
-	Hears      bool
+	DataCentre  string
+	HearsKeeper bool
 }
 
 // loss is what is known of a keeper's loss.
@@ -80,7 +80,7 @@
 func (k *Keeper) doubted() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	last := k.allSilent(doubtAfter) || slices.ContainsFunc(k.slices[:], k.alone)
+	last := k.allSilent(doubtAfter) || slices.ContainsFunc(k.shards[:], k.alone)
 	var names []string
 	for name, v := range k.views {
 		if time.Since(v.heard) > doubtAfter && (last || k.known.held(name) > 0) {
@@ -113,7 +113,7 @@
 
 func hearsAny(witnesses []Witness) bool {
 	for _, w := range witnesses {
-		if w.Hears {
+		if w.HearsKeeper {
 			return true
 		}
 	}
--- a/internal/history/world_test.go
+++ b/internal/history/world_test.go
@@ -148,14 +148,14 @@
 func (m *machine) startLocked() {
 	w := m.world
 	k, err := Open(Settings{
-		Name:        m.name,
-		DataCentre:  m.dataCentre,
-		DataCentres: len(w.dataCentres()),
-		Folder:      m.folder,
-		DisksLost:   w.disksLost,
-		Keepers:     w.candidates,
-		Retiring:    w.isRetiring,
-		Logger:      w.logger(m.name),
+		Name:            m.name,
+		DataCentre:      m.dataCentre,
+		DataCentres:     len(w.dataCentres()),
+		Folder:          m.folder,
+		MaxDiskFailures: w.disksLost,
+		Keepers:         w.candidates,
+		Retiring:        w.isRetiring,
+		Logger:          w.logger(m.name),
 	}, m, m)
 	if err != nil {
 		w.t.Fatal(err)
@@ -181,7 +181,7 @@
 		a, version, lost := w.assignment, w.version, w.storeDown || w.noStore == m.name || w.noStore == m.dataCentre
 		w.mu.Unlock()
 		if !lost && version > 0 {
-			p.keeper.Adopt(a, version)
+			p.keeper.ApplyAssignment(a, version)
 		}
 	}
 }
@@ -345,7 +345,7 @@
 }
 
 // Tell implements Peers.
-func (m *machine) Tell(status *historypb.StatusResponse) {
+func (m *machine) BroadcastStatus(status *historypb.StatusResponse) {
 	w := m.world
 	if !w.runs(m.name) {
 		return
@@ -360,7 +360,7 @@
 			p, frozen := other.process, other.frozen != nil
 			w.mu.Unlock()
 			if p != nil && !frozen && p.ctx.Err() == nil {
-				p.keeper.Heard(proto.Clone(status).(*historypb.StatusResponse))
+				p.keeper.ObserveStatus(proto.Clone(status).(*historypb.StatusResponse))
 			}
 		}()
 	}
@@ -424,7 +424,7 @@
 		if w.isDeaf(dc) || w.isCut(m.name, entryIn(dc)) {
 			continue
 		}
-		witnesses = append(witnesses, Witness{DataCentre: dc, Hears: w.runs(name) && !w.isCut(name, entryIn(dc))})
+		witnesses = append(witnesses, Witness{DataCentre: dc, HearsKeeper: w.runs(name) && !w.isCut(name, entryIn(dc))})
 	}
 	return witnesses
 }
@@ -531,10 +531,10 @@
 }
 
 // WhenSilent implements Keepers. Its silence shows in the time of the calls here.
-func (e *entryPoint) WhenSilent(string, func()) (stop func()) { return func() {} }
+func (e *entryPoint) OnSilence(string, func()) (stop func()) { return func() {} }
 
 // CutOff implements Keepers.
-func (e *entryPoint) CutOff() bool { return e.cutOff }
+func (e *entryPoint) Isolated() bool { return e.cutOff }
 
 type remoteKeeper struct {
 	historypb.Keeper
--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -25,12 +25,12 @@
 	// ErrNotSent says that no byte of the call left: it has not run.
 	ErrNotSent = errors.New("httpconn: not sent")
 	// ErrFull is an ErrNotSent: all connections that the other side allows are in use.
-	ErrFull = errors.Wrap(ErrNotSent, "all connections in use")
+	ErrConnectionLimit = errors.Wrap(ErrNotSent, "all connections in use")
 	// ErrLost says that the call was sent and no answer to it came: it may have run.
-	ErrLost = errors.New("httpconn: answer lost")
+	ErrResponseLost = errors.New("httpconn: answer lost")
 	// ErrSilent is an ErrLost: the other side answers nothing any more, so that
 	// other calls to it would be lost too.
-	ErrSilent = errors.Wrap(ErrLost, "no sign of life")
+	ErrUnresponsive = errors.Wrap(ErrResponseLost, "no sign of life")
 )
 
 const (
@@ -60,12 +60,12 @@
 	Body   []byte
 	// Mine reports whether an answer belongs to this call. An answer to an
 	// earlier call may come late, where this one's is expected.
-	Mine func(http.Header) bool
+	Matches func(http.Header) bool
 }
 
 // Answer is the head of an answer, with its body to be read. Close must be
 // called; a body read to its end frees the connection for the next call.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the body's length, or -1.
@@ -140,7 +140,7 @@
 // Do sends the call over an idle connection, or over a new one while fewer
 // than limit are open. When ctx ends, the connection is closed at once, which
 // tells the other side to stop its work.
-func (p *Pool) Do(ctx context.Context, call *Call, limit int) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, call *Call, limit int) (*Response, error) {
 	c, err := p.take(ctx, limit)
 	if err != nil {
 		return nil, err
@@ -168,7 +168,7 @@
 		c, dial := p.next(limit)
 		switch {
 		case c == nil && !dial:
-			return nil, ErrFull
+			return nil, ErrConnectionLimit
 		case dial:
 			return p.dial(ctx)
 		case c.usable():
@@ -219,7 +219,7 @@
 	return time.Since(c.since) < c.idleFor && c.reader.Buffered() == 0 && quiet(c.net)
 }
 
-func (c *conn) exchange(call *Call) (*Answer, error) {
+func (c *conn) exchange(call *Call) (*Response, error) {
 	request, err := requestOf(call)
 	if err != nil {
 		return nil, errors.Wrap(ErrNotSent, err.Error())
@@ -235,14 +235,14 @@
 		if response.StatusCode < 200 {
 			continue
 		}
-		if call.Mine == nil || call.Mine(response.Header) {
+		if call.Matches == nil || call.Matches(response.Header) {
 			return c.answer(response), nil
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStray)); err != nil || response.Close {
-			return nil, errors.Wrap(ErrLost, "answer to another call")
+			return nil, errors.Wrap(ErrResponseLost, "answer to another call")
 		}
 	}
-	return nil, errors.Wrap(ErrLost, "answers to other calls")
+	return nil, errors.Wrap(ErrResponseLost, "answers to other calls")
 }
 
 func requestOf(call *Call) (*http.Request, error) {
@@ -300,10 +300,10 @@
 }
 
 func lost(err error) error {
-	if netdial.Silent(err) {
-		return errors.Wrap(ErrSilent, err.Error())
+	if netdial.Unresponsive(err) {
+		return errors.Wrap(ErrUnresponsive, err.Error())
 	}
-	return errors.Wrap(ErrLost, err.Error())
+	return errors.Wrap(ErrResponseLost, err.Error())
 }
 
 func (c *conn) writeRest(data []byte) {
@@ -313,9 +313,9 @@
 	c.unwritten = err != nil
 }
 
-func (c *conn) answer(r *http.Response) *Answer {
+func (c *conn) answer(r *http.Response) *Response {
 	c.noteIdle(r.Header.Get("Keep-Alive"))
-	a := &Answer{Status: r.StatusCode, Header: r.Header, Length: r.ContentLength, conn: c, call: c.calls}
+	a := &Response{Status: r.StatusCode, Header: r.Header, Length: r.ContentLength, conn: c, call: c.calls}
 	a.Body = &body{answer: a, from: r.Body, close: r.Close}
 	if r.ContentLength == 0 || r.Body == http.NoBody {
 		a.Body = http.NoBody
@@ -336,7 +336,7 @@
 
 // body frees the connection when it has been read to its end.
 type body struct {
-	answer *Answer
+	answer *Response
 	from   io.Reader
 	close  bool
 }
@@ -351,7 +351,7 @@
 
 // Close ends the answer. A body that was not read to its end costs its
 // connection, which tells the other side to stop.
-func (a *Answer) Close() { a.conn.discard(a.call) }
+func (a *Response) Close() { a.conn.discard(a.call) }
 
 // release puts the connection back if it can serve another call.
 func (c *conn) release(call int, closing bool) {
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -77,7 +77,7 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nCall: 2\r\nContent-Length: 3\r\n\r\nnew")
 	}()
 	call := get("/")
-	call.Mine = func(h http.Header) bool { return h.Get("Call") == "2" }
+	call.Matches = func(h http.Header) bool { return h.Get("Call") == "2" }
 	answer, err := NewPool(listener.Addr().String()).Do(context.Background(), call, 1)
 	is.NoErr(err)
 	body, err := io.ReadAll(answer.Body)
@@ -137,7 +137,7 @@
 	}()
 	<-arrived
 	leave()
-	is.True(errors.Is(<-ended, ErrLost))
+	is.True(errors.Is(<-ended, ErrResponseLost))
 	<-stopped
 	answer, err := pool.Do(context.Background(), get("/quick"), 1)
 	is.NoErr(err)
--- a/internal/instance/adapter.go
+++ b/internal/instance/adapter.go
@@ -90,7 +90,7 @@
 type lookup struct{ instance *Instance }
 
 // Find implements owner.Lookup.
-func (l lookup) Find(ctx context.Context, service, key string) (*owner.Finding, error) {
+func (l lookup) Find(ctx context.Context, service, key string) (*owner.LookupResult, error) {
 	_, uses := lists{l.instance.config}.Lists()
 	if uses == nil {
 		return nil, errors.New("instance: no usage list")
@@ -100,7 +100,7 @@
 		return nil, nil
 	}
 	var last error
-	for _, cell := range l.instance.table.Members().Service(service) {
+	for _, cell := range l.instance.table.Snapshot().Service(service) {
 		found, err := l.instance.tools.Lookup(ctx, cell.Upstream.Address, s.Lookup, key)
 		if err != nil {
 			last = err
@@ -111,9 +111,9 @@
 	return nil, last
 }
 
-func finding(f tool.Finding) *owner.Finding {
+func finding(f tool.Finding) *owner.LookupResult {
 	if f.State != tool.StateDone {
 		return nil
 	}
-	return &owner.Finding{Status: f.Status, ContentType: f.ContentType, Body: f.Body}
+	return &owner.LookupResult{Status: f.Status, ContentType: f.ContentType, Body: f.Body}
 }
--- a/internal/instance/budget.go
+++ b/internal/instance/budget.go
@@ -29,7 +29,7 @@
 func (p plansInForce) Changed() <-chan struct{} { return p.source.Changed() }
 
 // budgets implements dispatch.Budget.
-type budgets struct{ keeper *budget.Keeper }
+type budgets struct{ keeper *budget.Allocator }
 
 // reservation implements dispatch.Reservation.
 type reservation struct{ *budget.Reservation }
--- a/internal/instance/copies.go
+++ b/internal/instance/copies.go
@@ -52,7 +52,7 @@
 		if answer.GetOnDisk() {
 			c.onDisk.Store(m.Address, true)
 		}
-		if confirmed++; confirmed >= ledger.CopiesNeeded {
+		if confirmed++; confirmed >= ledger.RequiredCopies {
 			return confirmed, nil
 		}
 	}
@@ -151,7 +151,7 @@
 	}
 	n := 0
 	for _, m := range view.Members() {
-		lost := m.State == membership.Suspect || m.State == membership.Dead && !m.Left && !m.Since.Before(since)
+		lost := m.State == membership.Suspect || m.State == membership.Dead && !m.LeftGracefully && !m.Since.Before(since)
 		if lost && m.DataCentre() == dataCentre && m.Cohort != cohort {
 			n++
 		}
@@ -194,7 +194,7 @@
 	for _, cohort := range held.Cohorts() {
 		for part := range held.Parts(cohort) {
 			n, err := hold(ctx, part)
-			if n < ledger.CopiesNeeded {
+			if n < ledger.RequiredCopies {
 				failed = errors.Errorf("instance: %d peers took the copies held for %s: %v", n, cohort, err)
 			}
 		}
--- a/internal/instance/copies_test.go
+++ b/internal/instance/copies_test.go
@@ -25,9 +25,9 @@
 func TestHoldersDeclaredDeadBeforeTheirOwner(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	table := membership.NewTable("dc.me.1", "", membership.Report{}, membership.DefaultTimes(), now)
+	table := membership.NewTable("dc.me.1", "", membership.Report{}, membership.DefaultTiming(), now)
 	dead := func(c program.Cohort, ago time.Duration, left bool) {
-		table.Merge(membership.Record{Cohort: c, State: membership.Dead, DeadFor: ago, Left: left}, now)
+		table.Merge(membership.Record{Cohort: c, State: membership.Dead, DeadFor: ago, LeftGracefully: left}, now)
 	}
 	dead("dc.owner.1", 10*time.Second, false)
 	dead("dc.b.1", 30*time.Second, false)
--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -25,7 +25,7 @@
 // duties is what this instance does for its data centre while it has the lease.
 type duties struct {
 	instance *Instance
-	lease    *lease.Keeper
+	lease    *lease.Manager
 	engines  *duty.Keeper
 	releases *duty.Releaser
 	// demand is the last sum over the data centre, by model.
@@ -34,11 +34,11 @@
 
 func (i *Instance) newDuties() error {
 	d := &duties{instance: i}
-	keeper, err := lease.NewKeeper(lease.Options{
-		Self: i.cohort, Duties: []lease.Duty{lease.EngineOrders}, Times: lease.DefaultTimes(), Store: i.store,
-		Contends: func() bool { return i.view().Contends(string(lease.EngineOrders), contenders) },
-		OnChange: func(s lease.Status) { _ = i.control.Post(control.LeasesChanged{Status: s}) },
-		Log:      log.Log, Registry: i.registry,
+	keeper, err := lease.NewManager(lease.Options{
+		Self: i.cohort, Duties: []lease.Duty{lease.EngineOrders}, Timing: lease.DefaultTiming(), Store: i.store,
+		ShouldContend: func() bool { return i.view().IsContender(string(lease.EngineOrders), contenders) },
+		OnChange:      func(s lease.Status) { _ = i.control.Post(control.LeasesChanged{Status: s}) },
+		Log:           log.Log, Registry: i.registry,
 	})
 	if err != nil {
 		return err
--- a/internal/instance/gate.go
+++ b/internal/instance/gate.go
@@ -19,7 +19,7 @@
 
 // Enter implements dispatch.Gate.
 func (g gate) Enter(ctx context.Context, p *plan.Plan, deadline time.Time) (func(), *step.Result) {
-	release, refusal := g.gate.Enter(ctx, p, deadline)
+	release, refusal := g.gate.Admit(ctx, p, deadline)
 	if refusal == nil {
 		return release, nil
 	}
@@ -49,7 +49,7 @@
 type arbiters struct{ instance *Instance }
 
 // Ask implements limit.Arbiters.
-func (a arbiters) Ask(ctx context.Context, name string, demands []limit.Demand) ([]limit.Share, error) {
+func (a arbiters) RequestShares(ctx context.Context, name string, demands []limit.Demand) ([]limit.Share, error) {
 	for _, m := range a.instance.view().Living(a.instance.settings.DataCentre) {
 		if m.Instance() != name {
 			continue
@@ -73,7 +73,7 @@
 // Divide implements peer.Limits.
 func (l limitService) Divide(_ context.Context, r *peerpb.DivideRequest) (*peerpb.DivideResponse, error) {
 	answer := &peerpb.DivideResponse{}
-	for _, s := range l.gate.Divide(r.GetSender(), demandsFromWire(r.GetDemands())) {
+	for _, s := range l.gate.AllocateShares(r.GetSender(), demandsFromWire(r.GetDemands())) {
 		answer.Shares = append(answer.Shares, &peerpb.PlanShare{Plan: s.Plan, Rate: s.Rate, Slots: uint32(s.Slots)})
 	}
 	return answer, nil
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -54,7 +54,7 @@
 	storeHTTP *store.HTTP
 	store     *store.Tracked
 	config    *config.Source
-	budget    *budget.Keeper
+	budget    *budget.Allocator
 	peers     *peer.Client
 	control   *control.Loop
 	members   *membership.Runner
@@ -64,7 +64,7 @@
 	pauses    *pauseGuard
 	remote    *remoteViews
 	log       *ledger.Log
-	ownership *ownership.Keeper
+	ownership *ownership.Reconciler
 	owner     *owner.Service
 	table     *upstream.Table
 	scheduler *scheduler.Scheduler
@@ -135,7 +135,7 @@
 	i.config = config.NewSource(i.store, config.Options{
 		Peers: configPeers{i}, Folder: s.DataFolder, Registry: i.registry, Log: log.Log,
 	})
-	i.budget = budget.NewKeeper(i.store, plansInForce{i.config}, budget.Options{Registry: i.registry, Log: log.Log})
+	i.budget = budget.NewAllocator(i.store, plansInForce{i.config}, budget.Options{Registry: i.registry, Log: log.Log})
 	if err := i.newDuties(); err != nil {
 		return err
 	}
@@ -182,14 +182,14 @@
 
 func (i *Instance) newMembers() *membership.Runner {
 	s := i.settings
-	times := membership.DefaultTimes()
+	times := membership.DefaultTiming()
 	times.Period = s.Peers.Heartbeat.Std()
 	times.ProbeTimeout = s.Peers.ProbeTimeout.Std()
 	times.SuspectTimeout = s.Peers.SuspectTimeout.Std()
 	times.LoneTimeout = s.Peers.LoneTimeout.Std()
 	return membership.NewRunner(membership.Options{
 		Self: i.cohort, Address: s.Listen.Peers, Report: i.report(), Seeds: s.Peers.Seeds, Store: i.store,
-		Transport: membership.PeerTransport{Client: i.peers}, Times: times, Seed: rand.Uint64(),
+		Transport: membership.PeerTransport{Client: i.peers}, Timing: times, Seed: rand.Uint64(),
 		OnView:  func(v *membership.View) { _ = i.control.Post(control.MembersChanged{View: v}) },
 		OnEvent: i.memberChanged,
 		Log:     log.Log, Registry: i.registry,
@@ -203,10 +203,10 @@
 		return
 	}
 	if i.ownership != nil {
-		i.ownership.Notice()
+		i.ownership.Wake()
 	}
 	if i.log != nil && e.Member.DataCentre() == i.settings.DataCentre {
-		go i.copies.rehold(i.log.Rehold)
+		go i.copies.rehold(i.log.ReplicateHeld)
 	}
 }
 
@@ -227,22 +227,22 @@
 
 func (i *Instance) newScheduler() *scheduler.Scheduler {
 	return scheduler.New(scheduler.Settings{
-		DataCentre: i.settings.DataCentre,
-		QueueLimit: i.settings.Placement.QueueLimit,
-		Ways:       i.ways(),
-		Remote:     i.remote.age,
-		Policy:     placement.Policy(i.settings.Placement.Policy),
-		Logger:     log.Log,
-		Random:     rand.Uint64,
-		Mover:      i.engines,
-		Release:    i.duties.releases.Release,
+		DataCentre:    i.settings.DataCentre,
+		QueueLimit:    i.settings.Placement.QueueLimit,
+		DataCentreRTT: i.ways(),
+		RemoteViewAge: i.remote.age,
+		Policy:        placement.Policy(i.settings.Placement.Policy),
+		Logger:        log.Log,
+		Random:        rand.Uint64,
+		Mover:         i.engines,
+		Release:       i.duties.releases.Release,
 	}, i.table, cache.New(cache.DefaultOptions))
 }
 
 // ways gives the time to each other data centre and back.
 func (i *Instance) ways() map[string]time.Duration {
 	ways := map[string]time.Duration{}
-	for dc, way := range i.settings.Placement.Ways {
+	for dc, way := range i.settings.Placement.DataCentreRTT {
 		ways[dc] = way.Std()
 	}
 	return ways
@@ -310,7 +310,7 @@
 	// its peers a moment before it may call them. A step that it ran then could
 	// be recorded nowhere, and its caller be told no outcome. Once it was ready
 	// it stays so: being cut off later must not end what it can still serve.
-	if !i.settled.Load() && i.store.Down() && len(i.copies.ranked(i.cohort)) < ledger.CopiesNeeded {
+	if !i.settled.Load() && i.store.Down() && len(i.copies.ranked(i.cohort)) < ledger.RequiredCopies {
 		return "too few peers are known to hold copies while the object API is down"
 	}
 	i.settled.Store(true)
--- a/internal/instance/members.go
+++ b/internal/instance/members.go
@@ -129,5 +129,5 @@
 	if err != nil {
 		return entry.Owner{}, err
 	}
-	return entry.Owner{Instance: owner.Instance, Address: owner.Addr, Local: owner.Local}, nil
+	return entry.Owner{Instance: owner.Instance, Address: owner.Addr, Local: owner.IsSelf}, nil
 }
--- a/internal/instance/memory.go
+++ b/internal/instance/memory.go
@@ -48,7 +48,7 @@
 // knows, has ended. While its slice is being taken over it is not.
 func (i *Instance) isGone(id program.ID) bool {
 	known, err := i.ownership.Directory().Locate(context.Background(), id)
-	if err == nil && known.Local && !i.ownership.Adopted(id) {
+	if err == nil && known.IsSelf && !i.ownership.Adopted(id) {
 		return false
 	}
 	return !i.owner.Has(id)
--- a/internal/instance/remote.go
+++ b/internal/instance/remote.go
@@ -74,10 +74,10 @@
 	if r.instance.scheduler.Waiting() > 0 {
 		return true
 	}
-	members := r.instance.table.Members()
+	members := r.instance.table.Snapshot()
 	now := time.Now().UnixNano()
 	return slices.ContainsFunc(members.ModelNames(), func(model string) bool {
-		return !slices.ContainsFunc(members.Model(model), func(c *upstream.Cell) bool {
+		return !slices.ContainsFunc(members.Model(model), func(c *upstream.Endpoint) bool {
 			return c.Upstream.DataCentre == r.instance.settings.DataCentre && c.Upstream.Load(now).Condition <= upstream.Full
 		})
 	})
@@ -96,7 +96,7 @@
 // others returns the other data centres in which upstreams stand.
 func (r *remoteViews) others() []string {
 	found := map[string]bool{}
-	for _, u := range r.instance.table.Members().All {
+	for _, u := range r.instance.table.Snapshot().All {
 		found[u.DataCentre] = true
 	}
 	delete(found, r.instance.settings.DataCentre)
@@ -108,13 +108,13 @@
 	if err != nil || answer.GetDataCentre() != dc {
 		return
 	}
-	members := r.instance.table.Members()
+	members := r.instance.table.Snapshot()
 	for _, load := range answer.GetEngines() {
 		u := members.Upstream(load.GetName())
 		if u == nil || u.DataCentre != dc {
 			continue
 		}
-		u.Report(time.Now(), engine.Load{Running: int(load.GetCalls()), Leaving: load.GetLeaving()})
+		u.Report(time.Now(), engine.Load{Running: int(load.GetCalls()), Draining: load.GetLeaving()})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,7 +126,7 @@
 func (i *Instance) engineLoads() []*peerpb.EngineLoad {
 	var loads []*peerpb.EngineLoad
 	now := time.Now().UnixNano()
-	for _, u := range i.table.Members().All {
+	for _, u := range i.table.Snapshot().All {
 		if u.Kind != usage.KindEngine || u.DataCentre != i.settings.DataCentre {
 			continue
 		}
@@ -135,7 +135,7 @@
 		if l.Condition > upstream.Full {
 			calls = max(calls, u.Slots)
 		}
-		loads = append(loads, &peerpb.EngineLoad{Name: u.Name, Calls: uint32(calls), Leaving: l.Condition == upstream.Leaving})
+		loads = append(loads, &peerpb.EngineLoad{Name: u.Name, Calls: uint32(calls), Leaving: l.Condition == upstream.Draining})
 	}
 	return loads
 }
