--- a/internal/instance/succession.go
+++ b/internal/instance/succession.go
@@ -21,17 +21,17 @@
 // Adopt implements ownership.Adopter.
 func (a adopter) Adopt(ctx context.Context, from ownership.Adoption) error {
 	return a.instance.owner.Adopt(ctx, owner.Adoption{
-		Cohort:  from.Cohort,
-		Slice:   from.Slice,
-		Records: toOwner(from.Records),
-		Tail:    owner.Tail{Records: toOwner(from.Tail.Records), Uncertain: from.Tail.Uncertain},
-		Doubted: from.Doubted,
+		Cohort:   from.Cohort,
+		Shard:    from.Shard,
+		Records:  toOwner(from.Records),
+		Tail:     owner.Tail{Records: toOwner(from.Tail.Records), Uncertain: from.Tail.Uncertain},
+		Unproven: from.Unproven,
 	})
 }
 
 // Late implements ownership.Adopter.
-func (a adopter) Late(ctx context.Context, c program.Cohort, records []ledger.Record) error {
-	return a.instance.owner.Late(ctx, c, toOwner(records))
+func (a adopter) AdoptLate(ctx context.Context, c program.Cohort, records []ledger.Record) error {
+	return a.instance.owner.AdoptLate(ctx, c, toOwner(records))
 }
 
 func toOwner(records []ledger.Record) []owner.Record {
@@ -58,7 +58,7 @@
 func (s successors) Offer(ctx context.Context, seal *ledger.Seal, c ledger.Copy) error {
 	parts := map[program.Cohort]ledger.Copy{}
 	for _, r := range c.Records {
-		to := seal.Successors[r.Program.Slice()]
+		to := seal.Successors[r.Program.Shard()]
 		part := parts[to]
 		part.Cohort = c.Cohort
 		part.Records = append(part.Records, r)
@@ -77,8 +77,8 @@
 	if err != nil {
 		return err
 	}
-	if to.Local {
-		return s.instance.ownership.Offered(ctx, part)
+	if to.IsSelf {
+		return s.instance.ownership.AcceptOffered(ctx, part)
 	}
 	answer, err := s.instance.peers.Offer(ctx, to.Addr, &peerpb.OfferRequest{
 		Cohort:  string(part.Cohort),
@@ -101,7 +101,7 @@
 	if err != nil {
 		return errors.Wrap(err, "instance: encode outcome")
 	}
-	if to.Local {
+	if to.IsSelf {
 		return s.instance.owner.AcceptReport(ctx, r)
 	}
 	answer, err := s.instance.peers.ReportOutcome(ctx, to.Addr, &peerpb.ReportOutcomeRequest{
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, peer.Invalid(err.Error())
 	}
-	if err := s.instance.ownership.Offered(ctx, offered); err != nil {
+	if err := s.instance.ownership.AcceptOffered(ctx, offered); err != nil {
 		return &peerpb.OfferResponse{Reason: err.Error()}, nil
 	}
 	return &peerpb.OfferResponse{Accepted: true}, nil
@@ -132,7 +132,7 @@
 
 // AdoptNotice implements peer.Successor.
 func (s successorService) AdoptNotice(_ context.Context, r *peerpb.AdoptNoticeRequest) (*peerpb.AdoptNoticeResponse, error) {
-	s.instance.ownership.NoticeSealed(program.Cohort(r.GetCohort()))
+	s.instance.ownership.ObserveSealed(program.Cohort(r.GetCohort()))
 	return &peerpb.AdoptNoticeResponse{}, nil
 }
 
--- a/internal/lease/bench_test.go
+++ b/internal/lease/bench_test.go
@@ -34,18 +34,18 @@
 					counts := objects.Counts()
 					calls := float64(counts.Reads+counts.Writes) / renewals
 					b.ReportMetric(calls, "calls/renewal")
-					b.ReportMetric(calls/DefaultTimes().Renew.Seconds(), "calls/s")
+					b.ReportMetric(calls/DefaultTiming().Renew.Seconds(), "calls/s")
 				}
 			})
 		}
 	}
 }
 
-func benchKeepers(instances, duties int, objects *standin.Store) []*Keeper {
-	var keepers []*Keeper
+func benchKeepers(instances, duties int, objects *standin.Store) []*Manager {
+	var keepers []*Manager
 	for i := range instances {
 		k := newKeeper(program.Cohort(fmt.Sprintf("dc.i%d.1", i)), objects)
-		k.options.Contends = func() bool { return i < contenders }
+		k.options.ShouldContend = func() bool { return i < contenders }
 		k.options.Duties = nil
 		for d := range duties {
 			k.options.Duties = append(k.options.Duties, Duty(fmt.Sprintf("duty-%d", d)))
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -34,11 +34,11 @@
 	Self program.Cohort
 	// Duties are those that this instance takes when they are free.
 	Duties []Duty
-	Times  Times
+	Timing Timing
 	Store  store.Client
 	// Contends says whether this instance should try for free duties. It keeps
 	// all but a few instances of a data centre from reading the object.
-	Contends func() bool
+	ShouldContend func() bool
 	// OnChange is called with each new status, in order. It must not block.
 	OnChange func(Status)
 	Log      log.Interface
@@ -56,11 +56,11 @@
 	Holder program.Cohort
 	Epoch  uint64
 	// Mine says that this instance is the holder.
-	Mine bool
+	HeldHere bool
 }
 
 // Keeper takes and renews leases.
-type Keeper struct {
+type Manager struct {
 	options Options
 	key     store.Key
 	limiter *rate.Limiter
@@ -82,11 +82,11 @@
 }
 
 // NewKeeper returns a keeper that holds nothing.
-func NewKeeper(o Options) (*Keeper, error) {
-	if err := o.Times.Check(); err != nil {
+func NewManager(o Options) (*Manager, error) {
+	if err := o.Timing.Check(); err != nil {
 		return nil, err
 	}
-	k := &Keeper{
+	k := &Manager{
 		options: o,
 		key:     store.Key{Kind: Kind, Name: o.Self.DataCentre()},
 		limiter: rate.NewLimiter(callsPerSecond, callsBurst),
@@ -101,14 +101,14 @@
 	return k, nil
 }
 
-func (k *Keeper) mark(now time.Time) { k.beat.Store(&now) }
+func (k *Manager) mark(now time.Time) { k.beat.Store(&now) }
 
 // Held returns the token of a duty if this instance may perform it right now.
 // It costs two atomic loads and is to be asked again before each act.
 //
 // A process that was paused, or is too busy to run this package's own loop,
 // can't know what happened meanwhile and has to renew before it acts.
-func (k *Keeper) Held(duty Duty) (Token, bool) {
+func (k *Manager) Held(duty Duty) (Token, bool) {
 	now := time.Now()
 	token, ok := (*k.tokens.Load())[duty]
 	if !ok || !token.Valid(now) || k.paused(now) {
@@ -117,13 +117,13 @@
 	return token, true
 }
 
-func (k *Keeper) paused(now time.Time) bool { return now.Sub(*k.beat.Load()) > k.options.Times.Pause }
+func (k *Manager) paused(now time.Time) bool { return now.Sub(*k.beat.Load()) > k.options.Timing.Pause }
 
 // Run takes and renews leases until ctx ends. It does not release them.
-func (k *Keeper) Run(ctx context.Context) error {
-	beat := time.NewTicker(k.options.Times.Pause / 4)
+func (k *Manager) Run(ctx context.Context) error {
+	beat := time.NewTicker(k.options.Timing.Pause / 4)
 	defer beat.Stop()
-	renew := time.NewTicker(k.options.Times.Renew)
+	renew := time.NewTicker(k.options.Timing.Renew)
 	defer renew.Stop()
 	due := make(chan struct{}, 1)
 	due <- struct{}{}
@@ -154,7 +154,7 @@
 
 // noticePause marks that this loop runs. After a pause it drops the tokens, so
 // that nothing is done under them before they are renewed, and asks for that.
-func (k *Keeper) noticePause(due chan struct{}) {
+func (k *Manager) noticePause(due chan struct{}) {
 	now := time.Now()
 	if k.paused(now) {
 		k.pauses.Inc(1)
@@ -164,14 +164,14 @@
 	k.mark(now)
 }
 
-func (k *Keeper) renewWhenDue(ctx context.Context, due <-chan struct{}) {
+func (k *Manager) renewWhenDue(ctx context.Context, due <-chan struct{}) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-due:
 		}
-		callCtx, cancel := context.WithTimeout(ctx, k.options.Times.Renew)
+		callCtx, cancel := context.WithTimeout(ctx, k.options.Timing.Renew)
 		if err := k.step(callCtx); err != nil && ctx.Err() == nil {
 			k.options.Log.WithError(err).Warn("lease: not renewed")
 		}
@@ -180,7 +180,7 @@
 }
 
 // enter waits for the turn to change what is held, until ctx ends.
-func (k *Keeper) enter(ctx context.Context) error {
+func (k *Manager) enter(ctx context.Context) error {
 	select {
 	case k.turn <- struct{}{}:
 		return nil
@@ -189,16 +189,16 @@
 	}
 }
 
-func (k *Keeper) leave() { <-k.turn }
+func (k *Manager) leave() { <-k.turn }
 
 // step renews what is held and takes what is free.
-func (k *Keeper) step(ctx context.Context) error {
+func (k *Manager) step(ctx context.Context) error {
 	if err := k.enter(ctx); err != nil {
 		return err
 	}
 	defer k.leave()
 	holding := k.holding()
-	if !holding && !k.options.Contends() {
+	if !holding && !k.options.ShouldContend() {
 		return nil
 	}
 	// A contender that holds nothing reads first, to see whether the holder
@@ -216,7 +216,7 @@
 
 // holding reports whether the last seen object names this instance as a
 // holder, even where the lease has lapsed meanwhile.
-func (k *Keeper) holding() bool {
+func (k *Manager) holding() bool {
 	for _, e := range k.book.Duties {
 		if e.Holder == k.options.Self && !e.Released {
 			return true
@@ -225,13 +225,13 @@
 	return false
 }
 
-func (k *Keeper) attempt(ctx context.Context) error {
+func (k *Manager) attempt(ctx context.Context) error {
 	if !k.known {
 		if err := k.read(ctx); err != nil {
 			return err
 		}
 	}
-	next, got := claim(k.book, k.seen, k.options.Self, k.options.Duties, k.options.Times, time.Now())
+	next, got := claim(k.book, k.seen, k.options.Self, k.options.Duties, k.options.Timing, time.Now())
 	if len(got) == 0 {
 		return nil
 	}
@@ -244,7 +244,7 @@
 }
 
 // read takes in the object and drops the tokens of duties that it gives to others.
-func (k *Keeper) read(ctx context.Context) error {
+func (k *Manager) read(ctx context.Context) error {
 	object, err := k.get(ctx)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return err
@@ -259,7 +259,7 @@
 	return nil
 }
 
-func (k *Keeper) get(ctx context.Context) (store.Object, error) {
+func (k *Manager) get(ctx context.Context) (store.Object, error) {
 	if err := k.limiter.Wait(ctx); err != nil {
 		return store.Object{}, errors.Wrap(store.ErrUnavailable, err.Error())
 	}
@@ -268,14 +268,14 @@
 }
 
 // take notes the state of the object.
-func (k *Keeper) take(b book, version store.Version) {
+func (k *Manager) take(b book, version store.Version) {
 	k.book, k.version, k.known = b, version, true
 	k.seen.see(b, time.Now())
 	k.dropLost()
 	k.publish()
 }
 
-func (k *Keeper) dropLost() {
+func (k *Manager) dropLost() {
 	held := maps.Clone(*k.tokens.Load())
 	maps.DeleteFunc(held, func(duty Duty, t Token) bool {
 		e := k.book.Duties[duty]
@@ -291,7 +291,7 @@
 
 // write stores the book. A lost answer is settled by reading back: the write
 // took effect if the object is exactly what was written.
-func (k *Keeper) write(ctx context.Context, next book) error {
+func (k *Manager) write(ctx context.Context, next book) error {
 	if err := k.limiter.Wait(ctx); err != nil {
 		return errors.Wrap(store.ErrUnavailable, err.Error())
 	}
@@ -317,8 +317,8 @@
 // adopt turns claims that are in the object into tokens. Their time counts
 // from before the write was sent: it may have taken effect at once and its
 // answer come late.
-func (k *Keeper) adopt(got map[Duty]claimed, started time.Time) {
-	times := k.options.Times
+func (k *Manager) adopt(got map[Duty]claimed, started time.Time) {
+	times := k.options.Timing
 	held := map[Duty]Token{}
 	before := *k.tokens.Load()
 	for duty, c := range got {
@@ -346,7 +346,7 @@
 
 // Release gives back everything held, so that a successor need not wait. It is
 // to be called after this instance's last order has ended.
-func (k *Keeper) Release(ctx context.Context) error {
+func (k *Manager) Release(ctx context.Context) error {
 	k.tokens.Store(&map[Duty]Token{})
 	if err := k.enter(ctx); err != nil {
 		return err
@@ -372,7 +372,7 @@
 	return store.ErrConflict
 }
 
-func (k *Keeper) publish() {
+func (k *Manager) publish() {
 	var status Status
 	for _, duty := range slices.Sorted(maps.Keys(k.book.Duties)) {
 		e := k.book.Duties[duty]
@@ -380,7 +380,7 @@
 			e.Holder = ""
 		}
 		mine := e.Holder == k.options.Self
-		status.Duties = append(status.Duties, DutyStatus{Duty: duty, Holder: e.Holder, Epoch: e.Epoch, Mine: mine})
+		status.Duties = append(status.Duties, DutyStatus{Duty: duty, Holder: e.Holder, Epoch: e.Epoch, HeldHere: mine})
 	}
 	if slices.Equal(status.Duties, k.status.Duties) {
 		return
@@ -391,6 +391,6 @@
 	}
 }
 
-func (k *Keeper) log(e entry, duty Duty) log.Interface {
+func (k *Manager) log(e entry, duty Duty) log.Interface {
 	return k.options.Log.WithFields(log.Fields{"duty": duty, "holder": e.Holder, "epoch": e.Epoch})
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -38,7 +38,7 @@
 )
 
 // Times are the bounds of a lease.
-type Times struct {
+type Timing struct {
 	// TTL is how long a lease lasts after the write that renewed it.
 	TTL time.Duration
 	// Renew is the time between renewals, well inside TTL: two may fail.
@@ -54,8 +54,8 @@
 }
 
 // DefaultTimes suit duties whose absence for half a minute does no harm.
-func DefaultTimes() Times {
-	return Times{
+func DefaultTiming() Timing {
+	return Timing{
 		TTL:          15 * time.Second,
 		Renew:        5 * time.Second,
 		Margin:       2 * time.Second,
@@ -65,12 +65,12 @@
 }
 
 // ErrBadTimes says that the bounds of a lease contradict each other.
-var ErrBadTimes = errors.New("lease: renewal does not fit twice into the lease")
+var ErrInvalidTiming = errors.New("lease: renewal does not fit twice into the lease")
 
 // Check reports whether a renewal may fail once without the lease lapsing.
-func (t Times) Check() error {
+func (t Timing) Check() error {
 	if t.Renew <= 0 || t.Margin < 0 || t.Pause <= 0 || 2*t.Renew+t.Margin > t.TTL {
-		return ErrBadTimes
+		return ErrInvalidTiming
 	}
 	return nil
 }
@@ -157,7 +157,7 @@
 // free reports whether a duty may be taken: nobody ever had it, its holder
 // gave it back, or its holder has not renewed it for a whole TTL and margin
 // since the last renewal was seen.
-func (o observer) free(duty Duty, times Times, now time.Time) bool {
+func (o observer) free(duty Duty, times Timing, now time.Time) bool {
 	seen, ok := o[duty]
 	return !ok || seen.Released || now.Sub(seen.since) >= times.TTL+times.Margin
 }
@@ -171,7 +171,7 @@
 
 // claim returns the book in which self has renewed what it holds and taken
 // what is free of the wanted duties, and what that gives it.
-func claim(b book, o observer, self program.Cohort, want []Duty, times Times, now time.Time) (book, map[Duty]claimed) {
+func claim(b book, o observer, self program.Cohort, want []Duty, times Timing, now time.Time) (book, map[Duty]claimed) {
 	next := book{Duties: map[Duty]entry{}}
 	maps.Copy(next.Duties, b.Duties)
 	got := map[Duty]claimed{}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -83,7 +83,7 @@
 type process struct {
 	store.Client
 
-	keeper   *Keeper
+	keeper   *Manager
 	mu       sync.Mutex
 	resumed  chan struct{}
 	cut      bool // the store is out of this process's reach
@@ -94,15 +94,15 @@
 
 const beat = 250 * time.Millisecond
 
-func newKeeper(cohort program.Cohort, client store.Client) *Keeper {
-	k, err := NewKeeper(Options{
-		Self:     cohort,
-		Duties:   []Duty{EngineOrders, Sweeps},
-		Times:    DefaultTimes(),
-		Store:    client,
-		Contends: func() bool { return true },
-		Log:      &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
-		Registry: metrics.NewRegistry(),
+func newKeeper(cohort program.Cohort, client store.Client) *Manager {
+	k, err := NewManager(Options{
+		Self:          cohort,
+		Duties:        []Duty{EngineOrders, Sweeps},
+		Timing:        DefaultTiming(),
+		Store:         client,
+		ShouldContend: func() bool { return true },
+		Log:           &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
+		Registry:      metrics.NewRegistry(),
 	})
 	if err != nil {
 		panic(err)
@@ -123,7 +123,7 @@
 func (p *process) loop(ctx context.Context) {
 	defer close(p.done)
 	due := make(chan struct{}, 1)
-	every := int(DefaultTimes().Renew / beat)
+	every := int(DefaultTiming().Renew / beat)
 	for tick := 0; ctx.Err() == nil; tick++ {
 		p.gate()
 		p.keeper.noticePause(due)
@@ -133,13 +133,13 @@
 		default:
 		}
 		if tick%every == 0 {
-			callCtx, cancel := context.WithTimeout(ctx, DefaultTimes().Renew)
+			callCtx, cancel := context.WithTimeout(ctx, DefaultTiming().Renew)
 			_ = p.keeper.step(callCtx)
 			cancel()
 		}
 		p.gate()
 		if t, ok := p.keeper.Held(EngineOrders); ok && t.MayOrder(time.Now(), p.upstream.checks) {
-			p.upstream.order(t, DefaultTimes().LongestOrder)
+			p.upstream.order(t, DefaultTiming().LongestOrder)
 		}
 		time.Sleep(beat)
 	}
@@ -252,7 +252,7 @@
 		is.NoErr(k.step(context.Background()))
 		_, held := k.Held(EngineOrders)
 		is.True(held)
-		time.Sleep(DefaultTimes().Pause + time.Second)
+		time.Sleep(DefaultTiming().Pause + time.Second)
 		_, held = k.Held(EngineOrders)
 		is.True(!held)
 		due := make(chan struct{}, 1)
@@ -278,7 +278,7 @@
 		is.NoErr(k.step(context.Background()))
 		token, held := k.Held(EngineOrders)
 		is.True(held)
-		is.True(!token.Until().After(started.Add(300*time.Millisecond + DefaultTimes().TTL - DefaultTimes().Margin))) // one read came before
+		is.True(!token.Until().After(started.Add(300*time.Millisecond + DefaultTiming().TTL - DefaultTiming().Margin))) // one read came before
 		objects.SetFaults(standin.StoreFaults{DropWrites: 1})
 		before := token.Until()
 		is.NoErr(k.step(context.Background())) // the dropped write is written again
@@ -361,7 +361,7 @@
 		is.Equal(first.Epoch, uint64(1))
 		counts := objects.Counts()
 		is.Equal(counts.Reads, int64(1))
-		renewals := int64(10 * time.Minute / DefaultTimes().Renew)
+		renewals := int64(10 * time.Minute / DefaultTiming().Renew)
 		is.True(counts.Writes <= renewals+1)
 		cancel()
 		is.Equal(<-done, context.Canceled)
--- a/internal/ledger/compact_test.go
+++ b/internal/ledger/compact_test.go
@@ -147,7 +147,7 @@
 		r := newRig(t, nil)
 		defer r.close()
 		r.standIn.SetFaults(standin.StoreFaults{Delay: 3 * time.Second, LateWrites: true})
-		go func() { _, _, _ = r.log.Seal(t.Context(), [program.Slices]program.Cohort{}) }()
+		go func() { _, _, _ = r.log.Seal(t.Context(), [program.ShardCount]program.Cohort{}) }()
 		time.Sleep(2500 * time.Millisecond)
 		err := r.log.AppendOrHold(t.Context(), event(program.NewID(testCohort), "turn"))
 		is.True(errors.Is(err, ErrUnavailable))
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -45,7 +45,7 @@
 	Planned bool
 	At      time.Time
 	// Successors holds the successor of each slice.
-	Successors [program.Slices]program.Cohort
+	Successors [program.ShardCount]program.Cohort
 }
 
 func newWriteID() []byte {
@@ -150,23 +150,23 @@
 }
 
 func adoptionToPB(a *Adoption) *ledgerpb.Adopted {
-	message := &ledgerpb.Adopted{Cohort: string(a.Cohort), Slice: uint32(a.Slice)}
+	message := &ledgerpb.Adopted{Cohort: string(a.Cohort), Slice: uint32(a.Shard)}
 	for _, c := range a.Ancestors {
 		message.Ancestors = append(message.Ancestors, string(c))
 	}
-	for _, c := range a.Doubted {
+	for _, c := range a.Unproven {
 		message.Doubted = append(message.Doubted, string(c))
 	}
 	return message
 }
 
 func adoptionFromPB(m *ledgerpb.Adopted) *Adoption {
-	a := &Adoption{Cohort: program.Cohort(m.Cohort), Slice: int(m.Slice)}
+	a := &Adoption{Cohort: program.Cohort(m.Cohort), Shard: int(m.Slice)}
 	for _, c := range m.Ancestors {
 		a.Ancestors = append(a.Ancestors, program.Cohort(c))
 	}
 	for _, c := range m.Doubted {
-		a.Doubted = append(a.Doubted, program.Cohort(c))
+		a.Unproven = append(a.Unproven, program.Cohort(c))
 	}
 	return a
 }
@@ -185,7 +185,7 @@
 }
 
 func sealFromPB(m *ledgerpb.Seal) (*Seal, error) {
-	if len(m.Slices) != program.Slices {
+	if len(m.Slices) != program.ShardCount {
 		return nil, errors.Wrapf(ErrCorrupt, "seal maps %d slices", len(m.Slices))
 	}
 	seal := &Seal{By: program.Cohort(m.By), Planned: m.Planned, At: time.UnixMilli(m.AtUnixMs)}
--- a/internal/ledger/entry_test.go
+++ b/internal/ledger/entry_test.go
@@ -28,7 +28,7 @@
 		Records: []Record{
 			{Program: "sul1.a.one:x", Event: []byte("turn"), Sequence: 3},
 			{Program: "sul1.a.one:y", Kind: Tombstone, Sequence: 4},
-			{Kind: adopted, Sequence: 5, Adoption: &Adoption{Cohort: "sul1.z.one", Slice: 9, Ancestors: []program.Cohort{"sul1.q.one"}}},
+			{Kind: adopted, Sequence: 5, Adoption: &Adoption{Cohort: "sul1.z.one", Shard: 9, Ancestors: []program.Cohort{"sul1.q.one"}}},
 		},
 	}
 }
--- a/internal/ledger/hold.go
+++ b/internal/ledger/hold.go
@@ -13,7 +13,7 @@
 // leave the outcome open: the records stay queued for the log.
 func (l *Log) giveToHolders(ctx context.Context, r *request) error {
 	n, err := l.o.Holders.Hold(ctx, Copy{Cohort: l.o.Cohort, Records: r.records})
-	if n >= CopiesNeeded {
+	if n >= RequiredCopies {
 		l.meters.held.Inc(int64(len(r.records)))
 		return nil
 	}
@@ -53,7 +53,7 @@
 // a peer is gone: a holder that dies takes its copies with it, and a second
 // death would lose turns that callers were told are durable. On a log that was
 // closed it is ErrClosed.
-func (l *Log) Rehold(ctx context.Context) error {
+func (l *Log) ReplicateHeld(ctx context.Context) error {
 	if l.ctx.Err() != nil {
 		return ErrClosed
 	}
@@ -65,7 +65,7 @@
 	}
 	for batch := range copyBatches(c) {
 		n, err := l.o.Holders.Hold(ctx, batch)
-		if n < CopiesNeeded {
+		if n < RequiredCopies {
 			return errors.Wrapf(ErrUnsettled, "%d copies held: %v", n, err)
 		}
 	}
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -96,7 +96,7 @@
 
 func (x *index) placeAdoption(r Record, entry uint64) {
 	for i, a := range x.adoptions {
-		if a.record.Adoption.Cohort == r.Adoption.Cohort && a.record.Adoption.Slice == r.Adoption.Slice {
+		if a.record.Adoption.Cohort == r.Adoption.Cohort && a.record.Adoption.Shard == r.Adoption.Shard {
 			x.adoptions[i] = placedAdoption{r, entry}
 			return
 		}
--- a/internal/ledger/log.go
+++ b/internal/ledger/log.go
@@ -169,7 +169,7 @@
 // Seal ends the log at a planned stop, after everything that was appended
 // before, and hands its slices to the successors named. It returns the seal
 // and its number. The errors are those of Append.
-func (l *Log) Seal(ctx context.Context, successors [program.Slices]program.Cohort) (*Seal, uint64, error) {
+func (l *Log) Seal(ctx context.Context, successors [program.ShardCount]program.Cohort) (*Seal, uint64, error) {
 	r := &request{seal: &Seal{By: l.o.Cohort, Planned: true, At: time.Now(), Successors: successors}}
 	if err := l.submit(ctx, r); err != nil {
 		return nil, 0, err
--- a/internal/ledger/log_test.go
+++ b/internal/ledger/log_test.go
@@ -63,7 +63,7 @@
 // newRig opens a log over a stand-in store. It must be called in a synctest bubble.
 func newRig(t *testing.T, change func(*Options)) *rig {
 	t.Helper()
-	r := &rig{standIn: standin.NewStore(), peers: &peers{confirm: CopiesNeeded}, offers: &offers{}}
+	r := &rig{standIn: standin.NewStore(), peers: &peers{confirm: RequiredCopies}, offers: &offers{}}
 	r.tracked = store.Track(r.standIn, nil)
 	o := Options{Cohort: testCohort, Store: r.tracked, Holders: r.peers, Successors: r.offers, Writes: 1000}
 	if change != nil {
@@ -238,7 +238,7 @@
 		r := newRig(t, nil)
 		defer r.close()
 		is.NoErr(r.log.Append(t.Context(), event(program.NewID(testCohort), "x")))
-		var successors [program.Slices]program.Cohort
+		var successors [program.ShardCount]program.Cohort
 		successors[5] = "sul1.c.one"
 		_, number, err := r.log.Seal(t.Context(), successors)
 		is.NoErr(err)
--- a/internal/ledger/options.go
+++ b/internal/ledger/options.go
@@ -36,7 +36,7 @@
 
 // CopiesNeeded is the number of peers that must hold a turn before its answer
 // ends: with two, the loss of the owner and any one peer loses nothing.
-const CopiesNeeded = 2
+const RequiredCopies = 2
 
 // Successors take what a fenced owner still holds.
 type Successors interface {
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -81,12 +81,12 @@
 // Adoption names a slice of a cohort whose programs were copied into this log.
 type Adoption struct {
 	Cohort program.Cohort
-	Slice  int
+	Shard  int
 	// Ancestors are the cohorts whose same slice came with it.
 	Ancestors []program.Cohort
 	// Doubted are those of all these cohorts whose slice could not be proven
 	// whole: a program of theirs that is not known here may have existed.
-	Doubted []program.Cohort
+	Unproven []program.Cohort
 }
 
 // AdoptionRecord returns the record that ends the adoption a.
@@ -97,7 +97,7 @@
 	n := recordOverhead + len(r.Program) + len(r.Event)
 	if r.Adoption != nil {
 		n += len(r.Adoption.Cohort)
-		for _, c := range slices.Concat(r.Adoption.Ancestors, r.Adoption.Doubted) {
+		for _, c := range slices.Concat(r.Adoption.Ancestors, r.Adoption.Unproven) {
 			n += len(c) + 4
 		}
 	}
--- a/internal/limit/bench_test.go
+++ b/internal/limit/bench_test.go
@@ -24,7 +24,7 @@
 				i := 0
 				for pb.Next() {
 					i = (i + 1) % count
-					release, refusal := g.Enter(context.Background(), &plans[i], time.Time{})
+					release, refusal := g.Admit(context.Background(), &plans[i], time.Time{})
 					if refusal != nil {
 						b.Error(refusal)
 						return
@@ -93,7 +93,7 @@
 	}
 	now := time.Unix(1000, 0)
 	q.Set(quotas, now)
-	q.Fleet(1, 1, tellTick, now)
+	q.SetFleet(1, 1, tellTick, now)
 	now = now.Add(tolerance.Window)
 	b.ReportAllocs()
 	n := 0
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -91,7 +91,7 @@
 // refuses at once where the wait would be too long by what is known, or would
 // leave the step too little time before the deadline; a zero deadline is none.
 // The caller calls release once when the step has ended.
-func (g *Gate) Enter(ctx context.Context, p *plan.Plan, deadline time.Time) (release func(), refusal *Refusal) {
+func (g *Gate) Admit(ctx context.Context, p *plan.Plan, deadline time.Time) (release func(), refusal *Refusal) {
 	now := time.Now()
 	g.mu.Lock()
 	f := g.flow(p, now)
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -100,14 +100,14 @@
 	return weights
 }
 
-func (m member) Ask(_ context.Context, instance string, demands []Demand) ([]Share, error) {
+func (m member) RequestShares(_ context.Context, instance string, demands []Demand) ([]Share, error) {
 	m.centre.mu.Lock()
 	gate, down := m.centre.gates[instance], m.centre.down
 	m.centre.mu.Unlock()
 	if down {
 		return nil, errors.New("partition")
 	}
-	return gate.Divide(m.name, demands), nil
+	return gate.AllocateShares(m.name, demands), nil
 }
 
 // newCentre runs gates until the test's bubble ends with stop.
@@ -132,7 +132,7 @@
 	for range count {
 		group.Go(func() {
 			start := time.Now()
-			release, refusal := g.Enter(context.Background(), p, time.Time{})
+			release, refusal := g.Admit(context.Background(), p, time.Time{})
 			waited := time.Since(start)
 			noting.Lock()
 			note(waited, refusal)
@@ -181,7 +181,7 @@
 			f.down = down
 			f.mu.Unlock()
 			for _, g := range f.gates {
-				release, refusal := g.Enter(context.Background(), p, time.Time{})
+				release, refusal := g.Admit(context.Background(), p, time.Time{})
 				is.True(refusal == nil)
 				release()
 				time.Sleep(2 * shareTime) // its share ends
@@ -235,7 +235,7 @@
 		p := &plan.Plan{Name: "p", Limits: plan.Limits{Rate: 1, Burst: 1}}
 		enter := func(within time.Duration) (time.Duration, *Refusal) {
 			start := time.Now()
-			release, refusal := g.Enter(context.Background(), p, start.Add(within))
+			release, refusal := g.Admit(context.Background(), p, start.Add(within))
 			if refusal == nil {
 				release()
 			}
@@ -263,16 +263,16 @@
 		is := is.New(t)
 		g := NewGate(Options{Capacity: 1})
 		p := &plan.Plan{Name: "p"}
-		release, refusal := g.Enter(context.Background(), p, time.Time{})
+		release, refusal := g.Admit(context.Background(), p, time.Time{})
 		is.True(refusal == nil)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 		defer cancel()
-		_, refusal = g.Enter(ctx, p, time.Time{})
+		_, refusal = g.Admit(ctx, p, time.Time{})
 		is.Equal(refusal.Reason, Cancelled)
 		release()
 		is.Equal(g.running, 0)
 		is.Equal(g.waiting, 0)
-		release, refusal = g.Enter(context.Background(), p, time.Time{})
+		release, refusal = g.Admit(context.Background(), p, time.Time{})
 		is.True(refusal == nil)
 		release()
 	})
@@ -344,7 +344,7 @@
 		is.True(g.queued.Value() > 0)
 		x := &plan.Plan{Name: "x", Limits: plan.Limits{Rate: 20, Burst: 1}}
 		for range 3 {
-			release, refusal := g.Enter(context.Background(), x, time.Now().Add(150*time.Millisecond))
+			release, refusal := g.Admit(context.Background(), x, time.Now().Add(150*time.Millisecond))
 			is.True(refusal == nil)
 			release()
 		}
--- a/internal/limit/quota.go
+++ b/internal/limit/quota.go
@@ -132,17 +132,17 @@
 const (
 	Admitted Verdict = iota
 	// Over says that the customer has had what its quota allows.
-	Over
+	OverQuota
 	// Unknown says that too few other instances are heard to tell.
-	Unknown
+	Undetermined
 )
 
 // Call is a call that asks to be admitted.
 type Call struct {
 	Customer string
 	// Program is empty for a call that belongs to none. Head says that the call may begin it.
-	Program string
-	Head    bool
+	Program       string
+	StartsProgram bool
 }
 
 // Admit admits a call, or tells when it is worth to come again. Where the quota is nearly
@@ -158,16 +158,16 @@
 	m.rotate(now, q.round)
 	known := q.known(now)
 	limit := m.limit(q.part, known)
-	begins := c.Head && !m.programs.knows(c.Program)
+	begins := c.StartsProgram && !m.programs.knows(c.Program)
 	telling := m.tellingTime(now, q.round)
 	full := m.recent.sum+1 > limit || m.level < 1 || begins && !m.mayBegin(now, limit)
 	switch {
 	case full && q.part < partKnown:
-		return Unknown, m.wait(q.part, known)
+		return Undetermined, m.wait(q.part, known)
 	case full:
-		return Over, m.wait(q.part, known)
+		return OverQuota, m.wait(q.part, known)
 	case !q.alone && !m.mayRace(limit, telling):
-		return Over, max(refillLeast, telling)
+		return OverQuota, max(refillLeast, telling)
 	}
 	m.take(now)
 	if c.Program != "" {
@@ -203,7 +203,7 @@
 // Fleet takes in how many of all instances are heard, this one included, and how long it
 // takes to tell them all. An instance that is not heard may have calls of its own; while it
 // is not known which instances there are, none is heard.
-func (q *Quotas) Fleet(heard, all int, round time.Duration, now time.Time) {
+func (q *Quotas) SetFleet(heard, all int, round time.Duration, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.alone, q.all, q.round = all == 1, all, round
--- a/internal/limit/quota_test.go
+++ b/internal/limit/quota_test.go
@@ -274,7 +274,7 @@
 	now := time.Unix(1000, 0)
 	q := NewQuotas("a", 1, tolerance)
 	q.Set(map[string]Quota{"c": {Rate: 2, Burst: 2}}, now)
-	q.Fleet(1, 1, tellTick, now)
+	q.SetFleet(1, 1, tellTick, now)
 	now = now.Add(tolerance.Window)
 	for range 200 {
 		verdict, _ := q.Admit(Call{Customer: "c"}, now)
@@ -286,10 +286,10 @@
 		admitted++
 	}
 	is.True(admitted > 0)
-	told, _ := q.Tell(now)
-	is.Equal(told.Uses[0].Made, uint64(admitted))
+	told, _ := q.Report(now)
+	is.Equal(told.Usage[0].Admitted, uint64(admitted))
 	verdict, after := q.Admit(Call{Customer: "c"}, now)
-	is.Equal(verdict, Over)
+	is.Equal(verdict, OverQuota)
 	is.True(after > 0 && after <= tolerance.Window)
 	verdict, _ = q.Admit(Call{Customer: "without a quota"}, now)
 	is.Equal(verdict, Admitted)
@@ -302,7 +302,7 @@
 	now := time.Unix(1000, 0)
 	q := NewQuotas("a", 1, tolerance)
 	q.Set(map[string]Quota{"c": {Rate: 2, Burst: 2}}, now)
-	q.Fleet(1, 1, tellTick, now)
+	q.SetFleet(1, 1, tellTick, now)
 	now = now.Add(tolerance.Window)
 	q.Admit(Call{Customer: "c"}, now)
 	q.Return("c", now, now.Add(4*time.Second))
@@ -319,13 +319,13 @@
 	q := NewQuotas("a", 1, tolerance)
 	q.Set(map[string]Quota{"c": {Rate: 20, Burst: 20}}, now)
 	m := q.meters["c"]
-	q.Fleet(2, 2, tellTick, now)
-	q.Fleet(2, 2, tellTick, now.Add(tellTick))
-	tell := func(from string, counted []Count, made uint64) {
-		uses := []Use{{Customer: m.hash, Made: made, Recent: uint32(made)}}
-		q.Hear(Telling{From: from, Run: 7, Known: tolerance.Window, Uses: uses, Counted: counted}, now)
+	q.SetFleet(2, 2, tellTick, now)
+	q.SetFleet(2, 2, tellTick, now.Add(tellTick))
+	tell := func(from string, counted []WindowCount, made uint64) {
+		uses := []CallUsage{{Customer: m.hash, Admitted: made, Recent: uint32(made)}}
+		q.Merge(QuotaReport{From: from, Incarnation: 7, ObservedFor: tolerance.Window, Usage: uses, WindowCounts: counted}, now)
 	}
-	tell("b", []Count{{Customer: m.hash, Calls: 30}}, 30)
+	tell("b", []WindowCount{{Customer: m.hash, Calls: 30}}, 30)
 	is.Equal(m.recent.sum, 30.0) // not counted twice
 	now = now.Add(time.Second)
 	tell("c", nil, 9)
@@ -376,7 +376,7 @@
 	now := time.Unix(1000, 0)
 	q := NewQuotas("a", 1, tolerance)
 	q.Set(map[string]Quota{"c": {Rate: 12, Burst: 12}}, now)
-	q.Fleet(1, 1, tellTick, now)
+	q.SetFleet(1, 1, tellTick, now)
 	now = now.Add(tolerance.Window)
 	var under []*agentProgram
 	done := 0
@@ -388,7 +388,7 @@
 			if now.Before(p.next) {
 				return false
 			}
-			verdict, after := q.Admit(Call{Customer: "c", Program: p.name, Head: byProgram && p.left == calls}, now)
+			verdict, after := q.Admit(Call{Customer: "c", Program: p.name, StartsProgram: byProgram && p.left == calls}, now)
 			if verdict != Admitted {
 				p.tries++
 				p.next = now.Add(min(after, think))
--- a/internal/limit/quota_world_test.go
+++ b/internal/limit/quota_world_test.go
@@ -144,7 +144,7 @@
 type quotaDatagram struct {
 	at      time.Time
 	from    *quotaInstance
-	telling Telling
+	telling QuotaReport
 }
 
 // quotaClient is one connection of a customer.
@@ -319,7 +319,7 @@
 			return false
 		}
 		i.heard[d.from.name], i.signs[d.from.dataCentre] = w.now, w.now
-		quotas.Hear(d.telling, w.now)
+		quotas.Merge(d.telling, w.now)
 		return true
 	})
 	if w.now.Before(i.sendAt) {
@@ -335,13 +335,13 @@
 				heard++
 			}
 		}
-		quotas.Fleet(heard, len(w.instances), time.Duration(turns)*tellTick, w.now)
+		quotas.SetFleet(heard, len(w.instances), time.Duration(turns)*tellTick, w.now)
 	}
-	started, counted := quotas.Started(w.now)
+	started, counted := quotas.NewInstances(w.now)
 	for _, name := range started {
 		w.send(i, w.byName[name], counted)
 	}
-	telling, atOnce := quotas.Tell(w.now)
+	telling, atOnce := quotas.Report(w.now)
 	var recipients []*quotaInstance
 	for range min(reach, len(i.peers)) {
 		recipients = append(recipients, i.peers[i.next%len(i.peers)])
@@ -356,7 +356,7 @@
 }
 
 // send sends a datagram, which may be lost.
-func (w *quotaWorld) send(from, to *quotaInstance, telling Telling) {
+func (w *quotaWorld) send(from, to *quotaInstance, telling QuotaReport) {
 	if w.random.Float64() < w.loss || to.way == nil || to.side != from.side {
 		return
 	}
--- a/internal/limit/run.go
+++ b/internal/limit/run.go
@@ -19,7 +19,7 @@
 // Arbiters reaches the arbiters on other instances of the data centre.
 type Arbiters interface {
 	// Ask sends demands to an instance, which answers by its gate's Divide.
-	Ask(ctx context.Context, instance string, demands []Demand) ([]Share, error)
+	RequestShares(ctx context.Context, instance string, demands []Demand) ([]Share, error)
 }
 
 // Run keeps this instance's parts of the limits in line with its demand until
@@ -125,9 +125,9 @@
 
 func (g *Gate) answer(ctx context.Context, instance string, demands []Demand) ([]Share, error) {
 	if instance == g.options.Members.Self() {
-		return g.Divide(instance, demands), nil
+		return g.AllocateShares(instance, demands), nil
 	}
-	return g.options.Arbiters.Ask(ctx, instance, demands)
+	return g.options.Arbiters.RequestShares(ctx, instance, demands)
 }
 
 // fallBack uses the whole part by weight while an arbiter does not answer and
@@ -149,7 +149,7 @@
 
 // Divide answers another instance's demands for plans of which this instance
 // is the arbiter.
-func (g *Gate) Divide(from string, demands []Demand) []Share {
+func (g *Gate) AllocateShares(from string, demands []Demand) []Share {
 	members := newFleet(map[string]float64{from: 1})
 	if g.options.Members != nil {
 		members = g.members()
--- a/internal/limit/telling.go
+++ b/internal/limit/telling.go
@@ -10,29 +10,29 @@
 )
 
 // Use is what an instance tells the others of a customer's calls.
-type Use struct {
+type CallUsage struct {
 	// Customer is the hash of its name.
 	Customer uint64
 	// Made is the number of calls admitted since the instance started, Recent that of the
 	// last window.
-	Made   uint64
-	Recent uint32
+	Admitted uint64
+	Recent   uint32
 }
 
 // Telling is what an instance tells the others at once.
-type Telling struct {
+type QuotaReport struct {
 	// From names the instance, Run tells its starts apart.
-	From string
-	Run  uint64
+	From        string
+	Incarnation uint64
 	// Known is for how long it knows what calls there were, up to a window.
-	Known time.Duration
-	Uses  []Use
+	ObservedFor time.Duration
+	Usage       []CallUsage
 	// Counted is told to an instance that has started: all calls of the last window.
-	Counted []Count
+	WindowCounts []WindowCount
 }
 
 // Count is the number of a customer's calls of the last window, at all instances.
-type Count struct {
+type WindowCount struct {
 	Customer uint64
 	Calls    uint32
 }
@@ -50,24 +50,24 @@
 }
 
 // Hear takes in what another instance tells. One without a run admits no calls.
-func (q *Quotas) Hear(t Telling, now time.Time) {
-	if t.Run == 0 {
+func (q *Quotas) Merge(t QuotaReport, now time.Time) {
+	if t.Incarnation == 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	p := q.peers[t.From]
-	if p == nil || p.run != t.Run {
-		p = &peer{run: t.Run, made: map[uint64]made{}}
+	if p == nil || p.run != t.Incarnation {
+		p = &peer{run: t.Incarnation, made: map[uint64]made{}}
 		q.peers[t.From] = p
-		if t.Known < q.window() && q.known(now) >= q.window() && q.tellsStarted(t.From) {
+		if t.ObservedFor < q.window() && q.known(now) >= q.window() && q.tellsStarted(t.From) {
 			q.started = append(q.started, t.From)
 		}
 	}
-	if t.Known >= q.window() && len(t.Counted) > 0 {
-		q.count(t.Counted, now)
+	if t.ObservedFor >= q.window() && len(t.WindowCounts) > 0 {
+		q.count(t.WindowCounts, now)
 	}
-	for _, u := range t.Uses {
+	for _, u := range t.Usage {
 		q.hearUse(p, t.From, u, now)
 	}
 }
@@ -84,7 +84,7 @@
 
 // count takes in how many calls there were; the lock is held. They are all of the window,
 // also those that this instance itself admitted before it was started again.
-func (q *Quotas) count(counted []Count, now time.Time) {
+func (q *Quotas) count(counted []WindowCount, now time.Time) {
 	if q.known(now) >= q.window() {
 		return
 	}
@@ -104,36 +104,36 @@
 
 // Started returns the instances that have started, and what to tell them. The list may be
 // told in parts.
-func (q *Quotas) Started(now time.Time) (instances []string, t Telling) {
+func (q *Quotas) NewInstances(now time.Time) (instances []string, t QuotaReport) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.started) == 0 {
-		return nil, Telling{}
+		return nil, QuotaReport{}
 	}
 	instances, q.started = q.started, nil
-	t = Telling{From: q.name, Run: q.run, Known: min(q.known(now), q.window())}
+	t = QuotaReport{From: q.name, Incarnation: q.run, ObservedFor: min(q.known(now), q.window())}
 	for _, m := range q.meters {
 		m.advance(now)
 		if m.recent.sum > 0 {
-			t.Counted = append(t.Counted, Count{Customer: m.hash, Calls: uint32(math.Ceil(m.recent.sum))})
+			t.WindowCounts = append(t.WindowCounts, WindowCount{Customer: m.hash, Calls: uint32(math.Ceil(m.recent.sum))})
 		}
 	}
-	if t.Counted == nil {
+	if t.WindowCounts == nil {
 		// That there were none is worth telling too.
-		t.Counted = []Count{{}}
+		t.WindowCounts = []WindowCount{{}}
 	}
 	return instances, t
 }
 
 // hearUse takes in the calls of one customer; the lock is held.
-func (q *Quotas) hearUse(p *peer, from string, u Use, now time.Time) {
+func (q *Quotas) hearUse(p *peer, from string, u CallUsage, now time.Time) {
 	before, known := p.made[u.Customer]
-	if u.Made < before.calls {
+	if u.Admitted < before.calls {
 		// Datagrams overtake each other.
 		return
 	}
-	p.made[u.Customer] = made{calls: u.Made, at: now}
-	fresh := u.Made - before.calls
+	p.made[u.Customer] = made{calls: u.Admitted, at: now}
+	fresh := u.Admitted - before.calls
 	switch {
 	case !known && now.Before(q.countedUntil):
 		// They are among those that were counted for this instance.
@@ -150,17 +150,17 @@
 
 // Tell returns what the others are to be told now, and which of them are to hear it at once
 // and not by turns, since they have calls of the same customers.
-func (q *Quotas) Tell(now time.Time) (t Telling, atOnce []string) {
+func (q *Quotas) Report(now time.Time) (t QuotaReport, atOnce []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	t = Telling{From: q.name, Run: q.run, Known: min(q.known(now), q.window())}
+	t = QuotaReport{From: q.name, Incarnation: q.run, ObservedFor: min(q.known(now), q.window())}
 	sharing := map[string]bool{}
 	for _, m := range q.meters {
 		if !m.tells(now, q.round) {
 			continue
 		}
 		m.advance(now)
-		t.Uses = append(t.Uses, Use{Customer: m.hash, Made: m.made, Recent: uint32(max(0, math.Ceil(m.own.sum)))})
+		t.Usage = append(t.Usage, CallUsage{Customer: m.hash, Admitted: m.made, Recent: uint32(max(0, math.Ceil(m.own.sum)))})
 		if q.round >= longRound {
 			for name := range m.others {
 				sharing[name] = true
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -42,8 +42,8 @@
 
 // benchTimes are the default times with probes on the benchmark's period. The
 // probe timeout stays, so that a busy machine does not turn into suspicions.
-func benchTimes() Times {
-	times := DefaultTimes()
+func benchTimes() Timing {
+	times := DefaultTiming()
 	times.SuspectTimeout = times.SuspectTimeout * benchPeriod / times.Period
 	times.Period = benchPeriod
 	return times
@@ -68,7 +68,7 @@
 			Report:    Report{Size: 16, ConfigVersion: 123456, StoreHealthy: true, Load: 500},
 			Seeds:     []string{seed},
 			Transport: PeerTransport{client},
-			Times:     benchTimes(),
+			Timing:    benchTimes(),
 			Seed:      uint64(i),
 			Log:       &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
 			Registry:  metrics.NewRegistry(),
@@ -208,7 +208,7 @@
 
 func fullTable(n int) *Table {
 	now := time.Unix(1000, 0)
-	table := NewTable("dc0.instance-000.abcdefgh", "10.0.0.1:7000", Report{}, DefaultTimes(), now)
+	table := NewTable("dc0.instance-000.abcdefgh", "10.0.0.1:7000", Report{}, DefaultTiming(), now)
 	for i := 1; i < n; i++ {
 		cohort := fmt.Sprintf("dc%d.instance-%03d.abcdefgh", i%5, i)
 		table.Merge(Record{Cohort: program.Cohort(cohort), Address: fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250), State: Live}, now)
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -41,7 +41,7 @@
 	sent    map[string]int
 	bytes   map[string]int
 	objects *standin.Store
-	times   Times
+	times   Timing
 }
 
 // node is a running or stopped process.
@@ -65,7 +65,7 @@
 		sent:    map[string]int{},
 		bytes:   map[string]int{},
 		objects: standin.NewStore(),
-		times:   DefaultTimes(),
+		times:   DefaultTiming(),
 	}
 }
 
@@ -84,7 +84,7 @@
 		Seeds:     seeds,
 		Store:     gated{n.objects, nd},
 		Transport: memory{nd},
-		Times:     n.times,
+		Timing:    n.times,
 		Seed:      uint64(len(n.nodes)*100 + incarnation),
 		OnEvent:   func(e Event) { nd.events = append(nd.events, e) },
 		Log:       &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
@@ -253,17 +253,17 @@
 	return pongFromWire(answer.GetResponder(), answer.GetRecords())
 }
 
-func (m memory) PingVia(ctx context.Context, to string, v Via) (ViaResult, error) {
+func (m memory) PingVia(ctx context.Context, to string, v IndirectPing) (IndirectPong, error) {
 	receiver, err := m.from.net.route(ctx, m.from, to)
 	if err != nil {
-		return ViaResult{}, err
+		return IndirectPong{}, err
 	}
 	answer, err := Service{receiver.runner}.PingVia(ctx, recode(viaToWire(v), &peerpb.PingViaRequest{}))
 	if err != nil || ctx.Err() != nil {
-		return ViaResult{}, errors.Wrap(errCut, "no answer in time")
+		return IndirectPong{}, errors.Wrap(errCut, "no answer in time")
 	}
 	record, ok := fromWire(answer.GetTarget())
-	return ViaResult{Reached: answer.GetReached() && ok, Target: record}, nil
+	return IndirectPong{Reached: answer.GetReached() && ok, Target: record}, nil
 }
 
 func (m memory) Join(ctx context.Context, to string, sender Record) (Pong, error) {
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -194,11 +194,11 @@
 			return
 		}
 		now := time.Unix(1000, 0)
-		table := NewTable("a.i.1", "127.0.0.1:1", Report{}, DefaultTimes(), now)
+		table := NewTable("a.i.1", "127.0.0.1:1", Report{}, DefaultTiming(), now)
 		table.Announce(Live, now)
 		for _, r := range fromWireAll(request.GetRecords()) {
 			table.Merge(r, now)
-			table.Contact(r.Cohort, now)
+			table.RecordContact(r.Cohort, now)
 		}
 		table.Tick(now.Add(time.Hour))
 		if table.Self().State != Live {
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -107,7 +107,7 @@
 }
 
 func (r *Runner) joinAt(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, 2*r.options.Times.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*r.options.Timing.ProbeTimeout)
 	defer cancel()
 	r.mu.Lock()
 	self := r.table.Self()
--- a/internal/membership/loopback_test.go
+++ b/internal/membership/loopback_test.go
@@ -23,14 +23,14 @@
 	is.New(t).NoErr(err)
 	registry := metrics.NewRegistry()
 	client := peer.NewClient(secret, time.Minute, registry)
-	times := DefaultTimes()
+	times := DefaultTiming()
 	times.ProbeTimeout = time.Minute // a busy machine is not a failure here
 	r := NewRunner(Options{
 		Self:      cohort,
 		Address:   listener.Addr().String(),
 		Report:    Report{Size: 8, ConfigVersion: 5, StoreHealthy: true, Load: 250},
 		Transport: PeerTransport{client},
-		Times:     times,
+		Timing:    times,
 		Log:       &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
 		Registry:  registry,
 	})
@@ -55,7 +55,7 @@
 	a, b, c := startServed(t, "dc0.a.1", "s"), startServed(t, "dc0.b.1", "s"), startServed(t, "dc1.c.1", "s")
 	is.NoErr(b.joinAt(ctx, a.options.Address))
 	is.NoErr(c.joinAt(ctx, a.options.Address))
-	result, err := a.options.Transport.PingVia(ctx, b.options.Address, Via{
+	result, err := a.options.Transport.PingVia(ctx, b.options.Address, IndirectPing{
 		Sender: a.View().Self.Record, Target: "dc1.c.1", TargetAddress: c.options.Address,
 	})
 	is.NoErr(err)
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -86,14 +86,14 @@
 	// Incarnation is raised by the member alone, to refute a suspicion.
 	Incarnation uint64
 	// Beat orders the reports within one incarnation.
-	Beat   uint64
-	Report Report
+	ReportSequence uint64
+	Report         Report
 	// Witnesses failed to reach the member in this incarnation.
 	Witnesses []program.Cohort
 	// DeadFor is the time since a dead member was declared dead.
 	DeadFor time.Duration
 	// Left says that a dead member announced its own end.
-	Left bool
+	LeftGracefully bool
 }
 
 // DataCentre returns the member's data centre.
@@ -114,10 +114,10 @@
 	// Since is when the member entered its state, in this instance's eyes.
 	Since time.Time
 	// Heard is when the newest report arrived.
-	Heard time.Time
+	LastReport time.Time
 	// Unreached is when this instance first failed to reach the member, zero
 	// if it reaches it.
-	Unreached time.Time
+	UnreachableSince time.Time
 	// Listed is the word of the platform's list.
 	Listed Listed
 }
@@ -127,7 +127,7 @@
 func (m Member) Available() bool { return m.State == Live && m.Listed != ListedLeaving }
 
 // Times are the periods and bounds of the protocol.
-type Times struct {
+type Timing struct {
 	// Period is the time between two probes of ring successors.
 	Period time.Duration
 	// ProbeTimeout bounds a direct probe; an indirect one takes two.
@@ -147,8 +147,8 @@
 }
 
 // DefaultTimes suit data centres a few milliseconds apart.
-func DefaultTimes() Times {
-	return Times{
+func DefaultTiming() Timing {
+	return Timing{
 		Period:         time.Second,
 		ProbeTimeout:   500 * time.Millisecond,
 		SuspectTimeout: 5 * time.Second,
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -53,7 +53,7 @@
 	if r.State == Dead && r.DeadFor >= t.times.DeadRetention {
 		return
 	}
-	e := &entry{Member: Member{Record: r, Since: now, Heard: now}}
+	e := &entry{Member: Member{Record: r, Since: now, LastReport: now}}
 	if r.State == Dead {
 		e.Since = now.Add(-r.DeadFor)
 	}
@@ -82,7 +82,7 @@
 	if r.Incarnation == e.Incarnation && r.State != Dead {
 		witnesses = t.joinWitnesses(e, r.Witnesses)
 	}
-	e.State, e.Incarnation, e.Left = r.State, r.Incarnation, r.Left
+	e.State, e.Incarnation, e.LeftGracefully = r.State, r.Incarnation, r.LeftGracefully
 	e.Witnesses = witnesses
 	e.sent = 0
 	t.changed = true
@@ -106,13 +106,13 @@
 }
 
 func (t *Table) mergeReport(e *entry, r Record, now time.Time) {
-	if r.Incarnation < e.Incarnation || r.Beat <= e.Beat {
+	if r.Incarnation < e.Incarnation || r.ReportSequence <= e.ReportSequence {
 		return
 	}
 	t.changed = t.changed || e.Report != r.Report
-	e.Beat = r.Beat
+	e.ReportSequence = r.ReportSequence
 	e.Report = r.Report
-	e.Heard = now
+	e.LastReport = now
 }
 
 // record returns an entry as it is sent, with the age of a death at now.
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -23,13 +23,13 @@
 			}
 		}
 		time.Sleep(10 * time.Minute)
-		for _, centre := range nodes[0].runner.View().Centres() {
+		for _, centre := range nodes[0].runner.View().DataCentres() {
 			is.Equal(centre.Reachable, centre.Name == "dc0")
 		}
 		net.heal()
 		time.Sleep(30 * time.Second)
 		for _, nd := range nodes {
-			for _, centre := range nd.runner.View().Centres() {
+			for _, centre := range nd.runner.View().DataCentres() {
 				is.True(centre.Reachable)
 			}
 			is.Equal(len(nd.runner.View().Living("")), len(nodes))
@@ -57,7 +57,7 @@
 		time.Sleep(5 * time.Minute)
 		for _, a := range nodes[:2] {
 			is.True(a.runner.View().Isolated)
-			is.True(!a.runner.View().Contends("leases", len(nodes)))
+			is.True(!a.runner.View().IsContender("leases", len(nodes)))
 			a.noneDead(is, nodes[2:])
 		}
 		for _, b := range nodes[2:] {
@@ -160,10 +160,10 @@
 		for _, nd := range nodes[:3] {
 			nd.kill()
 		}
-		time.Sleep(DefaultTimes().IsolationHold / 2)
+		time.Sleep(DefaultTiming().IsolationHold / 2)
 		is.True(nodes[3].runner.View().Isolated)
 		is.True(nodes[3].stateOf(nodes[0]) != Dead)
-		time.Sleep(2 * DefaultTimes().IsolationHold)
+		time.Sleep(2 * DefaultTiming().IsolationHold)
 		for _, nd := range nodes[:3] {
 			is.Equal(nodes[3].stateOf(nd), Dead)
 			is.Equal(nodes[4].stateOf(nd), Dead)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -19,13 +19,13 @@
 	if reached || ctx.Err() != nil {
 		return
 	}
-	r.update(func(table *Table, now time.Time) { table.Accuse(t.cohort, t.incarnation, outcome, now) })
+	r.update(func(table *Table, now time.Time) { table.RecordProbeFailure(t.cohort, t.incarnation, outcome, now) })
 }
 
 // pingOnce sends one heartbeat and takes in the answer.
 func (r *Runner) pingOnce(ctx context.Context, t target) error {
 	r.probes.Inc(1)
-	ctx, cancel := context.WithTimeout(ctx, r.options.Times.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, r.options.Timing.ProbeTimeout)
 	defer cancel()
 	pong, err := r.options.Transport.Ping(ctx, t.address, r.message(t.cohort))
 	if err != nil {
@@ -50,7 +50,7 @@
 func (r *Runner) takeIn(expected program.Cohort, pong Pong) {
 	r.update(func(t *Table, now time.Time) {
 		t.Merge(pong.Responder, now)
-		t.Contact(pong.Responder.Cohort, now)
+		t.RecordContact(pong.Responder.Cohort, now)
 		for _, record := range pong.Records {
 			t.Merge(record, now)
 		}
@@ -67,7 +67,7 @@
 	self := r.table.Self()
 	r.mu.Unlock()
 
-	ctx, cancel := context.WithTimeout(ctx, 2*r.options.Times.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*r.options.Timing.ProbeTimeout)
 	defer cancel()
 	var (
 		wait    sync.WaitGroup
@@ -78,7 +78,7 @@
 	for _, h := range helpers {
 		wait.Go(func() {
 			r.probes.Inc(1)
-			m := Via{Sender: self, Target: t.cohort, TargetAddress: t.address}
+			m := IndirectPing{Sender: self, Target: t.cohort, TargetAddress: t.address}
 			result, err := r.options.Transport.PingVia(ctx, h.address, m)
 			mu.Lock()
 			defer mu.Unlock()
@@ -112,7 +112,7 @@
 	var pong Pong
 	r.update(func(t *Table, now time.Time) {
 		t.Merge(m.Sender, now)
-		t.Contact(m.Sender.Cohort, now)
+		t.RecordContact(m.Sender.Cohort, now)
 		for _, record := range m.Records {
 			t.Merge(record, now)
 		}
@@ -123,19 +123,19 @@
 }
 
 // HandleVia probes a third member for the sender.
-func (r *Runner) HandleVia(ctx context.Context, m Via) ViaResult {
+func (r *Runner) HandleIndirectPing(ctx context.Context, m IndirectPing) IndirectPong {
 	r.update(func(t *Table, now time.Time) {
 		t.Merge(m.Sender, now)
-		t.Contact(m.Sender.Cohort, now)
+		t.RecordContact(m.Sender.Cohort, now)
 	})
 	if r.pingOnce(ctx, target{cohort: m.Target, address: m.TargetAddress}) != nil {
-		r.update(func(t *Table, now time.Time) { t.Unreached(m.Target, now) })
-		return ViaResult{}
+		r.update(func(t *Table, now time.Time) { t.MarkUnreachable(m.Target, now) })
+		return IndirectPong{}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	member, ok := r.table.Lookup(m.Target)
-	return ViaResult{Reached: ok, Target: member.Record}
+	return IndirectPong{Reached: ok, Target: member.Record}
 }
 
 // HandleJoin answers a newcomer with all records.
@@ -143,7 +143,7 @@
 	var pong Pong
 	r.update(func(t *Table, now time.Time) {
 		t.Merge(sender, now)
-		t.Contact(sender.Cohort, now)
+		t.RecordContact(sender.Cohort, now)
 		pong.Responder = t.Self()
 		pong.Records = t.Records(now)
 	})
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -40,7 +40,7 @@
 	// Store is the object API, nil to use seeds alone.
 	Store     store.Client
 	Transport Transport
-	Times     Times
+	Timing    Timing
 	// Seed seeds the choice of members to probe.
 	Seed uint64
 	// OnView is called with each new view, in order. It must neither block nor
@@ -69,7 +69,7 @@
 func NewRunner(o Options) *Runner {
 	r := &Runner{
 		options:  o,
-		table:    NewTable(o.Self, o.Address, o.Report, o.Times, time.Now()),
+		table:    NewTable(o.Self, o.Address, o.Report, o.Timing, time.Now()),
 		rng:      rand.New(rand.NewPCG(o.Seed, o.Seed)),
 		probes:   metrics.GetOrRegisterCounter("membership.probes", o.Registry),
 		failures: metrics.GetOrRegisterCounter("membership.probe_failures", o.Registry),
@@ -95,7 +95,7 @@
 }
 
 func (r *Runner) heartbeat(ctx context.Context) error {
-	ticker := time.NewTicker(r.options.Times.Period)
+	ticker := time.NewTicker(r.options.Timing.Period)
 	defer ticker.Stop()
 	var probes errgroup.Group
 	probes.SetLimit(probesInFlight)
@@ -124,7 +124,7 @@
 func (r *Runner) startPeriod(period uint64) []target {
 	var targets []target
 	r.update(func(t *Table, now time.Time) {
-		t.Beat(now)
+		t.AdvanceReport(now)
 		t.Tick(now)
 		targets = t.targets(period, r.rng)
 	})
--- a/internal/membership/sample.go
+++ b/internal/membership/sample.go
@@ -161,7 +161,7 @@
 // centre first, then others, none that this instance can't reach itself.
 func (t *Table) helpers(of target, rng *rand.Rand) []target {
 	usable := func(e *entry) bool {
-		return e.Cohort != of.cohort && e.State.Present() && e.Unreached.IsZero()
+		return e.Cohort != of.cohort && e.State.Present() && e.UnreachableSince.IsZero()
 	}
 	own := t.among(func(e *entry) bool { return usable(e) && e.DataCentre() == of.cohort.DataCentre() })
 	rest := t.among(func(e *entry) bool { return usable(e) && e.DataCentre() != of.cohort.DataCentre() })
@@ -181,7 +181,7 @@
 func (t *Table) healing(rng *rand.Rand) (target, bool) {
 	var dead []*entry
 	for _, e := range t.entries {
-		if e.State == Dead && !e.Left && e != t.self {
+		if e.State == Dead && !e.LeftGracefully && e != t.self {
 			dead = append(dead, e)
 		}
 	}
--- a/internal/membership/survey.go
+++ b/internal/membership/survey.go
@@ -29,7 +29,7 @@
 	for _, t := range targets {
 		group.Go(func() error {
 			if err := r.pingOnce(ctx, t); err != nil {
-				r.update(func(table *Table, now time.Time) { table.Unreached(t.cohort, now) })
+				r.update(func(table *Table, now time.Time) { table.MarkUnreachable(t.cohort, now) })
 			}
 			return nil
 		})
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -22,16 +22,16 @@
 
 // The kinds of events.
 const (
-	Joined        EventKind = "joined"
-	BecameLive    EventKind = "live"
-	Suspected     EventKind = "suspected"
-	Refuted       EventKind = "refuted"
-	BeganLeaving  EventKind = "leaving"
-	DeclaredDead  EventKind = "dead"
-	Forgotten     EventKind = "forgotten"
-	SelfDead      EventKind = "self_declared_dead"
-	BecameIsolate EventKind = "isolated"
-	EndedIsolate  EventKind = "isolation_ended"
+	Joined         EventKind = "joined"
+	BecameLive     EventKind = "live"
+	Suspected      EventKind = "suspected"
+	Refuted        EventKind = "refuted"
+	BeganLeaving   EventKind = "leaving"
+	DeclaredDead   EventKind = "dead"
+	Forgotten      EventKind = "forgotten"
+	SelfDead       EventKind = "self_declared_dead"
+	BecameIsolated EventKind = "isolated"
+	IsolationEnded EventKind = "isolation_ended"
 )
 
 // Event is a change seen by this instance.
@@ -65,7 +65,7 @@
 // included. It does no I/O, takes the time as an argument, and is not safe for
 // concurrent use.
 type Table struct {
-	times         Times
+	times         Timing
 	self          *entry
 	entries       map[program.Cohort]*entry
 	centres       map[string]*centre
@@ -79,10 +79,10 @@
 }
 
 // NewTable returns a table that holds this instance alone, joining.
-func NewTable(self program.Cohort, address string, report Report, times Times, now time.Time) *Table {
+func NewTable(self program.Cohort, address string, report Report, times Timing, now time.Time) *Table {
 	me := &entry{Member: Member{
 		Record: Record{Cohort: self, Address: address, State: Joining, Report: report},
-		Since:  now, Heard: now,
+		Since:  now, LastReport: now,
 	}}
 	t := &Table{
 		times:   times,
@@ -120,9 +120,9 @@
 }
 
 // Beat starts a new period of this instance's reports.
-func (t *Table) Beat(now time.Time) {
-	t.self.Beat++
-	t.self.Heard = now
+func (t *Table) AdvanceReport(now time.Time) {
+	t.self.ReportSequence++
+	t.self.LastReport = now
 	t.changed = true // a view a period keeps the ages in it current
 }
 
@@ -134,7 +134,7 @@
 		return
 	}
 	t.self.Report = r
-	t.self.Beat++
+	t.self.ReportSequence++
 	t.changed = true
 }
 
@@ -154,7 +154,7 @@
 		return
 	}
 	t.self.Incarnation++
-	t.self.Left = true
+	t.self.LeftGracefully = true
 	t.enterSelf(Dead, now)
 }
 
@@ -188,7 +188,7 @@
 }
 
 // Contact notes an exchange with a member, in either direction.
-func (t *Table) Contact(c program.Cohort, now time.Time) {
+func (t *Table) RecordContact(c program.Cohort, now time.Time) {
 	site := t.centre(c.DataCentre())
 	t.changed = t.changed || site.failures >= linkFailures
 	site.contact = now
@@ -198,22 +198,22 @@
 		return
 	}
 	e.checked = now
-	if !e.Unreached.IsZero() {
-		e.Unreached = time.Time{}
+	if !e.UnreachableSince.IsZero() {
+		e.UnreachableSince = time.Time{}
 		t.changed = true
 	}
 }
 
 // Unreached notes that this instance failed to reach a member. It is kept to
 // itself: it counts for isolation and accuses nobody.
-func (t *Table) Unreached(c program.Cohort, now time.Time) {
+func (t *Table) MarkUnreachable(c program.Cohort, now time.Time) {
 	e, ok := t.entries[c]
 	if !ok || e == t.self {
 		return
 	}
 	e.checked = now
-	if e.Unreached.IsZero() {
-		e.Unreached = now
+	if e.UnreachableSince.IsZero() {
+		e.UnreachableSince = now
 		t.changed = true
 	}
 }
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -14,11 +14,11 @@
 
 // tableOf returns a table of a.self with the given members live.
 func tableOf(others ...program.Cohort) *Table {
-	t := NewTable("a.self.1", "a-self", Report{Size: 1, StoreHealthy: true}, DefaultTimes(), start)
+	t := NewTable("a.self.1", "a-self", Report{Size: 1, StoreHealthy: true}, DefaultTiming(), start)
 	t.Announce(Live, start)
 	for _, c := range others {
 		t.Merge(Record{Cohort: c, Address: string(c), State: Live}, start)
-		t.Contact(c, start)
+		t.RecordContact(c, start)
 	}
 	return t
 }
@@ -33,7 +33,7 @@
 // may merely be cut off from them. Three of its own suffice.
 func TestDeathNeedsWitnessesOfTheOwnDataCentre(t *testing.T) {
 	is := is.New(t)
-	late := start.Add(DefaultTimes().SuspectTimeout)
+	late := start.Add(DefaultTiming().SuspectTimeout)
 	members := []program.Cohort{"a.m.1", "a.x.1", "a.y.1", "a.z.1", "b.p.1", "b.q.1"}
 	table := tableOf(members...)
 	table.Suspect("a.m.1", 0, []program.Cohort{"a.self.1", "b.p.1", "b.q.1"}, start)
@@ -51,7 +51,7 @@
 	table := tableOf("a.m.1", "a.x.1", "a.y.1", "a.z.1")
 	table.Suspect("a.m.1", 0, []program.Cohort{"a.self.1", "a.x.1", "a.y.1"}, start)
 	table.Suspect("a.x.1", 0, []program.Cohort{"a.z.1"}, start)
-	table.Tick(start.Add(DefaultTimes().SuspectTimeout))
+	table.Tick(start.Add(DefaultTiming().SuspectTimeout))
 	is.Equal(stateIn(table, "a.m.1"), Suspect)
 }
 
@@ -60,7 +60,7 @@
 // counts; the new process must find room, or the member stays suspect for good.
 func TestDeadWitnessMakesRoom(t *testing.T) {
 	is := is.New(t)
-	late := start.Add(DefaultTimes().SuspectTimeout * patience)
+	late := start.Add(DefaultTiming().SuspectTimeout * patience)
 	table := tableOf("a.m.1", "a.x.1", "a.y.1")
 	table.Suspect("a.m.1", 0, []program.Cohort{"a.self.1", "a.x.1", "a.y.1"}, start)
 	table.Superseded("a.x.1", start)
@@ -78,10 +78,10 @@
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.x.1", "a.y.1", "a.z.1", "a.v.1", "a.w.1")
 	outcome := Helpers{Failed: []program.Cohort{"a.x.1"}, Silent: []program.Cohort{"a.y.1", "a.z.1"}}
-	table.Accuse("a.m.1", 0, outcome, start)
+	table.RecordProbeFailure("a.m.1", 0, outcome, start)
 	is.Equal(stateIn(table, "a.m.1"), Live)
 	outcome.Silent = nil
-	table.Accuse("a.m.1", 0, outcome, start)
+	table.RecordProbeFailure("a.m.1", 0, outcome, start)
 	is.Equal(stateIn(table, "a.m.1"), Suspect)
 }
 
@@ -93,12 +93,12 @@
 	table := tableOf("a.m.1", "a.n.1", "a.o.1", "a.x.1", "a.y.1")
 	table.Merge(Record{Cohort: "a.m.1", State: Dead}, start)
 	table.Merge(Record{Cohort: "a.n.1", State: Dead}, start)
-	table.Unreached("a.o.1", start)
+	table.MarkUnreachable("a.o.1", start)
 	table.Tick(start)
 	is.True(table.View(start).Isolated) // three in sight, three out of sight
-	later := start.Add(DefaultTimes().IsolationHold)
-	table.Contact("a.x.1", later)
-	table.Contact("a.y.1", later)
+	later := start.Add(DefaultTiming().IsolationHold)
+	table.RecordContact("a.x.1", later)
+	table.RecordContact("a.y.1", later)
 	table.Tick(later)
 	is.True(!table.View(later).Isolated)
 }
@@ -111,9 +111,9 @@
 	witnesses := []program.Cohort{"a.self.1", "a.x.1", "a.y.1"}
 	table.Suspect("a.m.1", 0, witnesses, start)
 	table.Suspect("a.n.1", 0, witnesses, start)
-	table.Tick(start.Add(DefaultTimes().SuspectTimeout))
+	table.Tick(start.Add(DefaultTiming().SuspectTimeout))
 	is.Equal(stateIn(table, "a.m.1"), Suspect)
-	table.Tick(start.Add(patience * DefaultTimes().SuspectTimeout))
+	table.Tick(start.Add(patience * DefaultTiming().SuspectTimeout))
 	is.Equal(stateIn(table, "a.m.1"), Dead)
 }
 
@@ -149,18 +149,18 @@
 	contending := 0
 	for i := range fleet {
 		now := start
-		table := NewTable(program.Cohort(fmt.Sprintf("a.i%d.1", i)), "", Report{Size: 1}, DefaultTimes(), now)
+		table := NewTable(program.Cohort(fmt.Sprintf("a.i%d.1", i)), "", Report{Size: 1}, DefaultTiming(), now)
 		table.Announce(Live, now)
 		for j := range fleet {
 			c := program.Cohort(fmt.Sprintf("a.i%d.1", j))
-			table.Merge(Record{Cohort: c, State: Live, Beat: 1, Report: Report{Size: 1}}, now)
+			table.Merge(Record{Cohort: c, State: Live, ReportSequence: 1, Report: Report{Size: 1}}, now)
 		}
-		if !table.View(now).Contends("leases", wanted) {
+		if !table.View(now).IsContender("leases", wanted) {
 			continue
 		}
 		contending++
 		table.Fence(now)
-		is.True(!table.View(now).Contends("leases", wanted))
+		is.True(!table.View(now).IsContender("leases", wanted))
 	}
 	is.Equal(contending, wanted)
 }
@@ -170,7 +170,7 @@
 func TestRankFollowsSize(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.x.1")
-	table.Merge(Record{Cohort: "a.m.1", State: Live, Beat: 1, Report: Report{Size: 3}}, start)
+	table.Merge(Record{Cohort: "a.m.1", State: Live, ReportSequence: 1, Report: Report{Size: 3}}, start)
 	full := table.View(start)
 	table.Merge(Record{Cohort: "a.x.1", State: Leaving, Incarnation: 1}, start)
 	without := table.View(start)
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -22,14 +22,14 @@
 }
 
 // Via asks for an indirect probe of Target.
-type Via struct {
+type IndirectPing struct {
 	Sender        Record
 	Target        program.Cohort
 	TargetAddress string
 }
 
 // ViaResult answers a Via. Target is set when it was reached.
-type ViaResult struct {
+type IndirectPong struct {
 	Reached bool
 	Target  Record
 }
@@ -37,7 +37,7 @@
 // Transport carries the protocol's messages to an address.
 type Transport interface {
 	Ping(ctx context.Context, address string, m Ping) (Pong, error)
-	PingVia(ctx context.Context, address string, m Via) (ViaResult, error)
+	PingVia(ctx context.Context, address string, m IndirectPing) (IndirectPong, error)
 	// Join returns all the records held at the address.
 	Join(ctx context.Context, address string, sender Record) (Pong, error)
 }
--- a/internal/membership/verdict.go
+++ b/internal/membership/verdict.go
@@ -71,25 +71,25 @@
 	switch {
 	case isolated && !t.Isolated():
 		t.isolatedSince = now
-		t.emit(BecameIsolate, t.self)
+		t.emit(BecameIsolated, t.self)
 	case !isolated && t.Isolated():
 		t.isolatedSince = time.Time{}
-		t.emit(EndedIsolate, t.self)
+		t.emit(IsolationEnded, t.self)
 	}
 }
 
 // outOfSight reports whether a member's silence may be this instance's fault.
 func (t *Table) outOfSight(e *entry, now time.Time) bool {
 	if e.State == Dead {
-		return !e.Left && !e.confirmed && now.Sub(e.Since) < t.times.IsolationHold
+		return !e.LeftGracefully && !e.confirmed && now.Sub(e.Since) < t.times.IsolationHold
 	}
-	silent := e.State == Suspect || !e.Unreached.IsZero()
+	silent := e.State == Suspect || !e.UnreachableSince.IsZero()
 	return silent && t.countWitnesses(e).foreign == 0
 }
 
 // HoldsBack reports whether this instance is isolated and has not waited long
 // enough, or can't reach the object API, to act nevertheless.
-func (t *Table) HoldsBack(now time.Time) bool {
+func (t *Table) DefersActions(now time.Time) bool {
 	if !t.Isolated() {
 		return false
 	}
@@ -100,7 +100,7 @@
 // isolated instance that waited may still be a minority which alone reaches the
 // object API; where the platform's list is read, it must confirm the death.
 func (t *Table) mayDeclare(e *entry, now time.Time) bool {
-	if t.self.State == Dead || t.HoldsBack(now) {
+	if t.self.State == Dead || t.DefersActions(now) {
 		return false
 	}
 	return !t.Isolated() || e.Listed == ListedGone || e.Listed == ListedUnknown
@@ -201,16 +201,16 @@
 // helpers kept silent, can't tell its own fault from the member's and accuses
 // nobody. The same covers a prober that was paused: the time of its probe and
 // of its helpers' answers ended while it slept.
-func (t *Table) Accuse(c program.Cohort, incarnation uint64, outcome Helpers, now time.Time) {
-	t.Unreached(c, now)
+func (t *Table) RecordProbeFailure(c program.Cohort, incarnation uint64, outcome Helpers, now time.Time) {
+	t.MarkUnreachable(c, now)
 	for _, silent := range outcome.Silent {
-		t.Unreached(silent, now)
+		t.MarkUnreachable(silent, now)
 	}
 	if c.DataCentre() != t.self.DataCentre() && !outcome.fromCentre(c.DataCentre()) {
 		t.LinkFailed(c.DataCentre())
 		return
 	}
-	if t.HoldsBack(now) || len(outcome.Silent) > len(outcome.Failed) {
+	if t.DefersActions(now) || len(outcome.Silent) > len(outcome.Failed) {
 		return
 	}
 	witnesses := append([]program.Cohort{t.self.Cohort}, outcome.Failed...)
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -12,12 +12,12 @@
 )
 
 // Centre is what this instance knows of a data centre.
-type Centre struct {
+type DataCentre struct {
 	Name string
 	// Reachable says whether the last exchanges with the data centre succeeded.
 	Reachable bool
 	// Contact is the last exchange with one of its members, zero for never.
-	Contact time.Time
+	LastContact time.Time
 }
 
 // View is an immutable snapshot of the members.
@@ -31,7 +31,7 @@
 	Fenced bool
 
 	members []Member
-	centres []Centre
+	centres []DataCentre
 	index   map[program.Cohort]int
 }
 
@@ -41,7 +41,7 @@
 
 // Centres returns the data centres in the order of their names. The slice is
 // shared and must not be changed.
-func (v *View) Centres() []Centre { return v.centres }
+func (v *View) DataCentres() []DataCentre { return v.centres }
 
 // Member returns the member of a cohort.
 func (v *View) Member(c program.Cohort) (Member, bool) {
@@ -90,7 +90,7 @@
 // Contends reports whether this instance is one of the first n living of its
 // data centre in the rank of a key and is not holding back. It bounds the
 // instances that compete for a lease, whatever the size of the data centre.
-func (v *View) Contends(key string, n int) bool {
+func (v *View) IsContender(key string, n int) bool {
 	if v.Isolated {
 		return false
 	}
@@ -114,7 +114,7 @@
 func (t *Table) View(now time.Time) *View {
 	v := &View{
 		Self:     t.self.Member,
-		Isolated: t.HoldsBack(now),
+		Isolated: t.DefersActions(now),
 		Fenced:   t.fenced,
 		members:  make([]Member, 0, len(t.entries)),
 		index:    make(map[program.Cohort]int, len(t.entries)),
@@ -127,8 +127,8 @@
 		v.index[m.Cohort] = i
 	}
 	for name, c := range t.centres {
-		v.centres = append(v.centres, Centre{Name: name, Reachable: t.reachable(name), Contact: c.contact})
+		v.centres = append(v.centres, DataCentre{Name: name, Reachable: t.reachable(name), LastContact: c.contact})
 	}
-	slices.SortFunc(v.centres, func(a, b Centre) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(v.centres, func(a, b DataCentre) int { return cmp.Compare(a.Name, b.Name) })
 	return v
 }
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -39,13 +39,13 @@
 		Address:       r.Address,
 		State:         statesToWire[r.State],
 		Incarnation:   r.Incarnation,
-		Beat:          r.Beat,
+		Beat:          r.ReportSequence,
 		Size:          r.Report.Size,
 		ConfigVersion: r.Report.ConfigVersion,
 		StoreHealthy:  r.Report.StoreHealthy,
 		LoadPermille:  r.Report.Load,
 		DeadMs:        uint64(r.DeadFor.Milliseconds()),
-		Left:          r.Left,
+		Left:          r.LeftGracefully,
 	}
 	for _, w := range r.Witnesses {
 		m.Witnesses = append(m.Witnesses, string(w))
@@ -62,19 +62,19 @@
 		return Record{}, false
 	}
 	r := Record{
-		Cohort:      program.Cohort(m.GetCohort()),
-		Address:     m.GetAddress(),
-		State:       state,
-		Incarnation: m.GetIncarnation(),
-		Beat:        m.GetBeat(),
+		Cohort:         program.Cohort(m.GetCohort()),
+		Address:        m.GetAddress(),
+		State:          state,
+		Incarnation:    m.GetIncarnation(),
+		ReportSequence: m.GetBeat(),
 		Report: Report{
 			Size:          m.GetSize(),
 			ConfigVersion: m.GetConfigVersion(),
 			StoreHealthy:  m.GetStoreHealthy(),
 			Load:          m.GetLoadPermille(),
 		},
-		DeadFor: deadFor(m.GetDeadMs()),
-		Left:    m.GetLeft(),
+		DeadFor:        deadFor(m.GetDeadMs()),
+		LeftGracefully: m.GetLeft(),
 	}
 	for _, w := range m.GetWitnesses() {
 		if validCohort(w) {
@@ -125,13 +125,13 @@
 }
 
 // PingVia implements Transport.
-func (t PeerTransport) PingVia(ctx context.Context, address string, m Via) (ViaResult, error) {
+func (t PeerTransport) PingVia(ctx context.Context, address string, m IndirectPing) (IndirectPong, error) {
 	answer, err := t.Client.PingVia(ctx, address, viaToWire(m))
 	if err != nil {
-		return ViaResult{}, err
+		return IndirectPong{}, err
 	}
 	record, ok := fromWire(answer.GetTarget())
-	return ViaResult{Reached: answer.GetReached() && ok, Target: record}, nil
+	return IndirectPong{Reached: answer.GetReached() && ok, Target: record}, nil
 }
 
 // Join implements Transport.
@@ -151,7 +151,7 @@
 	}
 }
 
-func viaToWire(m Via) *peerpb.PingViaRequest {
+func viaToWire(m IndirectPing) *peerpb.PingViaRequest {
 	return &peerpb.PingViaRequest{
 		Sender:        toWire(m.Sender),
 		Target:        string(m.Target),
@@ -192,7 +192,7 @@
 	if !ok || !validCohort(m.GetTarget()) {
 		return nil, peer.Invalid("malformed sender or target")
 	}
-	result := s.Runner.HandleVia(ctx, Via{
+	result := s.Runner.HandleIndirectPing(ctx, IndirectPing{
 		Sender:        sender,
 		Target:        program.Cohort(m.GetTarget()),
 		TargetAddress: m.GetTargetAddress(),
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -70,7 +70,7 @@
 
 // StandBy has the follower leave the questions for changes to others, or ask them again.
 // Standing by it still checks what must be in force soon when it has heard nothing.
-func (f *Follower) StandBy(standby bool) {
+func (f *Follower) SetStandby(standby bool) {
 	if f.standby.Swap(standby) == standby {
 		return
 	}
@@ -88,7 +88,7 @@
 }
 
 // LostFor returns how long the store has not answered; 0 while it does.
-func (f *Follower) LostFor(now time.Time) time.Duration {
+func (f *Follower) UnavailableFor(now time.Time) time.Duration {
 	worst := time.Duration(0)
 	for i := range f.lost {
 		if at := f.lost[i].Load(); at != 0 {
@@ -113,7 +113,7 @@
 }
 
 // Look reads all kinds once.
-func (f *Follower) Look(ctx context.Context) {
+func (f *Follower) Refresh(ctx context.Context) {
 	for _, k := range Kinds {
 		if err := f.snapshot(ctx, k); err != nil {
 			f.logger.WithError(err).WithField("kind", string(k)).Info("store not read at the start")
@@ -302,7 +302,7 @@
 // be held for good.
 func (f *Follower) noteReturn(k Kind) {
 	if now := time.Now(); k == Replicas && f.mirror.AfterOutage(k, now) && f.mirror.Age(k, now) >= outageAfter {
-		f.mirror.SetUnsettled(now.Add(returnTime))
+		f.mirror.SetRegistrationGrace(now.Add(returnTime))
 	}
 }
 
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -131,7 +131,7 @@
 
 // Doubt takes back when the store last confirmed what is mirrored: this process
 // did not run for a while, and what it holds may have changed unseen.
-func (m *Mirror) Doubt() {
+func (m *Mirror) MarkStale() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.kinds {
@@ -280,14 +280,14 @@
 // Unsettled returns how much longer a removed replica may only be unheard of:
 // entries lapse while the store is away, and those of living replicas are back
 // a moment after its return.
-func (m *Mirror) Unsettled(now time.Time) time.Duration {
+func (m *Mirror) RegistrationGrace(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return max(0, m.unsettledUntil.Sub(now))
 }
 
 // SetUnsettled notes that entries may be missing until then.
-func (m *Mirror) SetUnsettled(until time.Time) {
+func (m *Mirror) SetRegistrationGrace(until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if until.After(m.unsettledUntil) {
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -103,6 +103,6 @@
 	now := time.Now()
 	m.Confirm(Config, now)
 	is.Equal(m.Age(Config, now), time.Duration(0))
-	m.Doubt()
+	m.MarkStale()
 	is.True(m.Age(Config, now) > time.Hour)
 }
--- a/internal/mirror/relay.go
+++ b/internal/mirror/relay.go
@@ -102,7 +102,7 @@
 	case seed:
 		r.follow(ctx)
 	case restarted:
-		go r.follower.Look(ctx)
+		go r.follower.Refresh(ctx)
 	}
 	defer r.unfollow()
 	for {
@@ -120,8 +120,8 @@
 // Recheck reads the store once, after a pause of this process: a change that was
 // made meanwhile must not wait for a peer that happens to tell of it.
 func (r *Relay) Recheck(ctx context.Context) {
-	r.mirror.Doubt()
-	r.follower.Look(ctx)
+	r.mirror.MarkStale()
+	r.follower.Refresh(ctx)
 }
 
 // round talks to those that should follow the store here, and to one peer of
@@ -142,7 +142,7 @@
 		}
 	}
 	if r.followStop != nil {
-		r.follower.StandBy(!r.watches())
+		r.follower.SetStandby(!r.watches())
 	}
 	if p, ok := r.partner(peers); ok {
 		_, answered := r.exchange(ctx, p)
@@ -183,7 +183,7 @@
 	request := &mirrorpb.ExchangeRequest{
 		From:        r.name,
 		Versions:    r.versions(),
-		UnsettledMs: r.mirror.Unsettled(time.Now()).Milliseconds(),
+		UnsettledMs: r.mirror.RegistrationGrace(time.Now()).Milliseconds(),
 	}
 	response, err := p.Relay.Exchange(ctx, request)
 	if err != nil {
@@ -219,7 +219,7 @@
 		Deltas:      r.lacking(request.Versions),
 		Following:   r.Following(),
 		Watching:    r.Watching(),
-		UnsettledMs: r.mirror.Unsettled(now).Milliseconds(),
+		UnsettledMs: r.mirror.RegistrationGrace(now).Milliseconds(),
 		Follower:    r.knownFollower(),
 	}, nil
 }
@@ -303,7 +303,7 @@
 	// An instance that was cut off takes its own return for the store's. Those that
 	// heard the store all along must not hold removed replicas for its word.
 	if unsettledMs > 0 && r.mirror.AfterOutage(Replicas, time.Now()) {
-		r.mirror.SetUnsettled(time.Now().Add(time.Duration(unsettledMs) * time.Millisecond))
+		r.mirror.SetRegistrationGrace(time.Now().Add(time.Duration(unsettledMs) * time.Millisecond))
 	}
 	for _, d := range deltas {
 		if k := Kind(d.Kind); slices.Contains(Kinds, k) {
--- a/internal/mirror/relay_test.go
+++ b/internal/mirror/relay_test.go
@@ -279,13 +279,13 @@
 		var away atomic.Bool
 		m.OnChange(func(k Kind) {
 			if k == Replicas && away.Load() {
-				unsettled = m.Unsettled(time.Now())
+				unsettled = m.RegistrationGrace(time.Now())
 			}
 		})
 		f := NewFollower(m, storeOf{s, "i"}, &log.Logger{Handler: discard.Default})
 		go f.Run(ctx)
 		time.Sleep(10 * time.Second)
-		before = m.Unsettled(time.Now())
+		before = m.RegistrationGrace(time.Now())
 		s.set(func() { s.refused["i"] = true })
 		time.Sleep(4 * time.Second)
 		away.Store(true)
@@ -310,12 +310,12 @@
 		s := newFakeStore()
 		m := New()
 		f := NewFollower(m, storeOf{s, "i"}, &log.Logger{Handler: discard.Default})
-		f.Look(context.Background())
-		is.Equal(m.Unsettled(time.Now()), time.Duration(0))
+		f.Refresh(context.Background())
+		is.Equal(m.RegistrationGrace(time.Now()), time.Duration(0))
 		time.Sleep(time.Minute)
-		m.Doubt()
-		f.Look(context.Background())
-		is.Equal(m.Unsettled(time.Now()), time.Duration(0))
+		m.MarkStale()
+		f.Refresh(context.Background())
+		is.Equal(m.RegistrationGrace(time.Now()), time.Duration(0))
 	})
 }
 
@@ -334,11 +334,11 @@
 		time.Sleep(outageAfter / 2)
 		_, err := r.Exchange(context.Background(), word)
 		is.NoErr(err)
-		is.Equal(m.Unsettled(time.Now()), time.Duration(0))
+		is.Equal(m.RegistrationGrace(time.Now()), time.Duration(0))
 		time.Sleep(outageAfter)
 		_, err = r.Exchange(context.Background(), word)
 		is.NoErr(err)
-		is.Equal(m.Unsettled(time.Now()), returnTime)
+		is.Equal(m.RegistrationGrace(time.Now()), returnTime)
 	})
 }
 
--- a/internal/mirror/succession.go
+++ b/internal/mirror/succession.go
@@ -107,7 +107,7 @@
 
 // Following reports whether this instance follows the store and is answered.
 func (r *Relay) Following() bool {
-	return r.follower.Active() && r.follower.LostFor(time.Now()) < lostMost
+	return r.follower.Active() && r.follower.UnavailableFor(time.Now()) < lostMost
 }
 
 // Watching reports whether this instance follows the store, is answered, and asks it for
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -44,7 +44,7 @@
 
 // Silent reports that a connection failed since the other side no longer
 // answers at all: it has no power, or the way to it is cut.
-func Silent(err error) bool {
+func Unresponsive(err error) bool {
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.EHOSTUNREACH)
 }
 
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -290,7 +290,7 @@
 
 // WhenSilent implements history.Keepers. One that is not heard already is asked
 // through another entry.
-func (f *fleet) WhenSilent(name string, g func()) (stop func()) {
+func (f *fleet) OnSilence(name string, g func()) (stop func()) {
 	if !f.hears(name) {
 		return func() {}
 	}
@@ -298,7 +298,7 @@
 }
 
 // CutOff implements history.Keepers.
-func (f *fleet) CutOff() bool { return f.cutOff() }
+func (f *fleet) Isolated() bool { return f.cutOff() }
 
 // viaPath begins the path at which an entry passes calls on to a keeper.
 const viaPath = "/via/"
@@ -336,7 +336,7 @@
 }
 
 // Tell implements history.Peers.
-func (f *fleet) Tell(status *historypb.StatusResponse) {
+func (f *fleet) BroadcastStatus(status *historypb.StatusResponse) {
 	data, err := proto.Marshal(status)
 	if err != nil {
 		f.logger.WithError(err).Warn("standing not encoded")
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -31,9 +31,9 @@
 	quiet := &log.Logger{Handler: discard.Default}
 	f := newFleet(s, m, nil, quiet)
 	f.refresh()
-	x := peerload.New("me", "a", peerload.EntryReach, upstream.NewTable(), f.datagramAddresses, quiet)
-	f.hears = func(name string) bool { return x.Hears(name, cutAfter) }
-	f.cutOff = func() bool { return x.CutOffFor(nil) > isolatedAfter }
+	x := peerload.New("me", "a", peerload.EntryFanout, upstream.NewTable(), f.datagramAddresses, quiet)
+	f.hears = func(name string) bool { return x.HeardOrUnknown(name, cutAfter) }
+	f.cutOff = func() bool { return x.IsolatedFor(nil) > isolatedAfter }
 	return f, x
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,12 +42,12 @@
 // Replicas sends calls and keeps connections to the replicas that are there.
 type Replicas interface {
 	gateway.Replicas
-	Keep(targets map[gateway.Target]bool)
+	RetainTargets(targets map[gateway.Target]bool)
 	Idle(name, address string) bool
 }
 
 // Dialect is how the platform's parties are spoken to.
-type Dialect struct {
+type Adapter struct {
 	Objects  Objects
 	Replicas Replicas
 	// Table and Replica decode what operators and replicas write into the store.
@@ -101,7 +101,7 @@
 // Node is one running instance.
 type Node struct {
 	settings Settings
-	dialect  Dialect
+	dialect  Adapter
 	logger   log.Interface
 	registry metrics.Registry
 
@@ -131,7 +131,7 @@
 }
 
 // New returns a node that is not yet running.
-func New(s Settings, d Dialect, logger log.Interface, registry metrics.Registry) (*Node, error) {
+func New(s Settings, d Adapter, logger log.Interface, registry metrics.Registry) (*Node, error) {
 	n := &Node{
 		settings: s,
 		dialect:  d,
@@ -155,20 +155,20 @@
 			return nil, err
 		}
 	}
-	reach := peerload.EntryReach
+	reach := peerload.EntryFanout
 	if n.keeper != nil {
-		reach = peerload.KeeperReach
+		reach = peerload.KeeperFanout
 	}
 	n.load = peerload.New(s.Instance, s.DataCentre, reach, n.upstream, n.fleet.datagramAddresses, n.logger)
-	n.fleet.tell = n.load.Tell
+	n.fleet.tell = n.load.BroadcastKeeperStatus
 	if n.keeper != nil {
-		n.load.OnStanding(n.takeStanding)
+		n.load.OnKeeperStatus(n.takeStanding)
 	}
 	if s.Callers != "" {
-		n.load.OnUses(n.quotas)
+		n.load.SetQuotas(n.quotas)
 	}
-	n.fleet.hears = func(name string) bool { return n.load.Hears(name, cutAfter) }
-	n.fleet.misses = func(name string) (bool, bool) { return n.load.Misses(name, missedAfter) }
+	n.fleet.hears = func(name string) bool { return n.load.HeardOrUnknown(name, cutAfter) }
+	n.fleet.misses = func(name string) (bool, bool) { return n.load.Silent(name, missedAfter) }
 	n.fleet.cutOff = n.isolated
 	n.openGateway()
 	return n, nil
@@ -176,38 +176,38 @@
 
 func (n *Node) openGateway() {
 	sched := scheduler.New(scheduler.Settings{
-		DataCentre: n.settings.DataCentre,
-		Ways:       n.settings.ways(),
-		Logger:     n.logger,
-		Random:     rand.Uint64,
-		Idle:       n.dialect.Replicas.Idle,
-		Connect:    connectCost,
-		Remote:     n.load.Silence,
-		MaxViewAge: cutAfter,
+		DataCentre:        n.settings.DataCentre,
+		DataCentreRTT:     n.settings.ways(),
+		Logger:            n.logger,
+		Random:            rand.Uint64,
+		HasIdleConnection: n.dialect.Replicas.Idle,
+		ConnectCost:       connectCost,
+		RemoteViewAge:     n.load.DataCentreSilentFor,
+		MaxViewAge:        cutAfter,
 	}, n.upstream, cache.New(cache.Options{MaxBlocks: viewBlocks}))
 	n.fleet.whenSilent = n.keepers.when
 	turns := history.NewClient(n.fleet, n.assignment, n.logger)
 	n.gateway = gateway.New(gateway.Settings{
-		Table:     n.table.Load,
-		Instances: n.fleet.entries,
-		CutOffFor: n.cutOffFor,
-		Quotas:    n.quotas,
+		Table:       n.table.Load,
+		Instances:   n.fleet.entries,
+		IsolatedFor: n.cutOffFor,
+		Quotas:      n.quotas,
 
-		Silence:    n.load.Silence,
-		WhenSilent: n.dataCentres.when,
+		SilentFor: n.load.DataCentreSilentFor,
+		OnSilence: n.dataCentres.when,
 	}, sched, n.dialect.Replicas, turns, n.logger, n.registry)
 }
 
 func (n *Node) openKeeper() error {
 	k, err := history.Open(history.Settings{
-		Name:        n.settings.Instance,
-		DataCentre:  n.settings.DataCentre,
-		DataCentres: len(n.settings.DataCentres),
-		Folder:      n.settings.DataFolder,
-		DisksLost:   n.settings.DisksLost,
-		Keepers:     n.fleet.candidates,
-		Retiring:    n.retiring,
-		Logger:      n.logger,
+		Name:            n.settings.Instance,
+		DataCentre:      n.settings.DataCentre,
+		DataCentres:     len(n.settings.DataCentres),
+		Folder:          n.settings.DataFolder,
+		MaxDiskFailures: n.settings.MaxDiskFailures,
+		Keepers:         n.fleet.candidates,
+		Retiring:        n.retiring,
+		Logger:          n.logger,
 	}, n.fleet, n.fleet)
 	n.keeper = k
 	return err
@@ -242,7 +242,7 @@
 	group.Go(func() error { return n.fleet.register(serving) })
 	if n.settings.Callers != "" {
 		// Keepers are sent no datagrams and can't tell who is silent.
-		group.Go(func() error { n.fleet.forget(serving, n.relay.Following, n.load.Heard); return nil })
+		group.Go(func() error { n.fleet.forget(serving, n.relay.Following, n.load.HeardWithin); return nil })
 	}
 	group.Go(func() error { return n.servePeers(serving) })
 	group.Go(func() error { return n.serveMetrics(serving) })
@@ -262,7 +262,7 @@
 		group.Go(func() error { n.followFleet(serving); return nil })
 	}
 	group.Go(func() error {
-		n.dataCentres.run(serving, func(dc string) bool { return n.load.Silence(dc) > cutAfter })
+		n.dataCentres.run(serving, func(dc string) bool { return n.load.DataCentreSilentFor(dc) > cutAfter })
 		return nil
 	})
 	group.Go(func() error { n.logSilences(serving); return nil })
@@ -279,9 +279,9 @@
 func (n *Node) woke(ctx context.Context) func(time.Duration) {
 	return func(paused time.Duration) {
 		n.logger.WithField("paused_ms", paused.Milliseconds()).Warn("did not run for a while")
-		n.load.Woke()
+		n.load.ResetAfterPause()
 		if n.keeper != nil {
-			n.keeper.Woke()
+			n.keeper.ResetAfterPause()
 		}
 		go n.relay.Recheck(ctx)
 	}
@@ -309,7 +309,7 @@
 		n.logger.WithError(err).Debug("standing of a keeper not readable")
 		return
 	}
-	n.keeper.Heard(status)
+	n.keeper.ObserveStatus(status)
 }
 
 // leave waits for the order to stop and hands over what this instance keeps.
@@ -321,7 +321,7 @@
 	}
 	limit, cancel := context.WithTimeout(context.Background(), n.settings.Grace-handOverMargin)
 	defer cancel()
-	n.keeper.Leave(limit)
+	n.keeper.HandOff(limit)
 	return nil
 }
 
@@ -377,11 +377,11 @@
 	}
 	listed := n.listed.all(n.mirror.Entries(mirror.Replicas))
 	before := n.replicas
-	n.replicas = n.lapse.merge(before, listed, n.mirror.Unsettled(time.Now()))
+	n.replicas = n.lapse.merge(before, listed, n.mirror.RegistrationGrace(time.Now()))
 	asOf, _ := n.mirror.AsOf(mirror.Replicas)
 	n.logReplicas(before, n.replicas, uint64(asOf))
 	n.upstream.Apply(upstreamsOf(table, n.replicas), time.Now())
-	n.dialect.Replicas.Keep(targetsOf(n.replicas))
+	n.dialect.Replicas.RetainTargets(targetsOf(n.replicas))
 }
 
 func (n *Node) refreshAssignment() {
@@ -392,7 +392,7 @@
 	n.assignedRevision = version
 	n.assigned.Store(&a)
 	if n.keeper != nil {
-		n.keeper.Adopt(a, version)
+		n.keeper.ApplyAssignment(a, version)
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -23,7 +23,7 @@
 // noReplicas sends nothing.
 type noReplicas struct{ gateway.Replicas }
 
-func (noReplicas) Keep(map[gateway.Target]bool) {}
+func (noReplicas) RetainTargets(map[gateway.Target]bool) {}
 
 func (noReplicas) Idle(string, string) bool { return false }
 
@@ -31,10 +31,10 @@
 // the product's own types.
 func quietNode(t *testing.T) *Node {
 	t.Helper()
-	dialect := Dialect{
+	dialect := Adapter{
 		Replicas: noReplicas{},
 		Table: func([]byte) (*routing.Table, error) {
-			route := routing.Route{Host: "h", Prefix: "/", Shares: []routing.Share{{Service: "s", Weight: 1}}}
+			route := routing.Route{Host: "h", Prefix: "/", Services: []routing.WeightedService{{Service: "s", Weight: 1}}}
 			return routing.NewTable(1, routing.Limits{}, nil, []routing.Route{route}, []routing.Service{{Name: "s"}}), nil
 		},
 		Replica: func(id string, data []byte) (routing.Replica, bool) {
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -18,7 +18,7 @@
 		if _, known := n.mirror.AsOf(mirror.Fleet); known {
 			heard, all = n.fleet.heardEntries(n.hearsEntry)
 		}
-		n.quotas.Fleet(heard, all, n.load.Round(), time.Now())
+		n.quotas.SetFleet(heard, all, n.load.GossipRound(), time.Now())
 		pause(ctx, fleetEvery)
 	}
 }
@@ -26,5 +26,5 @@
 // hearsEntry reports whether an instance is heard. Where nothing comes from its data centre,
 // that shows sooner than by its own silence.
 func (n *Node) hearsEntry(m member) bool {
-	return n.load.Silence(m.DataCentre) <= cutAfter && n.load.Alive(m.Name, cutAfter)
+	return n.load.DataCentreSilentFor(m.DataCentre) <= cutAfter && n.load.Alive(m.Name, cutAfter)
 }
--- a/internal/node/ready.go
+++ b/internal/node/ready.go
@@ -26,4 +26,4 @@
 
 func (n *Node) isolated() bool { return n.cutOffFor() > isolatedAfter }
 
-func (n *Node) cutOffFor() time.Duration { return n.load.CutOffFor(n.fleet.dataCentres()) }
+func (n *Node) cutOffFor() time.Duration { return n.load.IsolatedFor(n.fleet.dataCentres()) }
--- a/internal/node/retire.go
+++ b/internal/node/retire.go
@@ -31,7 +31,7 @@
 			begun = n.reportRetirement(ctx, false)
 			continue
 		}
-		if !done && n.keeper.Empty() {
+		if !done && n.keeper.Drained() {
 			done = n.reportRetirement(ctx, true)
 		}
 	}
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -28,7 +28,7 @@
 	// FirstStart is true only when the whole system starts with empty disks.
 	FirstStart bool
 	// DisksLost is how many disks may be lost at once.
-	DisksLost int
+	MaxDiskFailures int
 	// DataFolder is empty on an instance without a disk.
 	DataFolder string
 	// Tolerance is how far customers may be let beyond their quotas.
--- a/internal/node/silencelog.go
+++ b/internal/node/silencelog.go
@@ -40,7 +40,7 @@
 			return
 		}
 		for _, dataCentre := range n.fleet.dataCentres() {
-			fell, back, since := silent.note(dataCentre, n.load.Silence(dataCentre), time.Now())
+			fell, back, since := silent.note(dataCentre, n.load.DataCentreSilentFor(dataCentre), time.Now())
 			entry := n.logger.WithField("data_centre", dataCentre)
 			switch lasted := time.Since(since).Milliseconds(); {
 			case fell:
@@ -59,7 +59,7 @@
 func (n *Node) unheard(dataCentre string) string {
 	ages := map[string]time.Duration{}
 	for _, m := range n.fleet.list() {
-		if age, heard := n.load.Unheard(m.Name); heard && m.DataCentre == dataCentre {
+		if age, heard := n.load.SilentFor(m.Name); heard && m.DataCentre == dataCentre {
 			ages[m.Name] = age
 		}
 	}
--- a/internal/node/upstreams_test.go
+++ b/internal/node/upstreams_test.go
@@ -55,5 +55,5 @@
 	is.Equal(len(list), 2)
 	is.True(list[0].Name != list[1].Name)
 	is.Equal(list[0].Models, []string{"s"})
-	is.Equal(routing.IDOf(list[1].Name), "a")
+	is.Equal(routing.ReplicaID(list[1].Name), "a")
 }
--- a/internal/node/witness.go
+++ b/internal/node/witness.go
@@ -45,7 +45,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			witnesses = append(witnesses, history.Witness{DataCentre: answer.DataCentre, Hears: answer.Hears})
+			witnesses = append(witnesses, history.Witness{DataCentre: answer.DataCentre, HearsKeeper: answer.Hears})
 		})
 	}
 	group.Wait()
--- a/internal/owner/adopt.go
+++ b/internal/owner/adopt.go
@@ -21,7 +21,7 @@
 // Adoption is one slice of a cohort whose log was sealed.
 type Adoption struct {
 	Cohort program.Cohort
-	Slice  int
+	Shard  int
 	// Records are the slice's records of the cohort's log together with those of
 	// every log whose adoption into it was not complete, in any order. Given one
 	// log after the other, a program would be taken at an older state, and an
@@ -30,7 +30,7 @@
 	Tail    Tail
 	// Doubted are the cohorts, former owners' included, of whose slice a program
 	// may be lost whole; calls to one that is not known are told so.
-	Doubted []program.Cohort
+	Unproven []program.Cohort
 }
 
 // Adopt makes the programs of a slice resident and copies them into this
@@ -48,7 +48,7 @@
 	for _, r := range fresh {
 		s.settleAdopted(r)
 	}
-	s.log.WithField("from", string(a.Cohort)).WithField("slice", a.Slice).
+	s.log.WithField("from", string(a.Cohort)).WithField("slice", a.Shard).
 		WithField("programs", len(fresh)).WithField("uncertain", a.Tail.Uncertain).Info("slice adopted")
 	return nil
 }
@@ -103,7 +103,7 @@
 func (s *Service) foldTail(r *resident, events []program.Event, uncertain bool) {
 	for settled := r.settledBy(events); len(settled) > 0; settled = r.settledBy(events) {
 		r.mu.Lock()
-		r.apply(r.state.Seal(time.Now(), settled[0]))
+		r.apply(r.state.NumberEvents(time.Now(), settled[0]))
 		r.mu.Unlock()
 	}
 	r.mu.Lock()
@@ -115,7 +115,7 @@
 	r.apply(r.state.Following(events))
 	r.tree.attained.Add(int64(r.state.Attained - before))
 	r.usedAt = r.state.LastAt
-	lost := !r.state.Holds(events)
+	lost := !r.state.Contains(events)
 	if lost {
 		s.log.WithField("program", string(r.id)).Error("held records do not follow on the program's course")
 	}
@@ -173,7 +173,7 @@
 }
 
 func (s *Service) markUncertain(a Adoption) {
-	sh := &s.shards[a.Slice]
+	sh := &s.shards[a.Shard]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if sh.uncertain == nil {
@@ -182,7 +182,7 @@
 	if a.Tail.Uncertain {
 		sh.uncertain[a.Cohort] = true
 	}
-	for _, c := range a.Doubted {
+	for _, c := range a.Unproven {
 		sh.uncertain[c] = true
 	}
 }
@@ -209,7 +209,7 @@
 func (s *Service) writeSnapshot(ctx context.Context, r *resident) error {
 	r.mu.Lock()
 	if recovered := r.state.Recover(); recovered != nil {
-		r.apply(r.state.Seal(time.Now(), recovered))
+		r.apply(r.state.NumberEvents(time.Now(), recovered))
 	}
 	event := r.state.Snapshot(time.Now())
 	r.mu.Unlock()
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -128,15 +128,15 @@
 	for range programs {
 		fill(source, turns)
 	}
-	var bySlice [program.Slices][]Record
+	var bySlice [program.ShardCount][]Record
 	for _, r := range kept.all() {
-		bySlice[r.Program.Slice()] = append(bySlice[r.Program.Slice()], r)
+		bySlice[r.Program.Shard()] = append(bySlice[r.Program.Shard()], r)
 	}
 	b.ResetTimer()
 	for b.Loop() {
 		s := nullService()
 		for slice := range bySlice {
-			if err := s.Adopt(context.Background(), Adoption{Cohort: source.Cohort(), Slice: slice, Records: bySlice[slice]}); err != nil {
+			if err := s.Adopt(context.Background(), Adoption{Cohort: source.Cohort(), Shard: slice, Records: bySlice[slice]}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/owner/do.go
+++ b/internal/owner/do.go
@@ -117,7 +117,7 @@
 		parts = append(parts, []byte(name), m.Extra[name])
 	}
 	a.Hash = program.HashBody(parts...)
-	a.Whole = !chat.IsContinuation(m.Messages)
+	a.FullConversation = !chat.IsContinuation(m.Messages)
 	return a
 }
 
--- a/internal/owner/fakelog_test.go
+++ b/internal/owner/fakelog_test.go
@@ -131,10 +131,10 @@
 		return auto(g)
 	})
 	defer w.decide(auto)
-	for slice := range program.Slices {
+	for slice := range program.ShardCount {
 		inSlice := func(list []Record) (out []Record) {
 			for _, r := range list {
-				if r.Program.Slice() == slice {
+				if r.Program.Shard() == slice {
 					out = append(out, r)
 				}
 			}
@@ -142,7 +142,7 @@
 		}
 		err := n.svc.Adopt(context.Background(), Adoption{
 			Cohort:  old.svc.Cohort(),
-			Slice:   slice,
+			Shard:   slice,
 			Records: inSlice(slices.Concat(old.records, old.before)),
 			Tail:    Tail{Records: inSlice(tail.Records), Uncertain: tail.Uncertain},
 		})
--- a/internal/owner/fakeupstream_test.go
+++ b/internal/owner/fakeupstream_test.go
@@ -21,14 +21,14 @@
 func (w *world) MayRepeat(service, _, _ string) bool { return service == "search" }
 
 // Find implements Lookup.
-func (w *world) Find(_ context.Context, _, key string) (*Finding, error) {
+func (w *world) Find(_ context.Context, _, key string) (*LookupResult, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	body := w.lookupBody(key)
 	if body == "" || !w.lookups {
 		return nil, nil
 	}
-	return &Finding{Status: 200, Body: []byte("did " + strings.TrimSuffix(body, " "+key))}, nil
+	return &LookupResult{Status: 200, Body: []byte("did " + strings.TrimSuffix(body, " "+key))}, nil
 }
 
 func (w *world) lookupBody(key string) string {
--- a/internal/owner/flight.go
+++ b/internal/owner/flight.go
@@ -19,7 +19,7 @@
 // of them does, or to its end once a call that may not be repeated is sent.
 type flight struct {
 	id   program.ID
-	head program.Head
+	head program.StepIdentity
 	call step.Call
 	// deadline is when the step is ended.
 	deadline time.Time
--- a/internal/owner/late.go
+++ b/internal/owner/late.go
@@ -14,7 +14,7 @@
 // adoption of their programs. Those that follow on what is known here are
 // taken; a program that has gone on without them keeps its course, and says so
 // in the log. It may be repeated.
-func (s *Service) Late(ctx context.Context, from program.Cohort, records []Record) error {
+func (s *Service) AdoptLate(ctx context.Context, from program.Cohort, records []Record) error {
 	byProgram := map[program.ID][]program.Event{}
 	for _, record := range records {
 		event, err := program.Decode(record.Event)
@@ -46,7 +46,7 @@
 	}
 	r.mu.Lock()
 	following := r.state.Following(events)
-	diverged := len(following) == 0 && !r.state.Holds(events)
+	diverged := len(following) == 0 && !r.state.Contains(events)
 	r.mu.Unlock()
 	if diverged {
 		s.log.WithField("program", string(id)).WithField("from", string(from)).
@@ -96,5 +96,5 @@
 		s.log.WithField("program", string(id)).Warn("late records of a program that is gone are left out")
 		return nil
 	}
-	return s.Adopt(ctx, Adoption{Cohort: from, Slice: id.Slice(), Records: records(id, events)})
+	return s.Adopt(ctx, Adoption{Cohort: from, Shard: id.Shard(), Records: records(id, events)})
 }
--- a/internal/owner/late_test.go
+++ b/internal/owner/late_test.go
@@ -34,7 +34,7 @@
 		whole.Model.Messages = []chat.Message{message("user", "1st"), message("assistant", "answer 2"), message("user", "2nd again")}
 		is.Equal(w.call(n, whole).result.Outcome, step.Done)
 		for range 2 {
-			is.NoErr(n.svc.Late(context.Background(), old.svc.Cohort(), old.held))
+			is.NoErr(n.svc.AdoptLate(context.Background(), old.svc.Cohort(), old.held))
 		}
 		is.Equal(w.call(n, modelCall(id, 3, "three")).result.Outcome, step.Done)
 		is.Equal(w.call(n, modelCall(unseen, 2, "more")).result.Outcome, step.Done)
@@ -58,7 +58,7 @@
 		old := w.last()
 		n := w.takeOver(false, false)
 		w.decide(func(*gate) string { return lost })
-		is.True(n.svc.Late(context.Background(), old.svc.Cohort(), old.held) != nil)
+		is.True(n.svc.AdoptLate(context.Background(), old.svc.Cohort(), old.held) != nil)
 		w.stopAt()
 		whole := modelCall(id, 2, "")
 		whole.Model.Messages = []chat.Message{message("user", "one"), message("assistant", "answer 1"), message("user", "2nd")}
@@ -86,7 +86,7 @@
 		n := w.takeOver(false, false)
 		is.Equal(w.call(n, charge(id, 1, "10")).result.Outcome, step.Unknown)
 		for range 2 {
-			is.NoErr(n.svc.Late(context.Background(), old.svc.Cohort(), old.held))
+			is.NoErr(n.svc.AdoptLate(context.Background(), old.svc.Cohort(), old.held))
 		}
 		is.Equal(string(w.call(n, charge(id, 1, "10")).result.Body), "did charge 10")
 		is.Equal(n.svc.Earnings(time.Time{})[0].Steps, int64(1))
@@ -146,7 +146,7 @@
 		n := w.start()
 		adopt := func(p program.ID, decision string, tail []Record) error {
 			w.decide(func(*gate) string { return decision })
-			a := Adoption{Cohort: old.svc.Cohort(), Slice: p.Slice(), Tail: Tail{Records: only(p, tail)}}
+			a := Adoption{Cohort: old.svc.Cohort(), Shard: p.Shard(), Tail: Tail{Records: only(p, tail)}}
 			a.Records = only(p, old.records)
 			return n.svc.Adopt(context.Background(), a)
 		}
--- a/internal/owner/machine_test.go
+++ b/internal/owner/machine_test.go
@@ -302,7 +302,7 @@
 	m.faults["held records offered late"]++
 	ctx, cancel := context.WithCancel(context.Background())
 	m.w.callers = append(m.w.callers, &caller{cancel: cancel})
-	go func() { _ = m.w.last().svc.Late(ctx, former.svc.Cohort(), former.held) }()
+	go func() { _ = m.w.last().svc.AdoptLate(ctx, former.svc.Cohort(), former.held) }()
 	m.observe()
 }
 
--- a/internal/owner/open.go
+++ b/internal/owner/open.go
@@ -74,11 +74,11 @@
 		return *s.goneOrLate(ctx)
 	}
 	r.mu.Lock()
-	again := !r.state.EndWantedAt.IsZero()
+	again := !r.state.EndRequestedAt.IsZero()
 	r.mu.Unlock()
 	var err error
 	if !again {
-		err = s.save(r, s.o.Log.AppendOrHold, dropUnsaved, program.WantEnd())
+		err = s.save(r, s.o.Log.AppendOrHold, dropUnsaved, program.RequestEnd())
 	}
 	r.unclaim()
 	switch {
@@ -201,7 +201,7 @@
 		return nil, refusalOf(refusal)
 	}
 	parent.opening++
-	opening.ID = program.NewIDInSlice(s.o.Cohort, call.Parent.Slice())
+	opening.ID = program.NewIDInShard(s.o.Cohort, call.Parent.Shard())
 	opening.Parent = parent.state
 	return s.newResident(opening, parent.tree), nil
 }
--- a/internal/owner/operate_test.go
+++ b/internal/owner/operate_test.go
@@ -252,7 +252,7 @@
 		first, second := do("", root, 1), do("", root, 1)
 		is.Equal(first.Outcome, step.Done)
 		is.Equal(second.Outcome, step.Done)
-		is.Equal(first.Program.Slice(), root.Slice())
+		is.Equal(first.Program.Shard(), root.Shard())
 		is.Equal(do("", root, 1).Code, step.CodeBounds)
 		is.Equal(do("", first.Program, 1).Code, step.CodeBounds)
 		n := w.takeOver(true, false)
@@ -275,7 +275,7 @@
 		old.sealed = true
 		n := w.start()
 		w.down = true
-		adoption := Adoption{Cohort: old.svc.Cohort(), Slice: id.Slice(), Records: old.records}
+		adoption := Adoption{Cohort: old.svc.Cohort(), Shard: id.Shard(), Records: old.records}
 		is.True(n.svc.Adopt(context.Background(), adoption) != nil)
 		_, live := n.svc.Snapshot(id)
 		is.True(live)
--- a/internal/owner/ports.go
+++ b/internal/owner/ports.go
@@ -106,7 +106,7 @@
 }
 
 // Finding is what a service knows of a call.
-type Finding struct {
+type LookupResult struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -117,7 +117,7 @@
 	// Find returns the service's record of the call, or nil where it has no
 	// lookup or does not know the call. Not to know it proves nothing: its
 	// sender may be paused and send it still.
-	Find(ctx context.Context, service, idempotencyKey string) (*Finding, error)
+	Find(ctx context.Context, service, idempotencyKey string) (*LookupResult, error)
 }
 
 // Report is the outcome of a step that its owner learned after a successor
--- a/internal/owner/resident.go
+++ b/internal/owner/resident.go
@@ -130,7 +130,7 @@
 	r.wake()
 }
 
-func (s *Service) shard(id program.ID) *shard { return &s.shards[id.Slice()] }
+func (s *Service) shard(id program.ID) *shard { return &s.shards[id.Shard()] }
 
 func (s *Service) lookup(id program.ID) *resident {
 	sh := s.shard(id)
--- a/internal/owner/resolve.go
+++ b/internal/owner/resolve.go
@@ -70,7 +70,7 @@
 	return err
 }
 
-func resolutionOf(head program.Head, result step.Result, answer program.Answer) program.Resolution {
+func resolutionOf(head program.StepIdentity, result step.Result, answer program.StepResult) program.Resolution {
 	return program.Resolution{
 		Number:      head.Number,
 		Hash:        head.Hash,
@@ -150,14 +150,14 @@
 // errNotKnownYet makes a lookup ask again.
 var errNotKnownYet = errors.New("owner: the service does not know the call yet")
 
-func (s *Service) askService(ctx context.Context, service, key string) (*Finding, error) {
+func (s *Service) askService(ctx context.Context, service, key string) (*LookupResult, error) {
 	select {
 	case s.lookups <- struct{}{}:
 		defer func() { <-s.lookups }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	return backoff.Retry(ctx, func() (*Finding, error) {
+	return backoff.Retry(ctx, func() (*LookupResult, error) {
 		finding, err := s.o.Lookup.Find(ctx, service, key)
 		if err == nil && finding == nil {
 			return nil, errNotKnownYet
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -20,7 +20,7 @@
 	call.Program, call.Number = r.id, r.state.Next()
 	f := &flight{
 		id:       r.id,
-		head:     program.Head{Number: call.Number, Key: a.Key, Hash: a.Hash},
+		head:     program.StepIdentity{Number: call.Number, Key: a.Key, Hash: a.Hash},
 		call:     call,
 		deadline: s.deadline(call),
 	}
@@ -141,7 +141,7 @@
 	if f.call.Model != nil {
 		sent = f.call.Model.Messages
 	}
-	if refusal = r.state.CheckWhole(a, sent, s.kind(f.call)); refusal != nil {
+	if refusal = r.state.CheckHistory(a, sent, s.kind(f.call)); refusal != nil {
 		result := refusalOf(refusal)
 		result.MissingStep = r.state.Next()
 		return nil, nil, result
@@ -196,7 +196,7 @@
 		s.recordFailure(r, answer)
 		return upstreamFailed("the engine's answer holds no message")
 	}
-	turn := program.TakeTurn(answer, program.Turn{
+	turn := program.RecordTurn(answer, program.Turn{
 		Added:        added,
 		Message:      result.Answer,
 		Model:        result.Model,
@@ -236,7 +236,7 @@
 }
 
 // send runs a placed step and measures it.
-func (s *Service) send(ctx context.Context, r *resident, f *flight, placed Placed) (step.Result, program.Answer) {
+func (s *Service) send(ctx context.Context, r *resident, f *flight, placed Placed) (step.Result, program.StepResult) {
 	var sink step.Sink
 	if f.call.Model != nil && f.call.Model.Stream {
 		sink = flightSink{f}
@@ -245,7 +245,7 @@
 	result := placed.Run(ctx, sink)
 	took := time.Since(start)
 	r.tree.attained.Add(int64(took))
-	return result, program.Answer{
+	return result, program.StepResult{
 		Head:        f.head,
 		Upstream:    result.Upstream,
 		ServiceTime: took,
@@ -273,7 +273,7 @@
 }
 
 // recordFailure counts what a step cost that may be repeated and has no answer.
-func (s *Service) recordFailure(r *resident, answer program.Answer) {
+func (s *Service) recordFailure(r *resident, answer program.StepResult) {
 	if answer.Earning != (program.Earning{}) {
 		_ = s.save(r, s.o.Log.AppendOrHold, keepUnsaved, program.Fail(answer))
 	}
@@ -304,8 +304,8 @@
 }
 
 // outcomeOf returns the event that records the outcome of a tool step.
-func outcomeOf(f *flight, result step.Result, answer program.Answer) *programpb.Event {
-	return program.TakeOutcome(answer, program.ToolAnswer{
+func outcomeOf(f *flight, result step.Result, answer program.StepResult) *programpb.Event {
+	return program.RecordOutcome(answer, program.ToolAnswer{
 		Call:        toolCall(f.call.Tool),
 		Verdict:     verdictOf(result.Outcome),
 		Status:      result.Status,
@@ -322,7 +322,7 @@
 		placed.Cancel()
 		return *cancelled()
 	}
-	err := s.save(r, s.o.Log.Append, dropUnsaved, program.Intend(f.head, toolCall(f.call.Tool)))
+	err := s.save(r, s.o.Log.Append, dropUnsaved, program.RecordIntent(f.head, toolCall(f.call.Tool)))
 	if err != nil {
 		placed.Cancel()
 		return s.notIntended(r, f, err)
@@ -361,7 +361,7 @@
 
 // notRun takes the step's intent back.
 func notRun(f *flight) *programpb.Event {
-	return program.TakeOutcome(program.Answer{Head: f.head}, program.ToolAnswer{
+	return program.RecordOutcome(program.StepResult{Head: f.head}, program.ToolAnswer{
 		Call:    toolCall(f.call.Tool),
 		Verdict: program.NotRun,
 	})
@@ -384,7 +384,7 @@
 // than a refusal, and where the record is late or lost, repeats are answered
 // "unknown" and never sent. Its error is the append's: after ErrFenced only a
 // step with an intent has its number with the successor, and is to be reported.
-func (s *Service) recordOutcome(r *resident, f *flight, result step.Result, answer program.Answer) error {
+func (s *Service) recordOutcome(r *resident, f *flight, result step.Result, answer program.StepResult) error {
 	err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, outcomeOf(f, result, answer))
 	if err != nil {
 		s.log.WithError(err).WithField("program", string(r.id)).WithField("step", f.head.Number).
--- a/internal/owner/save.go
+++ b/internal/owner/save.go
@@ -61,7 +61,7 @@
 	defer r.mu.Unlock()
 	notes = len(r.notes)
 	all := append(r.notes[:notes:notes], decided...)
-	sealed = r.state.Seal(time.Now(), all...)
+	sealed = r.state.NumberEvents(time.Now(), all...)
 	batch = append(r.pending[:len(r.pending):len(r.pending)], sealed...)
 	r.saving = len(batch) > 0
 	return batch, sealed, notes
@@ -101,7 +101,7 @@
 func (r *resident) decide(event *programpb.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sealed := r.state.Seal(time.Now(), event)
+	sealed := r.state.NumberEvents(time.Now(), event)
 	r.pending = append(r.pending, sealed...)
 	r.apply(sealed)
 }
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -51,7 +51,7 @@
 	// StalledAfter is when an idle program with open work counts as stalled. Default 10 min.
 	StalledAfter time.Duration
 	// EndedKeep is how long an ended program still answers repeats. Default 5 min.
-	EndedKeep time.Duration
+	EndedRetention time.Duration
 	// SweepEvery is the pace of expiry and of stalled programs. Default 15 s.
 	SweepEvery time.Duration
 	// MaxSteps, MaxHistoryTokens and MaxWaiting bound a program whatever its
@@ -86,7 +86,7 @@
 	setDefault(&o.RetryAfter, defaultRetryAfter)
 	setDefault(&o.IdleExpiry, defaultIdleExpiry)
 	setDefault(&o.StalledAfter, defaultStalledAfter)
-	setDefault(&o.EndedKeep, defaultEndedKeep)
+	setDefault(&o.EndedRetention, defaultEndedKeep)
 	setDefault(&o.SweepEvery, defaultSweepEvery)
 	setDefault(&o.MaxSteps, defaultMaxSteps)
 	setDefault(&o.MaxHistoryTokens, defaultMaxHistoryTokens)
@@ -113,7 +113,7 @@
 	o      Options
 	log    log.Interface
 	meters meters
-	shards [program.Slices]shard
+	shards [program.ShardCount]shard
 
 	// moved is set once a successor owns what was owned here.
 	moved atomic.Bool
--- a/internal/owner/succession_test.go
+++ b/internal/owner/succession_test.go
@@ -46,9 +46,9 @@
 				is.NoErr(state.Apply(event))
 			}
 		}
-		turn := program.TakeTurn(program.Answer{Head: program.Head{Number: 1}},
+		turn := program.RecordTurn(program.StepResult{Head: program.StepIdentity{Number: 1}},
 			program.Turn{Message: message("assistant", strings.Repeat("a", 1<<20))})
-		old.records = append(old.records, records(large, state.Seal(time.Now(), turn))...)
+		old.records = append(old.records, records(large, state.NumberEvents(time.Now(), turn))...)
 		n := w.takeOver(true, false)
 		is.Equal(w.call(n, modelCall(large, 2, "more")).result.Code, step.CodeHistoryUncertain)
 		is.Equal(w.call(n, modelCall(small, 1, "hello")).result.Outcome, step.Done)
--- a/internal/owner/sweep.go
+++ b/internal/owner/sweep.go
@@ -115,8 +115,8 @@
 	switch {
 	case unresolved > 0 || r.state.Broken || len(r.pending) > 0 || len(r.notes) > 0:
 		return false
-	case !r.state.EndWantedAt.IsZero():
-		return now.Sub(r.state.EndWantedAt) >= o.EndedKeep && idle >= o.EndedKeep
+	case !r.state.EndRequestedAt.IsZero():
+		return now.Sub(r.state.EndRequestedAt) >= o.EndedRetention && idle >= o.EndedRetention
 	case r.state.HasOpenWork():
 		return idle >= stalledKeep
 	}
@@ -138,7 +138,7 @@
 			r.unclaim()
 		}
 	}()
-	account := s.account(sh, batch[0].id.Slice())
+	account := s.account(sh, batch[0].id.Shard())
 	if !account.claim(ctx) {
 		return errors.WithStack(ctx.Err())
 	}
@@ -153,7 +153,7 @@
 
 func (s *Service) countEnded(r *resident) {
 	reason, counter := "its caller ended it", s.meters.ended
-	if r.state.EndWantedAt.IsZero() {
+	if r.state.EndRequestedAt.IsZero() {
 		reason, counter = "idle for too long", s.meters.expired
 	}
 	counter.Inc(1)
@@ -196,7 +196,7 @@
 	if sh.account != nil {
 		return sh.account
 	}
-	id := program.NewIDInSlice(s.o.Cohort, slice)
+	id := program.NewIDInShard(s.o.Cohort, slice)
 	r := &resident{id: id, tree: &tree{}, state: &program.State{ID: id}, usedAt: time.Now()}
 	r.decide(program.Open(program.Opening{ID: id, Account: true}))
 	sh.residents[id] = r
@@ -248,9 +248,9 @@
 func (r *resident) sealEnd() (end program.Event, earned *programpb.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	end = r.state.Seal(time.Now(), program.End(endReason))[0]
+	end = r.state.NumberEvents(time.Now(), program.End(endReason))[0]
 	if len(r.state.Earnings(time.Time{})) > 0 {
-		earned = program.Absorb(r.state)
+		earned = program.MergeEarnings(r.state)
 	}
 	return end, earned
 }
@@ -282,7 +282,7 @@
 // longer needs.
 func (s *Service) releaseEnded(r *resident) {
 	r.mu.Lock()
-	ended := !r.state.EndWantedAt.IsZero()
+	ended := !r.state.EndRequestedAt.IsZero()
 	r.mu.Unlock()
 	if ended {
 		s.release(r)
--- a/internal/ownership/adopt.go
+++ b/internal/ownership/adopt.go
@@ -15,7 +15,7 @@
 
 // minUnasked is the number of instances that could not be asked from which on
 // both copies of a turn may be lost: ledger.CopiesNeeded of them.
-const minUnasked = ledger.CopiesNeeded
+const minUnasked = ledger.RequiredCopies
 
 // deathMargin is how long before its known death an owner may have been cut
 // off from the object API and relied on peers' copies.
@@ -30,7 +30,7 @@
 }
 
 // adoptAll adopts every slice that is not adopted and whose chain ends here.
-func (k *Keeper) adoptAll(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
+func (k *Reconciler) adoptAll(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
 	groups := k.groups(ctx, cohorts)
 	k.waiting.Update(int64(len(groups)))
 	heads := map[program.Cohort][]group{}
@@ -60,11 +60,11 @@
 }
 
 // groups collects the slices that are to be adopted here, each with its chain.
-func (k *Keeper) groups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) []group {
+func (k *Reconciler) groups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) []group {
 	heads := map[sliceOf]*group{}
 	var order []sliceOf
 	for _, c := range slices.Sorted(mapKeys(cohorts)) {
-		for slice := range program.Slices {
+		for slice := range program.ShardCount {
 			chain := k.pending(ctx, cohorts, c, slice)
 			if len(chain) == 0 {
 				continue
@@ -95,7 +95,7 @@
 
 // pending returns the part of the slice's chain from c on that is not adopted
 // here, if the chain ends here and c itself is not adopted; nil otherwise.
-func (k *Keeper) pending(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, slice int) []program.Cohort {
+func (k *Reconciler) pending(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, slice int) []program.Cohort {
 	if !k.isOpen(cohorts[c], slice) {
 		return nil
 	}
@@ -121,7 +121,7 @@
 }
 
 // isOpen reports whether the cohort's slice is sealed and adopted by nobody.
-func (k *Keeper) isOpen(c *ledger.Cohort, slice int) bool {
+func (k *Reconciler) isOpen(c *ledger.Cohort, slice int) bool {
 	if c == nil || c.Seal == nil || c.Adopted&(1<<slice) != 0 {
 		return false
 	}
@@ -157,7 +157,7 @@
 
 // adoptGroups adopts the groups of one head and then marks them in the own log
 // in one append. A crash before the mark leaves them to be adopted again.
-func (k *Keeper) adoptGroups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, groups []group) error {
+func (k *Reconciler) adoptGroups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, groups []group) error {
 	started := time.Now()
 	w := &adopting{cohorts: cohorts, sources: map[program.Cohort]*source{}, wanted: map[int]bool{}}
 	for _, g := range groups {
@@ -183,7 +183,7 @@
 }
 
 // plan reads what belongs to a group.
-func (k *Keeper) plan(ctx context.Context, w *adopting, g group) (adopted, error) {
+func (k *Reconciler) plan(ctx context.Context, w *adopting, g group) (adopted, error) {
 	a := adopted{have: map[program.Cohort]bool{}}
 	doubted := map[program.Cohort]bool{}
 	var read []*source
@@ -203,12 +203,12 @@
 		read = append(read, s)
 	}
 	a.Adoption = assemble(g, read)
-	a.Doubted = slices.Sorted(mapKeys(doubted))
+	a.Unproven = slices.Sorted(mapKeys(doubted))
 	return a, nil
 }
 
 // adoptSlices has the adopter take the slices and returns those that it took.
-func (k *Keeper) adoptSlices(ctx context.Context, plans []adopted) ([]adopted, error) {
+func (k *Reconciler) adoptSlices(ctx context.Context, plans []adopted) ([]adopted, error) {
 	failures := make([]error, len(plans))
 	var group errgroup.Group
 	group.SetLimit(parallelSlices)
@@ -231,7 +231,7 @@
 func marks(done []adopted) []ledger.Record {
 	var records []ledger.Record
 	for _, a := range done {
-		mark := ledger.Adoption{Cohort: a.Cohort, Slice: a.Slice, Doubted: a.Doubted}
+		mark := ledger.Adoption{Cohort: a.Cohort, Shard: a.Shard, Unproven: a.Unproven}
 		for _, c := range slices.Sorted(mapKeys(a.have)) {
 			if c != a.Cohort {
 				mark.Ancestors = append(mark.Ancestors, c)
@@ -246,26 +246,26 @@
 // and those that were in doubt then.
 func include(have, doubted map[program.Cohort]bool, h *ledger.History, slice int) {
 	for _, a := range h.Adoptions {
-		if a.Slice != slice {
+		if a.Shard != slice {
 			continue
 		}
 		have[a.Cohort] = true
 		for _, c := range a.Ancestors {
 			have[c] = true
 		}
-		for _, c := range a.Doubted {
+		for _, c := range a.Unproven {
 			doubted[c] = true
 		}
 	}
 }
 
 // source reads a sealed log and the copies held for its cohort, once.
-func (k *Keeper) source(ctx context.Context, w *adopting, name program.Cohort) (*source, error) {
+func (k *Reconciler) source(ctx context.Context, w *adopting, name program.Cohort) (*source, error) {
 	if s := w.sources[name]; s != nil {
 		return s, nil
 	}
 	c := w.cohorts[name]
-	history, err := ledger.Recover(ctx, k.o.Store, *c, func(id program.ID) bool { return w.wanted[id.Slice()] })
+	history, err := ledger.Recover(ctx, k.o.Store, *c, func(id program.ID) bool { return w.wanted[id.Shard()] })
 	if err != nil {
 		return nil, err
 	}
@@ -281,7 +281,7 @@
 }
 
 // collect adds the records that only peers hold: those after the log's last.
-func (k *Keeper) collect(ctx context.Context, c *ledger.Cohort, s *source) {
+func (k *Reconciler) collect(ctx context.Context, c *ledger.Cohort, s *source) {
 	k.mu.Lock()
 	records := slices.Clone(k.late[c.Cohort])
 	k.mu.Unlock()
@@ -305,7 +305,7 @@
 }
 
 // wasCutOff reports whether the owner may have relied on peers' copies.
-func (k *Keeper) wasCutOff(c *ledger.Cohort) bool {
+func (k *Reconciler) wasCutOff(c *ledger.Cohort) bool {
 	since := c.Seal.At
 	for _, d := range k.o.Members.Dead() {
 		if d.Cohort == c.Cohort {
@@ -320,15 +320,15 @@
 
 // assemble joins what was read, older logs first.
 func assemble(g group, read []*source) Adoption {
-	a := Adoption{Cohort: g.cohorts[0], Slice: g.slice}
+	a := Adoption{Cohort: g.cohorts[0], Shard: g.slice}
 	for _, s := range slices.Backward(read) {
 		for _, id := range slices.Sorted(mapKeys(s.history.Programs)) {
-			if id.Slice() == g.slice {
+			if id.Shard() == g.slice {
 				a.Records = append(a.Records, s.history.Programs[id]...)
 			}
 		}
 		for _, r := range s.copies {
-			if r.Program.Slice() == g.slice {
+			if r.Program.Shard() == g.slice {
 				a.Tail.Records = append(a.Tail.Records, r)
 			}
 		}
@@ -338,13 +338,13 @@
 }
 
 // finish remembers adoptions that are marked in the log.
-func (k *Keeper) finish(done []adopted, took time.Duration) {
+func (k *Reconciler) finish(done []adopted, took time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	records, held, uncertain := 0, 0, 0
 	for _, a := range done {
 		for c := range a.have {
-			k.complete[sliceOf{c, a.Slice}] = true
+			k.complete[sliceOf{c, a.Shard}] = true
 		}
 		records += len(a.Records)
 		held += len(a.Tail.Records)
@@ -362,7 +362,7 @@
 
 // markAdopted sets the bits of what is adopted here in the cohorts' objects,
 // one conditional update for each cohort.
-func (k *Keeper) markAdopted(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
+func (k *Reconciler) markAdopted(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
 	var failed error
 	for c, bits := range k.unmarked(cohorts) {
 		err := ledger.UpdateCohort(ctx, k.o.Store, c, func(current *ledger.Cohort) bool {
@@ -381,7 +381,7 @@
 	return failed
 }
 
-func (k *Keeper) unmarked(cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort]uint64 {
+func (k *Reconciler) unmarked(cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort]uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	found := map[program.Cohort]uint64{}
--- a/internal/ownership/bench_test.go
+++ b/internal/ownership/bench_test.go
@@ -56,7 +56,7 @@
 	var running sync.WaitGroup
 	for _, n := range nodes {
 		running.Go(func() {
-			if err := n.keeper.Pass(b.Context()); err != nil {
+			if err := n.keeper.Reconcile(b.Context()); err != nil {
 				b.Error(err)
 			}
 		})
@@ -119,16 +119,16 @@
 	var whole, perSlice float64
 	for range b.N {
 		var last float64
-		var slices [program.Slices]float64
+		var slices [program.ShardCount]float64
 		for range steps {
 			left := random.ExpFloat64() * 10
 			last = max(last, left)
-			at := random.IntN(program.Slices)
+			at := random.IntN(program.ShardCount)
 			slices[at] = max(slices[at], left)
 		}
 		whole += last
 		for _, left := range slices {
-			perSlice += left / program.Slices
+			perSlice += left / program.ShardCount
 		}
 	}
 	b.ReportMetric(whole/float64(b.N), "s-wait/one-seal")
--- a/internal/ownership/directory.go
+++ b/internal/ownership/directory.go
@@ -31,7 +31,7 @@
 	Instance string
 	Addr     string
 	// Local says that it is this instance.
-	Local bool
+	IsSelf bool
 }
 
 // Directory finds the owner of a program from its id.
@@ -63,7 +63,7 @@
 // For a program of a living instance it needs no call. Its errors are
 // ErrUnknownCohort, ErrNoOwner, with the dead owner, and those of the store.
 func (d *Directory) Locate(ctx context.Context, id program.ID) (Owner, error) {
-	return d.follow(ctx, id.Cohort(), id.Slice())
+	return d.follow(ctx, id.Cohort(), id.Shard())
 }
 
 func (d *Directory) follow(ctx context.Context, c program.Cohort, slice int) (Owner, error) {
@@ -72,7 +72,7 @@
 		return owner, err
 	}
 	for _, member := range ring {
-		if err := d.Moved(ctx, member); err != nil {
+		if err := d.Disowned(ctx, member); err != nil {
 			return Owner{}, err
 		}
 	}
@@ -128,7 +128,7 @@
 func (d *Directory) hopSelf(slice int) (Owner, program.Cohort, error) {
 	seal, _, fenced := d.log.Fenced()
 	if !fenced {
-		return Owner{Cohort: d.self, Local: true}, "", nil
+		return Owner{Cohort: d.self, IsSelf: true}, "", nil
 	}
 	if seen, ok := d.cache.Get(d.self); ok && seen.cohort.Seal != nil {
 		seal = seen.cohort.Seal
@@ -141,14 +141,14 @@
 
 // Moved tells that the supposed owner of a cohort's programs disowned them: it
 // lives and its log is sealed. The cohort is read anew.
-func (d *Directory) Moved(ctx context.Context, c program.Cohort) error {
+func (d *Directory) Disowned(ctx context.Context, c program.Cohort) error {
 	d.cache.Remove(c)
 	_, err := d.read(ctx, c)
 	return err
 }
 
 // Learn takes a seal from a peer's word or an own read.
-func (d *Directory) Learn(c ledger.Cohort) {
+func (d *Directory) ObserveSeal(c ledger.Cohort) {
 	if c.Seal != nil {
 		d.cache.Add(c.Cohort, sighting{cohort: c, at: time.Now()})
 	}
--- a/internal/ownership/failure_test.go
+++ b/internal/ownership/failure_test.go
@@ -34,7 +34,7 @@
 	t.Helper()
 	for _, id := range ids {
 		owner, err := n.keeper.Directory().Locate(t.Context(), id)
-		if err != nil || !owner.Local {
+		if err != nil || !owner.IsSelf {
 			t.Fatalf("%s is located at %v, %v", id, owner, err)
 		}
 		p := n.owner.lookup(id)
@@ -54,7 +54,7 @@
 		a, b := w.start(1), w.start(1)
 		ids := append(a.seed(t, 20), b.seed(t, 20)...)
 		for _, pair := range [][2]*node{{a, b}, {b, a}} {
-			_, _, err := pair[0].log.Seal(t.Context(), Spread(pair[0].self.Cohort, []Member{pair[1].self}))
+			_, _, err := pair[0].log.Seal(t.Context(), DistributeShards(pair[0].self.Cohort, []Member{pair[1].self}))
 			is.NoErr(err)
 		}
 		c := w.start(1)
@@ -118,16 +118,16 @@
 	is := is.New(t)
 	members := []Member{{Cohort: "d.a.1", Weight: 1}, {Cohort: "d.b.1", Weight: 2}, {Cohort: "d.c.1", Weight: 5}}
 	counts := map[program.Cohort]int{}
-	for _, c := range Spread("d.x.1", members) {
+	for _, c := range DistributeShards("d.x.1", members) {
 		counts[c]++
 	}
 	is.Equal(counts, map[program.Cohort]int{"d.a.1": 8, "d.b.1": 16, "d.c.1": 40})
-	is.Equal(Spread("d.x.1", []Member{members[2], members[0], members[1]}), Spread("d.x.1", members))
+	is.Equal(DistributeShards("d.x.1", []Member{members[2], members[0], members[1]}), DistributeShards("d.x.1", members))
 	var many []Member
 	for i := range 74 {
 		many = append(many, Member{Cohort: program.Cohort(fmt.Sprintf("d.i%d.1", i))})
 	}
-	spread := Spread("d.x.1", many)
+	spread := DistributeShards("d.x.1", many)
 	is.Equal(len(distinct(&ledger.Seal{Successors: spread})), maxSuccessors)
 }
 
@@ -143,16 +143,16 @@
 		ids := a.seed(t, 20)
 		ids = append(ids, b.seed(t, 20)...)
 		c.seed(t, 1)
-		_, _, err := b.log.Seal(t.Context(), Spread(b.self.Cohort, []Member{a.self}))
+		_, _, err := b.log.Seal(t.Context(), DistributeShards(b.self.Cohort, []Member{a.self}))
 		is.NoErr(err)
-		is.NoErr(b.keeper.Pass(t.Context()))
+		is.NoErr(b.keeper.Reconcile(t.Context()))
 		w.pause(a)
 		time.Sleep(time.Second)
 		_, err = c.keeper.takeOver(t.Context(), Dead{Cohort: a.self.Cohort}, []Member{b.self})
 		is.NoErr(err)
 		time.Sleep(time.Minute)
 		w.resume(a)
-		is.NoErr(c.keeper.Pass(t.Context()))
+		is.NoErr(c.keeper.Reconcile(t.Context()))
 		checkAllOn(t, c, ids)
 		for _, n := range w.all(running) {
 			n.shut()
@@ -169,7 +169,7 @@
 
 func (o offering) Adopt(ctx context.Context, a Adoption) error {
 	err := o.fakeOwner.Adopt(ctx, a)
-	if a.Slice == o.slice {
+	if a.Shard == o.slice {
 		o.during()
 	}
 	return err
@@ -191,10 +191,10 @@
 		time.Sleep(time.Minute)
 		late := ledger.Copy{Cohort: former.self.Cohort, Records: []ledger.Record{{Program: id, Sequence: 9, Event: []byte("late")}}}
 		var during error
-		successor.keeper.o.Adopter = offering{successor.owner, id.Slice(), func() { during = successor.keeper.Offered(t.Context(), late) }}
-		is.NoErr(successor.keeper.Pass(t.Context()))
+		successor.keeper.o.Adopter = offering{successor.owner, id.Shard(), func() { during = successor.keeper.AcceptOffered(t.Context(), late) }}
+		is.NoErr(successor.keeper.Reconcile(t.Context()))
 		is.True(errors.Is(during, ErrNotAdopted))
-		is.NoErr(successor.keeper.Offered(t.Context(), late))
+		is.NoErr(successor.keeper.AcceptOffered(t.Context(), late))
 		is.Equal(successor.owner.lookup(id).Events, []string{"turn", "late"})
 	})
 }
--- a/internal/ownership/machine_test.go
+++ b/internal/ownership/machine_test.go
@@ -424,7 +424,7 @@
 	for range maxHops {
 		found, err := n.keeper.Directory().Locate(context.Background(), id)
 		last = found
-		if err != nil || found.Local {
+		if err != nil || found.IsSelf {
 			return found, err
 		}
 		to := m.find(found.Cohort)
@@ -434,7 +434,7 @@
 		if _, _, fenced := to.log.Fenced(); !fenced {
 			return found, nil
 		}
-		if err := n.keeper.Directory().Moved(context.Background(), found.Cohort); err != nil {
+		if err := n.keeper.Directory().Disowned(context.Background(), found.Cohort); err != nil {
 			return found, err
 		}
 	}
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -80,7 +80,7 @@
 type Adoption struct {
 	// Cohort is the one whose seal names this instance.
 	Cohort program.Cohort
-	Slice  int
+	Shard  int
 	// Records are the slice's records of the cohort's log together with
 	// those of every log whose adoption into it was not complete, older
 	// logs first.
@@ -89,7 +89,7 @@
 	// Doubted are the cohorts, former owners' included, of whose slice a
 	// program may be lost whole. One that is not known must not be answered
 	// as if it never existed.
-	Doubted []program.Cohort
+	Unproven []program.Cohort
 }
 
 // Adopter makes programs resident.
@@ -101,7 +101,7 @@
 	// Late brings records that a former owner held and offered only after
 	// the slice was adopted. Callers were told that they are durable. The
 	// program may be unknown here, if all its records come this way.
-	Late(ctx context.Context, c program.Cohort, records []ledger.Record) error
+	AdoptLate(ctx context.Context, c program.Cohort, records []ledger.Record) error
 }
 
 // Notifier tells instances that something awaits them. It may fail silently.
@@ -112,7 +112,7 @@
 // Log is this instance's own log.
 type Log interface {
 	Append(ctx context.Context, records ...ledger.Record) error
-	Seal(ctx context.Context, successors [program.Slices]program.Cohort) (*ledger.Seal, uint64, error)
+	Seal(ctx context.Context, successors [program.ShardCount]program.Cohort) (*ledger.Seal, uint64, error)
 	Fenced() (*ledger.Seal, uint64, bool)
 }
 
@@ -188,7 +188,7 @@
 
 // Keeper keeps every slice owned. One goroutine, Run, takes over and adopts;
 // Directory, Adopted and Offered may be used from others.
-type Keeper struct {
+type Reconciler struct {
 	o    Options
 	log  log.Interface
 	dir  *Directory
@@ -224,13 +224,13 @@
 }
 
 // New returns a Keeper. Run starts it.
-func New(o Options) *Keeper {
+func New(o Options) *Reconciler {
 	o = o.withDefaults()
 	told, err := lru.New[program.Cohort, struct{}](toldSealed)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
-	k := &Keeper{
+	k := &Reconciler{
 		o:        o,
 		log:      o.Logger.WithField("cohort", string(o.Self.Cohort)),
 		dir:      NewDirectory(o.Self.Cohort, o.Store, o.Members, o.Log),
@@ -248,10 +248,10 @@
 }
 
 // Directory returns the directory of owners.
-func (k *Keeper) Directory() *Directory { return k.dir }
+func (k *Reconciler) Directory() *Directory { return k.dir }
 
 // Notice wakes the next pass, on a peer's word or a member's death.
-func (k *Keeper) Notice() {
+func (k *Reconciler) Wake() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -259,9 +259,9 @@
 }
 
 // Run passes until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Reconciler) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := k.Pass(ctx); err != nil && ctx.Err() == nil {
+		if err := k.Reconcile(ctx); err != nil && ctx.Err() == nil {
 			k.log.WithError(err).Warn("ownership pass incomplete")
 		}
 		timer := time.NewTimer(k.untilNext())
@@ -277,7 +277,7 @@
 // untilNext is the time to the next pass: the interval, or less if a dead
 // owner's grace ends before. A death wakes a pass at once, which finds the
 // grace not over; without this its programs would wait a whole interval more.
-func (k *Keeper) untilNext() time.Duration {
+func (k *Reconciler) untilNext() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	next := k.nextDue
@@ -293,7 +293,7 @@
 
 // isDue reports whether it is this instance's turn to take a dead cohort over,
 // and notes when that will be. The lock is held.
-func (k *Keeper) isDue(d Dead, living []Member) bool {
+func (k *Reconciler) isDue(d Dead, living []Member) bool {
 	left := k.o.Grace + k.turn(d.Cohort, living) - time.Since(d.Since)
 	if left <= 0 {
 		return true
@@ -304,11 +304,11 @@
 
 // Adopted reports whether the programs of the id's cohort and slice, as far as
 // they exist, are resident here.
-func (k *Keeper) Adopted(id program.ID) bool {
+func (k *Reconciler) Adopted(id program.ID) bool {
 	if id.Cohort() == k.o.Self.Cohort {
 		return true
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.complete[sliceOf{id.Cohort(), id.Slice()}]
+	return k.complete[sliceOf{id.Cohort(), id.Shard()}]
 }
--- a/internal/ownership/retire.go
+++ b/internal/ownership/retire.go
@@ -16,7 +16,7 @@
 
 // retireAll deletes the logs whose slices are all adopted. Any instance may do
 // it again after another's crash; the ranks keep them from racing.
-func (k *Keeper) retireAll(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
+func (k *Reconciler) retireAll(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
 	living := k.o.Members.Living()
 	var failed error
 	for c, cohort := range cohorts {
@@ -38,7 +38,7 @@
 // goes last but for the seal entry: a former owner that was paused finds its
 // number taken by the seal, and one that was paused past the retention finds
 // no object (see ledger's proof of a late write).
-func (k *Keeper) retire(ctx context.Context, c *ledger.Cohort) error {
+func (k *Reconciler) retire(ctx context.Context, c *ledger.Cohort) error {
 	_, err := k.o.Store.Put(ctx, ledger.MovedKey(c.Cohort), ledger.EncodeCohort(*c), 0)
 	if err != nil && !errors.Is(err, store.ErrConflict) {
 		return errors.Wrap(err, "ownership: retire")
@@ -61,7 +61,7 @@
 }
 
 // purge deletes the seals that no living program can need any more.
-func (k *Keeper) purge(ctx context.Context, living []Member) error {
+func (k *Reconciler) purge(ctx context.Context, living []Member) error {
 	k.mu.Lock()
 	due := time.Since(k.purgedAt) >= purgeEvery
 	k.mu.Unlock()
@@ -88,7 +88,7 @@
 }
 
 // purgeOne forgets a cohort whose programs are past their longest life.
-func (k *Keeper) purgeOne(ctx context.Context, c ledger.Cohort) error {
+func (k *Reconciler) purgeOne(ctx context.Context, c ledger.Cohort) error {
 	if err := deleteObject(ctx, k.o.Store, ledger.EntryKey(c.Cohort, c.SealNumber)); err != nil {
 		return err
 	}
--- a/internal/ownership/ring.go
+++ b/internal/ownership/ring.go
@@ -20,7 +20,7 @@
 // cohort of the ring is changed by conditional update; everybody picks the
 // same one, the last sealed, so that the ring gets exactly one way out and all
 // that was in it leaves there.
-func (k *Keeper) breakRings(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
+func (k *Reconciler) breakRings(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
 	// An instance that lives may not know yet that its log is sealed: slices given to it would
 	// stay in a ring.
 	heirs := slices.DeleteFunc(slices.Clone(k.o.Members.Living()), func(m Member) bool {
@@ -36,7 +36,7 @@
 		if time.Since(cohorts[c].Seal.At) < k.turn(c, heirs) {
 			continue
 		}
-		if err := k.amend(ctx, cohorts, c, exits[c], Spread(c, heirs)); failed == nil {
+		if err := k.amend(ctx, cohorts, c, exits[c], DistributeShards(c, heirs)); failed == nil {
 			failed = err
 		}
 	}
@@ -44,10 +44,10 @@
 }
 
 // rings returns the slices that are in a ring by the cohort that is to let them out.
-func (k *Keeper) rings(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort][]int {
+func (k *Reconciler) rings(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort][]int {
 	exits := map[program.Cohort][]int{}
 	for _, c := range slices.Sorted(mapKeys(cohorts)) {
-		for slice := range program.Slices {
+		for slice := range program.ShardCount {
 			if !k.isOpen(cohorts[c], slice) {
 				continue
 			}
@@ -79,7 +79,7 @@
 }
 
 // amend gives slices of a sealed cohort to other successors than its seal did.
-func (k *Keeper) amend(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, stuck []int, to [program.Slices]program.Cohort) error {
+func (k *Reconciler) amend(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, stuck []int, to [program.ShardCount]program.Cohort) error {
 	was := cohorts[c].Seal.Successors
 	err := ledger.UpdateCohort(ctx, k.o.Store, c, func(current *ledger.Cohort) bool {
 		changed := false
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	k.dir.Learn(*cohorts[c])
+	k.dir.ObserveSeal(*cohorts[c])
 	k.log.WithFields(log.Fields{"sealed": string(c), "slices": len(stuck)}).Warn("ring of seals broken")
 	k.notify(ctx, *cohorts[c])
 	return nil
--- a/internal/ownership/sealed.go
+++ b/internal/ownership/sealed.go
@@ -12,7 +12,7 @@
 // API goes down before it wakes. It can't see the seal, gives a turn to two peers
 // and tells its caller that the turn is durable, while the successor goes on
 // without it. The successors are the ones that hold copies, and they know.
-func (k *Keeper) Sealed(c program.Cohort) bool {
+func (k *Reconciler) Sealed(c program.Cohort) bool {
 	if seen, ok := k.dir.cache.Get(c); ok && seen.cohort.Seal != nil {
 		return true
 	}
@@ -21,7 +21,7 @@
 
 // NoticeSealed takes a peer's word that the cohort's log is sealed, and wakes
 // the next pass.
-func (k *Keeper) NoticeSealed(c program.Cohort) {
+func (k *Reconciler) ObserveSealed(c program.Cohort) {
 	k.told.Add(c, struct{}{})
-	k.Notice()
+	k.Wake()
 }
--- a/internal/ownership/spread.go
+++ b/internal/ownership/spread.go
@@ -17,8 +17,8 @@
 // Spread maps the slices of a cohort to the members by their weights: each gets
 // its share of the slices, rounded by largest remainder. The result depends
 // only on the arguments, not on the order of members.
-func Spread(c program.Cohort, members []Member) [program.Slices]program.Cohort {
-	var spread [program.Slices]program.Cohort
+func DistributeShards(c program.Cohort, members []Member) [program.ShardCount]program.Cohort {
+	var spread [program.ShardCount]program.Cohort
 	chosen := Rank(c, members)
 	chosen = chosen[:min(len(chosen), maxSuccessors)]
 	if len(chosen) == 0 {
@@ -57,9 +57,9 @@
 	counts := make([]int, len(members))
 	order := make([]int, len(members))
 	rest := make([]float64, len(members))
-	left := program.Slices
+	left := program.ShardCount
 	for i, m := range members {
-		share := weight(m) / total * program.Slices
+		share := weight(m) / total * program.ShardCount
 		counts[i] = int(share)
 		rest[i] = share - float64(counts[i])
 		order[i] = i
--- a/internal/ownership/successor_test.go
+++ b/internal/ownership/successor_test.go
@@ -30,7 +30,7 @@
 		time.Sleep(10 * time.Second)
 		owner, err := b.keeper.Directory().Locate(context.Background(), id)
 		is.NoErr(err)
-		is.True(owner.Local)
+		is.True(owner.IsSelf)
 		is.True(b.keeper.Adopted(id))
 		b.shut()
 	})
--- a/internal/ownership/takeover.go
+++ b/internal/ownership/takeover.go
@@ -18,7 +18,7 @@
 // it seals the logs of dead owners, adopts slices whose chain of seals ends
 // here, and deletes what is adopted. One list call tells it all. It goes on
 // after a failure and returns the first.
-func (k *Keeper) Pass(ctx context.Context) error {
+func (k *Reconciler) Reconcile(ctx context.Context) error {
 	if seal, number, fenced := k.o.Log.Fenced(); fenced {
 		return k.recordOwn(ctx, seal, number)
 	}
@@ -46,7 +46,7 @@
 
 // list returns the data centre's cohorts by name. A corrupt object is logged
 // by name and left out: nothing is known of its log.
-func (k *Keeper) list(ctx context.Context) (map[program.Cohort]*ledger.Cohort, error) {
+func (k *Reconciler) list(ctx context.Context) (map[program.Cohort]*ledger.Cohort, error) {
 	objects, err := k.o.Store.List(ctx, ledger.KindCohort, k.o.Self.Cohort.DataCentre()+".")
 	if err != nil {
 		return nil, errors.Wrap(err, "ownership: cohorts")
@@ -59,7 +59,7 @@
 			continue
 		}
 		cohorts[c.Cohort] = &c
-		k.dir.Learn(c)
+		k.dir.ObserveSeal(c)
 	}
 	return cohorts, k.learnSuccessors(ctx, cohorts)
 }
@@ -67,7 +67,7 @@
 // learnSuccessors reads what became of successors without an object. One of
 // them may be alive, paused until its log was adopted and deleted, and not know
 // it: membership would then end a chain of seals at it for good.
-func (k *Keeper) learnSuccessors(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
+func (k *Reconciler) learnSuccessors(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
 	for _, cohort := range cohorts {
 		if cohort.Seal == nil {
 			continue
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (k *Keeper) learnChain(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, seal *ledger.Seal) error {
+func (k *Reconciler) learnChain(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, seal *ledger.Seal) error {
 	passed := map[program.Cohort]bool{}
 	next := distinct(seal)
 	for len(next) > 0 {
@@ -104,7 +104,7 @@
 
 // takeOverDead seals the logs whose owner is dead long enough for this
 // instance's rank. The sealed cohorts replace those in the map.
-func (k *Keeper) takeOverDead(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
+func (k *Reconciler) takeOverDead(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
 	living := k.o.Members.Living()
 	if len(living) == 0 {
 		// An instance that sees itself cut off counts nobody as living, itself
@@ -131,7 +131,7 @@
 // dead returns the unsealed cohorts that it is this instance's turn to take
 // over: those of dead owners, and those that somebody began to seal and did not
 // end. Left so, a living owner could never compact its log again.
-func (k *Keeper) dead(cohorts map[program.Cohort]*ledger.Cohort, living []Member) []Dead {
+func (k *Reconciler) dead(cohorts map[program.Cohort]*ledger.Cohort, living []Member) []Dead {
 	known := map[program.Cohort]Dead{}
 	for _, d := range k.o.Members.Dead() {
 		known[d.Cohort] = d
@@ -163,7 +163,7 @@
 
 // unrecorded returns dead cohorts that never made their object: the object API
 // was down for all their life, and peers may hold copies for them.
-func (k *Keeper) unrecorded(known map[program.Cohort]Dead, cohorts map[program.Cohort]*ledger.Cohort, living []Member) []Dead {
+func (k *Reconciler) unrecorded(known map[program.Cohort]Dead, cohorts map[program.Cohort]*ledger.Cohort, living []Member) []Dead {
 	var due []Dead
 	for c, d := range known {
 		seen, ok := k.dir.cache.Get(c)
@@ -176,24 +176,24 @@
 }
 
 // turn returns how much longer than the first in rank this instance waits.
-func (k *Keeper) turn(c program.Cohort, living []Member) time.Duration {
+func (k *Reconciler) turn(c program.Cohort, living []Member) time.Duration {
 	rank := slices.IndexFunc(Rank(c, living), func(m Member) bool { return m.Cohort == k.o.Self.Cohort })
 	return time.Duration(max(rank, 0)) * k.o.RankDelay
 }
 
 // takeOver seals a dead cohort's log. Whoever wins, the seal that holds is
 // followed by all.
-func (k *Keeper) takeOver(ctx context.Context, dead Dead, living []Member) (ledger.Cohort, error) {
+func (k *Reconciler) takeOver(ctx context.Context, dead Dead, living []Member) (ledger.Cohort, error) {
 	if err := k.ensureObject(ctx, dead.Cohort); err != nil {
 		return ledger.Cohort{}, err
 	}
-	seal := ledger.Seal{By: k.o.Self.Cohort, At: time.Now(), Successors: Spread(dead.Cohort, living)}
+	seal := ledger.Seal{By: k.o.Self.Cohort, At: time.Now(), Successors: DistributeShards(dead.Cohort, living)}
 	sealed, err := ledger.SealLog(ctx, k.o.Store, dead.Cohort, seal)
 	if err != nil {
 		return ledger.Cohort{}, errors.Wrap(err, "ownership: take-over")
 	}
 	k.taken.Inc(1)
-	k.dir.Learn(sealed)
+	k.dir.ObserveSeal(sealed)
 	k.log.WithFields(log.Fields{
 		"dead": string(dead.Cohort), "since": dead.Since, "entry": sealed.SealNumber,
 		"by": string(sealed.Seal.By), "successors": len(distinct(sealed.Seal)),
@@ -207,13 +207,13 @@
 // brings the object of such a cohort back, without its seal: sealed again, at an
 // entry that was deleted, its programs would have two owners. What outlives the
 // object tells, and is asked first.
-func (k *Keeper) ensureObject(ctx context.Context, c program.Cohort) error {
+func (k *Reconciler) ensureObject(ctx context.Context, c program.Cohort) error {
 	moved, err := k.moved(ctx, c)
 	if err != nil {
 		return err
 	}
 	if moved != nil {
-		k.dir.Learn(*moved)
+		k.dir.ObserveSeal(*moved)
 		if err := deleteObject(ctx, k.o.Store, ledger.CohortKey(c)); err != nil {
 			return errors.Wrap(err, string(c))
 		}
@@ -229,7 +229,7 @@
 // moved returns what outlives the object of an adopted cohort, or nil. It asks
 // for a listing: the read of a single object may come from an older state, in
 // which there is none, and a cohort would be sealed a second time.
-func (k *Keeper) moved(ctx context.Context, c program.Cohort) (*ledger.Cohort, error) {
+func (k *Reconciler) moved(ctx context.Context, c program.Cohort) (*ledger.Cohort, error) {
 	objects, err := k.o.Store.List(ctx, ledger.KindCohortMoved, ledger.MovedKey(c).Name)
 	if err != nil {
 		return nil, errors.Wrap(err, string(c))
@@ -245,7 +245,7 @@
 }
 
 // notify tells the successors, so that they don't wait for their next pass.
-func (k *Keeper) notify(ctx context.Context, sealed ledger.Cohort) {
+func (k *Reconciler) notify(ctx context.Context, sealed ledger.Cohort) {
 	if k.o.Notifier == nil {
 		return
 	}
@@ -267,14 +267,14 @@
 // HandOver seals this instance's own log at a planned stop and tells the
 // successors. The caller has drained before: what is appended afterwards is
 // refused as fenced. With nobody to take the programs it is ErrNoSuccessor.
-func (k *Keeper) HandOver(ctx context.Context) error {
+func (k *Reconciler) HandOver(ctx context.Context) error {
 	others := slices.DeleteFunc(slices.Clone(k.o.Members.Living()), func(m Member) bool {
 		return m.Cohort == k.o.Self.Cohort
 	})
 	if len(others) == 0 {
 		return ErrNoSuccessor
 	}
-	seal, number, err := k.o.Log.Seal(ctx, Spread(k.o.Self.Cohort, others))
+	seal, number, err := k.o.Log.Seal(ctx, DistributeShards(k.o.Self.Cohort, others))
 	if err != nil {
 		return errors.Wrap(err, "ownership: hand-over")
 	}
@@ -285,7 +285,7 @@
 // recordOwn makes the own log's seal known in the cohort's object, from where
 // others learn it. A hand-over whose answer was lost would else leave a sealed
 // log whose owner lives, and which therefore nobody looks into.
-func (k *Keeper) recordOwn(ctx context.Context, seal *ledger.Seal, number uint64) error {
+func (k *Reconciler) recordOwn(ctx context.Context, seal *ledger.Seal, number uint64) error {
 	k.mu.Lock()
 	done := k.recorded || seal == nil
 	k.mu.Unlock()
@@ -305,7 +305,7 @@
 	k.mu.Lock()
 	k.recorded = true
 	k.mu.Unlock()
-	k.dir.Learn(sealed)
+	k.dir.ObserveSeal(sealed)
 	k.notify(ctx, sealed)
 	return nil
 }
--- a/internal/ownership/world_test.go
+++ b/internal/ownership/world_test.go
@@ -132,7 +132,7 @@
 	gate    *gate
 	tracked *store.Tracked
 	log     *ledger.Log
-	keeper  *Keeper
+	keeper  *Reconciler
 	held    *ledger.HeldCopies
 	owner   *fakeOwner
 	metrics metrics.Registry
@@ -208,7 +208,7 @@
 	w.resume(n)
 	n.shut()
 	for _, other := range w.all(reachable) {
-		other.ran.Go(func() { _ = other.log.Rehold(context.Background()) })
+		other.ran.Go(func() { _ = other.log.ReplicateHeld(context.Background()) })
 	}
 }
 
@@ -283,7 +283,7 @@
 // Sealed implements Notifier.
 func (n *node) Sealed(_ context.Context, m Member, c program.Cohort) {
 	if other := n.w.find(m.Cohort); other != nil {
-		other.keeper.NoticeSealed(c)
+		other.keeper.ObserveSealed(c)
 	}
 }
 
@@ -301,7 +301,7 @@
 	n.w.step("holders")
 	held := 0
 	for _, other := range n.w.all(reachable) {
-		if other != n && held < ledger.CopiesNeeded && !other.keeper.Sealed(c.Cohort) && other.held.Hold(c) == nil {
+		if other != n && held < ledger.RequiredCopies && !other.keeper.Sealed(c.Cohort) && other.held.Hold(c) == nil {
 			held++
 			n.w.noteHeld(c, other.self.Cohort)
 		}
@@ -337,7 +337,7 @@
 			return errors.New("successor unreachable")
 		}
 		part := ledger.Copy{Cohort: c.Cohort, Records: []ledger.Record{r}}
-		if err := other.keeper.Offered(ctx, part); err != nil {
+		if err := other.keeper.AcceptOffered(ctx, part); err != nil {
 			return err
 		}
 	}
@@ -396,15 +396,15 @@
 func (o *fakeOwner) doubt(a Adoption) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, c := range a.Doubted {
-		o.doubted[sliceOf{c, a.Slice}] = true
+	for _, c := range a.Unproven {
+		o.doubted[sliceOf{c, a.Shard}] = true
 	}
 }
 
 func (o *fakeOwner) doubts(id program.ID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.doubted[sliceOf{id.Cohort(), id.Slice()}]
+	return o.doubted[sliceOf{id.Cohort(), id.Shard()}]
 }
 
 func (o *fakeOwner) lookup(id program.ID) *fakeProgram {
@@ -489,7 +489,7 @@
 }
 
 // Late implements Adopter.
-func (o *fakeOwner) Late(ctx context.Context, _ program.Cohort, records []ledger.Record) error {
+func (o *fakeOwner) AdoptLate(ctx context.Context, _ program.Cohort, records []ledger.Record) error {
 	for _, r := range records {
 		// Its first record may have come late, too.
 		p := o.insert(r.Program, newProgram())
--- a/internal/peerload/peerload.go
+++ b/internal/peerload/peerload.go
@@ -38,8 +38,8 @@
 	// that its cost stays the same whatever the size of the fleet. It goes through all of
 	// them by turns, and receivers scale what they hear to their number. There are few
 	// keepers, and callers wait for one that is lost until that is heard.
-	EntryReach  = 24
-	KeeperReach = 48
+	EntryFanout  = 24
+	KeeperFanout = 48
 	// sumEvery is the least time between two sums over what all peers tell. In a
 	// fleet of seventy, four hundred datagrams come in a second; a sum for each
 	// of them took 1.7% of a core (BenchmarkTake: 42 µs, 6 with the pause).
@@ -120,7 +120,7 @@
 
 // Silence returns for how long nothing was heard from a data centre; 0 for one
 // that was never heard from, of which nothing can be said.
-func (x *Exchange) Silence(dataCentre string) time.Duration {
+func (x *Exchange) DataCentreSilentFor(dataCentre string) time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	at, ok := x.signs[dataCentre]
@@ -131,7 +131,7 @@
 }
 
 // Unheard returns for how long an instance was not heard; false for one that never was.
-func (x *Exchange) Unheard(instance string) (time.Duration, bool) {
+func (x *Exchange) SilentFor(instance string) (time.Duration, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	l, ok := x.lives[instance]
@@ -148,7 +148,7 @@
 // where neither can be said. Registered are the data centres that have instances:
 // one that was not heard yet has been silent since the start, or else an instance
 // that starts behind a cut would take itself for connected and draw all callers.
-func (x *Exchange) CutOffFor(registered []string) time.Duration {
+func (x *Exchange) IsolatedFor(registered []string) time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	beyond := maps.Clone(x.signs)
@@ -181,7 +181,7 @@
 }
 
 // Woke is called after a pause of this process, in which nothing was heard.
-func (x *Exchange) Woke() {
+func (x *Exchange) ResetAfterPause() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.listens = time.Now()
@@ -234,7 +234,7 @@
 // Hears reports whether an instance was heard from lately, or never at all, of
 // which nothing can be said. In a fleet of more peers than one instance sends
 // to, each is heard so much more seldom.
-func (x *Exchange) Hears(instance string, lately time.Duration) bool {
+func (x *Exchange) HeardOrUnknown(instance string, lately time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	l, ok := x.lives[instance]
@@ -243,13 +243,13 @@
 
 // Misses reports whether an instance was not heard from lately. It says nothing
 // while this one has not listened for that long.
-func (x *Exchange) Misses(instance string, lately time.Duration) (misses, known bool) {
+func (x *Exchange) Silent(instance string, lately time.Duration) (misses, known bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	l, ok := x.lives[instance]
 	if !ok {
 		// Of one that was never heard it is not known how often it sends.
-		l.turns = turns(x.known, EntryReach)
+		l.turns = turns(x.known, EntryFanout)
 	}
 	listening := life{at: x.listens, turns: l.turns}
 	return l.silentFor(lately, time.Now()), listening.silentFor(lately, time.Now())
@@ -259,7 +259,7 @@
 func turns(peers, reach int) uint32 { return uint32(max(1, (peers+reach-1)/reach)) }
 
 // Heard reports whether an instance was heard from lately.
-func (x *Exchange) Heard(instance string, lately time.Duration) bool {
+func (x *Exchange) HeardWithin(instance string, lately time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return time.Since(x.lives[instance].at) < lately
@@ -268,8 +268,8 @@
 func (x *Exchange) own() *peerloadpb.Load {
 	now := time.Now()
 	load := &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre}
-	for _, u := range x.table.Members().All {
-		if u.Erring(now) {
+	for _, u := range x.table.Snapshot().All {
+		if u.HasHighErrorRate(now) {
 			load.Erring = append(load.Erring, xxhash.Sum64String(u.Name))
 		}
 		l := u.Load(now.UnixNano())
@@ -346,7 +346,7 @@
 }
 
 // Tell sends a keeper's standing to other keepers. It may be lost.
-func (x *Exchange) Tell(standing []byte, keepers []*net.UDPAddr) {
+func (x *Exchange) BroadcastKeeperStatus(standing []byte, keepers []*net.UDPAddr) {
 	if conn := x.conn.Load(); conn != nil {
 		x.sendTo(conn, &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre, Standing: standing}, keepers)
 	}
@@ -377,7 +377,7 @@
 		x.take(load, now)
 		x.locate(load.From, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 		if x.quotas != nil {
-			x.quotas.Hear(tellingOf(load), now)
+			x.quotas.Merge(tellingOf(load), now)
 		}
 	}
 }
@@ -389,7 +389,7 @@
 }
 
 // Round is how long it takes this instance to tell all its peers, while it is busy.
-func (x *Exchange) Round() time.Duration {
+func (x *Exchange) GossipRound() time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return time.Duration(turns(x.known, x.reach)) * sendEvery
@@ -415,7 +415,7 @@
 }
 
 // OnStanding has f take in the standings of other keepers. It is called before Run.
-func (x *Exchange) OnStanding(f func([]byte)) { x.onStanding = f }
+func (x *Exchange) OnKeeperStatus(f func([]byte)) { x.onStanding = f }
 
 // take takes in a peer's load.
 func (x *Exchange) take(load *peerloadpb.Load, now time.Time) {
@@ -433,7 +433,7 @@
 // many at once as an entry; the lock is held.
 func (x *Exchange) turnsOf(load *peerloadpb.Load) uint32 {
 	if load.Turns == 0 {
-		return turns(x.known, EntryReach)
+		return turns(x.known, EntryFanout)
 	}
 	return load.Turns
 }
@@ -458,15 +458,15 @@
 		}
 	}
 	scale := max(1, float64(x.known)/float64(max(1, known)))
-	if known < EntryReach/2 {
+	if known < EntryFanout/2 {
 		// Few peers: those not heard from are down or cut off, and send nothing.
 		scale = 1
 	}
-	for _, u := range x.table.Members().All {
+	for _, u := range x.table.Snapshot().All {
 		hash := xxhash.Sum64String(u.Name)
 		if erring[hash] {
-			u.PeerSaysErring(now.Add(loadLife))
+			u.PeerReportedErrors(now.Add(loadLife))
 		}
-		u.OthersHave(int(scale*float64(calls[hash])), int(scale*float64(backlog[hash])), now.Add(loadLife))
+		u.SetRemoteLoad(int(scale*float64(calls[hash])), int(scale*float64(backlog[hash])), now.Add(loadLife))
 	}
 }
--- a/internal/peerload/peerload_test.go
+++ b/internal/peerload/peerload_test.go
@@ -23,8 +23,8 @@
 	table := upstream.NewTable()
 	table.Apply([]usage.Upstream{{Name: "u", Address: "u", Kind: usage.KindService, Service: "s", Slots: 4}}, time.Now())
 	peers := func() []*net.UDPAddr { return make([]*net.UDPAddr, 2) }
-	x := New("me", "here", EntryReach, table, peers, &log.Logger{Handler: discard.Default})
-	return x, table.Members().Upstream("u")
+	x := New("me", "here", EntryFanout, table, peers, &log.Logger{Handler: discard.Default})
+	return x, table.Snapshot().Upstream("u")
 }
 
 func loadOf(from, dataCentre string, calls uint32) *peerloadpb.Load {
@@ -56,16 +56,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		x, _ := exchange()
-		is.Equal(x.Silence("there"), time.Duration(0))
-		is.True(x.Hears("b", time.Second))
-		_, heard := x.Unheard("b")
+		is.Equal(x.DataCentreSilentFor("there"), time.Duration(0))
+		is.True(x.HeardOrUnknown("b", time.Second))
+		_, heard := x.SilentFor("b")
 		is.True(!heard)
 		x.take(loadOf("b", "there", 1), time.Now())
 		time.Sleep(2 * time.Second)
-		is.Equal(x.Silence("there"), 2*time.Second)
-		is.Equal(x.Silence("here"), time.Duration(0))
-		is.True(!x.Hears("b", time.Second))
-		age, _ := x.Unheard("b")
+		is.Equal(x.DataCentreSilentFor("there"), 2*time.Second)
+		is.Equal(x.DataCentreSilentFor("here"), time.Duration(0))
+		is.True(!x.HeardOrUnknown("b", time.Second))
+		age, _ := x.SilentFor("b")
 		is.Equal(age, 2*time.Second)
 	})
 }
@@ -78,19 +78,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		x, _ := exchange()
-		is.True(x.CutOffFor(nil) < time.Second)
+		is.True(x.IsolatedFor(nil) < time.Second)
 		x.take(loadOf("a", "here", 1), time.Now())
 		x.take(loadOf("b", "there", 1), time.Now())
 		time.Sleep(2 * time.Second)
 		x.take(loadOf("a", "here", 1), time.Now())
-		is.True(x.CutOffFor(nil) < time.Second)
+		is.True(x.IsolatedFor(nil) < time.Second)
 		x.take(loadOf("c", "elsewhere", 1), time.Now())
-		is.True(x.CutOffFor(nil) < time.Second)
+		is.True(x.IsolatedFor(nil) < time.Second)
 		time.Sleep(2 * time.Second)
 		x.take(loadOf("a", "here", 1), time.Now())
-		is.True(x.CutOffFor(nil) > time.Second)
+		is.True(x.IsolatedFor(nil) > time.Second)
 		x.take(loadOf("b", "there", 1), time.Now())
-		is.True(x.CutOffFor(nil) < time.Second)
+		is.True(x.IsolatedFor(nil) < time.Second)
 	})
 }
 
@@ -101,11 +101,11 @@
 		x, _ := exchange()
 		x.take(loadOf("a", "here", 1), time.Now())
 		time.Sleep(2 * time.Second)
-		is.True(x.CutOffFor(nil) < time.Second)
+		is.True(x.IsolatedFor(nil) < time.Second)
 		x.take(loadOf("b", "here", 1), time.Now())
-		is.True(x.CutOffFor(nil) < time.Second)
+		is.True(x.IsolatedFor(nil) < time.Second)
 		time.Sleep(2 * time.Second)
-		is.True(x.CutOffFor(nil) > time.Second)
+		is.True(x.IsolatedFor(nil) > time.Second)
 	})
 }
 
@@ -117,15 +117,15 @@
 		is := is.New(t)
 		x, u := exchange()
 		for range 3 {
-			u.Failed(time.Now(), upstream.Failure{Kind: upstream.Erred})
+			u.Failed(time.Now(), upstream.Failure{Kind: upstream.Errored})
 		}
 		is.Equal(x.own().Erring, []uint64{xxhash.Sum64String("u")})
 		y, other := exchange()
 		y.take(x.own(), time.Now())
-		is.True(other.Load(time.Now().UnixNano()).Erring > 0)
-		is.True(!other.Erring(time.Now()))
+		is.True(other.Load(time.Now().UnixNano()).ErrorRate > 0)
+		is.True(!other.HasHighErrorRate(time.Now()))
 		time.Sleep(loadLife + time.Millisecond)
-		is.Equal(other.Load(time.Now().UnixNano()).Erring, 0.0)
+		is.Equal(other.Load(time.Now().UnixNano()).ErrorRate, 0.0)
 	})
 }
 
@@ -161,9 +161,9 @@
 		x.take(loadOf("neighbour", "here", 1), time.Now())
 		time.Sleep(time.Second)
 		x.take(loadOf("neighbour", "here", 1), time.Now())
-		is.Equal(x.CutOffFor(others), time.Second)
-		is.Equal(x.CutOffFor([]string{"here", "there"}), time.Duration(0))
+		is.Equal(x.IsolatedFor(others), time.Second)
+		is.Equal(x.IsolatedFor([]string{"here", "there"}), time.Duration(0))
 		x.take(loadOf("b", "there", 1), time.Now())
-		is.Equal(x.CutOffFor(others), time.Duration(0))
+		is.Equal(x.IsolatedFor(others), time.Duration(0))
 	})
 }
--- a/internal/peerload/quota.go
+++ b/internal/peerload/quota.go
@@ -16,25 +16,25 @@
 type Quotas interface {
 	// Tell returns what to tell, and which instances are to hear it beside those whose turn
 	// it is.
-	Tell(now time.Time) (t limit.Telling, atOnce []string)
+	Report(now time.Time) (t limit.QuotaReport, atOnce []string)
 	// Started returns the instances that have started, and what to tell them.
-	Started(now time.Time) (instances []string, t limit.Telling)
-	Hear(t limit.Telling, now time.Time)
+	NewInstances(now time.Time) (instances []string, t limit.QuotaReport)
+	Merge(t limit.QuotaReport, now time.Time)
 }
 
 // OnUses has the quotas tell and take in calls of customers. It is called before Run.
-func (x *Exchange) OnUses(q Quotas) { x.quotas = q }
+func (x *Exchange) SetQuotas(q Quotas) { x.quotas = q }
 
 // addUses adds what is to be told of customers, and returns who is to hear it at once.
 func (x *Exchange) addUses(load *peerloadpb.Load, now time.Time) (atOnce []string) {
 	if x.quotas == nil {
 		return nil
 	}
-	t, atOnce := x.quotas.Tell(now)
-	load.Run, load.KnownMs = t.Run, uint32(t.Known.Milliseconds())
-	for _, u := range t.Uses {
+	t, atOnce := x.quotas.Report(now)
+	load.Run, load.KnownMs = t.Incarnation, uint32(t.ObservedFor.Milliseconds())
+	for _, u := range t.Usage {
 		load.Customers = append(load.Customers, u.Customer)
-		load.Made = append(load.Made, u.Made)
+		load.Made = append(load.Made, u.Admitted)
 		load.Recent = append(load.Recent, u.Recent)
 	}
 	return atOnce
@@ -45,15 +45,15 @@
 	if x.quotas == nil {
 		return
 	}
-	instances, t := x.quotas.Started(time.Now())
+	instances, t := x.quotas.NewInstances(time.Now())
 	if len(instances) == 0 {
 		return
 	}
 	x.mu.Lock()
 	peers := x.with(nil, instances)
 	x.mu.Unlock()
-	for part := range slices.Chunk(t.Counted, countedMost) {
-		load := &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre, Run: t.Run, KnownMs: uint32(t.Known.Milliseconds())}
+	for part := range slices.Chunk(t.WindowCounts, countedMost) {
+		load := &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre, Run: t.Incarnation, KnownMs: uint32(t.ObservedFor.Milliseconds())}
 		for _, c := range part {
 			load.CountedCustomers = append(load.CountedCustomers, c.Customer)
 			load.Counted = append(load.Counted, c.Calls)
@@ -65,7 +65,7 @@
 // hearCounted takes in what an instance tells to one that has started.
 func (x *Exchange) hearCounted(load *peerloadpb.Load, now time.Time) {
 	if x.quotas != nil {
-		x.quotas.Hear(tellingOf(load), now)
+		x.quotas.Merge(tellingOf(load), now)
 	}
 }
 
@@ -76,13 +76,13 @@
 		len(l.Counted) == len(l.CountedCustomers)
 }
 
-func tellingOf(l *peerloadpb.Load) limit.Telling {
-	t := limit.Telling{From: l.From, Run: l.Run, Known: time.Duration(l.KnownMs) * time.Millisecond}
+func tellingOf(l *peerloadpb.Load) limit.QuotaReport {
+	t := limit.QuotaReport{From: l.From, Incarnation: l.Run, ObservedFor: time.Duration(l.KnownMs) * time.Millisecond}
 	for i, customer := range l.Customers {
-		t.Uses = append(t.Uses, limit.Use{Customer: customer, Made: l.Made[i], Recent: l.Recent[i]})
+		t.Usage = append(t.Usage, limit.CallUsage{Customer: customer, Admitted: l.Made[i], Recent: l.Recent[i]})
 	}
 	for i, customer := range l.CountedCustomers {
-		t.Counted = append(t.Counted, limit.Count{Customer: customer, Calls: l.Counted[i]})
+		t.WindowCounts = append(t.WindowCounts, limit.WindowCount{Customer: customer, Calls: l.Counted[i]})
 	}
 	return t
 }
--- a/internal/peerload/quota_test.go
+++ b/internal/peerload/quota_test.go
@@ -16,22 +16,24 @@
 
 // fakeQuotas tells what it is given.
 type fakeQuotas struct {
-	telling limit.Telling
+	telling limit.QuotaReport
 	atOnce  []string
 }
 
-func (f *fakeQuotas) Tell(time.Time) (limit.Telling, []string) { return f.telling, f.atOnce }
+func (f *fakeQuotas) Report(time.Time) (limit.QuotaReport, []string) { return f.telling, f.atOnce }
 
-func (f *fakeQuotas) Started(time.Time) ([]string, limit.Telling) { return nil, limit.Telling{} }
+func (f *fakeQuotas) NewInstances(time.Time) ([]string, limit.QuotaReport) {
+	return nil, limit.QuotaReport{}
+}
 
-func (f *fakeQuotas) Hear(limit.Telling, time.Time) {}
+func (f *fakeQuotas) Merge(limit.QuotaReport, time.Time) {}
 
 // Calls of customers are counted wrongly by the instances that are told of them.
 func TestUsesAreTakenInAsTheyAreTold(t *testing.T) {
 	is := is.New(t)
 	x, _ := exchange()
-	told := limit.Telling{From: "me", Run: 7, Known: 5 * time.Second, Uses: []limit.Use{{Customer: 1, Made: 9, Recent: 4}, {Customer: 2, Made: 1}}}
-	x.OnUses(&fakeQuotas{telling: told, atOnce: []string{"a"}})
+	told := limit.QuotaReport{From: "me", Incarnation: 7, ObservedFor: 5 * time.Second, Usage: []limit.CallUsage{{Customer: 1, Admitted: 9, Recent: 4}, {Customer: 2, Admitted: 1}}}
+	x.SetQuotas(&fakeQuotas{telling: told, atOnce: []string{"a"}})
 	load := x.own()
 	is.Equal(x.addUses(load, time.Now()), []string{"a"})
 	data, err := proto.Marshal(load)
--- a/internal/peerload/reach_test.go
+++ b/internal/peerload/reach_test.go
@@ -31,7 +31,7 @@
 // the datagram tells.
 func TestEachPeerHearsInEachRound(t *testing.T) {
 	for _, peers := range []int{1, 9, 24, 25, 80, 194, 369} {
-		for _, reach := range []int{EntryReach, KeeperReach} {
+		for _, reach := range []int{EntryFanout, KeeperFanout} {
 			is := is.New(t)
 			x := exchangeAmong("me", peers, reach)
 			last := map[string]int{}
@@ -55,7 +55,7 @@
 // through them in different orders.
 func TestInstancesGoThroughPeersInOrdersOfTheirOwn(t *testing.T) {
 	is := is.New(t)
-	first := func(name string) string { return fmt.Sprint(exchangeAmong(name, 194, EntryReach).nextPeers()) }
+	first := func(name string) string { return fmt.Sprint(exchangeAmong(name, 194, EntryFanout).nextPeers()) }
 	is.Equal(first("a"), first("a"))
 	is.True(first("a") != first("b"))
 }
@@ -64,20 +64,20 @@
 // hundreds. How long its silence may last must follow from what it told of itself.
 func TestSilenceIsJudgedByTheSendersTurns(t *testing.T) {
 	is := is.New(t)
-	x := exchangeAmong("me", 194, EntryReach)
+	x := exchangeAmong("me", 194, EntryFanout)
 	x.nextPeers()
 	now := time.Now()
 	x.take(&peerloadpb.Load{From: "keeper", Turns: 4}, now.Add(-5*time.Second))
 	x.take(&peerloadpb.Load{From: "entry", Turns: 9}, now.Add(-5*time.Second))
 	x.take(&peerloadpb.Load{From: "older", Turns: 0}, now.Add(-5*time.Second))
-	is.True(!x.Hears("keeper", time.Second))
-	is.True(x.Hears("entry", time.Second))
-	is.True(x.Hears("older", time.Second))
-	is.True(x.Hears("stranger", time.Second))
+	is.True(!x.HeardOrUnknown("keeper", time.Second))
+	is.True(x.HeardOrUnknown("entry", time.Second))
+	is.True(x.HeardOrUnknown("older", time.Second))
+	is.True(x.HeardOrUnknown("stranger", time.Second))
 	x.listens = now.Add(-5 * time.Second)
-	misses, known := x.Misses("keeper", time.Second)
+	misses, known := x.Silent("keeper", time.Second)
 	is.True(misses && known)
-	misses, known = x.Misses("entry", time.Second)
+	misses, known = x.Silent("entry", time.Second)
 	is.True(!misses && !known)
 }
 
@@ -86,7 +86,7 @@
 // the time of a few prompts.
 func TestBusyInstanceOfALargeFleetIsHeardSoon(t *testing.T) {
 	for peers, limit := range map[int]time.Duration{9: sendEvery, 194: 600 * time.Millisecond, 369: loadLife} {
-		x := exchangeAmong("me", peers, EntryReach)
+		x := exchangeAmong("me", peers, EntryFanout)
 		heard := map[string]time.Duration{}
 		sent := -quietEvery
 		for now := time.Duration(0); now < 10*time.Second; now += sendEvery {
--- a/internal/placement/baseline.go
+++ b/internal/placement/baseline.go
@@ -3,17 +3,17 @@
 // chooseNth takes the nth of the upstreams that are there, full or not, so
 // that a program hash stays on its upstream while that is full.
 func chooseNth(candidates []Candidate, n uint64, d *Decision) {
-	there := d.Out[Allowed] + d.Out[IsFull]
+	there := d.Rejections[Allowed] + d.Rejections[Full]
 	if there == 0 {
 		return
 	}
 	left := n % uint64(there)
 	for i := range candidates {
-		if r := candidates[i].Refused; r != Allowed && r != IsFull {
+		if r := candidates[i].Rejection; r != Allowed && r != Full {
 			continue
 		}
 		if left == 0 {
-			d.Chosen, d.Wait = i, candidates[i].Refused == IsFull
+			d.Chosen, d.Wait = i, candidates[i].Rejection == Full
 			return
 		}
 		left--
@@ -34,7 +34,7 @@
 	random := s.Random
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Refused != Allowed {
+		if c.Rejection != Allowed {
 			continue
 		}
 		value := score(c)
@@ -50,7 +50,7 @@
 			d.Chosen = i
 		}
 	}
-	if d.Chosen < 0 && d.Out[IsFull] > 0 {
+	if d.Chosen < 0 && d.Rejections[Full] > 0 {
 		d.Wait = true
 	}
 }
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -24,18 +24,18 @@
 // Latency is what the program waits: way, queue, uncached prefill, decode, each
 // at the learned speed and the measured slowness. Wasted is the prefill of
 // tokens that some allowed candidate has cached.
-func Price(c *Candidate, s *Step, bestCached int) Estimate {
+func EstimateCost(c *Candidate, s *Step, bestCached int) Estimate {
 	moved := movedTokens(c, s, bestCached)
 	uncached := float64(max(0, s.Prompt-c.Cached-moved))
 	batch := min(c.Load.Total+1, max(1, c.Slots))
 	tokenTime := c.Speed.TokenTime(batch)
-	e := Estimate{Slowness: c.Load.Slowness, Moved: moved}
-	e.Wait = moveTime(moved, s) + c.Way.Seconds() + c.Connect.Seconds() + c.Load.Slowness*(queueTime(c)+float64(c.Load.Backlog)/c.Speed.Prefill)
+	e := Estimate{Slowness: c.Load.Slowness, MovedTokens: moved}
+	e.Wait = moveTime(moved, s) + c.RTT.Seconds() + c.ConnectCost.Seconds() + c.Load.Slowness*(queueTime(c)+float64(c.Load.Backlog)/c.Speed.Prefill)
 	e.Prefill = c.Load.Slowness * uncached / c.Speed.Prefill
 	e.Decode = c.Load.Slowness*float64(s.Output)*tokenTime + serviceTime(c, s)
-	e.Others = othersTime(c, s, e.Prefill)
-	e.Wasted = c.Load.Slowness * wastedTokens(c, s, bestCached) / c.Speed.Prefill
-	e.Cost = s.Latency*(e.Total()+othersWeight*e.Others+errorTime(c)) + s.Cache*e.Wasted
+	e.CoRunnerCost = othersTime(c, s, e.Prefill)
+	e.RedundantPrefill = c.Load.Slowness * wastedTokens(c, s, bestCached) / c.Speed.Prefill
+	e.Cost = s.LatencyWeight*(e.Total()+othersWeight*e.CoRunnerCost+errorTime(c)) + s.CacheWeight*e.RedundantPrefill
 	return e
 }
 
@@ -50,7 +50,7 @@
 )
 
 // errorTime is the expected cost of failures at a candidate, in seconds.
-func errorTime(c *Candidate) float64 { return errorCost * max(0, c.Load.Erring-errorsFree) }
+func errorTime(c *Candidate) float64 { return errorCost * max(0, c.Load.ErrorRate-errorsFree) }
 
 // serviceSpread is how many times the mean a service's calls take by themselves:
 // a replica counts as slow only beyond it.
@@ -60,7 +60,7 @@
 // a replica that takes four times as long gets as many calls as the others, and
 // programs wait for the slowest of their tools.
 func serviceTime(c *Candidate, s *Step) float64 {
-	return s.Call * max(1, c.Load.Slowness/serviceSpread)
+	return s.MeanCall * max(1, c.Load.Slowness/serviceSpread)
 }
 
 // moveMin is the least number of tokens worth moving between engines.
@@ -70,7 +70,7 @@
 // prefilled again.
 func movedTokens(c *Candidate, s *Step, bestCached int) int {
 	missing := min(bestCached, s.Prompt) - c.Cached
-	if missing < moveMin || s.MoveSpeed <= c.Speed.Prefill {
+	if missing < moveMin || s.MoveTokensPerSecond <= c.Speed.Prefill {
 		return 0
 	}
 	return missing
@@ -80,7 +80,7 @@
 	if tokens == 0 {
 		return 0
 	}
-	return float64(tokens) / s.MoveSpeed
+	return float64(tokens) / s.MoveTokensPerSecond
 }
 
 // queueTime is the time until a slot is free, where all are taken.
@@ -118,12 +118,12 @@
 	best, bestFull := -1, -1
 	for i := range candidates {
 		c := &candidates[i]
-		switch c.Refused {
+		switch c.Rejection {
 		case Allowed:
-			c.Estimate = Price(c, s, d.BestCached)
+			c.Estimate = EstimateCost(c, s, d.BestCached)
 			best = cheaper(candidates, best, i)
-		case IsFull:
-			c.Estimate = Price(c, s, d.BestCached)
+		case Full:
+			c.Estimate = EstimateCost(c, s, d.BestCached)
 			bestFull = cheaper(candidates, bestFull, i)
 		}
 	}
@@ -157,7 +157,7 @@
 		return true
 	}
 	full := &candidates[bestFull].Estimate
-	saved := (candidates[best].Estimate.Cost - full.Cost) / max(s.Latency, 0.01)
+	saved := (candidates[best].Estimate.Cost - full.Cost) / max(s.LatencyWeight, 0.01)
 	return saved > 0 && s.Waited.Seconds() < patienceForHome*(saved+full.Wait)
 }
 
@@ -167,16 +167,16 @@
 func breakTie(candidates []Candidate, best int, s *Step, d *Decision) int {
 	cost := candidates[best].Estimate.Cost
 	limit := cost + max(tieFloor, tieMargin*cost)
-	connect := candidates[best].Connect
+	connect := candidates[best].ConnectCost
 	for i := range candidates {
 		if tied(&candidates[i], limit) {
-			connect = min(connect, candidates[i].Connect)
+			connect = min(connect, candidates[i].ConnectCost)
 		}
 	}
 	random := s.Random
 	chosen := best
 	for i := range candidates {
-		if c := &candidates[i]; !tied(c, limit) || c.Connect > connect {
+		if c := &candidates[i]; !tied(c, limit) || c.ConnectCost > connect {
 			continue
 		}
 		d.Ties++
@@ -188,7 +188,7 @@
 }
 
 func tied(c *Candidate, limit float64) bool {
-	return c.Refused == Allowed && c.Estimate.Cost <= limit
+	return c.Rejection == Allowed && c.Estimate.Cost <= limit
 }
 
 // mix is the finalizer of SplitMix64 (Steele et al., 2014): successive
@@ -202,4 +202,4 @@
 
 // Capable reports whether any candidate could ever take the step; a step that
 // only waits for a full one is capable.
-func Capable(d *Decision) bool { return d.Out[Allowed]+d.Out[IsFull] > 0 }
+func AnyCapable(d *Decision) bool { return d.Rejections[Allowed]+d.Rejections[Full] > 0 }
--- a/internal/placement/pause.go
+++ b/internal/placement/pause.go
@@ -10,13 +10,13 @@
 // kept while the program waits for a tool. Turnover is how long the engine
 // takes to fill its cache with new tokens: a block kept longer than that pushes
 // out blocks that would have been used sooner, and would soon be evicted itself.
-func KeepThroughPause(pause, turnover time.Duration) bool {
+func ShouldRetainCache(pause, turnover time.Duration) bool {
 	return pause < time.Duration(keepShare*float64(turnover))
 }
 
 // Turnover returns how long an engine takes to fill its cache at a rate of new
 // tokens a second.
-func Turnover(cacheTokens int, newTokens float64) time.Duration {
+func CacheTurnover(cacheTokens int, newTokens float64) time.Duration {
 	if newTokens <= 0 {
 		return 24 * time.Hour
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -36,15 +36,15 @@
 	// Cached is the number of the prompt's tokens held there.
 	Cached int
 	// Way is the time to the upstream and back beyond the local; 0 in this data centre.
-	Way time.Duration
+	RTT time.Duration
 	// ViewAge is the age of what is known of another data centre; 0 in this one.
 	ViewAge time.Duration
 	// Connect is the cost of a new connection, where none is idle.
-	Connect time.Duration
+	ConnectCost time.Duration
 	// Estimate is set by a decision.
 	Estimate Estimate
 	// Refused is why the candidate is out, or Allowed.
-	Refused Reason
+	Rejection Reason
 }
 
 // Reason is why a candidate is out.
@@ -56,11 +56,11 @@
 	NotGranted
 	Tried
 	NotLoaded
-	IsLeaving
-	IsBroken
-	IsStalled
+	Draining
+	CircuitOpen
+	Stalled
 	ViewTooOld
-	IsFull
+	Full
 	reasonCount
 )
 
@@ -74,11 +74,11 @@
 	// Prompt and Output are in tokens; Output is what is expected.
 	Prompt, Output int
 	// Call is the mean time of a call to the service, in seconds; 0 for a model call.
-	Call float64
+	MeanCall float64
 	// Latency and Cache weigh seconds of waiting and seconds of repeated prefill.
-	Latency, Cache float64
+	LatencyWeight, CacheWeight float64
 	// Home is the upstream of the program's last step; 0 if none.
-	Home uint32
+	LastUpstream uint32
 	// Key spreads programs; Turn counts decisions. Both are for the baselines.
 	Key, Turn uint64
 	// Random breaks ties: uniform bits of this decision.
@@ -87,7 +87,7 @@
 	Waited time.Duration
 	// MoveSpeed is the rate in tokens a second at which the program's cache can
 	// be moved to another engine; 0 where it can't.
-	MoveSpeed float64
+	MoveTokensPerSecond float64
 	// MaxViewAge is how old the view of another data centre may be; 0 for the
 	// package's default.
 	MaxViewAge time.Duration
@@ -113,19 +113,19 @@
 	// BestCached is the largest number of the prompt's tokens that an allowed candidate holds.
 	BestCached int
 	// Out counts the candidates by the reason for which they were out.
-	Out [reasonCount]int
+	Rejections [reasonCount]int
 }
 
 // Estimate is the expected course of a step at one candidate, in seconds.
 type Estimate struct {
 	Wait, Prefill, Decode float64
 	// Others is what the step costs the calls that already run there.
-	Others float64
+	CoRunnerCost float64
 	// Wasted is the prefill of tokens that are cached at another candidate.
-	Wasted float64
-	Cost   float64
+	RedundantPrefill float64
+	Cost             float64
 	// Moved is the number of tokens to be fetched from the engine that holds them.
-	Moved int
+	MovedTokens int
 	// Slowness is the measured slowness that the times above include.
 	Slowness float64
 }
@@ -139,8 +139,8 @@
 // differ by factors in what they think of one engine, and the one that thinks
 // best of it sends all of its calls there.
 func (e Estimate) Expected(s *Step, made int) time.Duration {
-	if s.Call > 0 {
-		return time.Duration(s.Call * float64(time.Second))
+	if s.MeanCall > 0 {
+		return time.Duration(s.MeanCall * float64(time.Second))
 	}
 	if e.Slowness == 0 {
 		return 0
@@ -159,11 +159,11 @@
 	}
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Refused == Allowed {
-			c.Refused = reasonOf(c, maxViewAge)
+		if c.Rejection == Allowed {
+			c.Rejection = reasonOf(c, maxViewAge)
 		}
-		d.Out[c.Refused]++
-		if c.Refused == Allowed || c.Refused == IsFull {
+		d.Rejections[c.Rejection]++
+		if c.Rejection == Allowed || c.Rejection == Full {
 			d.BestCached = max(d.BestCached, c.Cached)
 		}
 	}
@@ -171,18 +171,18 @@
 
 func reasonOf(c *Candidate, maxViewAge time.Duration) Reason {
 	switch c.Load.Condition {
-	case upstream.Leaving:
-		return IsLeaving
-	case upstream.Broken:
-		return IsBroken
+	case upstream.Draining:
+		return Draining
+	case upstream.CircuitOpen:
+		return CircuitOpen
 	case upstream.Stalled:
-		return IsStalled
+		return Stalled
 	}
 	switch {
 	case c.ViewAge > maxViewAge:
 		return ViewTooOld
 	case c.Load.Condition == upstream.Full:
-		return IsFull
+		return Full
 	default:
 		return Allowed
 	}
@@ -205,7 +205,7 @@
 		chooseCost(candidates, s, &d)
 	}
 	if d.Chosen >= 0 && policy != Cost {
-		d.Estimate = Price(&candidates[d.Chosen], s, d.BestCached)
+		d.Estimate = EstimateCost(&candidates[d.Chosen], s, d.BestCached)
 	}
 	return d
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -22,13 +22,13 @@
 	return Candidate{
 		Index: i, ID: uint32(i + 1), Slots: rapid.IntRange(1, 16).Draw(t, "slots"),
 		Load: upstream.Load{
-			Condition: rapid.SampledFrom([]upstream.Condition{upstream.Usable, upstream.Usable, upstream.Full, upstream.Stalled, upstream.Broken, upstream.Leaving}).Draw(t, "condition"),
+			Condition: rapid.SampledFrom([]upstream.Condition{upstream.Usable, upstream.Usable, upstream.Full, upstream.Stalled, upstream.CircuitOpen, upstream.Draining}).Draw(t, "condition"),
 			Own:       total, Total: total, Slowness: rapid.Float64Range(0.5, 20).Draw(t, "slowness"),
 		},
-		Speed:   upstream.Speed{Prefill: rapid.Float64Range(10, 1e4).Draw(t, "prefill"), TokenBase: rapid.Float64Range(0.001, 0.1).Draw(t, "token"), Call: 2},
-		Cached:  64 * rapid.IntRange(0, 40).Draw(t, "cached"),
-		ViewAge: time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second,
-		Refused: rapid.SampledFrom([]Reason{Allowed, Allowed, Allowed, NotGranted, Tried, NotLoaded}).Draw(t, "refused"),
+		Speed:     upstream.Speed{Prefill: rapid.Float64Range(10, 1e4).Draw(t, "prefill"), TokenBase: rapid.Float64Range(0.001, 0.1).Draw(t, "token"), Call: 2},
+		Cached:    64 * rapid.IntRange(0, 40).Draw(t, "cached"),
+		ViewAge:   time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second,
+		Rejection: rapid.SampledFrom([]Reason{Allowed, Allowed, Allowed, NotGranted, Tried, NotLoaded}).Draw(t, "refused"),
 	}
 }
 
@@ -42,7 +42,7 @@
 		for i := range candidates {
 			candidates[i] = drawCandidate(t, i)
 		}
-		s := &Step{Prompt: 3000, Output: 100, Latency: rapid.Float64Range(0, 2).Draw(t, "latency"), Cache: rapid.Float64Range(0, 2).Draw(t, "cache"),
+		s := &Step{Prompt: 3000, Output: 100, LatencyWeight: rapid.Float64Range(0, 2).Draw(t, "latency"), CacheWeight: rapid.Float64Range(0, 2).Draw(t, "cache"),
 			Random: rapid.Uint64().Draw(t, "random"), Turn: rapid.Uint64().Draw(t, "turn"), Key: rapid.Uint64().Draw(t, "key")}
 		for _, policy := range Policies {
 			first := append([]Candidate(nil), candidates...)
@@ -51,14 +51,14 @@
 				t.Fatalf("%s: %+v, then %+v", policy, d, again)
 			}
 			if d.Chosen < 0 {
-				if d.Out[Allowed] > 0 {
+				if d.Rejections[Allowed] > 0 {
 					t.Fatalf("%s: a free upstream was passed over", policy)
 				}
 				continue
 			}
 			chosen := &first[d.Chosen]
-			if want := map[bool]Reason{false: Allowed, true: IsFull}[d.Wait]; chosen.Refused != want {
-				t.Fatalf("%s: chose one that is %v", policy, chosen.Refused)
+			if want := map[bool]Reason{false: Allowed, true: Full}[d.Wait]; chosen.Rejection != want {
+				t.Fatalf("%s: chose one that is %v", policy, chosen.Rejection)
 			}
 			if policy == Cost && !d.Wait {
 				checkCheapest(t, first, &d)
@@ -70,7 +70,7 @@
 func checkCheapest(t *rapid.T, candidates []Candidate, d *Decision) {
 	for i := range candidates {
 		e := &candidates[i].Estimate
-		if candidates[i].Refused == Allowed && d.Estimate.Cost > e.Cost+max(tieFloor, tieMargin*e.Cost)+1e-9 {
+		if candidates[i].Rejection == Allowed && d.Estimate.Cost > e.Cost+max(tieFloor, tieMargin*e.Cost)+1e-9 {
 			t.Fatalf("chose a cost of %v where %v was free", d.Estimate.Cost, e.Cost)
 		}
 	}
@@ -91,7 +91,7 @@
 		for running := range 40 {
 			c := two()
 			c[0].Load.Total = running
-			if d := Decide(Cost, c, &Step{Prompt: 4200, Output: 100, Latency: 1, Cache: cacheWeight}); d.Chosen == 1 {
+			if d := Decide(Cost, c, &Step{Prompt: 4200, Output: 100, LatencyWeight: 1, CacheWeight: cacheWeight}); d.Chosen == 1 {
 				return running
 			}
 		}
@@ -112,7 +112,7 @@
 		for i := range c {
 			c[i] = two()[1]
 		}
-		d := Decide(Cost, c, &Step{Prompt: 100, Output: 10, Latency: 1, Random: uint64(random) << 32})
+		d := Decide(Cost, c, &Step{Prompt: 100, Output: 10, LatencyWeight: 1, Random: uint64(random) << 32})
 		counts[d.Chosen]++
 	}
 	is.Equal(len(counts), 10)
@@ -129,7 +129,7 @@
 	choose := func(wanted int) int {
 		c := two()
 		c[0].Load.Total = 7
-		return Decide(Cost, c, &Step{Prompt: 4200, Output: 400, Latency: 0.4, Cache: 1, WantedReplicas: wanted, SharedTokens: 4096}).Chosen
+		return Decide(Cost, c, &Step{Prompt: 4200, Output: 400, LatencyWeight: 0.4, CacheWeight: 1, WantedReplicas: wanted, SharedTokens: 4096}).Chosen
 	}
 	is.Equal(choose(0), 0)
 	is.Equal(choose(3), 1)
@@ -137,10 +137,10 @@
 
 func TestPauseKeepsMemoryOnlyWhileItPays(t *testing.T) {
 	is := is.New(t)
-	turnover := Turnover(64000, 3200) // 20 s
-	is.True(KeepThroughPause(2*time.Second, turnover))
-	is.True(!KeepThroughPause(15*time.Second, turnover))
-	is.True(KeepThroughPause(time.Hour, Turnover(64000, 0))) // nobody needs the room
+	turnover := CacheTurnover(64000, 3200) // 20 s
+	is.True(ShouldRetainCache(2*time.Second, turnover))
+	is.True(!ShouldRetainCache(15*time.Second, turnover))
+	is.True(ShouldRetainCache(time.Hour, CacheTurnover(64000, 0))) // nobody needs the room
 }
 
 // Programs wait for the slowest of their tools: a replica that takes four times as
@@ -151,11 +151,11 @@
 	slow := upstream.Load{Slowness: 4, Limit: 8}
 	usual := upstream.Load{Slowness: 1.8, Limit: 8}
 	candidates := []Candidate{
-		{ID: 1, Slots: 4, Load: slow, Speed: upstream.Prior},
-		{ID: 2, Slots: 4, Load: usual, Speed: upstream.Prior, Way: 5 * time.Millisecond},
-		{ID: 3, Slots: 4, Load: upstream.Load{Slowness: 1, Limit: 8}, Speed: upstream.Prior, Way: 5 * time.Millisecond},
+		{ID: 1, Slots: 4, Load: slow, Speed: upstream.DefaultSpeed},
+		{ID: 2, Slots: 4, Load: usual, Speed: upstream.DefaultSpeed, RTT: 5 * time.Millisecond},
+		{ID: 3, Slots: 4, Load: upstream.Load{Slowness: 1, Limit: 8}, Speed: upstream.DefaultSpeed, RTT: 5 * time.Millisecond},
 	}
-	d := Decide(Cost, candidates, &Step{Latency: 1, Call: 0.1})
+	d := Decide(Cost, candidates, &Step{LatencyWeight: 1, MeanCall: 0.1})
 	is.True(d.Chosen != 0)
 	is.Equal(d.Ties, 2)
 }
@@ -172,7 +172,7 @@
 	is.Equal(e.Expected(model, 60), 800*time.Millisecond)
 	fast := Estimate{Decode: 0.2, Slowness: 0.5}
 	is.Equal(fast.Expected(model, 20), 400*time.Millisecond)
-	is.Equal(e.Expected(&Step{Call: 0.1}, 0), 100*time.Millisecond)
+	is.Equal(e.Expected(&Step{MeanCall: 0.1}, 0), 100*time.Millisecond)
 }
 
 // A replica that fails what it is sent is idle and would be the cheapest. It must
@@ -180,11 +180,11 @@
 func TestErringUpstreamIsLeft(t *testing.T) {
 	is := is.New(t)
 	at := func(erring float64) Candidate {
-		return Candidate{Slots: 4, Load: upstream.Load{Slowness: 1, Limit: 8, Erring: erring}, Speed: upstream.Prior}
+		return Candidate{Slots: 4, Load: upstream.Load{Slowness: 1, Limit: 8, ErrorRate: erring}, Speed: upstream.DefaultSpeed}
 	}
 	busy := at(0)
 	busy.Load.Total = 3
-	step := &Step{Latency: 1, Prompt: 600, Output: 10}
+	step := &Step{LatencyWeight: 1, Prompt: 600, Output: 10}
 	is.Equal(Decide(Cost, []Candidate{at(0.25), busy}, step).Chosen, 0)
 	is.Equal(Decide(Cost, []Candidate{at(0.58), busy}, step).Chosen, 1)
 }
--- a/internal/program/convert.go
+++ b/internal/program/convert.go
@@ -69,13 +69,13 @@
 	return out
 }
 
-func headFrom(h *programpb.Head) Head {
-	head := Head{Number: int(h.GetNumber()), Key: h.GetKey()}
+func headFrom(h *programpb.Head) StepIdentity {
+	head := StepIdentity{Number: int(h.GetNumber()), Key: h.GetKey()}
 	copy(head.Hash[:], h.GetBodyHash())
 	return head
 }
 
-func headTo(h Head) *programpb.Head {
+func headTo(h StepIdentity) *programpb.Head {
 	return &programpb.Head{Number: int32(h.Number), Key: h.Key, BodyHash: h.Hash[:]}
 }
 
--- a/internal/program/decide.go
+++ b/internal/program/decide.go
@@ -44,7 +44,7 @@
 }
 
 // Intend decides that a call which may not be repeated is sent.
-func Intend(h Head, call ToolCall) *programpb.Event {
+func RecordIntent(h StepIdentity, call ToolCall) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Intent{Intent: &programpb.Intent{
 		Head:    headTo(h),
 		Service: call.Service,
@@ -54,8 +54,8 @@
 }
 
 // Answer is what a placed step came to.
-type Answer struct {
-	Head        Head
+type StepResult struct {
+	Head        StepIdentity
 	Upstream    string
 	ServiceTime time.Duration
 	Earning     Earning
@@ -72,7 +72,7 @@
 }
 
 // TakeTurn decides that a model step is answered.
-func TakeTurn(a Answer, t Turn) *programpb.Event {
+func RecordTurn(a StepResult, t Turn) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Turn{Turn: &programpb.Turn{
 		Head:         headTo(a.Head),
 		New:          messagesTo(t.Added),
@@ -98,7 +98,7 @@
 
 // TakeOutcome decides what became of a tool step. NotRun takes the step's
 // intent back.
-func TakeOutcome(a Answer, t ToolAnswer) *programpb.Event {
+func RecordOutcome(a StepResult, t ToolAnswer) *programpb.Event {
 	outcome := &programpb.Outcome{
 		Head:        headTo(a.Head),
 		Verdict:     verdictTo(t.Verdict),
@@ -121,7 +121,7 @@
 
 // Fail decides that a placed step which may be repeated ended without an
 // answer; what it cost is counted, its number is still to be run.
-func Fail(a Answer) *programpb.Event {
+func Fail(a StepResult) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Outcome{Outcome: &programpb.Outcome{
 		Head:      headTo(a.Head),
 		Verdict:   programpb.Verdict_VERDICT_FAILED,
@@ -216,11 +216,11 @@
 	if last.Verdict != Pending {
 		return nil
 	}
-	return TakeOutcome(Answer{Head: last.Head}, ToolAnswer{Call: last.Tool.ToolCall, Verdict: Unknown})
+	return RecordOutcome(StepResult{Head: last.Head}, ToolAnswer{Call: last.Tool.ToolCall, Verdict: Unknown})
 }
 
 // WantEnd decides that the caller needs the program no longer.
-func WantEnd() *programpb.Event {
+func RequestEnd() *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_EndWanted{EndWanted: &programpb.EndWanted{}}}
 }
 
@@ -231,7 +231,7 @@
 
 // Absorb decides that an account takes over the earnings of a program or of
 // another account that ends with the same append.
-func Absorb(from *State) *programpb.Event {
+func MergeEarnings(from *State) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Absorbed{Absorbed: &programpb.Absorbed{
 		From:    string(from.ID),
 		Buckets: bucketsTo(from.buckets),
--- a/internal/program/event.go
+++ b/internal/program/event.go
@@ -62,7 +62,7 @@
 
 // Seal numbers and chains what was decided, as the events that follow the
 // state's last one. The state is unchanged until they are applied.
-func (s *State) Seal(at time.Time, decided ...*programpb.Event) []Event {
+func (s *State) NumberEvents(at time.Time, decided ...*programpb.Event) []Event {
 	sealed := make([]Event, 0, len(decided))
 	seq, chain := s.seq, s.chain
 	for _, pb := range decided {
--- a/internal/program/fold.go
+++ b/internal/program/fold.go
@@ -121,7 +121,7 @@
 
 // Holds reports whether the state has the last of the events as its own last,
 // or has taken later ones.
-func (s *State) Holds(events []Event) bool {
+func (s *State) Contains(events []Event) bool {
 	for _, e := range events {
 		if e.Seq > s.seq || e.Seq == s.seq && !e.isSnapshot() && e.chain != s.chain {
 			return false
@@ -188,7 +188,7 @@
 	case *programpb.Event_Absorbed:
 		s.absorb(kind.Absorbed.Buckets)
 	case *programpb.Event_EndWanted:
-		s.EndWantedAt = at
+		s.EndRequestedAt = at
 	case *programpb.Event_Ended:
 		s.Ended = true
 	}
@@ -327,7 +327,7 @@
 	s.Attained += service
 	s.earn(at, e)
 	if ends {
-		s.EndWantedAt = at
+		s.EndRequestedAt = at
 	}
 }
 
--- a/internal/program/history.go
+++ b/internal/program/history.go
@@ -75,7 +75,7 @@
 // since a late repeat of a lost turn carries it too, so it is enough only for a
 // tool call that may be repeated. One that may not is refused while there is
 // any doubt: its own intent may have been in an entry that is corrupt.
-func (s *State) CheckWhole(a Attempt, sent []chat.Message, k Kind) *Refusal {
+func (s *State) CheckHistory(a Attempt, sent []chat.Message, k Kind) *Refusal {
 	if s.Broken {
 		return refuse(ReasonHistoryUncertain, "a part of the program's history is missing; it is not served")
 	}
@@ -107,7 +107,7 @@
 func (s *State) CheckBounds(now time.Time, added []chat.Message) *Refusal {
 	b := s.Bounds
 	switch {
-	case s.Ended || !s.EndWantedAt.IsZero():
+	case s.Ended || !s.EndRequestedAt.IsZero():
 		return refuse(ReasonEnded, "the program has ended")
 	case b.Steps > 0 && len(s.Steps) >= b.Steps:
 		return refuse(ReasonBounds, "the plan allows %d steps", b.Steps)
@@ -125,7 +125,7 @@
 // unrecorded is the number of those that no event counts yet.
 func (s *State) CheckChild(now time.Time, unrecorded int) *Refusal {
 	switch {
-	case s.Ended || !s.EndWantedAt.IsZero():
+	case s.Ended || !s.EndRequestedAt.IsZero():
 		return refuse(ReasonEnded, "the parent program has ended")
 	case s.Bounds.Depth > 0 && s.Depth+1 > s.Bounds.Depth:
 		return refuse(ReasonBounds, "the plan allows a depth of %d", s.Bounds.Depth)
--- a/internal/program/id.go
+++ b/internal/program/id.go
@@ -13,7 +13,7 @@
 
 // Slices is the number of parts into which the programs of a cohort are
 // divided when they are taken over.
-const Slices = 64
+const ShardCount = 64
 
 // Cohort identifies one incarnation of an instance: the programs born on it
 // and the log that holds them. It has the form "datacentre.instance.incarnation".
@@ -43,9 +43,9 @@
 // NewIDInSlice returns a fresh identity in the cohort with the given slice, so
 // that a program stays with its root through every take-over. It draws
 // identities until one fits, about as many as there are slices.
-func NewIDInSlice(c Cohort, slice int) ID {
+func NewIDInShard(c Cohort, slice int) ID {
 	for {
-		if id := NewID(c); id.Slice() == slice {
+		if id := NewID(c); id.Shard() == slice {
 			return id
 		}
 	}
@@ -79,6 +79,6 @@
 }
 
 // Slice returns the program's slice, from 0 to Slices-1.
-func (id ID) Slice() int {
-	return int(xxhash.Sum64String(string(id)) % Slices)
+func (id ID) Shard() int {
+	return int(xxhash.Sum64String(string(id)) % ShardCount)
 }
--- a/internal/program/place.go
+++ b/internal/program/place.go
@@ -9,16 +9,16 @@
 	After string
 	// Whole says that the body holds the whole conversation, so that the same
 	// body can't be meant twice.
-	Whole bool
+	FullConversation bool
 }
 
 // Place says where an attempt stands in its program.
-type Place int8
+type Position int8
 
 // The places of an attempt.
 const (
 	// Ready says that it is the program's next step.
-	Ready Place = iota
+	Ready Position = iota
 	// Early says that steps before it are missing.
 	Early
 	// Recorded says that it is a repeat of a step that has its number.
@@ -28,7 +28,7 @@
 )
 
 // Find says where the attempt stands, and for a recorded one which step it is.
-func (s *State) Find(a Attempt) (Place, *Step) {
+func (s *State) Find(a Attempt) (Position, *Step) {
 	if step := s.byKey(a.Key); step != nil {
 		return a.compare(step.Head), step
 	}
@@ -58,18 +58,18 @@
 }
 
 // Matches reports whether the attempt names the step that has the head.
-func (a Attempt) Matches(h Head) bool {
+func (a Attempt) Matches(h StepIdentity) bool {
 	if a.Number == 0 && a.Key == "" {
-		return a.Whole && a.Hash == h.Hash
+		return a.FullConversation && a.Hash == h.Hash
 	}
 	return a.Number != 0 && a.Number == h.Number || a.Key != "" && a.Key == h.Key
 }
 
 // Repeats reports whether an attempt that names the step asks for the same
 // thing under the same names.
-func (a Attempt) Repeats(h Head) bool { return a.compare(h) == Recorded }
+func (a Attempt) Repeats(h StepIdentity) bool { return a.compare(h) == Recorded }
 
-func (a Attempt) compare(h Head) Place {
+func (a Attempt) compare(h StepIdentity) Position {
 	switch {
 	case a.Hash != h.Hash:
 		return Reused
