--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -37,7 +37,7 @@
 
 func (l *life) take(decided ...*programpb.Event) {
 	l.now = l.now.Add(time.Second)
-	for _, e := range l.state.Seal(l.now, decided...) {
+	for _, e := range l.state.NumberEvents(l.now, decided...) {
 		if err := l.state.Apply(e); err != nil {
 			panic(err)
 		}
@@ -45,17 +45,17 @@
 	}
 }
 
-func (l *life) head() Head {
+func (l *life) head() StepIdentity {
 	n := l.state.Next()
-	return Head{Number: n, Key: fmt.Sprint("key", n), Hash: HashBody([]byte{byte(n)})}
+	return StepIdentity{Number: n, Key: fmt.Sprint("key", n), Hash: HashBody([]byte{byte(n)})}
 }
 
-func (l *life) answer() Answer {
-	return Answer{Head: l.head(), Upstream: "u", ServiceTime: time.Second, Earning: Earning{Price: 10, Cut: 1}}
+func (l *life) answer() StepResult {
+	return StepResult{Head: l.head(), Upstream: "u", ServiceTime: time.Second, Earning: Earning{Price: 10, Cut: 1}}
 }
 
 func (l *life) turn(user, answer string) {
-	l.take(TakeTurn(l.answer(), Turn{
+	l.take(RecordTurn(l.answer(), Turn{
 		Added:   []chat.Message{message("user", user)},
 		Message: message("assistant", answer),
 		Usage:   chat.Usage{PromptTokens: 7, CompletionTokens: 3},
@@ -72,15 +72,15 @@
 		l.turn(fmt.Sprint("q", n), fmt.Sprint("a", n))
 	case 2:
 		a := l.answer()
-		l.take(Intend(a.Head, pay))
-		l.take(TakeOutcome(a, ToolAnswer{Call: pay, Verdict: Done, Status: 200, Body: bytes.Repeat([]byte("x"), n*20_000)}))
+		l.take(RecordIntent(a.Head, pay))
+		l.take(RecordOutcome(a, ToolAnswer{Call: pay, Verdict: Done, Status: 200, Body: bytes.Repeat([]byte("x"), n*20_000)}))
 	case 3:
 		a := l.answer()
-		l.take(Intend(a.Head, pay))
-		l.take(TakeOutcome(Answer{Head: a.Head}, ToolAnswer{Call: pay, Verdict: NotRun}))
+		l.take(RecordIntent(a.Head, pay))
+		l.take(RecordOutcome(StepResult{Head: a.Head}, ToolAnswer{Call: pay, Verdict: NotRun}))
 	case 4:
 		a := l.answer()
-		l.take(Intend(a.Head, pay), TakeOutcome(a, ToolAnswer{Call: pay, Verdict: Unknown}))
+		l.take(RecordIntent(a.Head, pay), RecordOutcome(a, ToolAnswer{Call: pay, Verdict: Unknown}))
 		if rapid.Bool().Draw(rt, "resolve") {
 			event, _ := l.state.Resolve(Resolution{Number: n, Verdict: Done, Status: 200, By: "operator"}, false)
 			l.take(event)
@@ -142,7 +142,7 @@
 	if !errors.Is(err, ErrChain) || !got.Broken {
 		rt.Fatalf("event %d of %d is missing and nobody says so", lost+1, len(l.events))
 	}
-	if got.CheckWhole(Attempt{Number: got.Next()}, nil, RepeatableKind) == nil {
+	if got.CheckHistory(Attempt{Number: got.Next()}, nil, RepeatableKind) == nil {
 		rt.Fatal("a broken program is served")
 	}
 	if earned(got) != earned(l.state)-earnedBy(l.events[lost]) {
@@ -229,7 +229,7 @@
 	second := HashBody([]byte{2})
 	cases := []struct {
 		attempt Attempt
-		want    Place
+		want    Position
 	}{
 		{Attempt{Number: 3, Hash: other}, Ready},
 		{Attempt{Hash: other}, Ready},
@@ -242,8 +242,8 @@
 		{Attempt{Key: "key1", Hash: other}, Reused},
 		{Attempt{Number: 2, Key: "key1", Hash: first}, Reused},
 		{Attempt{Number: 1, Key: "key9", Hash: first}, Reused},
-		{Attempt{Hash: second, Whole: true}, Recorded}, // an unnamed retry of the whole list
-		{Attempt{Hash: second}, Ready},                 // a user may say the same twice
+		{Attempt{Hash: second, FullConversation: true}, Recorded}, // an unnamed retry of the whole list
+		{Attempt{Hash: second}, Ready},                            // a user may say the same twice
 	}
 	for _, c := range cases {
 		place, _ := l.state.Find(c.attempt)
@@ -266,7 +266,7 @@
 	ended := newLife(Bounds{})
 	a := ended.answer()
 	a.EndsProgram = true
-	ended.take(TakeTurn(a, Turn{Message: message("assistant", "bye")}))
+	ended.take(RecordTurn(a, Turn{Message: message("assistant", "bye")}))
 	is.Equal(ended.state.CheckBounds(soon, nil).Reason, ReasonEnded)
 	large := newLife(Bounds{})
 	large.state.historyBytes = MaxHistory
@@ -280,16 +280,16 @@
 	is.True(!l.state.HasOpenWork())
 	l.turn("q", "a plain answer")
 	is.True(!l.state.HasOpenWork())
-	l.take(TakeTurn(l.answer(), Turn{Message: chat.Message{Role: "assistant",
+	l.take(RecordTurn(l.answer(), Turn{Message: chat.Message{Role: "assistant",
 		Raw: []byte(`{"role":"assistant","tool_calls":[{"id":"1"}]}`)}}))
 	is.True(l.state.HasOpenWork()) // the caller never called the tool
 	a := l.answer()
-	l.take(Intend(a.Head, pay), TakeOutcome(a, ToolAnswer{Call: pay, Verdict: Done}))
+	l.take(RecordIntent(a.Head, pay), RecordOutcome(a, ToolAnswer{Call: pay, Verdict: Done}))
 	is.True(l.state.HasOpenWork()) // the model never saw the tool's answer
 	l.turn("q", "done")
 	is.True(!l.state.HasOpenWork())
 	a = l.answer()
-	l.take(Intend(a.Head, pay), TakeOutcome(a, ToolAnswer{Call: pay, Verdict: Unknown}))
+	l.take(RecordIntent(a.Head, pay), RecordOutcome(a, ToolAnswer{Call: pay, Verdict: Unknown}))
 	l.turn("q", "done")
 	is.True(l.state.HasOpenWork()) // nobody knows whether the charge was made
 }
@@ -301,7 +301,7 @@
 	l := newLife(Bounds{})
 	l.turn("q", "a")
 	a := l.answer()
-	l.take(Intend(a.Head, pay), TakeOutcome(a, ToolAnswer{Call: pay, Verdict: Unknown}))
+	l.take(RecordIntent(a.Head, pay), RecordOutcome(a, ToolAnswer{Call: pay, Verdict: Unknown}))
 	_, refusal := l.state.Resolve(Resolution{Number: 1, Verdict: Done}, false)
 	is.Equal(refusal.Reason, ReasonNoStep)
 	event, refusal := l.state.Resolve(Resolution{Number: 2, Verdict: NotRun, By: "operator ana"}, false)
@@ -326,7 +326,7 @@
 	is := is.New(t)
 	for _, body := range [][]byte{make([]byte, MaxBody+1), nil} {
 		l := newLife(Bounds{})
-		l.take(Intend(l.head(), pay), TakeOutcome(l.answer(), ToolAnswer{Call: pay, Verdict: Unknown}))
+		l.take(RecordIntent(l.head(), pay), RecordOutcome(l.answer(), ToolAnswer{Call: pay, Verdict: Unknown}))
 		event, _ := l.state.Resolve(Resolution{Number: 1, Verdict: Done, Status: 200, Body: body}, false)
 		l.take(event)
 		is.True(l.state.Steps[0].Tool.BodyDropped)
@@ -344,7 +344,7 @@
 	l := newLife(Bounds{})
 	search := ToolCall{Service: "search", Method: "GET", Path: "/?" + strings.Repeat("q", 28<<10)}
 	for range 40 {
-		l.take(TakeOutcome(l.answer(), ToolAnswer{Call: search, Verdict: Done, Status: 200, Body: []byte("trees")}))
+		l.take(RecordOutcome(l.answer(), ToolAnswer{Call: search, Verdict: Done, Status: 200, Body: []byte("trees")}))
 	}
 	snapshot := l.state.Snapshot(l.now)
 	is.True(len(snapshot.Raw) <= maxSnapshot)
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -52,8 +52,8 @@
 		Uncertain:     s.Uncertain,
 		Broken:        s.Broken,
 	}
-	if !s.EndWantedAt.IsZero() {
-		out.EndWantedAt = s.EndWantedAt.UnixMilli()
+	if !s.EndRequestedAt.IsZero() {
+		out.EndWantedAt = s.EndRequestedAt.UnixMilli()
 	}
 	for _, p := range s.Pauses {
 		out.PausesMs = append(out.PausesMs, p.Milliseconds())
@@ -120,7 +120,7 @@
 	copy(s.chain[:], p.Chain)
 	copy(s.turn[:], p.Turn)
 	if p.EndWantedAt != 0 {
-		s.EndWantedAt = time.UnixMilli(p.EndWantedAt)
+		s.EndRequestedAt = time.UnixMilli(p.EndWantedAt)
 	}
 	for _, ms := range p.PausesMs {
 		s.Pauses = append(s.Pauses, time.Duration(ms)*time.Millisecond)
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -32,7 +32,7 @@
 )
 
 // Head identifies a step towards its caller.
-type Head struct {
+type StepIdentity struct {
 	Number int
 	Key    string
 	Hash   [chainSize]byte
@@ -47,7 +47,7 @@
 
 // Step is a step that has taken its number.
 type Step struct {
-	Head    Head
+	Head    StepIdentity
 	Verdict Verdict
 	// Tool is nil for a model step.
 	Tool *ToolStep
@@ -114,8 +114,8 @@
 	// LastAt is the time of the last event.
 	LastAt time.Time
 	// EndWantedAt is when the caller said that it needs the program no longer; zero before.
-	EndWantedAt time.Time
-	Ended       bool
+	EndRequestedAt time.Time
+	Ended          bool
 	// Uncertain says that events after the last one here may have been lost.
 	Uncertain bool
 	// Broken says that an event in the middle is missing; the history is never served again.
@@ -165,7 +165,7 @@
 	if s.Broken || s.Unresolved() > 0 {
 		return true
 	}
-	if len(s.Steps) == 0 || !s.EndWantedAt.IsZero() {
+	if len(s.Steps) == 0 || !s.EndRequestedAt.IsZero() {
 		return false
 	}
 	last := &s.Steps[len(s.Steps)-1]
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -11,12 +11,12 @@
 )
 
 // Repeat says how often the calls of a route may run.
-type Repeat uint8
+type Kind uint8
 
 // The kinds of route.
 const (
 	// Once says that a call runs at most once.
-	Once Repeat = iota
+	Once Kind = iota
 	// Idempotent says that a call may run more than once.
 	Idempotent
 	// Stream says that the answer is a stream of events. A stream runs at most
@@ -25,12 +25,12 @@
 )
 
 // String returns the kind's name in log lines.
-func (r Repeat) String() string {
+func (r Kind) String() string {
 	return [...]string{"once", "idempotent", "stream"}[r]
 }
 
 // Share is one service behind a route with its weight among the others.
-type Share struct {
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -41,7 +41,7 @@
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	Repeat Repeat
+	Kind   Kind
 	// Timeout bounds a call from its arrival to the end of its answer.
 	Timeout time.Duration
 	// Objective is the time within which an answer is on time; of a stream,
@@ -53,22 +53,22 @@
 	Attempts int
 	// Priority is the rank among routes, 0 the first.
 	Priority int
-	Shares   []Share
+	Services []WeightedService
 	// Affinity says that replicas serve faster what they served before.
 	Affinity bool
 	// Resumable says that a broken stream may go on at another replica.
 	Resumable bool
 	// KeepsTurns says that calls continue from earlier answers, which are kept
 	// for Retention after the last of their chain.
-	KeepsTurns bool
-	Retention  time.Duration
+	RetainsTurns bool
+	Retention    time.Duration
 	// Public says that calls need no key.
 	Public bool
 }
 
 // Repeatable reports whether a call of the route may run more than once.
 func (r *Route) Repeatable() bool {
-	return r.Repeat == Idempotent || r.Repeat == Stream && r.Resumable
+	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
 // Engine describes the engines of a model service.
@@ -145,22 +145,22 @@
 // the same key.
 func (r *Route) Choose(key uint64) string {
 	total := 0
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		total += max(0, s.Weight)
 	}
 	if total == 0 {
-		if len(r.Shares) == 0 {
+		if len(r.Services) == 0 {
 			return ""
 		}
-		return r.Shares[0].Service
+		return r.Services[0].Service
 	}
 	at := int(key % uint64(total))
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		if at -= max(0, s.Weight); at < 0 {
 			return s.Service
 		}
 	}
-	return r.Shares[len(r.Shares)-1].Service
+	return r.Services[len(r.Services)-1].Service
 }
 
 // Replica is one running replica of a service.
@@ -186,7 +186,7 @@
 }
 
 // IDOf returns the id of the replica of that name.
-func IDOf(name string) string {
+func ReplicaID(name string) string {
 	id, _, _ := strings.Cut(name, nameMark)
 	return id
 }
--- a/internal/scheduler/agent_test.go
+++ b/internal/scheduler/agent_test.go
@@ -204,11 +204,11 @@
 	}
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	impatient := time.AfterFunc(g.Patience, cancel)
+	impatient := time.AfterFunc(g.ProgressTimeout, cancel)
 	defer impatient.Stop()
 	request := &engine.Request{Chat: &chat.Request{Model: testModel, Messages: a.conversation, MaxTokens: output, Stream: true}, Program: a.name, Priority: g.Priority}
 	answer, err := a.b.fleet.Complete(callCtx, g.Address, request, func(engine.Chunk) error {
-		impatient.Reset(g.Patience)
+		impatient.Reset(g.ProgressTimeout)
 		g.FirstToken()
 		return nil
 	})
@@ -223,7 +223,7 @@
 	return true, nil
 }
 
-func (b *bench) note(a *agent, answer *engine.Answer, best, output int) {
+func (b *bench) note(a *agent, answer *engine.Response, best, output int) {
 	var got struct{ Content string }
 	_ = json.Unmarshal(answer.Message.Raw, &got)
 	b.mu.Lock()
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -20,16 +20,16 @@
 
 // decide makes one decision over a sample, and where that has no upstream that
 // can take the step, over all.
-func (p *pool) decide(cells []*upstream.Cell, w *waiter, now time.Time) placement.Decision {
+func (p *pool) decide(cells []*upstream.Endpoint, w *waiter, now time.Time) placement.Decision {
 	if p.key.service {
-		w.step.Call = p.meanOf(cells, now).Call
+		w.step.MeanCall = p.meanOf(cells, now).Call
 	}
 	p.scheduler.view.Lookup(w.chain, &p.matches)
 	policy := p.scheduler.settings.Policy
 	if policy == placement.Cost && len(cells) > sampleAbove {
 		p.fillSample(cells, w, now)
 		d := placement.Decide(policy, p.candidates, &w.step)
-		if placement.Capable(&d) {
+		if placement.AnyCapable(&d) {
 			return d
 		}
 	}
@@ -37,15 +37,15 @@
 	return placement.Decide(policy, p.candidates, &w.step)
 }
 
-func (p *pool) fillAll(cells []*upstream.Cell, w *waiter, now time.Time) {
+func (p *pool) fillAll(cells []*upstream.Endpoint, w *waiter, now time.Time) {
 	p.candidates = p.candidates[:0]
 	for i := range cells {
 		p.add(cells, i, w, now)
 	}
-	w.step.MoveSpeed = p.moveSpeed(w, now)
+	w.step.MoveTokensPerSecond = p.moveSpeed(w, now)
 }
 
-func (p *pool) fillSample(cells []*upstream.Cell, w *waiter, now time.Time) {
+func (p *pool) fillSample(cells []*upstream.Endpoint, w *waiter, now time.Time) {
 	p.candidates = p.candidates[:0]
 	holders := 0
 	deep := p.deepEnough()
@@ -53,7 +53,7 @@
 	stride := max(1, len(cells)/sampleSize)
 	for i := range cells {
 		id := cells[i].Upstream.ID
-		holds := id == w.step.Home || holders < holdersMax && p.matches.Depth(id) >= deep
+		holds := id == w.step.LastUpstream || holders < holdersMax && p.matches.Depth(id) >= deep
 		if holds {
 			holders++
 		}
@@ -61,7 +61,7 @@
 			p.add(cells, i, w, now)
 		}
 	}
-	w.step.MoveSpeed = p.moveSpeed(w, now)
+	w.step.MoveTokensPerSecond = p.moveSpeed(w, now)
 }
 
 // deepEnough is the depth from which an upstream counts as a holder.
@@ -73,7 +73,7 @@
 	return found[min(holdersMax, len(found))-1].Blocks
 }
 
-func (p *pool) add(cells []*upstream.Cell, i int, w *waiter, now time.Time) {
+func (p *pool) add(cells []*upstream.Endpoint, i int, w *waiter, now time.Time) {
 	cell := cells[i]
 	u := cell.Upstream
 	c := placement.Candidate{
@@ -84,8 +84,8 @@
 		Speed:  p.speedOf(cell, cells, now),
 		Cached: p.matches.Depth(u.ID) * engine.BlockTokens,
 	}
-	if idle := p.scheduler.settings.Idle; idle != nil && !idle(u.Name, u.Address) {
-		c.Connect = p.scheduler.settings.Connect
+	if idle := p.scheduler.settings.HasIdleConnection; idle != nil && !idle(u.Name, u.Address) {
+		c.ConnectCost = p.scheduler.settings.ConnectCost
 	}
 	p.scheduler.restrict(&c, cell, w.request)
 	p.candidates = append(p.candidates, c)
@@ -94,10 +94,10 @@
 // moveSpeed is the rate at which the program's cache can be moved away from
 // its home, 0 where the home is out of reach or another engine has more.
 func (p *pool) moveSpeed(w *waiter, now time.Time) float64 {
-	if p.scheduler.settings.Mover == nil || w.step.Home == 0 || len(p.matches.Found) == 0 {
+	if p.scheduler.settings.Mover == nil || w.step.LastUpstream == 0 || len(p.matches.Found) == 0 {
 		return 0
 	}
-	if p.matches.Depth(w.step.Home) < p.matches.Found[0].Blocks {
+	if p.matches.Depth(w.step.LastUpstream) < p.matches.Found[0].Blocks {
 		return 0
 	}
 	return p.reachableSpeed(w, now)
@@ -106,7 +106,7 @@
 func (p *pool) reachableSpeed(w *waiter, now time.Time) float64 {
 	for i := range p.candidates {
 		c := &p.candidates[i]
-		if c.ID == w.step.Home && c.Load.Condition != upstream.Broken && c.Load.Condition != upstream.Stalled {
+		if c.ID == w.step.LastUpstream && c.Load.Condition != upstream.CircuitOpen && c.Load.Condition != upstream.Stalled {
 			return p.scheduler.moves.expect(now)
 		}
 	}
@@ -119,7 +119,7 @@
 // speedOf returns the learned speed of an upstream, or of one that has not
 // answered yet the mean of the others. With a fixed guess a fleet of fast
 // engines leaves its new ones idle while the old ones queue.
-func (p *pool) speedOf(cell *upstream.Cell, cells []*upstream.Cell, now time.Time) upstream.Speed {
+func (p *pool) speedOf(cell *upstream.Endpoint, cells []*upstream.Endpoint, now time.Time) upstream.Speed {
 	speed := cell.Speed()
 	if speed.Samples > 0 {
 		return speed
@@ -127,14 +127,14 @@
 	return p.meanOf(cells, now)
 }
 
-func (p *pool) meanOf(cells []*upstream.Cell, now time.Time) upstream.Speed {
+func (p *pool) meanOf(cells []*upstream.Endpoint, now time.Time) upstream.Speed {
 	if now.Sub(p.meanAt) > meanEvery {
 		p.mean, p.meanAt = meanSpeed(cells), now
 	}
 	return p.mean
 }
 
-func meanSpeed(cells []*upstream.Cell) upstream.Speed {
+func meanSpeed(cells []*upstream.Endpoint) upstream.Speed {
 	var sum upstream.Speed
 	n := 0.0
 	for _, c := range cells {
@@ -149,7 +149,7 @@
 		sum.Call += s.Call
 	}
 	if n == 0 {
-		return upstream.Prior
+		return upstream.DefaultSpeed
 	}
 	return upstream.Speed{Prefill: sum.Prefill / n, TokenBase: sum.TokenBase / n, TokenPerCall: sum.TokenPerCall / n, Call: sum.Call / n}
 }
--- a/internal/scheduler/decision_bench_test.go
+++ b/internal/scheduler/decision_bench_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func decisionOf(n int) (*pool, *waiter, []*upstream.Cell) {
+func decisionOf(n int) (*pool, *waiter, []*upstream.Endpoint) {
 	var listed []usage.Upstream
 	for i := range n {
 		name := fmt.Sprint("e", i)
@@ -41,14 +41,14 @@
 	table := upstream.NewTable()
 	table.Apply(listed, time.Now())
 	s := New(Settings{DataCentre: "a"}, table, cache.New(cache.DefaultOptions))
-	cells := table.Members().Model("m")
+	cells := table.Snapshot().Model("m")
 	grant := &usage.Grant{Models: []string{"m"}, DataCentres: []string{"a"}, LatencyWeight: 1, CacheWeight: 0.5}
 	r := &Request{Model: "m", Program: "p", Grant: grant, Messages: []chat.Message{{Raw: make([]byte, 120000*engine.TokenBytes)}}}
 	w := s.newWaiter(r)
-	s.view.Sent(cells[n/2].Upstream.ID, w.chain)
+	s.view.RecordSent(cells[n/2].Upstream.ID, w.chain)
 	for _, cell := range cells {
 		cell.Learn(upstream.Sample{Uncached: 1000, Output: 50, Batch: 4, FirstToken: time.Second, Total: 3 * time.Second})
-		s.view.Sent(cell.Upstream.ID, w.chain[:8])
+		s.view.RecordSent(cell.Upstream.ID, w.chain[:8])
 		cell.Upstream.Begin(time.Now().UnixNano(), 100, time.Hour)
 	}
 	return s.pool(r), w, cells
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -63,7 +63,7 @@
 
 // follow starts a follower for each new engine and ends those of engines that are gone.
 func (s *Scheduler) follow(ctx context.Context, group *sync.WaitGroup, engines Engines, following map[*upstream.Upstream]context.CancelFunc) {
-	members := s.table.Members()
+	members := s.table.Snapshot()
 	for u, stop := range following {
 		if members.Upstream(u.Name) != u {
 			stop()
--- a/internal/scheduler/grant.go
+++ b/internal/scheduler/grant.go
@@ -36,14 +36,14 @@
 	Priority int
 	// Patience bounds the time to the first token and between chunks: when it
 	// is over, the upstream hangs, and a model call is better cancelled and retried.
-	Patience time.Duration
+	ProgressTimeout time.Duration
 	// HedgeAfter is when a second copy of the call may be sent, with this
 	// upstream in Tried; 0 where it may not.
 	HedgeAfter time.Duration
 	Decision   placement.Decision
 
 	pool   *pool
-	cell   *upstream.Cell
+	cell   *upstream.Endpoint
 	waiter *waiter
 	// trial is the number of the upstream's trial that this call is, or 0.
 	trial  uint64
@@ -71,7 +71,7 @@
 }
 
 // FeedbackOf returns the feedback of a completion.
-func FeedbackOf(a *engine.Answer, err error) Feedback {
+func FeedbackOf(a *engine.Response, err error) Feedback {
 	if err != nil {
 		failure := upstream.FailureOf(err)
 		return Feedback{Failure: &failure}
@@ -87,29 +87,29 @@
 }
 
 // grant takes a place on the upstream for the step; the pool's lock is held.
-func (p *pool) grant(cell *upstream.Cell, w *waiter, d *placement.Decision, now time.Time) *Grant {
+func (p *pool) grant(cell *upstream.Endpoint, w *waiter, d *placement.Decision, now time.Time) *Grant {
 	c := &p.candidates[d.Chosen]
 	u := cell.Upstream
 	g := &Grant{
-		Upstream:   u.Name,
-		Address:    u.Address,
-		DataCentre: u.DataCentre,
-		Model:      cell.Serving().Name,
-		Priority:   w.request.Priority,
-		Patience:   patienceOf(w, cell, d),
-		Decision:   *d,
-		pool:       p,
-		cell:       cell,
-		waiter:     w,
-		sent:       now,
-		batch:      c.Load.Total + 1,
-		cached:     c.Cached,
+		Upstream:        u.Name,
+		Address:         u.Address,
+		DataCentre:      u.DataCentre,
+		Model:           cell.Serving().Name,
+		Priority:        w.request.Priority,
+		ProgressTimeout: patienceOf(w, cell, d),
+		Decision:        *d,
+		pool:            p,
+		cell:            cell,
+		waiter:          w,
+		sent:            now,
+		batch:           c.Load.Total + 1,
+		cached:          c.Cached,
 	}
 	if w.request.Service != "" && w.request.Repeatable {
 		g.HedgeAfter = time.Duration(hedgeFactor * cell.Speed().Call * float64(time.Second))
 	}
 	p.planMove(g, d)
-	u.Begin(now.UnixNano(), g.uncached(), g.Patience)
+	u.Begin(now.UnixNano(), g.uncached(), g.ProgressTimeout)
 	p.running++
 	return g
 }
@@ -117,13 +117,13 @@
 // patienceOf is how long the upstream may make no progress. An engine's calls
 // show progress at their first tokens; a service's show none before their end,
 // and its times spread widely, so it is measured by whole calls.
-func patienceOf(w *waiter, cell *upstream.Cell, d *placement.Decision) time.Duration {
+func patienceOf(w *waiter, cell *upstream.Endpoint, d *placement.Decision) time.Duration {
 	if w.request.Service != "" {
 		mean := time.Duration(cell.Speed().Call * float64(time.Second))
 		return max(servicePatienceMin, servicePatienceFactor*mean)
 	}
 	seconds := d.Estimate.Wait + d.Estimate.Prefill
-	if w.request.Whole {
+	if w.request.NonStreaming {
 		seconds += d.Estimate.Decode
 	}
 	expected := time.Duration(seconds * float64(time.Second))
@@ -135,13 +135,13 @@
 // planMove lets the program's cache be fetched from the engine that has it,
 // where that is quicker than to prefill it again.
 func (p *pool) planMove(g *Grant, d *placement.Decision) {
-	if d.Estimate.Moved == 0 {
+	if d.Estimate.MovedTokens == 0 {
 		return
 	}
 	for i := range p.candidates {
-		if c := &p.candidates[i]; c.ID == g.waiter.step.Home && c.Cached == d.BestCached {
+		if c := &p.candidates[i]; c.ID == g.waiter.step.LastUpstream && c.Cached == d.BestCached {
 			g.moveFrom = p.scheduler.cells(p.key)[c.Index].Upstream.Address
-			g.moved = d.Estimate.Moved
+			g.moved = d.Estimate.MovedTokens
 		}
 	}
 }
@@ -150,7 +150,7 @@
 func (s *Scheduler) note(g *Grant, now time.Time) {
 	r := g.waiter.request
 	if r.Model != "" {
-		s.view.Sent(g.cell.Upstream.ID, g.waiter.chain)
+		s.view.RecordSent(g.cell.Upstream.ID, g.waiter.chain)
 		s.programs.placed(r.programKey(), now, g.cell.Upstream)
 	} else {
 		s.pause(r, now)
@@ -234,7 +234,7 @@
 // learn takes the figures of an answer into speeds, view and expectations.
 func (s *Scheduler) learn(g *Grant, f Feedback, now time.Time) {
 	r := g.waiter.request
-	g.cell.Upstream.Compare(now, f.Total, g.Decision.Estimate.Expected(&g.waiter.step, f.Output))
+	g.cell.Upstream.ObserveLatency(now, f.Total, g.Decision.Estimate.Expected(&g.waiter.step, f.Output))
 	sample := upstream.Sample{
 		Uncached: f.Prompt - f.Cached, Output: f.Output, Batch: min(g.batch, max(1, g.cell.Upstream.Slots)),
 		FirstToken: f.FirstToken, Total: f.Total,
@@ -247,10 +247,10 @@
 	for _, address := range s.programs.leaveOthers(r.programKey(), g.Address, now) {
 		s.release(address, r.Program)
 	}
-	s.view.Compare(g.cell.Upstream.ID, g.cached, f.Cached)
+	s.view.ObserveCached(g.cell.Upstream.ID, g.cached, f.Cached)
 	if f.Message != nil {
 		messages := append(append([]chat.Message(nil), r.Messages...), *f.Message)
-		s.view.Sent(g.cell.Upstream.ID, engine.Blocks(nil, g.waiter.seed, messages)[len(g.waiter.chain):])
+		s.view.RecordSent(g.cell.Upstream.ID, engine.Blocks(nil, g.waiter.seed, messages)[len(g.waiter.chain):])
 	}
 }
 
--- a/internal/scheduler/log.go
+++ b/internal/scheduler/log.go
@@ -22,7 +22,7 @@
 	fields["wait_ms"] = millis(d.Estimate.Wait)
 	fields["prefill_ms"] = millis(d.Estimate.Prefill)
 	fields["decode_ms"] = millis(d.Estimate.Decode)
-	fields["wasted_ms"] = millis(d.Estimate.Wasted)
+	fields["wasted_ms"] = millis(d.Estimate.RedundantPrefill)
 	fields["cost"] = d.Estimate.Cost
 	fields["slowness"] = d.Estimate.Slowness
 	fields["ties"] = d.Ties
@@ -61,7 +61,7 @@
 	} else {
 		fields["service"] = w.request.Service
 	}
-	for reason, n := range d.Out {
+	for reason, n := range d.Rejections {
 		if n > 0 {
 			fields["out_"+placement.Reason(reason).String()] = n
 		}
--- a/internal/scheduler/pause.go
+++ b/internal/scheduler/pause.go
@@ -10,7 +10,7 @@
 
 // seed returns the name on which the blocks of a model's prompts depend.
 func (s *Scheduler) seed(model string) string {
-	for _, cell := range s.table.Members().Model(model) {
+	for _, cell := range s.table.Snapshot().Model(model) {
 		if serving := cell.Serving(); serving.Ready {
 			return engine.CacheName(serving.Name)
 		}
@@ -32,8 +32,8 @@
 	if u == nil || s.settings.Policy != placement.Cost {
 		return
 	}
-	turnover := placement.Turnover(u.CacheTokens, s.inflow.rate(u.ID, now)*engine.BlockTokens)
-	if placement.KeepThroughPause(expected, turnover) {
+	turnover := placement.CacheTurnover(u.CacheTokens, s.inflow.rate(u.ID, now)*engine.BlockTokens)
+	if placement.ShouldRetainCache(expected, turnover) {
 		return
 	}
 	s.release(u.Address, r.Program)
@@ -53,7 +53,7 @@
 	if id == 0 {
 		return nil
 	}
-	for _, u := range s.table.Members().All {
+	for _, u := range s.table.Snapshot().All {
 		if u.ID == id {
 			return u
 		}
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -95,11 +95,11 @@
 // to, prefills what stands at another engine.
 func (s *Scheduler) noteHome(w *waiter) {
 	r := w.request
-	if r.Home == "" || r.HomeBlocks == 0 {
+	if r.LastUpstream == "" || r.LastUpstreamBlocks == 0 {
 		return
 	}
-	if u := s.table.Members().Upstream(r.Home); u != nil {
-		s.view.Sent(u.ID, w.chain[:min(len(w.chain), r.HomeBlocks)])
+	if u := s.table.Snapshot().Upstream(r.LastUpstream); u != nil {
+		s.view.RecordSent(u.ID, w.chain[:min(len(w.chain), r.LastUpstreamBlocks)])
 	}
 }
 
@@ -107,12 +107,12 @@
 	r := w.request
 	w.step.Prompt = w.prompt
 	w.step.MaxViewAge = s.settings.MaxViewAge
-	w.step.Latency, w.step.Cache = weights(r)
+	w.step.LatencyWeight, w.step.CacheWeight = weights(r)
 	w.step.Key = keyOf(r)
 	w.step.Random = s.random()
 	w.step.Turn = s.turn.Add(1)
 	attained, steps := s.programs.attained(rootOf(r), now)
-	w.step.Home = s.programs.home(r.programKey(), now)
+	w.step.LastUpstream = s.programs.home(r.programKey(), now)
 	w.position = queue.Position{
 		Enqueued: now,
 		Attained: attained,
@@ -206,7 +206,7 @@
 }
 
 // passFirst looks at the first steps, in order; full is as for try.
-func (p *pool) passFirst(cells []*upstream.Cell, now time.Time) (full bool) {
+func (p *pool) passFirst(cells []*upstream.Endpoint, now time.Time) (full bool) {
 	for range scanLimit - turnLimit {
 		item := p.queue.Pop()
 		if item == nil {
@@ -225,7 +225,7 @@
 
 // passTurn looks at some of the steps behind the first, going on where the
 // last pass ended, so that each has its turn.
-func (p *pool) passTurn(cells []*upstream.Cell, now time.Time) {
+func (p *pool) passTurn(cells []*upstream.Endpoint, now time.Time) {
 	for range min(turnLimit, p.queue.Len()) {
 		if p.turn >= p.queue.Len() {
 			p.turn = 0
@@ -245,7 +245,7 @@
 
 // try settles one step, granted or refused, or leaves it to wait. Full says
 // that no upstream has room for any step, so that looking at more is in vain.
-func (p *pool) try(cells []*upstream.Cell, w *waiter, now time.Time) (settled, full bool) {
+func (p *pool) try(cells []*upstream.Endpoint, w *waiter, now time.Time) (settled, full bool) {
 	w.step.Waited = now.Sub(w.enqueued)
 	d := p.decide(cells, w, now)
 	if refusal := p.tooLate(w, &d, now); refusal != nil {
@@ -261,11 +261,11 @@
 			return true, false
 		}
 	}
-	if !placement.Capable(&d) && w.step.Waited >= outageWait {
+	if !placement.AnyCapable(&d) && w.step.Waited >= outageWait {
 		w.refused <- noUpstream(&d)
 		return true, false
 	}
-	return false, d.Out[placement.IsFull] > 0 && d.Out[placement.IsFull] == len(p.candidates)
+	return false, d.Rejections[placement.Full] > 0 && d.Rejections[placement.Full] == len(p.candidates)
 }
 
 func (p *pool) startTick() {
--- a/internal/scheduler/rules.go
+++ b/internal/scheduler/rules.go
@@ -54,23 +54,23 @@
 }
 
 // restrict puts a candidate out that this step may not use or already tried.
-func (s *Scheduler) restrict(c *placement.Candidate, cell *upstream.Cell, r *Request) {
+func (s *Scheduler) restrict(c *placement.Candidate, cell *upstream.Endpoint, r *Request) {
 	u := cell.Upstream
 	switch {
 	case r.Grant != nil && len(r.Grant.DataCentres) > 0 && !r.Grant.AllowsDataCentre(u.DataCentre):
-		c.Refused = placement.NotGranted
+		c.Rejection = placement.NotGranted
 	case slices.Contains(r.Tried, u.Name):
-		c.Refused = placement.Tried
+		c.Rejection = placement.Tried
 	case !cell.Serving().Ready:
-		c.Refused = placement.NotLoaded
+		c.Rejection = placement.NotLoaded
 	}
 	if u.DataCentre == s.settings.DataCentre {
 		return
 	}
-	c.Way = s.settings.Ways[u.DataCentre]
+	c.RTT = s.settings.DataCentreRTT[u.DataCentre]
 	c.ViewAge = placement.MaxViewAge + 1
-	if s.settings.Remote != nil {
-		c.ViewAge = s.settings.Remote(u.DataCentre)
+	if s.settings.RemoteViewAge != nil {
+		c.ViewAge = s.settings.RemoteViewAge(u.DataCentre)
 	}
 }
 
@@ -158,7 +158,7 @@
 	if learned := p.learnedTime(); learned > 0 {
 		return learned
 	}
-	return time.Duration(upstream.Prior.Call * float64(time.Second))
+	return time.Duration(upstream.DefaultSpeed.Call * float64(time.Second))
 }
 
 // learnedTime is the same over those that have answered a call; 0 while none
@@ -192,7 +192,7 @@
 
 func noUpstream(d *placement.Decision) *Refusal {
 	refusal := refuse(step.CodeNoUpstream, 503, "no upstream can take the step at present", outageWait)
-	if d.Out[placement.NotLoaded] > 0 {
+	if d.Rejections[placement.NotLoaded] > 0 {
 		refusal = refuse(step.CodeNoUpstream, 503, "the model is being loaded", loadWait)
 	}
 	refusal.decision = *d
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -25,7 +25,7 @@
 	// DataCentre is this instance's; its upstreams are local.
 	DataCentre string
 	// Ways gives the time to another data centre and back.
-	Ways map[string]time.Duration
+	DataCentreRTT map[string]time.Duration
 	// Policy is the way to choose; empty for placement.Cost.
 	Policy placement.Policy
 	// QueueLimit bounds the steps that wait for one model or service; 0 for 4096.
@@ -35,11 +35,11 @@
 	// Random gives uniform bits to break ties with.
 	Random func() uint64
 	// Remote tells how old the view of another data centre is; nil for never fresh.
-	Remote func(dataCentre string) time.Duration
+	RemoteViewAge func(dataCentre string) time.Duration
 	// Idle reports whether a connection to an upstream is open and unused, and
 	// Connect is what a new one costs; nil where connections cost nothing.
-	Idle    func(upstream, address string) bool
-	Connect time.Duration
+	HasIdleConnection func(upstream, address string) bool
+	ConnectCost       time.Duration
 	// MaxViewAge is how old that view may be; 0 for placement.MaxViewAge.
 	MaxViewAge time.Duration
 	// Mover moves programs' caches between engines; nil for no moves.
@@ -80,15 +80,15 @@
 	PromptTokens int
 	// Home names the upstream that is known, from beyond this instance, to have
 	// run the program's last step, and HomeBlocks how much of the prompt it had.
-	Home       string
-	HomeBlocks int
+	LastUpstream       string
+	LastUpstreamBlocks int
 	// OutputHint is the expected number of output tokens; 0 where only the
 	// plan's earlier answers tell.
 	OutputHint int
 	MaxTokens  int
 	// Whole says that the engine is asked for a whole answer and not a stream,
 	// so that it shows no progress before the end.
-	Whole bool
+	NonStreaming bool
 	// Deadline is when the caller gives up; zero for none.
 	Deadline time.Time
 	// Tried names the upstreams that failed the step before.
@@ -180,7 +180,7 @@
 
 // check refuses what no waiting would help.
 func (s *Scheduler) check(r *Request) *Refusal {
-	members := s.table.Members()
+	members := s.table.Snapshot()
 	switch {
 	case r.Model != "" && r.Grant != nil && !r.Grant.AllowsModel(r.Model):
 		return refuse(step.CodeForbidden, 403, "the plan may not use the model", 0)
@@ -218,11 +218,11 @@
 	return s.pools[key]
 }
 
-func (s *Scheduler) cells(key poolKey) []*upstream.Cell {
+func (s *Scheduler) cells(key poolKey) []*upstream.Endpoint {
 	if key.service {
-		return s.table.Members().Service(key.name)
+		return s.table.Snapshot().Service(key.name)
 	}
-	return s.table.Members().Model(key.name)
+	return s.table.Snapshot().Model(key.name)
 }
 
 // Waiting returns the number of steps that wait in this instance.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -54,7 +54,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		age := time.Second
-		s, _ := small(Settings{Ways: map[string]time.Duration{"b": 50 * time.Millisecond}, Remote: func(string) time.Duration { return age }},
+		s, _ := small(Settings{DataCentreRTT: map[string]time.Duration{"b": 50 * time.Millisecond}, RemoteViewAge: func(string) time.Duration { return age }},
 			engineAt("local", "a", 2), engineAt("abroad", "b", 2))
 		both := &usage.Grant{Models: []string{testModel}, DataCentres: []string{"a", "b"}, LatencyWeight: 1}
 		place := func(g *usage.Grant) string {
@@ -111,7 +111,7 @@
 		(<-granted).Done(Feedback{Cancelled: true})
 		grants[1].Done(Feedback{Cancelled: true})
 		is.Equal(s.Waiting(), 0)
-		is.Equal(table.Members().Upstream("e").Load(time.Now().UnixNano()).Own, 0)
+		is.Equal(table.Snapshot().Upstream("e").Load(time.Now().UnixNano()).Own, 0)
 	})
 }
 
@@ -125,9 +125,9 @@
 		w := s.newWaiter(&r)
 		p := s.pool(&r)
 		is.True(p.enter(w) == nil)
-		is.Equal(table.Members().Upstream("e").Load(time.Now().UnixNano()).Own, 1)
+		is.Equal(table.Snapshot().Upstream("e").Load(time.Now().UnixNano()).Own, 1)
 		p.abandon(w)
-		is.Equal(table.Members().Upstream("e").Load(time.Now().UnixNano()).Own, 0)
+		is.Equal(table.Snapshot().Upstream("e").Load(time.Now().UnixNano()).Own, 0)
 	})
 }
 
@@ -180,7 +180,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s, table := small(Settings{}, engineAt("e", "a", 4))
-		table.Members().Upstream("e").SaidLeaving(time.Now())
+		table.Snapshot().Upstream("e").MarkDraining(time.Now())
 		begin := time.Now()
 		_, refusal := s.Acquire(t.Context(), ask("p"))
 		is.Equal(refusal.Code, step.CodeNoUpstream)
@@ -198,7 +198,7 @@
 		s, table := small(Settings{Release: func(address, program string) { released[address+" "+program]++ }}, engineAt("e", "a", 4), engineAt("f", "a", 4))
 		g, _ := s.Acquire(t.Context(), ask("p"))
 		g.Done(Feedback{Total: time.Second, FirstToken: time.Second})
-		table.Members().Upstream(g.Upstream).SaidLeaving(time.Now())
+		table.Snapshot().Upstream(g.Upstream).MarkDraining(time.Now())
 		h, _ := s.Acquire(t.Context(), ask("p"))
 		is.True(h.Upstream != g.Upstream)
 		is.Equal(len(released), 0)
@@ -241,12 +241,12 @@
 		is := is.New(t)
 		s, table := small(Settings{}, engineAt("e", "a", 4))
 		r := ask("p")
-		r.Whole = true
+		r.NonStreaming = true
 		g, refusal := s.Acquire(t.Context(), r)
 		is.True(refusal == nil)
 		time.Sleep(time.Duration(2 * g.Decision.Estimate.Decode * float64(time.Second)))
-		is.Equal(table.Members().Upstream("e").Load(time.Now().UnixNano()).Condition, upstream.Usable)
-		is.True(g.Patience > time.Duration(2*g.Decision.Estimate.Decode*float64(time.Second)))
+		is.Equal(table.Snapshot().Upstream("e").Load(time.Now().UnixNano()).Condition, upstream.Usable)
+		is.True(g.ProgressTimeout > time.Duration(2*g.Decision.Estimate.Decode*float64(time.Second)))
 		g.Done(Feedback{Cancelled: true})
 	})
 }
@@ -273,7 +273,7 @@
 		handler := memory.New()
 		s, table := small(Settings{Logger: &log.Logger{Handler: handler, Level: log.InfoLevel}}, engineAt("e", "a", 4))
 		take(t, s, 1)
-		table.Members().Upstream("e").SaidLeaving(time.Now())
+		table.Snapshot().Upstream("e").MarkDraining(time.Now())
 		_, refusal := s.Acquire(t.Context(), ask("p"))
 		is.True(refusal != nil)
 		is.Equal(len(handler.Entries), 2)
@@ -292,7 +292,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s, table := small(Settings{}, engineAt("e", "a", 8))
-		u := table.Members().Upstream("e")
+		u := table.Snapshot().Upstream("e")
 		condition := func() upstream.Condition { return u.Load(time.Now().UnixNano()).Condition }
 		older := take(t, s, 2)
 		for range 3 {
@@ -302,9 +302,9 @@
 		trial, refusal := s.Acquire(t.Context(), ask("trial"))
 		is.True(refusal == nil)
 		older[0].Done(Feedback{Cancelled: true})
-		is.Equal(condition(), upstream.Broken)
+		is.Equal(condition(), upstream.CircuitOpen)
 		older[1].Done(Feedback{Failure: &upstream.Failure{Kind: upstream.Refused}})
-		is.Equal(condition(), upstream.Broken)
+		is.Equal(condition(), upstream.CircuitOpen)
 		trial.Done(Feedback{Cancelled: true})
 		is.Equal(condition(), upstream.Usable)
 	})
@@ -317,7 +317,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		near := func(string) time.Duration { return time.Second }
-		s, _ := small(Settings{Ways: map[string]time.Duration{"b": 0}, Remote: near}, engineAt("busy", "b", 1), engineAt("idle", "a", 4))
+		s, _ := small(Settings{DataCentreRTT: map[string]time.Duration{"b": 0}, RemoteViewAge: near}, engineAt("busy", "b", 1), engineAt("idle", "a", 4))
 		of := func(program, dataCentre string) Request {
 			r := ask(program)
 			r.Grant = &usage.Grant{Models: []string{testModel}, DataCentres: []string{dataCentre}, LatencyWeight: 1}
--- a/internal/scheduler/start_test.go
+++ b/internal/scheduler/start_test.go
@@ -30,7 +30,7 @@
 func TestNewEngineIsTakenToBeLikeTheOthers(t *testing.T) {
 	is := is.New(t)
 	s, table := small(Settings{}, engineAt("old", "a", 4), engineAt("new", "a", 4))
-	cells := table.Members().Model(testModel)
+	cells := table.Snapshot().Model(testModel)
 	for range 50 {
 		cells[0].Learn(upstream.Sample{Uncached: 1000, Output: 11, Batch: 1, FirstToken: 20 * time.Millisecond, Total: 120 * time.Millisecond})
 	}
@@ -51,7 +51,7 @@
 			for i := range uint64(100) {
 				r.Blocks = append(r.Blocks, 1000+i)
 			}
-			r.PromptTokens, r.Home, r.HomeBlocks = 6400, home, 90
+			r.PromptTokens, r.LastUpstream, r.LastUpstreamBlocks = 6400, home, 90
 			g, refusal := s.Acquire(t.Context(), r)
 			is.True(refusal == nil)
 			is.Equal(g.Upstream, home)
@@ -64,7 +64,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, idle := range []string{"a", "b"} {
 			is := is.New(t)
-			settings := Settings{Idle: func(name, _ string) bool { return name == idle }, Connect: 15 * time.Millisecond}
+			settings := Settings{HasIdleConnection: func(name, _ string) bool { return name == idle }, ConnectCost: 15 * time.Millisecond}
 			s, _ := small(settings, engineAt("a", "a", 4), engineAt("b", "a", 4))
 			g, refusal := s.Acquire(t.Context(), ask("p"))
 			is.True(refusal == nil)
--- a/internal/scheduler/stateful_test.go
+++ b/internal/scheduler/stateful_test.go
@@ -79,9 +79,9 @@
 		{Cancelled: true},
 		{Failure: &upstream.Failure{Kind: upstream.Lost}},
 		{Failure: &upstream.Failure{Kind: upstream.NotSent}},
-		{Failure: &upstream.Failure{Kind: upstream.Refused, Leaving: true}},
+		{Failure: &upstream.Failure{Kind: upstream.Refused, Draining: true}},
 	}).Draw(t, "feedback")
-	if f.Failure != nil && f.Failure.Leaving {
+	if f.Failure != nil && f.Failure.Draining {
 		w.leaving[a.grant.Upstream] = true
 	}
 	if rapid.Bool().Draw(t, "first token") {
@@ -105,7 +105,7 @@
 	if got := w.s.Waiting(); got != waiting {
 		t.Fatalf("%d steps wait, oracle %d", got, waiting)
 	}
-	for _, u := range w.table.Members().All {
+	for _, u := range w.table.Snapshot().All {
 		l := u.Load(time.Now().UnixNano())
 		if l.Own != held[u.Name] {
 			t.Fatalf("%s has %d calls, oracle %d", u.Name, l.Own, held[u.Name])
@@ -113,7 +113,7 @@
 		if l.Own == 0 && l.Backlog != 0 {
 			t.Fatalf("%s is idle with a backlog of %d tokens", u.Name, l.Backlog)
 		}
-		if w.leaving[u.Name] && l.Condition != upstream.Leaving {
+		if w.leaving[u.Name] && l.Condition != upstream.Draining {
 			t.Fatalf("%s is %v and should be leaving", u.Name, l.Condition)
 		}
 	}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -48,7 +48,7 @@
 	c.positive(s.Programs.TakeOverGrace, "programs.take_over_grace")
 	c.require(slices.Contains(Policies, s.Placement.Policy), "placement.policy", "one of "+strings.Join(Policies, ", "))
 	c.require(s.Placement.QueueLimit > 0, "placement.queue_limit", "a whole number above 0")
-	for dc, way := range s.Placement.Ways {
+	for dc, way := range s.Placement.DataCentreRTT {
 		c.require(namePattern.MatchString(dc) && way >= 0, "placement.ways", "names of data centres with durations, such as sul-b = \"1ms\"")
 	}
 	c.positive(s.Shutdown.Grace, "shutdown.grace")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -94,7 +94,7 @@
 	// QueueLimit is the number of steps that may wait for one model or service.
 	QueueLimit int `toml:"queue_limit"`
 	// Ways gives for other data centres the time of the way there and back.
-	Ways map[string]Duration `toml:"ways"`
+	DataCentreRTT map[string]Duration `toml:"ways"`
 }
 
 // Shutdown bounds a planned stop.
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -177,7 +177,7 @@
 }
 
 // Complete runs one completion, as engine.Client does over HTTP.
-func (e *Engine) Complete(ctx context.Context, r *engine.Request, onChunk func(engine.Chunk) error) (*engine.Answer, error) {
+func (e *Engine) Complete(ctx context.Context, r *engine.Request, onChunk func(engine.Chunk) error) (*engine.Response, error) {
 	s, err := e.enter(r)
 	if err != nil {
 		return nil, err
@@ -199,7 +199,7 @@
 	}
 }
 
-func (e *Engine) finish(s *sequence, stream *streamer) (*engine.Answer, error) {
+func (e *Engine) finish(s *sequence, stream *streamer) (*engine.Response, error) {
 	if s.err != nil {
 		return nil, s.err
 	}
@@ -238,7 +238,7 @@
 	case e.faults.Down:
 		return &engine.Error{Class: engine.ErrNotSent, Cause: errors.New("connection refused")}
 	case e.faults.Leaving:
-		return &engine.Error{Class: engine.ErrNotRun, Status: 503, Leaving: true, RetryAfter: engineRetryAfter, Cause: errors.New("leaving")}
+		return &engine.Error{Class: engine.ErrNotRun, Status: 503, Draining: true, RetryAfter: engineRetryAfter, Cause: errors.New("leaving")}
 	case len(e.models) > 0 && loaded == nil:
 		return &engine.Error{Class: engine.ErrNotRun, Status: 404, Cause: errors.Errorf("model %q is not loaded", r.ServedModel())}
 	case loaded != nil && !loaded.Ready:
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -78,7 +78,7 @@
 	_, err = client.Complete(ctx, addr, r, nil)
 	var failure *engine.Error
 	is.True(errors.As(err, &failure))
-	is.True(errors.Is(err, engine.ErrNotRun) && failure.Leaving && failure.RetryAfter > 0)
+	is.True(errors.Is(err, engine.ErrNotRun) && failure.Draining && failure.RetryAfter > 0)
 	standIn.SetFaults(EngineFaults{Down: true})
 	_, err = client.Complete(ctx, addr, r, nil)
 	is.True(errors.Is(err, engine.ErrUnknown)) // the connection broke after the request had left
--- a/internal/standin/enginecontrol.go
+++ b/internal/standin/enginecontrol.go
@@ -105,7 +105,7 @@
 		Running:     len(e.running),
 		Waiting:     len(e.waiting),
 		CacheTokens: len(e.cache.blocks) * engine.BlockTokens,
-		Leaving:     e.faults.Leaving,
+		Draining:    e.faults.Leaving,
 	}
 	for _, s := range e.running {
 		load.PrefillTokens += max(0, int(s.prefillLeft))
--- a/internal/standin/enginefleet.go
+++ b/internal/standin/enginefleet.go
@@ -25,7 +25,7 @@
 }
 
 // Complete runs a completion on the engine at addr.
-func (f Fleet) Complete(ctx context.Context, addr string, r *engine.Request, onChunk func(engine.Chunk) error) (*engine.Answer, error) {
+func (f Fleet) Complete(ctx context.Context, addr string, r *engine.Request, onChunk func(engine.Chunk) error) (*engine.Response, error) {
 	e, err := f.at(addr)
 	if err != nil {
 		return nil, err
--- a/internal/standin/enginehttp.go
+++ b/internal/standin/enginehttp.go
@@ -55,7 +55,7 @@
 	if errors.Is(err, engine.ErrNotRun) || errors.Is(err, engine.ErrRejected) {
 		header.Set(engine.HeaderNotRun, "true")
 	}
-	if failure.Leaving {
+	if failure.Draining {
 		header.Set(engine.HeaderLeaving, "true")
 	}
 	if failure.RetryAfter > 0 {
--- a/internal/standin/enginesequence.go
+++ b/internal/standin/enginesequence.go
@@ -104,8 +104,8 @@
 	}
 }
 
-func (s *sequence) answer() *engine.Answer {
-	a := &engine.Answer{
+func (s *sequence) answer() *engine.Response {
+	a := &engine.Response{
 		Message:      s.message(),
 		FinishReason: finishStop,
 		Usage:        s.usage(),
--- a/internal/store/limited.go
+++ b/internal/store/limited.go
@@ -48,7 +48,7 @@
 
 // LimitPart returns a Limited over client for a part of an instance, with one
 // limiter for all its calls and metrics that begin with prefix.
-func LimitPart(client Client, all *rate.Limiter, registry metrics.Registry, prefix string) *Limited {
+func LimitShared(client Client, all *rate.Limiter, registry metrics.Registry, prefix string) *Limited {
 	return limited(client, all, all, registry, prefix)
 }
 
--- a/internal/upstream/breaker.go
+++ b/internal/upstream/breaker.go
@@ -81,20 +81,20 @@
 // Failed notes a failed call. A refusal counts for what it says: leaving marks
 // the upstream, an invalid request and a full queue say nothing against it.
 func (u *Upstream) Failed(now time.Time, f Failure) {
-	if f.Leaving {
-		u.SaidLeaving(now)
+	if f.Draining {
+		u.MarkDraining(now)
 	}
 	if f.Kind == Refused || f.Kind == Invalid {
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if f.Kind == Erred {
+	if f.Kind == Errored {
 		u.Progress(now.UnixNano())
 		u.erring.note(now.UnixNano(), true)
 	}
 	u.breaker.failures++
-	u.breaker.refused = f.Kind == NotSent || f.Kind == Silent
+	u.breaker.refused = f.Kind == NotSent || f.Kind == Unresponsive
 	if u.breaker.open || u.breaker.failures >= tripAfter || u.breaker.refused {
 		u.trip(now)
 	}
--- a/internal/upstream/erring.go
+++ b/internal/upstream/erring.go
@@ -63,7 +63,9 @@
 
 // Erring reports whether this instance's own calls there fail so often that
 // others should be told.
-func (u *Upstream) Erring(now time.Time) bool { return u.erring.own(now.UnixNano()) >= erringTold }
+func (u *Upstream) HasHighErrorRate(now time.Time) bool {
+	return u.erring.own(now.UnixNano()) >= erringTold
+}
 
 // PeerSaysErring takes in another instance's word.
-func (u *Upstream) PeerSaysErring(until time.Time) { u.erring.toldUntil.Store(until.UnixNano()) }
+func (u *Upstream) PeerReportedErrors(until time.Time) { u.erring.toldUntil.Store(until.UnixNano()) }
--- a/internal/upstream/failure.go
+++ b/internal/upstream/failure.go
@@ -23,17 +23,17 @@
 	Invalid
 	// Silent says that the upstream stopped answering anything: the call may
 	// have run, and others sent there now would be lost like it.
-	Silent
+	Unresponsive
 	// Erred says that the upstream ran the call and answered with a failure of
 	// its own.
-	Erred
+	Errored
 )
 
 // Failure is a failed call as the table sees it.
 type Failure struct {
 	Kind Kind
 	// Leaving says that the upstream drains.
-	Leaving bool
+	Draining bool
 	// NotLoaded says that the engine does not hold the model.
 	NotLoaded bool
 }
@@ -43,7 +43,7 @@
 	var f Failure
 	var failure *engine.Error
 	if errors.As(err, &failure) {
-		f.Leaving = failure.Leaving
+		f.Draining = failure.Draining
 		f.NotLoaded = failure.Status == http.StatusNotFound
 	}
 	switch {
--- a/internal/upstream/leaving.go
+++ b/internal/upstream/leaving.go
@@ -5,7 +5,7 @@
 // LeaveHold is how long any sign of leaving outweighs every sign of life. It
 // is longer than the platform's list lags, so that a stale "live" does not
 // bring a draining upstream back.
-const LeaveHold = 30 * time.Second
+const DrainHold = 30 * time.Second
 
 // departure merges what is said about an upstream's leaving: by the platform's
 // lagging list, by its own answers and by peers. Leaving wins: one sign is
@@ -26,10 +26,10 @@
 	Unlisted ListState = iota
 	Listed
 	// ListedLeaving says that the list names it as leaving, or dropped it.
-	ListedLeaving
+	ListedDraining
 )
 
-func (d *departure) leaving() bool { return d.signed || d.listed == ListedLeaving }
+func (d *departure) leaving() bool { return d.signed || d.listed == ListedDraining }
 
 func (d *departure) sign(at time.Time) {
 	if at.After(d.lastSign) {
@@ -39,14 +39,14 @@
 }
 
 func (d *departure) list(state ListState, at time.Time) {
-	if state == ListedLeaving {
+	if state == ListedDraining {
 		d.sign(at)
 	}
 	d.listed = state
 }
 
 func (d *departure) present(at time.Time) {
-	if d.signed && d.listed != ListedLeaving && at.Sub(d.lastSign) >= LeaveHold {
+	if d.signed && d.listed != ListedDraining && at.Sub(d.lastSign) >= DrainHold {
 		d.signed = false
 	}
 }
@@ -66,7 +66,7 @@
 }
 
 // SaidLeaving notes that the upstream itself said that it drains.
-func (u *Upstream) SaidLeaving(at time.Time) {
+func (u *Upstream) MarkDraining(at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.sign(at)
@@ -74,8 +74,8 @@
 
 // PeerSaidLeaving notes that a peer saw it leave, age ago. What is older than
 // the hold is past: a delayed message must not put a returned upstream away.
-func (u *Upstream) PeerSaidLeaving(now time.Time, age time.Duration) {
-	if age < 0 || age >= LeaveHold {
+func (u *Upstream) PeerReportedDraining(now time.Time, age time.Duration) {
+	if age < 0 || age >= DrainHold {
 		return
 	}
 	u.mu.Lock()
@@ -84,11 +84,11 @@
 }
 
 // ListSays notes what the platform's list says.
-func (u *Upstream) ListSays(state ListState, at time.Time) {
+func (u *Upstream) SetListState(state ListState, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if state == Unlisted && u.departure.listed != Unlisted {
-		state = ListedLeaving
+		state = ListedDraining
 	}
 	u.departure.list(state, at)
 	u.leaving.Store(u.departure.leaving())
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -58,7 +58,7 @@
 	own := u.own.before(now.Add(-l.Age()).UnixNano())
 	u.others.Store(max(0, int32(l.Running+l.Waiting)-own))
 	u.othersUntil.Store(now.Add(reportLife - l.Age()).UnixNano())
-	if l.Leaving {
+	if l.Draining {
 		u.sign(now)
 		return
 	}
@@ -67,7 +67,7 @@
 
 // OthersHave notes what other instances have there by their own word, which
 // counts until then.
-func (u *Upstream) OthersHave(calls, backlog int, until time.Time) {
+func (u *Upstream) SetRemoteLoad(calls, backlog int, until time.Time) {
 	u.others.Store(int32(calls))
 	u.othersBacklog.Store(int64(backlog))
 	u.othersUntil.Store(until.UnixNano())
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -31,7 +31,7 @@
 func (t *Table) Probe(ctx context.Context, dataCentre string, r Reporter, limit int) {
 	now := time.Now()
 	var due []*Upstream
-	for _, u := range t.Members().All {
+	for _, u := range t.Snapshot().All {
 		switch {
 		case u.DataCentre != dataCentre:
 		case u.Service != "":
--- a/internal/upstream/signal.go
+++ b/internal/upstream/signal.go
@@ -8,9 +8,9 @@
 // The kinds of signal.
 const (
 	// SaysLeaving says that the upstream itself said that it leaves.
-	SaysLeaving SignalKind = "leaving"
+	SignalDraining SignalKind = "leaving"
 	// SaysUnreachable says that connections to it were refused.
-	SaysUnreachable SignalKind = "unreachable"
+	SignalUnreachable SignalKind = "unreachable"
 )
 
 // Signal is what one instance tells the others of its data centre about an upstream.
@@ -27,14 +27,14 @@
 // upstream's own word. Unreachable is checked by a probe in the next round and
 // not believed, since the peer's network may be at fault.
 func (t *Table) ApplySignal(now time.Time, s Signal) {
-	u := t.Members().Upstream(s.Upstream)
+	u := t.Snapshot().Upstream(s.Upstream)
 	if u == nil || u.Address != s.Address {
 		return
 	}
 	switch s.Kind {
-	case SaysLeaving:
-		u.PeerSaidLeaving(now, s.Age)
-	case SaysUnreachable:
+	case SignalDraining:
+		u.PeerReportedDraining(now, s.Age)
+	case SignalUnreachable:
 		if u.openUntil.Load() == 0 {
 			u.probedAt.Store(0)
 		}
@@ -46,7 +46,7 @@
 // on an ordinary day.
 func (t *Table) Signals(now time.Time) []Signal {
 	var signals []Signal
-	for _, u := range t.Members().All {
+	for _, u := range t.Snapshot().All {
 		if !u.leaving.Load() && u.openUntil.Load() == 0 {
 			continue
 		}
@@ -60,10 +60,10 @@
 func (u *Upstream) signal(now time.Time) (Signal, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s := Signal{Upstream: u.Name, Address: u.Address, Kind: SaysLeaving, Age: max(0, now.Sub(u.departure.lastSign))}
+	s := Signal{Upstream: u.Name, Address: u.Address, Kind: SignalDraining, Age: max(0, now.Sub(u.departure.lastSign))}
 	if u.departure.leaving() {
-		return s, s.Age < LeaveHold
+		return s, s.Age < DrainHold
 	}
-	s.Kind, s.Age = SaysUnreachable, 0
+	s.Kind, s.Age = SignalUnreachable, 0
 	return s, u.breaker.open && u.breaker.refused
 }
--- a/internal/upstream/speed.go
+++ b/internal/upstream/speed.go
@@ -24,7 +24,7 @@
 }
 
 // Prior is the speed assumed before the first answer: a middling engine.
-var Prior = Speed{Prefill: 6000, TokenBase: 0.02, TokenPerCall: 0.001, Call: 2}
+var DefaultSpeed = Speed{Prefill: 6000, TokenBase: 0.02, TokenPerCall: 0.001, Call: 2}
 
 // The rules of learning.
 const (
@@ -62,11 +62,11 @@
 	if s := c.current.Load(); s != nil {
 		return *s
 	}
-	return Prior
+	return DefaultSpeed
 }
 
 // Learn takes in one answer.
-func (c *Cell) Learn(s Sample) {
+func (c *Endpoint) Learn(s Sample) {
 	c.speed.mu.Lock()
 	defer c.speed.mu.Unlock()
 	next := c.speed.load()
@@ -99,8 +99,8 @@
 		return
 	}
 	if c.n == 0 {
-		c.addDecode(1, Prior.TokenTime(1), priorWeight)
-		c.addDecode(16, Prior.TokenTime(16), priorWeight)
+		c.addDecode(1, DefaultSpeed.TokenTime(1), priorWeight)
+		c.addDecode(16, DefaultSpeed.TokenTime(16), priorWeight)
 	}
 	perToken := (s.Total - s.FirstToken).Seconds() / float64(s.Output-1)
 	c.n, c.x, c.y, c.xx, c.xy = c.n*decodeKeep, c.x*decodeKeep, c.y*decodeKeep, c.xx*decodeKeep, c.xy*decodeKeep
@@ -137,7 +137,7 @@
 
 // Compare takes in how long a call took against what was expected. It follows
 // a sudden slow-down within a few answers, where the learned speeds take long.
-func (u *Upstream) Compare(now time.Time, measured, expected time.Duration) {
+func (u *Upstream) ObserveLatency(now time.Time, measured, expected time.Duration) {
 	if expected <= 0 || measured <= 0 {
 		return
 	}
--- a/internal/upstream/table.go
+++ b/internal/upstream/table.go
@@ -12,39 +12,39 @@
 
 // Table holds the upstreams of the usage list that this instance may reach.
 type Table struct {
-	members atomic.Pointer[Members]
+	members atomic.Pointer[Snapshot]
 
 	mu     sync.Mutex
 	nextID uint32
 }
 
 // Members is an immutable snapshot of the table.
-type Members struct {
+type Snapshot struct {
 	// All is in the order of the usage list.
 	All    []*Upstream
 	byName map[string]*Upstream
-	models map[string][]*Cell
-	tools  map[string][]*Cell
+	models map[string][]*Endpoint
+	tools  map[string][]*Endpoint
 }
 
 // Model returns the engines that have or may load the model.
-func (m *Members) Model(name string) []*Cell { return m.models[name] }
+func (m *Snapshot) Model(name string) []*Endpoint { return m.models[name] }
 
 // Service returns the replicas of the service.
-func (m *Members) Service(name string) []*Cell { return m.tools[name] }
+func (m *Snapshot) Service(name string) []*Endpoint { return m.tools[name] }
 
 // Upstream returns the upstream of that name, or nil.
-func (m *Members) Upstream(name string) *Upstream { return m.byName[name] }
+func (m *Snapshot) Upstream(name string) *Upstream { return m.byName[name] }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
 	t := &Table{}
-	t.members.Store(&Members{})
+	t.members.Store(&Snapshot{})
 	return t
 }
 
 // Members returns the present snapshot.
-func (t *Table) Members() *Members { return t.members.Load() }
+func (t *Table) Snapshot() *Snapshot { return t.members.Load() }
 
 // Apply puts the usage list's upstreams in force. An upstream whose entry did
 // not change keeps all that is known of it; one whose address changed is a new one.
@@ -53,7 +53,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.members.Load()
-	next := &Members{byName: map[string]*Upstream{}, models: map[string][]*Cell{}, tools: map[string][]*Cell{}}
+	next := &Snapshot{byName: map[string]*Upstream{}, models: map[string][]*Endpoint{}, tools: map[string][]*Endpoint{}}
 	for _, entry := range listed {
 		u := old.byName[entry.Name]
 		if u == nil || !sameUpstream(&u.Upstream, &entry) {
@@ -72,7 +72,7 @@
 		a.Fenced == b.Fenced && slices.Equal(a.Models, b.Models)
 }
 
-func (m *Members) add(u *Upstream, old *Members) {
+func (m *Snapshot) add(u *Upstream, old *Snapshot) {
 	m.All = append(m.All, u)
 	m.byName[u.Name] = u
 	if u.Kind == usage.KindService {
@@ -84,20 +84,20 @@
 	}
 }
 
-func cellOf(old []*Cell, u *Upstream, name string) *Cell {
+func cellOf(old []*Endpoint, u *Upstream, name string) *Endpoint {
 	for _, c := range old {
 		if c.Upstream == u {
 			return c
 		}
 	}
-	return &Cell{Upstream: u, Name: name}
+	return &Endpoint{Upstream: u, Name: name}
 }
 
-func removed(old, next *Members, now time.Time) []*Upstream {
+func removed(old, next *Snapshot, now time.Time) []*Upstream {
 	var gone []*Upstream
 	for _, u := range old.All {
 		if next.byName[u.Name] != u {
-			u.SaidLeaving(now)
+			u.MarkDraining(now)
 			gone = append(gone, u)
 		}
 	}
@@ -112,14 +112,14 @@
 		states[name] = Listed
 	}
 	for _, name := range leaving {
-		states[name] = ListedLeaving
+		states[name] = ListedDraining
 	}
-	for _, u := range t.Members().All {
+	for _, u := range t.Snapshot().All {
 		if u.DataCentre == dataCentre {
-			u.ListSays(states[u.Name], now)
+			u.SetListState(states[u.Name], now)
 		}
 	}
 }
 
 // ModelNames returns the models that some engine has or may load, in order.
-func (m *Members) ModelNames() []string { return slices.Sorted(maps.Keys(m.models)) }
+func (m *Snapshot) ModelNames() []string { return slices.Sorted(maps.Keys(m.models)) }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -52,7 +52,7 @@
 }
 
 // Cell joins an upstream with one model or service that it serves.
-type Cell struct {
+type Endpoint struct {
 	Upstream *Upstream
 	// Name is the model's or service's name.
 	Name string
@@ -69,7 +69,7 @@
 
 // Serving returns how the model is served; until the engine's state is known
 // it is taken to be loaded under its own name.
-func (c *Cell) Serving() Serving {
+func (c *Endpoint) Serving() Serving {
 	if s := c.serving.Load(); s != nil {
 		return *s
 	}
@@ -77,10 +77,10 @@
 }
 
 // SetServing replaces what is known of how the model is served.
-func (c *Cell) SetServing(s Serving) { c.serving.Store(&s) }
+func (c *Endpoint) SetServing(s Serving) { c.serving.Store(&s) }
 
 // Speed returns the learned speed of the cell.
-func (c *Cell) Speed() Speed { return c.speed.load() }
+func (c *Endpoint) Speed() Speed { return c.speed.load() }
 
 // Condition tells whether an upstream may get new work.
 type Condition uint8
@@ -93,9 +93,9 @@
 	// Stalled says that its calls make no progress.
 	Stalled
 	// Broken says that the circuit breaker is open.
-	Broken
+	CircuitOpen
 	// Leaving says that it drains or is gone.
-	Leaving
+	Draining
 )
 
 // String returns the condition's name in log lines.
@@ -116,7 +116,7 @@
 	// Slowness multiplies expected times; 1 is as expected.
 	Slowness float64
 	// Erring is the share of calls that are answered with a failure.
-	Erring float64
+	ErrorRate float64
 }
 
 // Load returns the upstream's load at now, in Unix nanoseconds.
@@ -124,7 +124,7 @@
 	own := int(u.inFlight.Load())
 	total := own
 	backlog := int(u.backlog.Load())
-	l := Load{Own: own, Limit: u.limit(now), OwnBacklog: backlog, Slowness: u.slow(now), Erring: u.erring.now(now)}
+	l := Load{Own: own, Limit: u.limit(now), OwnBacklog: backlog, Slowness: u.slow(now), ErrorRate: u.erring.now(now)}
 	if now < u.othersUntil.Load() {
 		total += int(u.others.Load())
 		backlog += int(u.othersBacklog.Load())
@@ -137,9 +137,9 @@
 func (u *Upstream) condition(now int64, l Load) Condition {
 	switch {
 	case u.leaving.Load():
-		return Leaving
+		return Draining
 	case u.closedFor(now):
-		return Broken
+		return CircuitOpen
 	case u.stalled(now, l.Own):
 		return Stalled
 	case l.Own >= l.Limit:
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -25,7 +25,7 @@
 func oneEngine(now time.Time) (*Table, *Upstream) {
 	t := NewTable()
 	t.Apply([]usage.Upstream{{Name: "e", Address: "e", Kind: usage.KindEngine, DataCentre: "a", Models: []string{"m"}, Slots: 4}}, now)
-	return t, t.Members().Upstream("e")
+	return t, t.Snapshot().Upstream("e")
 }
 
 // List, answers, reports and peers contradict each other in any order. The
@@ -53,18 +53,18 @@
 				now = now.Add(time.Duration(rapid.IntRange(1, 40000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"drainAnswer": func(*rapid.T) {
-				u.Failed(now, FailureOf(&engine.Error{Class: engine.ErrNotRun, Leaving: true}))
+				u.Failed(now, FailureOf(&engine.Error{Class: engine.ErrNotRun, Draining: true}))
 				sign(now)
 			},
 			"peer": func(t *rapid.T) {
 				age := time.Duration(rapid.IntRange(0, 60000).Draw(t, "ms")) * time.Millisecond
-				table.ApplySignal(now, Signal{Upstream: "e", Address: "e", Kind: SaysLeaving, Age: age})
-				if age < LeaveHold {
+				table.ApplySignal(now, Signal{Upstream: "e", Address: "e", Kind: SignalDraining, Age: age})
+				if age < DrainHold {
 					sign(now.Add(-age))
 				}
 			},
-			"peerCannotReach":  func(*rapid.T) { table.ApplySignal(now, Signal{Upstream: "e", Address: "e", Kind: SaysUnreachable}) },
-			"peerAboutAnother": func(*rapid.T) { table.ApplySignal(now, Signal{Upstream: "e", Address: "old", Kind: SaysLeaving}) },
+			"peerCannotReach":  func(*rapid.T) { table.ApplySignal(now, Signal{Upstream: "e", Address: "e", Kind: SignalUnreachable}) },
+			"peerAboutAnother": func(*rapid.T) { table.ApplySignal(now, Signal{Upstream: "e", Address: "old", Kind: SignalDraining}) },
 			"listLive":         func(*rapid.T) { table.ApplyList("a", []string{"e"}, nil, now); listLeaving, wasListed = false, true },
 			"listLeaving": func(*rapid.T) {
 				table.ApplyList("a", nil, []string{"e"}, now)
@@ -79,11 +79,11 @@
 				}
 			},
 			"report":        func(*rapid.T) { u.Report(now, engine.Load{}); life(now) },
-			"reportLeaving": func(*rapid.T) { u.Report(now, engine.Load{Leaving: true}); sign(now) },
+			"reportLeaving": func(*rapid.T) { u.Report(now, engine.Load{Draining: true}); sign(now) },
 			"success":       func(*rapid.T) { u.Succeeded(now) },
 			"": func(t *rapid.T) {
-				mayWork := !listLeaving && (lastSign.IsZero() || lastLife.Sub(lastSign) >= LeaveHold)
-				got := u.Load(now.UnixNano()).Condition != Leaving
+				mayWork := !listLeaving && (lastSign.IsZero() || lastLife.Sub(lastSign) >= DrainHold)
+				got := u.Load(now.UnixNano()).Condition != Draining
 				if got != mayWork {
 					t.Fatalf("gets new work: %t, oracle says %t", got, mayWork)
 				}
@@ -105,7 +105,7 @@
 			listed = append(listed, usage.Upstream{Name: name, Address: name, Kind: usage.KindEngine, DataCentre: "a"})
 		}
 		table.Apply(listed, time.Now())
-		table.Members().Upstream("7").Begin(time.Now().UnixNano(), 0, time.Hour)
+		table.Snapshot().Upstream("7").Begin(time.Now().UnixNano(), 0, time.Hour)
 		counts := reporter{}
 		for round := range 60 {
 			table.Probe(t.Context(), "a", counts, 5)
@@ -140,14 +140,14 @@
 	now := time.Unix(1000, 0)
 	_, u := oneEngine(now)
 	u.Failed(now, Failure{Kind: NotSent})
-	is.Equal(u.Load(now.UnixNano()).Condition, Broken)
+	is.Equal(u.Load(now.UnixNano()).Condition, CircuitOpen)
 	now = now.Add(openMax * 2)
 	is.Equal(u.Load(now.UnixNano()).Condition, Usable)
 	trial, ok := u.TakeTrial()
 	is.True(ok && trial != 0)
 	_, ok = u.TakeTrial()
 	is.True(!ok)
-	is.Equal(u.Load(now.UnixNano()).Condition, Broken) // for all but the trial
+	is.Equal(u.Load(now.UnixNano()).Condition, CircuitOpen) // for all but the trial
 	u.Succeeded(now)
 	is.Equal(u.Load(now.UnixNano()).Limit, 1)
 	now = now.Add(rampTime)
@@ -166,13 +166,13 @@
 			for range tripAfter {
 				u.Failed(time.Now(), Failure{Kind: kind})
 			}
-			is.Equal(u.Load(time.Now().UnixNano()).Condition, Broken)
+			is.Equal(u.Load(time.Now().UnixNano()).Condition, CircuitOpen)
 			if kind == NotSent {
 				time.Sleep(2 * openMax)
-				is.Equal(u.Load(time.Now().UnixNano()).Condition, Broken)
+				is.Equal(u.Load(time.Now().UnixNano()).Condition, CircuitOpen)
 			}
 			table.Probe(t.Context(), "a", reporter{}, 1)
-			want := map[Kind]Condition{NotSent: Usable, Lost: Broken}[kind]
+			want := map[Kind]Condition{NotSent: Usable, Lost: CircuitOpen}[kind]
 			is.Equal(u.Load(time.Now().UnixNano()).Condition, want)
 		}
 	})
@@ -240,17 +240,17 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	table, u := oneEngine(now)
-	table.Members().Model("m")[0].Learn(Sample{Uncached: 1000, Output: 10, Batch: 1, FirstToken: time.Second, Total: 2 * time.Second})
+	table.Snapshot().Model("m")[0].Learn(Sample{Uncached: 1000, Output: 10, Batch: 1, FirstToken: time.Second, Total: 2 * time.Second})
 	other := usage.Upstream{Name: "f", Address: "f", Kind: usage.KindEngine, Models: []string{"m"}}
 	is.Equal(len(table.Apply([]usage.Upstream{other, u.Upstream}, now)), 0)
-	is.Equal(table.Members().Upstream("e"), u)
-	is.Equal(table.Members().Model("m")[1].Speed().Samples, 1)
+	is.Equal(table.Snapshot().Upstream("e"), u)
+	is.Equal(table.Snapshot().Model("m")[1].Speed().Samples, 1)
 	moved := u.Upstream
 	moved.Address = "elsewhere"
 	gone := table.Apply([]usage.Upstream{moved}, now)
 	is.Equal(len(gone), 2)
-	is.Equal(u.Load(now.UnixNano()).Condition, Leaving)
-	is.True(table.Members().Upstream("e").ID != u.ID)
+	is.Equal(u.Load(now.UnixNano()).Condition, Draining)
+	is.True(table.Snapshot().Upstream("e").ID != u.ID)
 }
 
 // An engine that fails all its calls at once draws ever more of them. Its share of
@@ -260,19 +260,19 @@
 	is := is.New(t)
 	u := &Upstream{}
 	now := time.Now()
-	share := func() float64 { return u.Load(now.UnixNano()).Erring }
+	share := func() float64 { return u.Load(now.UnixNano()).ErrorRate }
 	is.Equal(share(), 0.0)
-	u.Failed(now, Failure{Kind: Erred})
+	u.Failed(now, Failure{Kind: Errored})
 	is.True(share() >= 0.2)
-	is.True(!u.Erring(now))
-	u.Failed(now, Failure{Kind: Erred})
-	is.True(u.Erring(now))
+	is.True(!u.HasHighErrorRate(now))
+	u.Failed(now, Failure{Kind: Errored})
+	is.True(u.HasHighErrorRate(now))
 	now = now.Add(erringHalf)
-	is.True(!u.Erring(now))
+	is.True(!u.HasHighErrorRate(now))
 	before := share()
 	u.Succeeded(now)
 	is.True(share() < before)
-	u.PeerSaysErring(now.Add(time.Second))
+	u.PeerReportedErrors(now.Add(time.Second))
 	is.Equal(share(), erringTold)
 	now = now.Add(2 * time.Second)
 	is.True(share() < erringTold)
