--- a/internal/experiment/entry.go
+++ b/internal/experiment/entry.go
@@ -148,7 +148,7 @@
 	u.Succeeded(now)
 	u.ReleaseTrial(c.trial)
 	total := now.Sub(c.sent)
-	u.ObserveLatency(now, total, c.estimate.Expected(&c.step, made))
+	u.ObserveLatency(now, total, c.estimate.ExpectedDuration(&c.step, made))
 	c.cell.Learn(upstream.Sample{
 		Uncached: c.step.Prompt - cached, Output: made, Batch: min(c.batch, u.Slots), FirstToken: first, Total: total,
 	})
--- a/internal/placement/baseline.go
+++ b/internal/placement/baseline.go
@@ -3,28 +3,28 @@
 // chooseNth takes the nth of the upstreams that are there, full or not, so
 // that a program hash stays on its upstream while that is full.
 func chooseNth(candidates []Candidate, n uint64, d *Decision) {
-	there := d.Rejections[Allowed] + d.Rejections[Full]
-	if there == 0 {
+	available := d.Rejections[Allowed] + d.Rejections[Full]
+	if available == 0 {
 		return
 	}
-	left := n % uint64(there)
+	remaining := n % uint64(available)
 	for i := range candidates {
 		if r := candidates[i].Rejection; r != Allowed && r != Full {
 			continue
 		}
-		if left == 0 {
+		if remaining == 0 {
 			d.Chosen, d.Wait = i, candidates[i].Rejection == Full
 			return
 		}
-		left--
+		remaining--
 	}
 }
 
-func chooseLeast(candidates []Candidate, s *Step, d *Decision) {
+func chooseLeastInFlight(candidates []Candidate, s *Step, d *Decision) {
 	chooseBest(candidates, s, d, func(c *Candidate) int { return -c.Load.Total })
 }
 
-func choosePrefix(candidates []Candidate, s *Step, d *Decision) {
+func chooseLongestPrefix(candidates []Candidate, s *Step, d *Decision) {
 	chooseBest(candidates, s, d, func(c *Candidate) int { return c.Cached })
 }
 
@@ -46,7 +46,7 @@
 			continue
 		}
 		d.Ties++
-		if random = mix(random); random%uint64(d.Ties) == 0 {
+		if random = splitMix64(random); random%uint64(d.Ties) == 0 {
 			d.Chosen = i
 		}
 	}
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -6,17 +6,17 @@
 	// same upstream at the same moment.
 	tieMargin = 0.03
 	// tieFloor is the least margin in weighted seconds.
-	tieFloor = 0.01
+	minTieMargin = 0.01
 	// othersWeight is the weight of what a step costs other calls. At 1 those
 	// seconds count like its own, so that the sum over all programs is least;
 	// the rest stands for what the delayed calls in turn cost the next ones.
-	othersWeight = 1.5
+	coRunnerWeight = 1.5
 	// replicaShare is the part of a shared prefix's prefill that counts as
 	// wasted while too few engines hold it.
-	replicaShare = 0.25
+	wantedCopyWeight = 0.25
 	// patienceForHome bounds how long a step waits for a full upstream, as a
 	// share of the time that it saves there.
-	patienceForHome = 1.0
+	maxWaitPerSaving = 1.0
 )
 
 // Price estimates the course of a step at a candidate and its cost.
@@ -32,10 +32,10 @@
 	e := Estimate{Slowness: c.Load.Slowness, MovedTokens: moved}
 	e.Wait = moveTime(moved, s) + c.RTT.Seconds() + c.ConnectCost.Seconds() + c.Load.Slowness*(queueTime(c)+float64(c.Load.Backlog)/c.Speed.Prefill)
 	e.Prefill = c.Load.Slowness * uncached / c.Speed.Prefill
-	e.Decode = c.Load.Slowness*float64(s.Output)*tokenTime + serviceTime(c, s)
-	e.CoRunnerCost = othersTime(c, s, e.Prefill)
-	e.RedundantPrefill = c.Load.Slowness * wastedTokens(c, s, bestCached) / c.Speed.Prefill
-	e.Cost = s.LatencyWeight*(e.Total()+othersWeight*e.CoRunnerCost+errorTime(c)) + s.CacheWeight*e.RedundantPrefill
+	e.Decode = c.Load.Slowness*float64(s.Output)*tokenTime + serviceCallTime(c, s)
+	e.CoRunnerCost = coRunnerTime(c, s, e.Prefill)
+	e.RedundantPrefill = c.Load.Slowness * redundantTokens(c, s, bestCached) / c.Speed.Prefill
+	e.Cost = s.LatencyWeight*(e.Total()+coRunnerWeight*e.CoRunnerCost+expectedErrorCost(c)) + s.CacheWeight*e.RedundantPrefill
 	return e
 }
 
@@ -46,31 +46,33 @@
 	// errorsFree is the share of failures that says nothing: services fail one
 	// call in a hundred by themselves, and that one must not drive all calls to
 	// the other replicas.
-	errorsFree = 0.3
+	toleratedErrorRate = 0.3
 )
 
 // errorTime is the expected cost of failures at a candidate, in seconds.
-func errorTime(c *Candidate) float64 { return errorCost * max(0, c.Load.ErrorRate-errorsFree) }
+func expectedErrorCost(c *Candidate) float64 {
+	return errorCost * max(0, c.Load.ErrorRate-toleratedErrorRate)
+}
 
 // serviceSpread is how many times the mean a service's calls take by themselves:
 // a replica counts as slow only beyond it.
-const serviceSpread = 2
+const toleratedServiceSlowness = 2
 
 // serviceTime is the time of a call to a service. Without the measured slowness
 // a replica that takes four times as long gets as many calls as the others, and
 // programs wait for the slowest of their tools.
-func serviceTime(c *Candidate, s *Step) float64 {
-	return s.MeanCall * max(1, c.Load.Slowness/serviceSpread)
+func serviceCallTime(c *Candidate, s *Step) float64 {
+	return s.MeanCall * max(1, c.Load.Slowness/toleratedServiceSlowness)
 }
 
 // moveMin is the least number of tokens worth moving between engines.
-const moveMin = 1024
+const minMovedTokens = 1024
 
 // movedTokens is what is better fetched from the engine that holds it than
 // prefilled again.
 func movedTokens(c *Candidate, s *Step, bestCached int) int {
 	missing := min(bestCached, s.Prompt) - c.Cached
-	if missing < moveMin || s.MoveTokensPerSecond <= c.Speed.Prefill {
+	if missing < minMovedTokens || s.MoveTokensPerSecond <= c.Speed.Prefill {
 		return 0
 	}
 	return missing
@@ -86,32 +88,32 @@
 // queueTime is the time until a slot is free, where all are taken.
 func queueTime(c *Candidate) float64 {
 	slots := max(1, c.Slots)
-	ahead := c.Load.Total - slots + 1
-	if ahead <= 0 {
+	excess := c.Load.Total - slots + 1
+	if excess <= 0 {
 		return 0
 	}
-	return float64(ahead) * c.Speed.Call / float64(slots)
+	return float64(excess) * c.Speed.Call / float64(slots)
 }
 
 // othersTime is what the calls already there lose: each of their tokens comes
 // later by the slope of the batch, and prefill takes a share of the decode.
-func othersTime(c *Candidate, s *Step, prefill float64) float64 {
+func coRunnerTime(c *Candidate, s *Step, prefill float64) float64 {
 	running := float64(min(c.Load.Total, c.Slots))
 	return running * (c.Speed.TokenPerCall*float64(s.Output) + 0.5*prefill) * c.Load.Slowness
 }
 
-func wastedTokens(c *Candidate, s *Step, bestCached int) float64 {
+func redundantTokens(c *Candidate, s *Step, bestCached int) float64 {
 	if movedTokens(c, s, bestCached) > 0 {
 		return 0
 	}
 	missing := float64(max(0, min(bestCached, s.Prompt)-c.Cached))
-	if s.WantedReplicas <= 0 {
+	if s.WantedCopies <= 0 {
 		return missing
 	}
 	// A hot shared prefix is wanted on more engines: its copy is an
 	// investment that later programs use, so only a share of it is waste.
 	shared := float64(max(0, min(s.SharedTokens, bestCached)-c.Cached))
-	return missing - (1-replicaShare)*min(shared, missing)
+	return missing - (1-wantedCopyWeight)*min(shared, missing)
 }
 
 func chooseCost(candidates []Candidate, s *Step, d *Decision) {
@@ -158,7 +160,7 @@
 	}
 	full := &candidates[bestFull].Estimate
 	saved := (candidates[best].Estimate.Cost - full.Cost) / max(s.LatencyWeight, 0.01)
-	return saved > 0 && s.Waited.Seconds() < patienceForHome*(saved+full.Wait)
+	return saved > 0 && s.Waited.Seconds() < maxWaitPerSaving*(saved+full.Wait)
 }
 
 // breakTie chooses by chance among the candidates about as good as the best. Of
@@ -166,7 +168,7 @@
 // a new connection costs the upstream more than the step.
 func breakTie(candidates []Candidate, best int, s *Step, d *Decision) int {
 	cost := candidates[best].Estimate.Cost
-	limit := cost + max(tieFloor, tieMargin*cost)
+	limit := cost + max(minTieMargin, tieMargin*cost)
 	connect := candidates[best].ConnectCost
 	for i := range candidates {
 		if tied(&candidates[i], limit) {
@@ -180,7 +182,7 @@
 			continue
 		}
 		d.Ties++
-		if random = mix(random); random%uint64(d.Ties) == 0 {
+		if random = splitMix64(random); random%uint64(d.Ties) == 0 {
 			chosen = i
 		}
 	}
@@ -193,7 +195,7 @@
 
 // mix is the finalizer of SplitMix64 (Steele et al., 2014): successive
 // uniform bits from one random seed, without a lock or an allocation.
-func mix(x uint64) uint64 {
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/placement/pause.go
+++ b/internal/placement/pause.go
@@ -4,14 +4,14 @@
 
 // keepShare is the part of an engine's cache turnover that a pause may take
 // for its memory to be kept.
-const keepShare = 0.5
+const maxTurnoverShare = 0.5
 
 // KeepThroughPause reports whether a program's memory on an engine should be
 // kept while the program waits for a tool. Turnover is how long the engine
 // takes to fill its cache with new tokens: a block kept longer than that pushes
 // out blocks that would have been used sooner, and would soon be evicted itself.
-func ShouldRetainCache(pause, turnover time.Duration) bool {
-	return pause < time.Duration(keepShare*float64(turnover))
+func ShouldRetainCache(wait, turnover time.Duration) bool {
+	return wait < time.Duration(maxTurnoverShare*float64(turnover))
 }
 
 // Turnover returns how long an engine takes to fill its cache at a rate of new
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -93,7 +93,7 @@
 	MaxViewAge time.Duration
 	// WantedReplicas is how many engines should hold the step's shared prefix,
 	// and SharedTokens its length.
-	WantedReplicas, SharedTokens int
+	WantedCopies, SharedTokens int
 }
 
 // MaxViewAge is how old the view of another data centre may be where a step
@@ -138,7 +138,7 @@
 // hint takes longer for no fault of the engine: taken for slowness, instances
 // differ by factors in what they think of one engine, and the one that thinks
 // best of it sends all of its calls there.
-func (e Estimate) Expected(s *Step, made int) time.Duration {
+func (e Estimate) ExpectedDuration(s *Step, outputTokens int) time.Duration {
 	if s.MeanCall > 0 {
 		return time.Duration(s.MeanCall * float64(time.Second))
 	}
@@ -147,7 +147,7 @@
 	}
 	decode := e.Decode
 	if s.Output > 0 {
-		decode *= float64(made) / float64(s.Output)
+		decode *= float64(outputTokens) / float64(s.Output)
 	}
 	return time.Duration((e.Wait + e.Prefill + decode) / e.Slowness * float64(time.Second))
 }
@@ -160,7 +160,7 @@
 	for i := range candidates {
 		c := &candidates[i]
 		if c.Rejection == Allowed {
-			c.Rejection = reasonOf(c, maxViewAge)
+			c.Rejection = rejectionOf(c, maxViewAge)
 		}
 		d.Rejections[c.Rejection]++
 		if c.Rejection == Allowed || c.Rejection == Full {
@@ -169,7 +169,7 @@
 	}
 }
 
-func reasonOf(c *Candidate, maxViewAge time.Duration) Reason {
+func rejectionOf(c *Candidate, maxViewAge time.Duration) Reason {
 	switch c.Load.Condition {
 	case upstream.Draining:
 		return Draining
@@ -198,9 +198,9 @@
 	case ProgramHash:
 		chooseNth(candidates, s.Key, &d)
 	case LeastInFlight:
-		chooseLeast(candidates, s, &d)
+		chooseLeastInFlight(candidates, s, &d)
 	case PrefixOnly:
-		choosePrefix(candidates, s, &d)
+		chooseLongestPrefix(candidates, s, &d)
 	default:
 		chooseCost(candidates, s, &d)
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -70,13 +70,13 @@
 func checkCheapest(t *rapid.T, candidates []Candidate, d *Decision) {
 	for i := range candidates {
 		e := &candidates[i].Estimate
-		if candidates[i].Rejection == Allowed && d.Estimate.Cost > e.Cost+max(tieFloor, tieMargin*e.Cost)+1e-9 {
+		if candidates[i].Rejection == Allowed && d.Estimate.Cost > e.Cost+max(minTieMargin, tieMargin*e.Cost)+1e-9 {
 			t.Fatalf("chose a cost of %v where %v was free", d.Estimate.Cost, e.Cost)
 		}
 	}
 }
 
-func two() []Candidate {
+func twoCandidates() []Candidate {
 	speed := upstream.Speed{Prefill: 1000, TokenBase: 0.02, TokenPerCall: 0.001, Call: 2}
 	load := upstream.Load{Slowness: 1, Limit: 9}
 	return []Candidate{{ID: 1, Slots: 8, Load: load, Speed: speed, Cached: 4096}, {ID: 2, Slots: 8, Load: load, Speed: speed}}
@@ -85,11 +85,11 @@
 // A program's history stands on one engine, and that engine fills up. The step
 // stays there while that pays, and leaves when the wait costs more than to
 // prefill the history again; where the cache counts more, it stays longer.
-func TestHomeIsLeftWhenItCostsMore(t *testing.T) {
+func TestLastUpstreamIsLeftWhenItCostsMore(t *testing.T) {
 	is := is.New(t)
 	leavesAt := func(cacheWeight float64) int {
 		for running := range 40 {
-			c := two()
+			c := twoCandidates()
 			c[0].Load.Total = running
 			if d := Decide(Cost, c, &Step{Prompt: 4200, Output: 100, LatencyWeight: 1, CacheWeight: cacheWeight}); d.Chosen == 1 {
 				return running
@@ -110,7 +110,7 @@
 	for random := range 1000 {
 		c := make([]Candidate, 10)
 		for i := range c {
-			c[i] = two()[1]
+			c[i] = twoCandidates()[1]
 		}
 		d := Decide(Cost, c, &Step{Prompt: 100, Output: 10, LatencyWeight: 1, Random: uint64(random) << 32})
 		counts[d.Chosen]++
@@ -127,15 +127,15 @@
 func TestHotPrefixIsReplicated(t *testing.T) {
 	is := is.New(t)
 	choose := func(wanted int) int {
-		c := two()
+		c := twoCandidates()
 		c[0].Load.Total = 7
-		return Decide(Cost, c, &Step{Prompt: 4200, Output: 400, LatencyWeight: 0.4, CacheWeight: 1, WantedReplicas: wanted, SharedTokens: 4096}).Chosen
+		return Decide(Cost, c, &Step{Prompt: 4200, Output: 400, LatencyWeight: 0.4, CacheWeight: 1, WantedCopies: wanted, SharedTokens: 4096}).Chosen
 	}
 	is.Equal(choose(0), 0)
 	is.Equal(choose(3), 1)
 }
 
-func TestPauseKeepsMemoryOnlyWhileItPays(t *testing.T) {
+func TestCacheIsRetainedOnlyForShortWaits(t *testing.T) {
 	is := is.New(t)
 	turnover := CacheTurnover(64000, 3200) // 20 s
 	is.True(ShouldRetainCache(2*time.Second, turnover))
@@ -146,7 +146,7 @@
 // Programs wait for the slowest of their tools: a replica that takes four times as
 // long gets as many calls as the others. It must get none while others are free,
 // and one whose calls only differ as a service's calls do must not be left out.
-func TestSlowReplicaOfAServiceIsLeftOut(t *testing.T) {
+func TestSlowServiceReplicaIsAvoided(t *testing.T) {
 	is := is.New(t)
 	slow := upstream.Load{Slowness: 4, Limit: 8}
 	usual := upstream.Load{Slowness: 1.8, Limit: 8}
@@ -164,20 +164,20 @@
 // thinks best of it sends all of its calls there: answers longer or shorter than
 // their hints pass for slowness. What an answer should have taken goes by its own
 // length, and by the speed of an engine that is neither slow nor fast.
-func TestLengthOfAnswersIsNoSlowness(t *testing.T) {
+func TestOutputLengthDoesNotCountAsSlowness(t *testing.T) {
 	is := is.New(t)
 	e := Estimate{Wait: 0.2, Prefill: 0.2, Decode: 0.4, Slowness: 2}
 	model := &Step{Output: 20}
-	is.Equal(e.Expected(model, 20), 400*time.Millisecond)
-	is.Equal(e.Expected(model, 60), 800*time.Millisecond)
+	is.Equal(e.ExpectedDuration(model, 20), 400*time.Millisecond)
+	is.Equal(e.ExpectedDuration(model, 60), 800*time.Millisecond)
 	fast := Estimate{Decode: 0.2, Slowness: 0.5}
-	is.Equal(fast.Expected(model, 20), 400*time.Millisecond)
-	is.Equal(e.Expected(&Step{MeanCall: 0.1}, 0), 100*time.Millisecond)
+	is.Equal(fast.ExpectedDuration(model, 20), 400*time.Millisecond)
+	is.Equal(e.ExpectedDuration(&Step{MeanCall: 0.1}, 0), 100*time.Millisecond)
 }
 
 // A replica that fails what it is sent is idle and would be the cheapest. It must
 // be left while another is free, and one failure must not be enough for that.
-func TestErringUpstreamIsLeft(t *testing.T) {
+func TestUpstreamWithErrorsIsAvoided(t *testing.T) {
 	is := is.New(t)
 	at := func(erring float64) Candidate {
 		return Candidate{Slots: 4, Load: upstream.Load{Slowness: 1, Limit: 8, ErrorRate: erring}, Speed: upstream.DefaultSpeed}
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -10,20 +10,20 @@
 // The weights of the order, each as a time by which a step is moved.
 const (
 	// priorityShift is how much earlier one step of a plan's priority counts.
-	priorityShift = 2 * time.Second
+	priorityAdvance = 2 * time.Second
 	// criticalShift is how much earlier a sub-agent counts that its parent waits for.
-	criticalShift = 500 * time.Millisecond
+	criticalAdvance = 500 * time.Millisecond
 	// attainedWeight is how much later a second of attained service counts.
 	attainedWeight = 0.5
 	// attainedMax bounds that, so that a long program waits only so much longer.
-	attainedMax = 10 * time.Second
+	maxAttainedDelay = 10 * time.Second
 	// deadlineLead is how long before its deadline a step counts as enqueued at
 	// the latest.
 	deadlineLead = 10 * time.Second
 )
 
 // Position is what decides a step's place.
-type Position struct {
+type Criteria struct {
 	// Enqueued is when the step began to wait.
 	Enqueued time.Time
 	// Attained is the service time that the whole program, from its root down,
@@ -42,11 +42,11 @@
 // (least attained service), and one whose deadline is near counts as enqueued
 // deadlineLead before it. Since the key never changes while later steps'
 // keys grow with time, nothing starves.
-func (p *Position) Key() time.Time {
-	late := min(attainedMax, time.Duration(attainedWeight*float64(p.Attained)))
-	key := p.Enqueued.Add(late - time.Duration(p.Priority)*priorityShift)
+func (p *Criteria) Key() time.Time {
+	delay := min(maxAttainedDelay, time.Duration(attainedWeight*float64(p.Attained)))
+	key := p.Enqueued.Add(delay - time.Duration(p.Priority)*priorityAdvance)
 	if p.Critical {
-		key = key.Add(-criticalShift)
+		key = key.Add(-criticalAdvance)
 	}
 	if latest := p.Deadline.Add(-deadlineLead); !p.Deadline.IsZero() && latest.Before(key) {
 		return latest
@@ -56,17 +56,17 @@
 
 // Item is one waiting step.
 type Item[T any] struct {
-	Value T
-	key   time.Time
-	order uint64
-	index int
+	Value    T
+	key      time.Time
+	sequence uint64
+	index    int
 }
 
 // Queue holds waiting steps in the order of their keys, first come first among
 // equals. It is not safe for concurrent use.
 type Queue[T any] struct {
-	items items[T]
-	order uint64
+	items        itemHeap[T]
+	lastSequence uint64
 }
 
 // Len returns the number of waiting steps.
@@ -74,8 +74,8 @@
 
 // Push adds a step and returns its item.
 func (q *Queue[T]) Push(key time.Time, value T) *Item[T] {
-	q.order++
-	item := &Item[T]{Value: value, key: key, order: q.order}
+	q.lastSequence++
+	item := &Item[T]{Value: value, key: key, sequence: q.lastSequence}
 	heap.Push(&q.items, item)
 	return item
 }
@@ -104,31 +104,31 @@
 // Restore puts a popped item back in its old place.
 func (q *Queue[T]) Restore(item *Item[T]) { heap.Push(&q.items, item) }
 
-type items[T any] []*Item[T]
+type itemHeap[T any] []*Item[T]
 
-func (s items[T]) Len() int { return len(s) }
+func (s itemHeap[T]) Len() int { return len(s) }
 
-func (s items[T]) Less(i, j int) bool {
+func (s itemHeap[T]) Less(i, j int) bool {
 	if !s[i].key.Equal(s[j].key) {
 		return s[i].key.Before(s[j].key)
 	}
-	return s[i].order < s[j].order
+	return s[i].sequence < s[j].sequence
 }
 
-func (s items[T]) Swap(i, j int) {
+func (s itemHeap[T]) Swap(i, j int) {
 	s[i], s[j] = s[j], s[i]
 	s[i].index, s[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (s *items[T]) Push(x any) {
+func (s *itemHeap[T]) Push(x any) {
 	item := x.(*Item[T])
 	item.index = len(*s)
 	*s = append(*s, item)
 }
 
 // Pop implements heap.Interface.
-func (s *items[T]) Pop() any {
+func (s *itemHeap[T]) Pop() any {
 	old := *s
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -27,7 +27,7 @@
 			if c := a.key.Compare(b.key); c != 0 {
 				return c
 			}
-			return int(a.order) - int(b.order)
+			return int(a.sequence) - int(b.sequence)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
@@ -72,11 +72,11 @@
 // A plan of high priority sends new programs without end. A long program of
 // the lowest priority must still have its turn: no step that comes later than
 // the bound goes before it, whatever the two are.
-func TestNothingStarves(t *testing.T) {
-	const bound = attainedMax + 9*priorityShift + criticalShift + deadlineLead
-	draw := func(t *rapid.T, name string) Position {
+func TestNoStepStarves(t *testing.T) {
+	const bound = maxAttainedDelay + 9*priorityAdvance + criticalAdvance + deadlineLead
+	draw := func(t *rapid.T, name string) Criteria {
 		enqueued := time.Unix(1000, 0).Add(time.Duration(rapid.IntRange(0, 120000).Draw(t, name)) * time.Millisecond)
-		return Position{
+		return Criteria{
 			Enqueued: enqueued,
 			Deadline: enqueued.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "left")) * time.Second),
 			Attained: time.Duration(rapid.IntRange(0, 1e6).Draw(t, "attained")) * time.Millisecond,
--- a/internal/scheduler/agent_test.go
+++ b/internal/scheduler/agent_test.go
@@ -15,19 +15,19 @@
 
 // agent is one program of the workload.
 type agent struct {
-	b            *bench
+	bench        *bench
 	name, root   string
 	plan         int
-	node         *Scheduler
+	instance     *Scheduler
 	random       *rand.Rand
 	turns        int
 	child        bool
 	deadline     time.Time
-	givesUp      time.Time
+	abandonAt    time.Time
 	conversation []chat.Message
 }
 
-func between(r *rand.Rand, bounds [2]int) int { return bounds[0] + r.IntN(bounds[1]-bounds[0]+1) }
+func randomIn(r *rand.Rand, bounds [2]int) int { return bounds[0] + r.IntN(bounds[1]-bounds[0]+1) }
 
 func message(role, seed string, tokens int) chat.Message {
 	r := rand.New(rand.NewPCG(uint64(len(seed)), hashOf(seed)))
@@ -47,8 +47,8 @@
 	r := rand.New(rand.NewPCG(b.random.Uint64(), uint64(n)))
 	name := fmt.Sprintf("p%d", n)
 	a := &agent{
-		b: b, name: name, root: name, plan: r.IntN(testPlans), node: b.nodes[r.IntN(len(b.nodes))], random: r,
-		turns: between(r, b.scenario.turns), deadline: time.Now().Add(b.scenario.deadline), givesUp: time.Now().Add(b.patience),
+		bench: b, name: name, root: name, plan: r.IntN(testPlans), instance: b.instances[r.IntN(len(b.instances))], random: r,
+		turns: randomIn(r, b.scenario.turns), deadline: time.Now().Add(b.scenario.deadline), abandonAt: time.Now().Add(b.callerTimeout),
 	}
 	a.conversation = []chat.Message{message("system", fmt.Sprint("family", r.IntN(b.scenario.families)), b.scenario.shared)}
 	return a
@@ -57,34 +57,34 @@
 // run makes the program's turns, and notes how it went.
 func (a *agent) run(ctx context.Context) {
 	begin := time.Now()
-	ctx, cancel := context.WithDeadline(ctx, a.givesUp)
+	ctx, cancel := context.WithDeadline(ctx, a.abandonAt)
 	defer cancel()
-	verdict := a.turnsOf(ctx)
-	a.node.End(a.name)
+	verdict := a.runTurns(ctx)
+	a.instance.End(a.name)
 	if a.child {
 		return
 	}
-	a.b.mu.Lock()
-	defer a.b.mu.Unlock()
-	a.b.gone[a.name] = true
-	if begin.Before(a.b.warm) {
+	a.bench.mu.Lock()
+	defer a.bench.mu.Unlock()
+	a.bench.endedPrograms[a.name] = true
+	if begin.Before(a.bench.warmUpEnd) {
 		return
 	}
-	out := &a.b.out
+	out := &a.bench.outcome
 	out.began++
 	out.planBegan[a.plan]++
 	switch verdict {
 	case finished:
 		out.latencies = append(out.latencies, time.Since(begin).Seconds())
-		if time.Since(begin) <= a.b.scenario.deadline {
+		if time.Since(begin) <= a.bench.scenario.deadline {
 			out.inTime++
 			out.planInTime[a.plan]++
 		}
-	case refusedAtFirst:
+	case refusedFirstStep:
 		out.refused++
-	case tooLate:
+	case missedDeadline:
 		out.late++
-	case lostProgram:
+	case programLost:
 		out.lost++
 	}
 }
@@ -93,26 +93,26 @@
 
 const (
 	finished verdict = iota
-	refusedAtFirst
-	tooLate
-	lostProgram
+	refusedFirstStep
+	missedDeadline
+	programLost
 )
 
-func (a *agent) turnsOf(ctx context.Context) verdict {
+func (a *agent) runTurns(ctx context.Context) verdict {
 	spawnAt := -1
-	if !a.child && a.random.Float64() < a.b.scenario.childShare {
+	if !a.child && a.random.Float64() < a.bench.scenario.childShare {
 		spawnAt = a.random.IntN(a.turns)
 	}
 	for turn := range a.turns {
-		a.conversation = append(a.conversation, message("user", fmt.Sprint(a.name, turn), between(a.random, a.b.scenario.user)))
+		a.conversation = append(a.conversation, message("user", fmt.Sprint(a.name, turn), randomIn(a.random, a.bench.scenario.user)))
 		if v := a.step(ctx, turn == 0 && !a.child); v != finished {
 			return v
 		}
 		if turn == spawnAt {
 			a.spawn(ctx)
 		}
-		if turn < a.turns-1 && !a.tool(ctx) {
-			return tooLate
+		if turn < a.turns-1 && !a.callTool(ctx) {
+			return missedDeadline
 		}
 	}
 	return finished
@@ -124,22 +124,22 @@
 	for i := range 2 {
 		name := fmt.Sprintf("%s.%d", a.name, i)
 		child := &agent{
-			b: a.b, name: name, root: a.root, plan: a.plan, node: a.node, child: true, deadline: a.deadline, givesUp: a.givesUp, turns: max(1, a.turns/2),
+			bench: a.bench, name: name, root: a.root, plan: a.plan, instance: a.instance, child: true, deadline: a.deadline, abandonAt: a.abandonAt, turns: max(1, a.turns/2),
 			random: rand.New(rand.NewPCG(a.random.Uint64(), 1)), conversation: a.conversation[:1:1],
 		}
 		group.Go(func() {
 			child.run(ctx)
-			a.b.mu.Lock()
-			a.b.gone[name] = true
-			a.b.mu.Unlock()
+			a.bench.mu.Lock()
+			a.bench.endedPrograms[name] = true
+			a.bench.mu.Unlock()
 		})
 	}
 	group.Wait()
 }
 
-func (a *agent) tool(ctx context.Context) bool {
-	pause := time.Duration(a.random.ExpFloat64() * float64(a.b.scenario.pause))
-	g, refusal := a.node.Acquire(ctx, Request{Plan: "p", Service: "tool", Program: a.name, Root: a.root, Grant: a.b.grants[a.plan]})
+func (a *agent) callTool(ctx context.Context) bool {
+	pause := time.Duration(a.random.ExpFloat64() * float64(a.bench.scenario.pause))
+	g, refusal := a.instance.Acquire(ctx, Request{Plan: "p", Service: "tool", Program: a.name, Root: a.root, Grant: a.bench.grants[a.plan]})
 	if refusal != nil {
 		return false
 	}
@@ -154,39 +154,39 @@
 }
 
 // askedBy is the deadline sent along, which is when the caller leaves.
-func (a *agent) askedBy() time.Time {
-	if a.b.patience > a.b.scenario.deadline {
+func (a *agent) requestDeadline() time.Time {
+	if a.bench.callerTimeout > a.bench.scenario.deadline {
 		return time.Time{}
 	}
 	return a.deadline
 }
 
 func (a *agent) step(ctx context.Context, first bool) verdict {
-	output := between(a.random, a.b.scenario.output)
+	output := randomIn(a.random, a.bench.scenario.output)
 	var tried []string
 	for {
 		r := Request{
-			Plan: fmt.Sprint(a.plan), Grant: a.b.grants[a.plan], Model: testModel, Program: a.name, Root: a.root, Critical: a.child,
-			Messages: a.conversation, MaxTokens: output, Deadline: a.askedBy(), Tried: tried,
+			Plan: fmt.Sprint(a.plan), Grant: a.bench.grants[a.plan], Model: testModel, Program: a.name, Root: a.root, Critical: a.child,
+			Messages: a.conversation, MaxTokens: output, Deadline: a.requestDeadline(), Tried: tried,
 		}
-		g, refusal := a.node.Acquire(ctx, r)
+		g, refusal := a.instance.Acquire(ctx, r)
 		switch {
 		case refusal != nil && ctx.Err() != nil:
-			return tooLate
+			return missedDeadline
 		case refusal != nil && first && len(tried) == 0:
-			return refusedAtFirst
+			return refusedFirstStep
 		case refusal != nil:
 			select {
 			case <-time.After(max(time.Second, refusal.RetryAfter)):
 			case <-ctx.Done():
-				return tooLate
+				return missedDeadline
 			}
 			continue
 		}
-		done, err := a.call(ctx, g, output)
+		done, err := a.callEngine(ctx, g, output)
 		if done || ctx.Err() != nil {
 			if err != nil {
-				return tooLate
+				return missedDeadline
 			}
 			return finished
 		}
@@ -195,11 +195,11 @@
 }
 
 // call sends one step and notes the prefix tokens that it repeated.
-func (a *agent) call(ctx context.Context, g *Grant, output int) (done bool, err error) {
-	a.b.sent(g.Upstream)
+func (a *agent) callEngine(ctx context.Context, g *Grant, output int) (done bool, err error) {
+	a.bench.recordSent(g.Upstream)
 	g.Sent()
 	best := 0
-	for _, e := range a.b.fleet {
+	for _, e := range a.bench.fleet {
 		best = max(best, e.Cached(testModel, a.conversation))
 	}
 	callCtx, cancel := context.WithCancel(ctx)
@@ -207,7 +207,7 @@
 	impatient := time.AfterFunc(g.ProgressTimeout, cancel)
 	defer impatient.Stop()
 	request := &engine.Request{Chat: &chat.Request{Model: testModel, Messages: a.conversation, MaxTokens: output, Stream: true}, Program: a.name, Priority: g.Priority}
-	answer, err := a.b.fleet.Complete(callCtx, g.Address, request, func(engine.Chunk) error {
+	answer, err := a.bench.fleet.Complete(callCtx, g.Address, request, func(engine.Chunk) error {
 		impatient.Reset(g.ProgressTimeout)
 		g.FirstToken()
 		return nil
@@ -218,23 +218,23 @@
 	if err != nil {
 		return false, err
 	}
-	a.b.note(a, answer, best, output)
+	a.bench.recordCall(a, answer, best, output)
 	a.conversation = append(a.conversation, answer.Message)
 	return true, nil
 }
 
-func (b *bench) note(a *agent, answer *engine.Response, best, output int) {
+func (b *bench) recordCall(a *agent, answer *engine.Response, best, output int) {
 	var got struct{ Content string }
 	_ = json.Unmarshal(answer.Message.Raw, &got)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if got.Content != standin.AnswerText(testModel, a.conversation, output) {
-		b.out.wrong++
+		b.outcome.wrong++
 	}
-	if time.Now().Before(b.warm) {
+	if time.Now().Before(b.warmUpEnd) {
 		return
 	}
-	b.out.calls++
-	b.out.prompt += int64(answer.Usage.PromptTokens)
-	b.out.repeated += int64(max(0, best-answer.CachedTokens()))
+	b.outcome.calls++
+	b.outcome.prompt += int64(answer.Usage.PromptTokens)
+	b.outcome.repeated += int64(max(0, best-answer.CachedTokens()))
 }
--- a/internal/scheduler/compare_test.go
+++ b/internal/scheduler/compare_test.go
@@ -23,7 +23,7 @@
 
 // figures are the measures of one run.
 type figures struct {
-	p50, p95, repeated, gone, refused, inTime, fairness float64
+	p50, p95, repeated, staleMemory, refused, inTime, fairness float64
 }
 
 func figuresOf(o outcome) figures {
@@ -31,7 +31,7 @@
 	began := float64(max(1, o.began))
 	f := figures{
 		p50: quantile(o.latencies, 0.5), p95: quantile(o.latencies, 0.95),
-		repeated: float64(o.repeated) / float64(max(1, o.prompt)), gone: o.goneMemory,
+		repeated: float64(o.repeated) / float64(max(1, o.prompt)), staleMemory: o.staleMemory,
 		refused: float64(o.refused) / began, inTime: float64(o.inTime) / began,
 	}
 	// Jain's index over the plans' shares of programs finished in time.
@@ -101,9 +101,9 @@
 	}
 	fmt.Printf("%-9s %3.0f%%  %-16s %22s %22s %14s %8s %9s %14s %9s\n", c.name, 100*load, policy,
 		spread(1, func(f figures) float64 { return f.p50 }), spread(1, func(f figures) float64 { return f.p95 }),
-		spread(100, func(f figures) float64 { return f.repeated }), first(spread(100, func(f figures) float64 { return f.gone })),
-		first(spread(100, func(f figures) float64 { return f.refused })), spread(100, func(f figures) float64 { return f.inTime }),
-		first(spread(100, func(f figures) float64 { return f.fairness })))
+		spread(100, func(f figures) float64 { return f.repeated }), firstField(spread(100, func(f figures) float64 { return f.staleMemory })),
+		firstField(spread(100, func(f figures) float64 { return f.refused })), spread(100, func(f figures) float64 { return f.inTime }),
+		firstField(spread(100, func(f figures) float64 { return f.fairness })))
 }
 
-func first(text string) string { value, _, _ := strings.Cut(text, " "); return value }
+func firstField(text string) string { value, _, _ := strings.Cut(text, " "); return value }
--- a/internal/scheduler/decision_bench_test.go
+++ b/internal/scheduler/decision_bench_test.go
@@ -18,13 +18,13 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{20, 440, 2200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p, w, cells := decisionOf(n)
+			p, w, endpoints := newDecisionFixture(n)
 			now := time.Now()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				w.step.Random++
-				if d := p.decide(cells, w, now); d.Chosen < 0 {
+				if d := p.decide(endpoints, w, now); d.Chosen < 0 {
 					b.Fatal("no decision")
 				}
 			}
@@ -32,7 +32,7 @@
 	}
 }
 
-func decisionOf(n int) (*pool, *waiter, []*upstream.Endpoint) {
+func newDecisionFixture(n int) (*pool, *waiter, []*upstream.Endpoint) {
 	var listed []usage.Upstream
 	for i := range n {
 		name := fmt.Sprint("e", i)
@@ -41,17 +41,17 @@
 	table := upstream.NewTable()
 	table.Apply(listed, time.Now())
 	s := New(Settings{DataCentre: "a"}, table, cache.New(cache.DefaultOptions))
-	cells := table.Snapshot().Model("m")
+	endpoints := table.Snapshot().Model("m")
 	grant := &usage.Grant{Models: []string{"m"}, DataCentres: []string{"a"}, LatencyWeight: 1, CacheWeight: 0.5}
 	r := &Request{Model: "m", Program: "p", Grant: grant, Messages: []chat.Message{{Raw: make([]byte, 120000*engine.TokenBytes)}}}
 	w := s.newWaiter(r)
-	s.view.RecordSent(cells[n/2].Upstream.ID, w.chain)
-	for _, cell := range cells {
-		cell.Learn(upstream.Sample{Uncached: 1000, Output: 50, Batch: 4, FirstToken: time.Second, Total: 3 * time.Second})
-		s.view.RecordSent(cell.Upstream.ID, w.chain[:8])
-		cell.Upstream.Begin(time.Now().UnixNano(), 100, time.Hour)
+	s.view.RecordSent(endpoints[n/2].Upstream.ID, w.blockHashes)
+	for _, endpoint := range endpoints {
+		endpoint.Learn(upstream.Sample{Uncached: 1000, Output: 50, Batch: 4, FirstToken: time.Second, Total: 3 * time.Second})
+		s.view.RecordSent(endpoint.Upstream.ID, w.blockHashes[:8])
+		endpoint.Upstream.Begin(time.Now().UnixNano(), 100, time.Hour)
 	}
-	return s.pool(r), w, cells
+	return s.pool(r), w, endpoints
 }
 
 // BenchmarkHash measures the hashing of a history of 120,000 tokens.
@@ -67,15 +67,15 @@
 // BenchmarkEngineMemory measures the memory of the table for each engine.
 func BenchmarkEngineMemory(b *testing.B) {
 	for range b.N {
-		before := heap()
-		p, _, cells := decisionOf(2200)
-		b.ReportMetric(float64(heap()-before)/2200, "B/engine")
+		before := heapBytes()
+		p, _, endpoints := newDecisionFixture(2200)
+		b.ReportMetric(float64(heapBytes()-before)/2200, "B/engine")
 		runtime.KeepAlive(p)
-		runtime.KeepAlive(cells)
+		runtime.KeepAlive(endpoints)
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -14,17 +14,17 @@
 
 const (
 	// probeEvery is how often engines are asked for their load.
-	probeEvery = 500 * time.Millisecond
+	probeInterval = 500 * time.Millisecond
 	// probesPerRound keeps the load reports of an instance at 10 a second,
 	// about 5 KB (letter 1 allows 7 KB a second for control).
 	probesPerRound = 5
 	// followCheck is how often a follower looks whether its view is still trusted.
-	followCheck = time.Second
+	trustCheckInterval = time.Second
 	// stateTimeout bounds the reading of an engine's state.
 	stateTimeout = 5 * time.Second
 	// The pause before a broken event stream is opened again.
-	followMin = 200 * time.Millisecond
-	followMax = 10 * time.Second
+	reconnectDelayMin = 200 * time.Millisecond
+	reconnectDelayMax = 10 * time.Second
 )
 
 // errResync ends a stream whose events can no longer be trusted.
@@ -47,11 +47,11 @@
 func (s *Scheduler) Run(ctx context.Context, engines Engines) {
 	var group sync.WaitGroup
 	defer group.Wait()
-	following := map[*upstream.Upstream]context.CancelFunc{}
-	ticker := time.NewTicker(probeEvery)
+	followers := map[*upstream.Upstream]context.CancelFunc{}
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		s.follow(ctx, &group, engines, following)
+		s.updateFollowers(ctx, &group, engines, followers)
 		s.table.Probe(ctx, s.settings.DataCentre, engines, probesPerRound)
 		select {
 		case <-ticker.C:
@@ -62,33 +62,33 @@
 }
 
 // follow starts a follower for each new engine and ends those of engines that are gone.
-func (s *Scheduler) follow(ctx context.Context, group *sync.WaitGroup, engines Engines, following map[*upstream.Upstream]context.CancelFunc) {
+func (s *Scheduler) updateFollowers(ctx context.Context, group *sync.WaitGroup, engines Engines, followers map[*upstream.Upstream]context.CancelFunc) {
 	members := s.table.Snapshot()
-	for u, stop := range following {
+	for u, stop := range followers {
 		if members.Upstream(u.Name) != u {
 			stop()
-			delete(following, u)
+			delete(followers, u)
 			s.view.Drop(u.ID)
 			s.inflow.forget(u.ID)
 		}
 	}
 	for _, u := range members.All {
-		if u.Service != "" || u.DataCentre != s.settings.DataCentre || following[u] != nil {
+		if u.Service != "" || u.DataCentre != s.settings.DataCentre || followers[u] != nil {
 			continue
 		}
 		child, stop := context.WithCancel(ctx)
-		following[u] = stop
+		followers[u] = stop
 		group.Go(func() { s.followEngine(child, engines, u) })
 	}
 }
 
 func (s *Scheduler) followEngine(ctx context.Context, engines Engines, u *upstream.Upstream) {
 	delay := backoff.NewExponentialBackOff()
-	delay.InitialInterval, delay.MaxInterval = followMin, followMax
+	delay.InitialInterval, delay.MaxInterval = reconnectDelayMin, reconnectDelayMax
 	for ctx.Err() == nil {
 		begin := time.Now()
 		s.followOnce(ctx, engines, u)
-		if time.Since(begin) > followMax {
+		if time.Since(begin) > reconnectDelayMax {
 			delay.Reset()
 		}
 		select {
@@ -106,7 +106,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := s.watchTrust(u, cancel)
+	stop := s.cancelWhenUntrusted(u, cancel)
 	defer stop()
 	_, seq, _ := s.view.Position(u.ID)
 	_ = engines.Events(ctx, u.Address, seq, func(event engine.Event) error {
@@ -133,7 +133,7 @@
 
 // watchTrust ends a stream when answers have shown that its events are being
 // lost: with no further event there is no gap to see.
-func (s *Scheduler) watchTrust(u *upstream.Upstream, cancel context.CancelFunc) (stop func()) {
+func (s *Scheduler) cancelWhenUntrusted(u *upstream.Upstream, cancel context.CancelFunc) (stop func()) {
 	var timer *time.Timer
 	var mu sync.Mutex
 	stopped := false
@@ -146,11 +146,11 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if !stopped {
-			timer = time.AfterFunc(followCheck, check)
+			timer = time.AfterFunc(trustCheckInterval, check)
 		}
 	}
 	mu.Lock()
-	timer = time.AfterFunc(followCheck, check)
+	timer = time.AfterFunc(trustCheckInterval, check)
 	mu.Unlock()
 	return func() {
 		mu.Lock()
@@ -163,22 +163,22 @@
 // inflows counts the new blocks a second of each engine.
 type inflows struct {
 	mu    sync.Mutex
-	rates map[uint32]*useRate
+	rates map[uint32]*decayingRate
 }
 
 func (f *inflows) add(id uint32, blocks int, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.rates == nil {
-		f.rates = map[uint32]*useRate{}
+		f.rates = map[uint32]*decayingRate{}
 	}
 	r := f.rates[id]
 	if r == nil {
-		r = &useRate{at: now}
+		r = &decayingRate{updatedAt: now}
 		f.rates[id] = r
 	}
 	r.decay(now)
-	r.perSecond += float64(blocks) / popularHalf.Seconds()
+	r.perSecond += float64(blocks) / rateWindow.Seconds()
 }
 
 func (f *inflows) rate(id uint32, now time.Time) float64 {
--- a/internal/scheduler/learned.go
+++ b/internal/scheduler/learned.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	learnWeight = 0.1
+	ewmaWeight = 0.1
 	// outputPrior is the number of output tokens assumed of a plan's first call.
-	outputPrior = 128
+	defaultOutputTokens = 128
 	// pausePrior is the length assumed of a tool's first call.
-	pausePrior = 2 * time.Second
+	defaultToolWait = 2 * time.Second
 	// popularPrefixes bounds the shared prefixes whose use is counted.
-	popularPrefixes = 4096
-	popularHalf     = 10 * time.Second
+	maxTrackedPrefixes = 4096
+	rateWindow         = 10 * time.Second
 )
 
 // mean is an exponentially weighted mean.
-type mean struct {
-	value float64
-	known bool
+type ewma struct {
+	value       float64
+	initialized bool
 }
 
-func (m *mean) add(v float64) {
-	if !m.known {
-		m.value, m.known = v, true
+func (m *ewma) add(v float64) {
+	if !m.initialized {
+		m.value, m.initialized = v, true
 		return
 	}
-	m.value += learnWeight * (v - m.value)
+	m.value += ewmaWeight * (v - m.value)
 }
 
 // outputs learns how many tokens a plan's answers have.
-type outputs struct {
+type outputLengths struct {
 	mu    sync.Mutex
-	plans map[outputKey]*mean
+	plans map[outputKey]*ewma
 }
 
 type outputKey struct{ plan, model string }
 
-func (o *outputs) learn(plan, model string, tokens int) {
+func (o *outputLengths) learn(plan, model string, tokens int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.plans == nil {
-		o.plans = map[outputKey]*mean{}
+		o.plans = map[outputKey]*ewma{}
 	}
 	key := outputKey{plan, model}
 	if o.plans[key] == nil {
-		o.plans[key] = &mean{}
+		o.plans[key] = &ewma{}
 	}
 	o.plans[key].add(float64(tokens))
 }
 
-func (o *outputs) expect(plan, model string, limit int) int {
+func (o *outputLengths) expect(plan, model string, limit int) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	expected := outputPrior
+	expected := defaultOutputTokens
 	if m := o.plans[outputKey{plan, model}]; m != nil {
 		expected = int(m.value)
 	}
@@ -67,100 +67,100 @@
 }
 
 // pauses learns how long programs wait for each tool.
-type pauses struct {
+type toolWaits struct {
 	mu    sync.Mutex
-	tools map[string]*mean
+	tools map[string]*ewma
 }
 
-func (p *pauses) learn(tool string, pause time.Duration) {
+func (p *toolWaits) learn(tool string, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.tools == nil {
-		p.tools = map[string]*mean{}
+		p.tools = map[string]*ewma{}
 	}
 	if p.tools[tool] == nil {
-		p.tools[tool] = &mean{}
+		p.tools[tool] = &ewma{}
 	}
-	p.tools[tool].add(pause.Seconds())
+	p.tools[tool].add(wait.Seconds())
 }
 
-func (p *pauses) expect(tool string) time.Duration {
+func (p *toolWaits) expect(tool string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m := p.tools[tool]; m != nil {
 		return time.Duration(m.value * float64(time.Second))
 	}
-	return pausePrior
+	return defaultToolWait
 }
 
 // movePrior is the rate of cache moves in tokens a second before any was measured.
-const movePrior = 15000
+const defaultMoveRate = 15000
 
 // moves learns how fast caches move between engines. A failed move counts as
 // no speed at all, so that moves end where engines refuse them.
-type moves struct {
-	mu    sync.Mutex
-	speed mean
-	at    time.Time
+type moveRates struct {
+	mu         sync.Mutex
+	rate       ewma
+	measuredAt time.Time
 }
 
 // moveMemory is how long a measured rate counts, so that moves that failed are tried again.
-const moveMemory = time.Minute
+const moveRateLifetime = time.Minute
 
-func (m *moves) learn(tokensPerSecond float64, now time.Time) {
+func (m *moveRates) learn(tokensPerSecond float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.at = now
-	if !m.speed.known {
-		m.speed = mean{value: movePrior, known: true}
+	m.measuredAt = now
+	if !m.rate.initialized {
+		m.rate = ewma{value: defaultMoveRate, initialized: true}
 	}
-	m.speed.add(tokensPerSecond)
+	m.rate.add(tokensPerSecond)
 }
 
-func (m *moves) expect(now time.Time) float64 {
+func (m *moveRates) expect(now time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.speed.known || now.Sub(m.at) > moveMemory {
-		return movePrior
+	if !m.rate.initialized || now.Sub(m.measuredAt) > moveRateLifetime {
+		return defaultMoveRate
 	}
-	return m.speed.value
+	return m.rate.value
 }
 
 // popularity counts how often a shared prefix is used by new programs.
 type popularity struct {
-	mu   sync.Mutex
-	uses *lru.Cache[uint64, *useRate]
+	mu    sync.Mutex
+	rates *lru.Cache[uint64, *decayingRate]
 }
 
-type useRate struct {
+type decayingRate struct {
 	perSecond float64
-	at        time.Time
+	updatedAt time.Time
 }
 
 func newPopularity() *popularity {
-	uses, err := lru.New[uint64, *useRate](popularPrefixes)
+	uses, err := lru.New[uint64, *decayingRate](maxTrackedPrefixes)
 	if err != nil {
 		panic("scheduler: " + err.Error())
 	}
-	return &popularity{uses: uses}
+	return &popularity{rates: uses}
 }
 
 // use counts one use of the prefix and returns the uses a second of late.
-func (p *popularity) use(prefix uint64, now time.Time) float64 {
+func (p *popularity) recordUse(prefix uint64, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.uses.Get(prefix)
+	u, ok := p.rates.Get(prefix)
 	if !ok {
-		u = &useRate{at: now}
-		p.uses.Add(prefix, u)
+		u = &decayingRate{updatedAt: now}
+		p.rates.Add(prefix, u)
 	}
 	u.decay(now)
-	u.perSecond += 1 / popularHalf.Seconds()
+	u.perSecond += 1 / rateWindow.Seconds()
 	return u.perSecond
 }
 
-func (u *useRate) decay(now time.Time) {
-	age := now.Sub(u.at)
-	u.at = now
-	u.perSecond *= max(0, 1-age.Seconds()/popularHalf.Seconds())
+func (u *decayingRate) decay(now time.Time) {
+	age := now.Sub(u.updatedAt)
+	u.updatedAt = now
+	u.perSecond *= max(0, 1-age.Seconds()/rateWindow.Seconds())
 }
--- a/internal/scheduler/log.go
+++ b/internal/scheduler/log.go
@@ -26,7 +26,7 @@
 	fields["cost"] = d.Estimate.Cost
 	fields["slowness"] = d.Estimate.Slowness
 	fields["ties"] = d.Ties
-	fields["cached"] = g.cached
+	fields["cached"] = g.cachedTokens
 	fields["queued_ms"] = time.Since(g.waiter.enqueued).Milliseconds()
 	if g.moveFrom != "" {
 		fields["move_from"] = g.moveFrom
@@ -52,7 +52,7 @@
 		"program":     w.request.Program,
 		"plan":        w.request.Plan,
 		"policy":      string(s.settings.Policy),
-		"prompt":      w.prompt,
+		"prompt":      w.promptTokens,
 		"output":      w.step.Output,
 		"best_cached": d.BestCached,
 	}
--- a/internal/scheduler/pause.go
+++ b/internal/scheduler/pause.go
@@ -10,8 +10,8 @@
 
 // seed returns the name on which the blocks of a model's prompts depend.
 func (s *Scheduler) seed(model string) string {
-	for _, cell := range s.table.Snapshot().Model(model) {
-		if serving := cell.Serving(); serving.Ready {
+	for _, endpoint := range s.table.Snapshot().Model(model) {
+		if serving := endpoint.Serving(); serving.Ready {
 			return engine.CacheName(serving.Name)
 		}
 	}
@@ -21,14 +21,14 @@
 // pause notes that the program waits for a tool, and gives up its memory where
 // keeping it through the expected pause does not pay. The blocks stay in the
 // engine until it needs the room, so a short pause still finds them.
-func (s *Scheduler) pause(r *Request, now time.Time) {
-	expected := s.pauses.expect(r.Service)
-	var home uint32
+func (s *Scheduler) beginToolWait(r *Request, now time.Time) {
+	expected := s.toolWaits.expect(r.Service)
+	var last uint32
 	s.programs.with(r.programKey(), now, func(state *programState) {
-		state.pausedBy, state.pausedAt = r.Service, now
-		home = state.home
+		state.waitingTool, state.waitingSince = r.Service, now
+		last = state.lastUpstream
 	})
-	u := s.upstreamByID(home)
+	u := s.upstreamByID(last)
 	if u == nil || s.settings.Policy != placement.Cost {
 		return
 	}
@@ -40,11 +40,11 @@
 }
 
 // resume learns how long the pause was.
-func (s *Scheduler) resume(r *Request, now time.Time) {
+func (s *Scheduler) endToolWait(r *Request, now time.Time) {
 	s.programs.with(r.programKey(), now, func(state *programState) {
-		if state.pausedBy == r.Service {
-			s.pauses.learn(r.Service, now.Sub(state.pausedAt))
-			state.pausedBy = ""
+		if state.waitingTool == r.Service {
+			s.toolWaits.learn(r.Service, now.Sub(state.waitingSince))
+			state.waitingTool = ""
 		}
 	})
 }
--- a/internal/scheduler/programs.go
+++ b/internal/scheduler/programs.go
@@ -24,28 +24,28 @@
 }
 
 type programShard struct {
-	mu    sync.Mutex
-	known map[string]*programState
+	mu     sync.Mutex
+	states map[string]*programState
 }
 
 type programState struct {
-	began, last time.Time
+	startedAt, lastUsedAt time.Time
 	// attained is the service of the whole program, counted at its root.
 	attained time.Duration
 	steps    int
 	// home is the upstream of the last model step.
-	home uint32
+	lastUpstream uint32
 	// held are the engines that hold memory of the program, by address.
-	held map[string]struct{}
+	cacheHolders map[string]struct{}
 	// pausedBy is the tool that the program waits for, since pausedAt.
-	pausedBy string
-	pausedAt time.Time
+	waitingTool  string
+	waitingSince time.Time
 }
 
 func newPrograms() *programs {
 	p := &programs{}
 	for i := range p.shards {
-		p.shards[i].known = map[string]*programState{}
+		p.shards[i].states = map[string]*programState{}
 	}
 	return p
 }
@@ -59,54 +59,54 @@
 	s := p.shard(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	state := s.known[name]
+	state := s.states[name]
 	if state == nil {
-		s.makeRoom()
-		state = &programState{began: now, held: map[string]struct{}{}}
-		s.known[name] = state
+		s.evictIfFull()
+		state = &programState{startedAt: now, cacheHolders: map[string]struct{}{}}
+		s.states[name] = state
 	}
-	state.last = now
+	state.lastUsedAt = now
 	f(state)
 }
 
 // makeRoom forgets the program that is idle longest where the shard is full.
-func (s *programShard) makeRoom() {
-	if len(s.known) < maxProgramsPerShard {
+func (s *programShard) evictIfFull() {
+	if len(s.states) < maxProgramsPerShard {
 		return
 	}
 	oldest := ""
-	for name, state := range s.known {
-		if oldest == "" || state.last.Before(s.known[oldest].last) {
+	for name, state := range s.states {
+		if oldest == "" || state.lastUsedAt.Before(s.states[oldest].lastUsedAt) {
 			oldest = name
 		}
 	}
-	delete(s.known, oldest)
+	delete(s.states, oldest)
 }
 
-func (p *programs) placed(name string, now time.Time, u *upstream.Upstream) {
+func (p *programs) recordPlacement(name string, now time.Time, u *upstream.Upstream) {
 	p.with(name, now, func(state *programState) {
-		state.home = u.ID
+		state.lastUpstream = u.ID
 		state.steps++
-		state.held[u.Address] = struct{}{}
+		state.cacheHolders[u.Address] = struct{}{}
 	})
 }
 
 // leaveOthers returns the engines but the one at the address that hold memory
 // of the program, and counts them as left.
-func (p *programs) leaveOthers(name, address string, now time.Time) []string {
-	var left []string
+func (p *programs) dropOtherHolders(name, address string, now time.Time) []string {
+	var dropped []string
 	p.with(name, now, func(state *programState) {
-		for other := range state.held {
+		for other := range state.cacheHolders {
 			if other != address {
-				left = append(left, other)
-				delete(state.held, other)
+				dropped = append(dropped, other)
+				delete(state.cacheHolders, other)
 			}
 		}
 	})
-	return left
+	return dropped
 }
 
-func (p *programs) serve(root string, now time.Time, service time.Duration) {
+func (p *programs) addService(root string, now time.Time, service time.Duration) {
 	p.with(root, now, func(state *programState) { state.attained += service })
 }
 
@@ -115,21 +115,21 @@
 	return attained, steps
 }
 
-func (p *programs) home(name string, now time.Time) (home uint32) {
-	p.with(name, now, func(state *programState) { home = state.home })
-	return home
+func (p *programs) lastUpstream(name string, now time.Time) (id uint32) {
+	p.with(name, now, func(state *programState) { id = state.lastUpstream })
+	return id
 }
 
-func (p *programs) end(name string) []string {
+func (p *programs) remove(name string) []string {
 	s := p.shard(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	state := s.known[name]
+	state := s.states[name]
 	if state == nil {
 		return nil
 	}
-	delete(s.known, name)
-	return slices.Sorted(maps.Keys(state.held))
+	delete(s.states, name)
+	return slices.Sorted(maps.Keys(state.cacheHolders))
 }
 
 func (p *programs) names() []string {
@@ -142,7 +142,7 @@
 	for i := range p.shards {
 		s := &p.shards[i]
 		s.mu.Lock()
-		for name, state := range s.known {
+		for name, state := range s.states {
 			f(name, state)
 		}
 		s.mu.Unlock()
--- a/internal/scheduler/rules.go
+++ b/internal/scheduler/rules.go
@@ -17,9 +17,9 @@
 	defaultLatencyWeight = 1.0
 	defaultCacheWeight   = 0.5
 	// replicaLoad is how full a shared prefix's engines may be before one more is wanted.
-	replicaLoad = 0.7
+	copyLoadThreshold = 0.7
 	// minShared is the least length of a shared prefix that is worth replicating, in tokens.
-	minShared = 256
+	minSharedTokens = 256
 )
 
 func weights(r *Request) (latency, cache float64) {
@@ -44,24 +44,24 @@
 	return r.Customer + "\x00" + r.Program
 }
 
-func keyOf(r *Request) uint64 { return xxhash.Sum64String(rootOf(r)) }
+func programHash(r *Request) uint64 { return xxhash.Sum64String(rootOf(r)) }
 
 func (s *Scheduler) random() uint64 {
 	if s.settings.Random == nil {
-		return s.turn.Load()
+		return s.decisionCount.Load()
 	}
 	return s.settings.Random()
 }
 
 // restrict puts a candidate out that this step may not use or already tried.
-func (s *Scheduler) restrict(c *placement.Candidate, cell *upstream.Endpoint, r *Request) {
-	u := cell.Upstream
+func (s *Scheduler) restrict(c *placement.Candidate, endpoint *upstream.Endpoint, r *Request) {
+	u := endpoint.Upstream
 	switch {
 	case r.Grant != nil && len(r.Grant.DataCentres) > 0 && !r.Grant.AllowsDataCentre(u.DataCentre):
 		c.Rejection = placement.NotGranted
 	case slices.Contains(r.Tried, u.Name):
 		c.Rejection = placement.Tried
-	case !cell.Serving().Ready:
+	case !endpoint.Serving().Ready:
 		c.Rejection = placement.NotLoaded
 	}
 	if u.DataCentre == s.settings.DataCentre {
@@ -76,63 +76,63 @@
 
 // wantReplicas works out on how many engines the prefix should stand that a
 // new program shares with others.
-func (s *Scheduler) wantReplicas(w *waiter, steps int, now time.Time) {
-	if steps > 0 || len(w.chain) < minShared/engine.BlockTokens {
+func (s *Scheduler) setWantedCopies(w *waiter, steps int, now time.Time) {
+	if steps > 0 || len(w.blockHashes) < minSharedTokens/engine.BlockTokens {
 		return
 	}
 	// The block at minShared stands for the prefix: long enough to tell
 	// prefixes apart, and reached by every prompt that counts.
-	prefix := w.chain[minShared/engine.BlockTokens-1]
-	rate := s.hot.use(prefix, now)
-	cells := s.cells(poolKey{name: w.request.Model})
-	if len(cells) == 0 {
+	prefix := w.blockHashes[minSharedTokens/engine.BlockTokens-1]
+	rate := s.prefixPopularity.recordUse(prefix, now)
+	endpoints := s.endpoints(poolKey{name: w.request.Model})
+	if len(endpoints) == 0 {
 		return
 	}
-	speed := cells[0].Speed()
-	perEngine := replicaLoad * float64(max(1, cells[0].Upstream.Slots)) / max(0.01, speed.Call)
-	wanted := 1 + int(rate/perEngine)
+	speed := endpoints[0].Speed()
+	ratePerEngine := copyLoadThreshold * float64(max(1, endpoints[0].Upstream.Slots)) / max(0.01, speed.Call)
+	wanted := 1 + int(rate/ratePerEngine)
 	if wanted > 1 {
-		w.step.WantedReplicas = wanted
-		w.step.SharedTokens = minShared
+		w.step.WantedCopies = wanted
+		w.step.SharedTokens = minSharedTokens
 	}
 }
 
 // shed refuses early what cannot be done in time, or where the queue is full.
-func (p *pool) shed(w *waiter) *Refusal {
+func (p *pool) shedOnArrival(w *waiter) *Refusal {
 	if p.queue.Len() >= p.scheduler.settings.QueueLimit {
-		return refuse(step.CodeOverloaded, 503, "too many steps wait", p.drainTime())
+		return refuse(step.CodeOverloaded, 503, "too many steps wait", p.overloadRetryAfter())
 	}
 	if p.scheduler.settings.Policy != placement.Cost || w.request.Deadline.IsZero() {
 		return nil
 	}
-	left := time.Until(w.request.Deadline)
-	need := p.expectedWait() + p.learnedTime()
-	if left >= need {
+	remaining := time.Until(w.request.Deadline)
+	need := p.expectedWait() + p.learnedCallTime()
+	if remaining >= need {
 		return nil
 	}
-	return refuse(step.CodeOverloaded, 503, "the step can't be done by its deadline", max(time.Second, need-left))
+	return refuse(step.CodeOverloaded, 503, "the step can't be done by its deadline", max(time.Second, need-remaining))
 }
 
 // certainShare is the part of an estimate that a step takes in all likelihood.
-const certainShare = 0.7
+const certainFraction = 0.7
 
 // tooLate refuses a step that even the best upstream would not answer by the
 // deadline. Sent, it would take a slot from steps that can still be in time.
-func (p *pool) tooLate(w *waiter, d *placement.Decision, now time.Time) *Refusal {
+func (p *pool) refuseIfLate(w *waiter, d *placement.Decision, now time.Time) *Refusal {
 	if d.Chosen < 0 || w.request.Deadline.IsZero() || p.scheduler.settings.Policy != placement.Cost {
 		return nil
 	}
-	if p.learnedTime() == 0 {
+	if p.learnedCallTime() == 0 {
 		// All that is known is a guess, which must not refuse a step.
 		return nil
 	}
-	certain := d.Estimate.Total()
+	expected := d.Estimate.Total()
 	if p.key.service {
 		// Calls to a service take such different times that only the wait before
 		// one is certain.
-		certain = d.Estimate.Wait
+		expected = d.Estimate.Wait
 	}
-	need := time.Duration(certainShare * certain * float64(time.Second))
+	need := time.Duration(certainFraction * expected * float64(time.Second))
 	if !now.Add(need).After(w.request.Deadline) {
 		return nil
 	}
@@ -141,21 +141,21 @@
 
 // expectedWait is how long a step that comes now waits in the queue.
 func (p *pool) expectedWait() time.Duration {
-	slots := p.slots()
+	slots := p.usableSlots()
 	free := slots - p.running
 	if p.queue.Len() < free {
 		return 0
 	}
-	ahead := float64(p.queue.Len() + 1)
-	return time.Duration(ahead * p.serviceTime().Seconds() / float64(max(1, slots)) * float64(time.Second))
+	position := float64(p.queue.Len() + 1)
+	return time.Duration(position * p.expectedCallTime().Seconds() / float64(max(1, slots)) * float64(time.Second))
 }
 
-func (p *pool) drainTime() time.Duration { return max(time.Second, p.expectedWait()) }
+func (p *pool) overloadRetryAfter() time.Duration { return max(time.Second, p.expectedWait()) }
 
 // serviceTime is the mean time of one call over the usable upstreams, by which
 // the queue's length counts as time.
-func (p *pool) serviceTime() time.Duration {
-	if learned := p.learnedTime(); learned > 0 {
+func (p *pool) expectedCallTime() time.Duration {
+	if learned := p.learnedCallTime(); learned > 0 {
 		return learned
 	}
 	return time.Duration(upstream.DefaultSpeed.Call * float64(time.Second))
@@ -163,12 +163,12 @@
 
 // learnedTime is the same over those that have answered a call; 0 while none
 // has: a guess must not refuse a step that nothing stands before.
-func (p *pool) learnedTime() time.Duration {
+func (p *pool) learnedCallTime() time.Duration {
 	now := time.Now().UnixNano()
 	sum, n := 0.0, 0
-	for _, cell := range p.scheduler.cells(p.key) {
-		speed := cell.Speed()
-		if speed.Samples > 0 && cell.Upstream.Load(now).Condition <= upstream.Full {
+	for _, endpoint := range p.scheduler.endpoints(p.key) {
+		speed := endpoint.Speed()
+		if speed.Samples > 0 && endpoint.Upstream.Load(now).Condition <= upstream.Full {
 			sum += speed.Call
 			n++
 		}
@@ -179,25 +179,25 @@
 	return time.Duration(sum / float64(n) * float64(time.Second))
 }
 
-func (p *pool) slots() int {
+func (p *pool) usableSlots() int {
 	now := time.Now().UnixNano()
 	n := 0
-	for _, cell := range p.scheduler.cells(p.key) {
-		if l := cell.Upstream.Load(now); l.Condition <= upstream.Full {
+	for _, endpoint := range p.scheduler.endpoints(p.key) {
+		if l := endpoint.Upstream.Load(now); l.Condition <= upstream.Full {
 			n += l.Limit
 		}
 	}
 	return n
 }
 
-func noUpstream(d *placement.Decision) *Refusal {
-	refusal := refuse(step.CodeNoUpstream, 503, "no upstream can take the step at present", outageWait)
+func noUpstreamRefusal(d *placement.Decision) *Refusal {
+	refusal := refuse(step.CodeNoUpstream, 503, "no upstream can take the step at present", noUpstreamWait)
 	if d.Rejections[placement.NotLoaded] > 0 {
-		refusal = refuse(step.CodeNoUpstream, 503, "the model is being loaded", loadWait)
+		refusal = refuse(step.CodeNoUpstream, 503, "the model is being loaded", modelLoadRetryAfter)
 	}
 	refusal.decision = *d
 	return refusal
 }
 
 // loadWait is the Retry-After while a model is loaded.
-const loadWait = 10 * time.Second
+const modelLoadRetryAfter = 10 * time.Second
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -110,17 +110,17 @@
 
 // Scheduler places steps. It is safe for concurrent use.
 type Scheduler struct {
-	settings Settings
-	table    *upstream.Table
-	view     *cache.View
-	retries  *upstream.RetryBudget
-	programs *programs
-	pauses   pauses
-	outputs  outputs
-	hot      *popularity
-	inflow   inflows
-	moves    moves
-	turn     atomic.Uint64
+	settings         Settings
+	table            *upstream.Table
+	view             *cache.View
+	retries          *upstream.RetryBudget
+	programs         *programs
+	toolWaits        toolWaits
+	outputLengths    outputLengths
+	prefixPopularity *popularity
+	inflow           inflows
+	moveRates        moveRates
+	decisionCount    atomic.Uint64
 
 	mu    sync.RWMutex
 	pools map[poolKey]*pool
@@ -140,13 +140,13 @@
 		settings.QueueLimit = defaultQueueLimit
 	}
 	return &Scheduler{
-		settings: settings,
-		table:    table,
-		view:     view,
-		retries:  upstream.NewRetryBudget(),
-		programs: newPrograms(),
-		hot:      newPopularity(),
-		pools:    map[poolKey]*pool{},
+		settings:         settings,
+		table:            table,
+		view:             view,
+		retries:          upstream.NewRetryBudget(),
+		programs:         newPrograms(),
+		prefixPopularity: newPopularity(),
+		pools:            map[poolKey]*pool{},
 	}
 }
 
@@ -172,9 +172,9 @@
 		s.logRefusal(w, refusal)
 		return nil, refusal
 	}
-	s.note(grant, time.Now())
+	s.recordPlacement(grant, time.Now())
 	s.logDecision(grant)
-	s.move(ctx, grant)
+	s.moveCache(ctx, grant)
 	return grant, nil
 }
 
@@ -218,7 +218,7 @@
 	return s.pools[key]
 }
 
-func (s *Scheduler) cells(key poolKey) []*upstream.Endpoint {
+func (s *Scheduler) endpoints(key poolKey) []*upstream.Endpoint {
 	if key.service {
 		return s.table.Snapshot().Service(key.name)
 	}
@@ -252,7 +252,7 @@
 
 // End forgets a program and releases its memory on the engines that have it.
 func (s *Scheduler) End(program string) {
-	for _, address := range s.programs.end(program) {
+	for _, address := range s.programs.remove(program) {
 		s.release(address, program)
 	}
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -19,7 +19,7 @@
 	"foxhall/internal/usage"
 )
 
-func small(settings Settings, listed ...usage.Upstream) (*Scheduler, *upstream.Table) {
+func newTestScheduler(settings Settings, listed ...usage.Upstream) (*Scheduler, *upstream.Table) {
 	table := upstream.NewTable()
 	table.Apply(listed, time.Now())
 	settings.DataCentre = "a"
@@ -30,15 +30,15 @@
 	return usage.Upstream{Name: name, Address: name, Kind: usage.KindEngine, DataCentre: dataCentre, Models: []string{testModel}, Slots: slots}
 }
 
-func ask(program string) Request {
+func testRequest(program string) Request {
 	return Request{Plan: "p", Model: testModel, Program: program, Root: program, Messages: []chat.Message{message("user", program, 300)}}
 }
 
 // take fills an engine's slots and returns the grants.
-func take(t *testing.T, s *Scheduler, n int) []*Grant {
+func fillSlots(t *testing.T, s *Scheduler, n int) []*Grant {
 	var grants []*Grant
 	for i := range n {
-		g, refusal := s.Acquire(t.Context(), ask(fmt.Sprint("filler", i)))
+		g, refusal := s.Acquire(t.Context(), testRequest(fmt.Sprint("filler", i)))
 		if refusal != nil {
 			t.Fatalf("filler %d: %+v", i, refusal)
 		}
@@ -50,17 +50,17 @@
 // Another data centre has free engines. A step goes there only where the plan
 // may use it, the local engines are busy for longer than the way, and the view
 // of the other side is fresh: its engines may be gone since.
-func TestAbroadOnlyWhenWorthIt(t *testing.T) {
+func TestRemoteDataCentreOnlyWhenCheaper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		age := time.Second
-		s, _ := small(Settings{DataCentreRTT: map[string]time.Duration{"b": 50 * time.Millisecond}, RemoteViewAge: func(string) time.Duration { return age }},
+		s, _ := newTestScheduler(Settings{DataCentreRTT: map[string]time.Duration{"b": 50 * time.Millisecond}, RemoteViewAge: func(string) time.Duration { return age }},
 			engineAt("local", "a", 2), engineAt("abroad", "b", 2))
 		both := &usage.Grant{Models: []string{testModel}, DataCentres: []string{"a", "b"}, LatencyWeight: 1}
 		place := func(g *usage.Grant) string {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			r := ask("p1")
+			r := testRequest("p1")
 			r.Grant = g
 			grant, refusal := s.Acquire(ctx, r)
 			if refusal != nil {
@@ -72,7 +72,7 @@
 		is.Equal(place(both), "local")
 		onlyLocal := &usage.Grant{Models: []string{testModel}, DataCentres: []string{"a"}, LatencyWeight: 1}
 		for range 3 {
-			r := ask("filler")
+			r := testRequest("filler")
 			r.Grant = onlyLocal
 			_, refusal := s.Acquire(t.Context(), r)
 			is.True(refusal == nil)
@@ -86,20 +86,20 @@
 
 // A caller hangs up while its step waits. The step must leave the queue, the
 // next in line must go when the place is free, and no place may be lost.
-func TestCancelledStepLosesNoPlace(t *testing.T) {
+func TestCancelledStepLeaksNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s, table := small(Settings{}, engineAt("e", "a", 1))
-		grants := take(t, s, 2)
+		s, table := newTestScheduler(Settings{}, engineAt("e", "a", 1))
+		grants := fillSlots(t, s, 2)
 		ctx, cancel := context.WithCancel(t.Context())
 		refused := make(chan *Refusal, 1)
 		go func() {
-			_, refusal := s.Acquire(ctx, ask("gone"))
+			_, refusal := s.Acquire(ctx, testRequest("gone"))
 			refused <- refusal
 		}()
 		granted := make(chan *Grant, 1)
 		go func() {
-			g, _ := s.Acquire(t.Context(), ask("next"))
+			g, _ := s.Acquire(t.Context(), testRequest("next"))
 			granted <- g
 		}()
 		synctest.Wait()
@@ -117,14 +117,14 @@
 
 // A caller hangs up at the very moment at which its step is granted a place:
 // the grant is made, and nobody takes it. The place must be given back.
-func TestGrantInTheMomentOfCancel(t *testing.T) {
+func TestGrantRacingWithCancelIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s, table := small(Settings{}, engineAt("e", "a", 1))
-		r := ask("p")
+		s, table := newTestScheduler(Settings{}, engineAt("e", "a", 1))
+		r := testRequest("p")
 		w := s.newWaiter(&r)
 		p := s.pool(&r)
-		is.True(p.enter(w) == nil)
+		is.True(p.enqueue(w) == nil)
 		is.Equal(table.Snapshot().Upstream("e").Load(time.Now().UnixNano()).Own, 1)
 		p.abandon(w)
 		is.Equal(table.Snapshot().Upstream("e").Load(time.Now().UnixNano()).Own, 0)
@@ -137,14 +137,14 @@
 func TestOverloadIsRefusedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s, _ := small(Settings{}, engineAt("e", "a", 1))
-		take(t, s, 2)
+		s, _ := newTestScheduler(Settings{}, engineAt("e", "a", 1))
+		fillSlots(t, s, 2)
 		for i := range 20 {
-			go func() { _, _ = s.Acquire(t.Context(), ask(fmt.Sprint("waits", i))) }()
+			go func() { _, _ = s.Acquire(t.Context(), testRequest(fmt.Sprint("waits", i))) }()
 		}
 		synctest.Wait()
 		begin := time.Now()
-		r := ask("hurried")
+		r := testRequest("hurried")
 		r.Deadline = begin.Add(5 * time.Second)
 		_, refusal := s.Acquire(t.Context(), r)
 		is.Equal(refusal.Code, step.CodeOverloaded)
@@ -155,51 +155,51 @@
 
 // A step waits far behind in a long queue, and its deadline passes there. Its
 // caller must hear of it at that moment and not when its turn comes.
-func TestDeadlineEndsTheWait(t *testing.T) {
+func TestDeadlineEndsQueueWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s, _ := small(Settings{Policy: placement.LeastInFlight}, engineAt("e", "a", 1))
-		take(t, s, 2)
-		for i := range 3 * scanLimit {
-			go func() { _, _ = s.Acquire(t.Context(), ask(fmt.Sprint("waits", i))) }()
+		s, _ := newTestScheduler(Settings{Policy: placement.LeastInFlight}, engineAt("e", "a", 1))
+		fillSlots(t, s, 2)
+		for i := range 3 * maxScanned {
+			go func() { _, _ = s.Acquire(t.Context(), testRequest(fmt.Sprint("waits", i))) }()
 		}
 		synctest.Wait()
 		begin := time.Now()
-		r := ask("late")
+		r := testRequest("late")
 		r.Deadline = begin.Add(5 * time.Second)
 		_, refusal := s.Acquire(t.Context(), r)
 		is.Equal(refusal.Code, step.CodeDeadline)
 		is.Equal(time.Since(begin), 5*time.Second)
-		is.Equal(s.Waiting(), 3*scanLimit)
+		is.Equal(s.Waiting(), 3*maxScanned)
 	})
 }
 
 // Every engine drains. Callers must hear of it within seconds, with a time to
 // come back, and nothing may be sent.
-func TestNoUpstreamIsSaidSoon(t *testing.T) {
+func TestNoUpstreamIsRefusedWithinSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s, table := small(Settings{}, engineAt("e", "a", 4))
+		s, table := newTestScheduler(Settings{}, engineAt("e", "a", 4))
 		table.Snapshot().Upstream("e").MarkDraining(time.Now())
 		begin := time.Now()
-		_, refusal := s.Acquire(t.Context(), ask("p"))
+		_, refusal := s.Acquire(t.Context(), testRequest("p"))
 		is.Equal(refusal.Code, step.CodeNoUpstream)
 		is.True(refusal.RetryAfter > 0)
-		is.True(time.Since(begin) <= outageWait+tick)
+		is.True(time.Since(begin) <= noUpstreamWait+scanInterval)
 	})
 }
 
 // A program worked on two engines and ends. Both must be told to give its
 // memory up, and the first already when the program had moved.
-func TestMemoryIsReleasedWhereItWas(t *testing.T) {
+func TestCacheIsReleasedOnEveryEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		released := map[string]int{}
-		s, table := small(Settings{Release: func(address, program string) { released[address+" "+program]++ }}, engineAt("e", "a", 4), engineAt("f", "a", 4))
-		g, _ := s.Acquire(t.Context(), ask("p"))
+		s, table := newTestScheduler(Settings{Release: func(address, program string) { released[address+" "+program]++ }}, engineAt("e", "a", 4), engineAt("f", "a", 4))
+		g, _ := s.Acquire(t.Context(), testRequest("p"))
 		g.Done(Feedback{Total: time.Second, FirstToken: time.Second})
 		table.Snapshot().Upstream(g.Upstream).MarkDraining(time.Now())
-		h, _ := s.Acquire(t.Context(), ask("p"))
+		h, _ := s.Acquire(t.Context(), testRequest("p"))
 		is.True(h.Upstream != g.Upstream)
 		is.Equal(len(released), 0)
 		h.Done(Feedback{Total: time.Second, FirstToken: time.Second})
@@ -216,7 +216,7 @@
 func TestSlowToolCallDoesNotStallTheService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s, _ := small(Settings{}, usage.Upstream{Name: "t", Address: "t", Kind: usage.KindService, Service: "tool", DataCentre: "a", Slots: 4})
+		s, _ := newTestScheduler(Settings{}, usage.Upstream{Name: "t", Address: "t", Kind: usage.KindService, Service: "tool", DataCentre: "a", Slots: 4})
 		call := func(program string) *Grant {
 			g, refusal := s.Acquire(t.Context(), Request{Service: "tool", Program: program})
 			is.True(refusal == nil)
@@ -236,11 +236,11 @@
 
 // A caller wants its answer whole, and it is long. Judged by the time to a
 // first token the engine would count as hanging while it decodes.
-func TestWholeAnswerHasTimeToDecode(t *testing.T) {
+func TestNonStreamingTimeoutIncludesDecode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s, table := small(Settings{}, engineAt("e", "a", 4))
-		r := ask("p")
+		s, table := newTestScheduler(Settings{}, engineAt("e", "a", 4))
+		r := testRequest("p")
 		r.NonStreaming = true
 		g, refusal := s.Acquire(t.Context(), r)
 		is.True(refusal == nil)
@@ -255,7 +255,7 @@
 func TestOnlyRepeatableCallsAreHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s, _ := small(Settings{}, usage.Upstream{Name: "t", Address: "t", Kind: usage.KindService, Service: "tool", DataCentre: "a", Slots: 4})
+		s, _ := newTestScheduler(Settings{}, usage.Upstream{Name: "t", Address: "t", Kind: usage.KindService, Service: "tool", DataCentre: "a", Slots: 4})
 		for _, repeatable := range []bool{true, false} {
 			g, refusal := s.Acquire(t.Context(), Request{Service: "tool", Program: "p", Repeatable: repeatable})
 			is.True(refusal == nil)
@@ -271,10 +271,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		handler := memory.New()
-		s, table := small(Settings{Logger: &log.Logger{Handler: handler, Level: log.InfoLevel}}, engineAt("e", "a", 4))
-		take(t, s, 1)
+		s, table := newTestScheduler(Settings{Logger: &log.Logger{Handler: handler, Level: log.InfoLevel}}, engineAt("e", "a", 4))
+		fillSlots(t, s, 1)
 		table.Snapshot().Upstream("e").MarkDraining(time.Now())
-		_, refusal := s.Acquire(t.Context(), ask("p"))
+		_, refusal := s.Acquire(t.Context(), testRequest("p"))
 		is.True(refusal != nil)
 		is.Equal(len(handler.Entries), 2)
 		placed, refused := handler.Entries[0], handler.Entries[1]
@@ -288,18 +288,18 @@
 // An engine's breaker is due and one trial goes there. Then an older call to
 // it is given up and another is refused. Neither was the trial: no second step
 // may follow it until the trial itself has ended.
-func TestOlderCallsLeaveTheTrialAlone(t *testing.T) {
+func TestOlderCallsDoNotEndHalfOpenTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s, table := small(Settings{}, engineAt("e", "a", 8))
+		s, table := newTestScheduler(Settings{}, engineAt("e", "a", 8))
 		u := table.Snapshot().Upstream("e")
 		condition := func() upstream.Condition { return u.Load(time.Now().UnixNano()).Condition }
-		older := take(t, s, 2)
+		older := fillSlots(t, s, 2)
 		for range 3 {
 			u.Failed(time.Now(), upstream.Failure{Kind: upstream.Lost})
 		}
 		time.Sleep(time.Second)
-		trial, refusal := s.Acquire(t.Context(), ask("trial"))
+		trial, refusal := s.Acquire(t.Context(), testRequest("trial"))
 		is.True(refusal == nil)
 		older[0].Done(Feedback{Cancelled: true})
 		is.Equal(condition(), upstream.CircuitOpen)
@@ -313,17 +313,17 @@
 // Many steps of one plan wait for a data centre that is full. Another plan's
 // step comes last; its own engines are idle. It must not wait for the others:
 // within two rounds of the queue it goes, on ticks alone.
-func TestStepsThatCannotGoHoldUpNoOthers(t *testing.T) {
+func TestBlockedStepsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		near := func(string) time.Duration { return time.Second }
-		s, _ := small(Settings{DataCentreRTT: map[string]time.Duration{"b": 0}, RemoteViewAge: near}, engineAt("busy", "b", 1), engineAt("idle", "a", 4))
+		s, _ := newTestScheduler(Settings{DataCentreRTT: map[string]time.Duration{"b": 0}, RemoteViewAge: near}, engineAt("busy", "b", 1), engineAt("idle", "a", 4))
 		of := func(program, dataCentre string) Request {
-			r := ask(program)
+			r := testRequest(program)
 			r.Grant = &usage.Grant{Models: []string{testModel}, DataCentres: []string{dataCentre}, LatencyWeight: 1}
 			return r
 		}
-		const waiting = 8 * scanLimit
+		const waiting = 8 * maxScanned
 		for i := range waiting {
 			go func() { _, _ = s.Acquire(t.Context(), of(fmt.Sprint("far", i), "b")) }()
 		}
@@ -334,6 +334,6 @@
 		g, refusal := s.Acquire(ctx, of("near", "a"))
 		is.True(refusal == nil)
 		is.Equal(g.Upstream, "idle")
-		is.True(time.Since(begin) <= 2*waiting/turnLimit*tick)
+		is.True(time.Since(begin) <= 2*waiting/maxRotated*scanInterval)
 	})
 }
--- a/internal/scheduler/stateful_test.go
+++ b/internal/scheduler/stateful_test.go
@@ -21,7 +21,7 @@
 }
 
 // asked is one step of the oracle: it waits, or has a grant, or is over.
-type asked struct {
+type trackedStep struct {
 	cancel  context.CancelFunc
 	grant   *Grant
 	refusal *Refusal
@@ -30,26 +30,26 @@
 }
 
 // world is a scheduler with what the oracle knows of it.
-type world struct {
-	s       *Scheduler
-	table   *upstream.Table
-	steps   []*asked
-	leaving map[string]bool
+type oracle struct {
+	s        *Scheduler
+	table    *upstream.Table
+	steps    []*trackedStep
+	draining map[string]bool
 }
 
-func newWorld() *world {
+func newOracle() *oracle {
 	var listed []usage.Upstream
 	for i := range 3 {
 		listed = append(listed, engineAt(fmt.Sprint("e", i), "a", 2))
 	}
-	s, table := small(Settings{}, listed...)
-	return &world{s: s, table: table, leaving: map[string]bool{}}
+	s, table := newTestScheduler(Settings{}, listed...)
+	return &oracle{s: s, table: table, draining: map[string]bool{}}
 }
 
-func (w *world) ask(t *rapid.T) {
+func (w *oracle) ask(t *rapid.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	a := &asked{cancel: cancel}
-	r := ask(fmt.Sprint("p", rapid.IntRange(0, 4).Draw(t, "program")))
+	a := &trackedStep{cancel: cancel}
+	r := testRequest(fmt.Sprint("p", rapid.IntRange(0, 4).Draw(t, "program")))
 	r.Priority = rapid.IntRange(0, 3).Draw(t, "priority")
 	if rapid.Bool().Draw(t, "hurried") {
 		r.Deadline = time.Now().Add(time.Duration(rapid.IntRange(1, 20000).Draw(t, "ms")) * time.Millisecond)
@@ -62,8 +62,8 @@
 }
 
 // open returns the steps that hold a place.
-func (w *world) open() []*asked {
-	var open []*asked
+func (w *oracle) openGrants() []*trackedStep {
+	var open []*trackedStep
 	for _, a := range w.steps {
 		if a.grant != nil && !a.done {
 			open = append(open, a)
@@ -72,7 +72,7 @@
 	return open
 }
 
-func (w *world) finish(t *rapid.T, a *asked) {
+func (w *oracle) finish(t *rapid.T, a *trackedStep) {
 	a.done = true
 	f := rapid.SampledFrom([]Feedback{
 		{Prompt: 300, Output: 20, FirstToken: time.Second, Total: 2 * time.Second},
@@ -82,7 +82,7 @@
 		{Failure: &upstream.Failure{Kind: upstream.Refused, Draining: true}},
 	}).Draw(t, "feedback")
 	if f.Failure != nil && f.Failure.Draining {
-		w.leaving[a.grant.Upstream] = true
+		w.draining[a.grant.Upstream] = true
 	}
 	if rapid.Bool().Draw(t, "first token") {
 		a.grant.FirstToken()
@@ -92,14 +92,14 @@
 }
 
 // check compares the scheduler's accounts with the oracle's.
-func (w *world) check(t *rapid.T) {
+func (w *oracle) check(t *rapid.T) {
 	waiting, held := 0, map[string]int{}
 	for _, a := range w.steps {
 		if !a.over {
 			waiting++
 		}
 	}
-	for _, a := range w.open() {
+	for _, a := range w.openGrants() {
 		held[a.grant.Upstream]++
 	}
 	if got := w.s.Waiting(); got != waiting {
@@ -113,7 +113,7 @@
 		if l.Own == 0 && l.Backlog != 0 {
 			t.Fatalf("%s is idle with a backlog of %d tokens", u.Name, l.Backlog)
 		}
-		if w.leaving[u.Name] && l.Condition != upstream.Draining {
+		if w.draining[u.Name] && l.Condition != upstream.Draining {
 			t.Fatalf("%s is %v and should be leaving", u.Name, l.Condition)
 		}
 	}
@@ -126,11 +126,11 @@
 func TestSchedulerAgainstOracle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(inBubble{t}, func(t *rapid.T) {
-			w := newWorld()
+			w := newOracle()
 			t.Repeat(map[string]func(*rapid.T){
 				"ask": func(t *rapid.T) {
 					before := map[string]bool{}
-					for name := range w.leaving {
+					for name := range w.draining {
 						before[name] = true
 					}
 					w.ask(t)
@@ -140,7 +140,7 @@
 					}
 				},
 				"finish": func(t *rapid.T) {
-					if open := w.open(); len(open) > 0 {
+					if open := w.openGrants(); len(open) > 0 {
 						w.finish(t, rapid.SampledFrom(open).Draw(t, "step"))
 					}
 				},
@@ -150,13 +150,13 @@
 					}
 				},
 				"finishAndCancelAtOnce": func(t *rapid.T) {
-					var waiting []*asked
+					var waiting []*trackedStep
 					for _, a := range w.steps {
 						if !a.over {
 							waiting = append(waiting, a)
 						}
 					}
-					if open := w.open(); len(open) > 0 {
+					if open := w.openGrants(); len(open) > 0 {
 						w.finish(t, open[0])
 					}
 					for _, a := range waiting {
@@ -179,12 +179,12 @@
 type inBubble struct{ rapid.TB }
 
 // drain ends everything; all accounts must come to nothing.
-func (w *world) drain(t *rapid.T) {
+func (w *oracle) drain(t *rapid.T) {
 	for _, a := range w.steps {
 		a.cancel()
 	}
 	synctest.Wait()
-	for _, a := range w.open() {
+	for _, a := range w.openGrants() {
 		a.done = true
 		a.grant.Done(Feedback{Cancelled: true})
 	}
--- a/internal/scheduler/workload_test.go
+++ b/internal/scheduler/workload_test.go
@@ -81,37 +81,37 @@
 	latencies                          []float64
 	began, inTime, refused, late, lost int
 	prompt, repeated, calls            int64
-	goneMemory                         float64
+	staleMemory                        float64
 	planBegan, planInTime              [testPlans]int
 	wrong                              int
 }
 
 type bench struct {
-	scenario scenario
-	policy   placement.Policy
-	fleet    standin.Fleet
-	nodes    []*Scheduler
-	tables   []*upstream.Table
-	listed   []usage.Upstream
-	grants   [testPlans]*usage.Grant
-	random   *rand.Rand
+	scenario  scenario
+	policy    placement.Policy
+	fleet     standin.Fleet
+	instances []*Scheduler
+	tables    []*upstream.Table
+	listed    []usage.Upstream
+	grants    [testPlans]*usage.Grant
+	random    *rand.Rand
 
-	mu   sync.Mutex
-	out  outcome
-	gone map[string]bool
+	mu            sync.Mutex
+	outcome       outcome
+	endedPrograms map[string]bool
 	// patience is how long callers stay; shorter than the deadline never.
-	patience time.Duration
-	warm     time.Time
+	callerTimeout time.Duration
+	warmUpEnd     time.Time
 	// lasts is how long programs arrive after the warm-up.
-	lasts time.Duration
+	arrivalDuration time.Duration
 	// at is called faultAfter the warm-up.
-	at func()
+	onFault func()
 	// sentAt notes when each engine was sent a step.
 	sentAt map[string][]time.Time
 }
 
 func newBench(c scenario, policy placement.Policy, seed uint64) *bench {
-	b := &bench{scenario: c, policy: policy, fleet: standin.Fleet{}, random: rand.New(rand.NewPCG(seed, 77)), gone: map[string]bool{}, sentAt: map[string][]time.Time{}, lasts: runTime}
+	b := &bench{scenario: c, policy: policy, fleet: standin.Fleet{}, random: rand.New(rand.NewPCG(seed, 77)), endedPrograms: map[string]bool{}, sentAt: map[string][]time.Time{}, arrivalDuration: runTime}
 	for i := range c.engines {
 		f := speedFactors[i%len(speedFactors)]
 		name := fmt.Sprintf("e%02d", i)
@@ -127,12 +127,12 @@
 		b.grants[i] = &usage.Grant{Models: []string{testModel}, Services: []string{"tool"}, DataCentres: []string{"a"}, LatencyWeight: c.latencyWeight, CacheWeight: c.cacheWeight}
 	}
 	for i := range testInstances {
-		b.nodes = append(b.nodes, b.newNode(seed, i))
+		b.instances = append(b.instances, b.newInstance(seed, i))
 	}
 	return b
 }
 
-func (b *bench) newNode(seed uint64, i int) *Scheduler {
+func (b *bench) newInstance(seed uint64, i int) *Scheduler {
 	listed := append([]usage.Upstream(nil), b.listed...)
 	listed = append(listed, usage.Upstream{Name: "tool", Address: "tool", Kind: usage.KindService, Service: "tool", DataCentre: "a", Slots: 10000})
 	table := upstream.NewTable()
@@ -157,22 +157,22 @@
 func (b *bench) run(t *testing.T, load float64) outcome {
 	ctx, cancel := context.WithCancel(t.Context())
 	var background, work sync.WaitGroup
-	for _, node := range b.nodes {
+	for _, node := range b.instances {
 		background.Go(func() { node.Run(ctx, b.fleet) })
 	}
-	background.Go(func() { b.watchMemory(ctx) })
+	background.Go(func() { b.measureStaleMemory(ctx) })
 	background.Go(func() { b.exchange(ctx) })
 	rate := b.scenario.arrivalRate(load)
 	// Below saturation callers stay to the end, so that late programs count in
 	// the latency; in overload they leave at the deadline.
-	b.patience = time.Hour
+	b.callerTimeout = time.Hour
 	if load > 1 {
-		b.patience = b.scenario.deadline
+		b.callerTimeout = b.scenario.deadline
 	}
-	b.warm = time.Now().Add(warmUp)
-	end := b.warm.Add(b.lasts)
-	if b.at != nil {
-		time.AfterFunc(warmUp+faultAfter, b.at)
+	b.warmUpEnd = time.Now().Add(warmUp)
+	end := b.warmUpEnd.Add(b.arrivalDuration)
+	if b.onFault != nil {
+		time.AfterFunc(warmUp+faultAfter, b.onFault)
 	}
 	for n := 0; ; n++ {
 		time.Sleep(time.Duration(b.random.ExpFloat64() / rate * float64(time.Second)))
@@ -185,7 +185,7 @@
 	work.Wait()
 	cancel()
 	background.Wait()
-	return b.out
+	return b.outcome
 }
 
 // exchange passes signals among the instances, as peers do.
@@ -206,7 +206,7 @@
 }
 
 // watchMemory measures the share of all cache memory that is held by programs that are gone.
-func (b *bench) watchMemory(ctx context.Context) {
+func (b *bench) measureStaleMemory(ctx context.Context) {
 	total := float64(b.scenario.engines * b.scenario.cacheTokens)
 	samples := 0.0
 	for ctx.Err() == nil {
@@ -218,14 +218,14 @@
 			}
 			b.mu.Lock()
 			for program, tokens := range state.Programs {
-				if b.gone[program] {
+				if b.endedPrograms[program] {
 					held += float64(tokens)
 				}
 			}
 			b.mu.Unlock()
 		}
 		samples++
-		b.out.goneMemory += (held/total - b.out.goneMemory) / samples
+		b.outcome.staleMemory += (held/total - b.outcome.staleMemory) / samples
 		select {
 		case <-time.After(time.Second):
 		case <-ctx.Done():
@@ -248,7 +248,7 @@
 	return b.fleet
 }
 
-func (b *bench) sent(name string) {
+func (b *bench) recordSent(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sentAt[name] = append(b.sentAt[name], time.Now())
@@ -258,7 +258,7 @@
 func (b *bench) sentBetween(name string, from, to time.Duration) int {
 	n := 0
 	for _, at := range b.sentAt[name] {
-		if since := at.Sub(b.warm.Add(faultAfter)); since >= from && since < to {
+		if since := at.Sub(b.warmUpEnd.Add(faultAfter)); since >= from && since < to {
 			n++
 		}
 	}
