--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// sampleAbove is the number of upstreams up to which a decision looks at
-	// all of them. Above it looks at sampleSize taken by chance and at up to
-	// holdersMax that hold most of the prompt: its cost stays the same whatever
-	// the size of the fleet, and instances with the same late view spread.
+	// sampleThreshold is the number of upstreams up to which a decision considers all of them.
+	// Above it, a decision considers about sampleSize random ones and up to maxCacheHolders that
+	// cache most of the prompt. The cost of a decision is then independent of the fleet size, and
+	// instances that share the same stale view choose different upstreams.
 	sampleThreshold = 128
 	sampleSize      = 48
 	maxCacheHolders = 32
 )
 
-// decide makes one decision over a sample, and where that has no upstream that
-// can take the step, over all.
+// decide makes one decision over a sample of the upstreams, or over all of them if none in the
+// sample can take the step.
 func (p *pool) decide(endpoints []*upstream.Endpoint, w *waiter, now time.Time) placement.Decision {
 	if p.key.service {
 		w.step.MeanCall = p.poolMeanSpeed(endpoints, now).Call
@@ -64,7 +64,8 @@
 	w.step.MoveTokensPerSecond = p.moveRate(w, now)
 }
 
-// deepEnough is the depth from which an upstream counts as a holder.
+// holderDepth returns the number of cached prompt blocks from which an upstream counts as a cache
+// holder.
 func (p *pool) holderDepth() int {
 	found := p.matches.Found
 	if len(found) == 0 {
@@ -91,8 +92,9 @@
 	p.candidates = append(p.candidates, c)
 }
 
-// moveSpeed is the rate at which the program's cache can be moved away from
-// its home, 0 where the home is out of reach or another engine has more.
+// moveRate returns the rate, in tokens per second, at which the program's cache can be moved from
+// its last upstream. It is 0 if that upstream is unreachable or another engine caches more of the
+// prompt.
 func (p *pool) moveRate(w *waiter, now time.Time) float64 {
 	if p.scheduler.settings.Mover == nil || w.step.LastUpstream == 0 || len(p.matches.Found) == 0 {
 		return 0
@@ -113,12 +115,12 @@
 	return 0
 }
 
-// meanEvery is how often the mean speed of a pool is worked out anew.
+// meanSpeedInterval is how often the mean speed of a pool is recomputed.
 const meanSpeedInterval = 200 * time.Millisecond
 
-// speedOf returns the learned speed of an upstream, or of one that has not
-// answered yet the mean of the others. With a fixed guess a fleet of fast
-// engines leaves its new ones idle while the old ones queue.
+// learnedOrMeanSpeed returns the learned speed of an upstream, or the mean of the others if it has
+// not completed a call yet. With a fixed default, a fleet of fast engines would leave new engines
+// idle while steps queue for the old ones.
 func (p *pool) learnedOrMeanSpeed(endpoint *upstream.Endpoint, endpoints []*upstream.Endpoint, now time.Time) upstream.Speed {
 	speed := endpoint.Speed()
 	if speed.Samples > 0 {
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// probeEvery is how often engines are asked for their load.
+	// probeInterval is how often engines are asked for their load.
 	probeInterval = 500 * time.Millisecond
-	// probesPerRound keeps the load reports of an instance at 10 a second,
-	// about 5 KB (letter 1 allows 7 KB a second for control).
+	// probesPerRound limits an instance to 10 load reports per second, about 5 KB per second.
+	// The limit for control traffic is 7 KB per second.
 	probesPerRound = 5
-	// followCheck is how often a follower looks whether its view is still trusted.
+	// trustCheckInterval is how often a follower checks whether its cache view is still trusted.
 	trustCheckInterval = time.Second
-	// stateTimeout bounds the reading of an engine's state.
+	// stateTimeout bounds the request for an engine's state.
 	stateTimeout = 5 * time.Second
-	// The pause before a broken event stream is opened again.
+	// reconnectDelayMin and reconnectDelayMax bound the backoff before a broken event stream is
+	// reopened.
 	reconnectDelayMin = 200 * time.Millisecond
 	reconnectDelayMax = 10 * time.Second
 )
 
-// errResync ends a stream whose events can no longer be trusted.
-var errResync = errors.New("scheduler: cache events must be read again")
+// errResync ends an event stream that has a gap; the engine's state has to be read again.
+var errResync = errors.New("scheduler: gap in cache events; engine state must be read again")
 
-// Engines is what the scheduler reads of engines; engine.Client is one.
+// Engines reads the load, cache state and cache events of engines. engine.Client implements it.
 type Engines interface {
 	upstream.Reporter
 	State(ctx context.Context, addr string, blocks bool) (engine.State, error)
@@ -42,8 +43,8 @@
 	_ Mover   = (*engine.Client)(nil)
 )
 
-// Run keeps the load reports and the cache view of this data centre's engines
-// up to date until ctx ends.
+// Run keeps the load reports and the cache view of this data centre's engines up to date until ctx
+// is done.
 func (s *Scheduler) Run(ctx context.Context, engines Engines) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -61,7 +62,7 @@
 	}
 }
 
-// follow starts a follower for each new engine and ends those of engines that are gone.
+// updateFollowers starts a follower for each new engine and stops those of removed engines.
 func (s *Scheduler) updateFollowers(ctx context.Context, group *sync.WaitGroup, engines Engines, followers map[*upstream.Upstream]context.CancelFunc) {
 	members := s.table.Snapshot()
 	for u, stop := range followers {
@@ -98,8 +99,8 @@
 	}
 }
 
-// followOnce reads the state where the view is not trusted, and then the
-// events after it until the stream breaks or a gap shows.
+// followOnce reads the engine's state if the view is not trusted, and then applies events until
+// the stream breaks or has a gap.
 func (s *Scheduler) followOnce(ctx context.Context, engines Engines, u *upstream.Upstream) {
 	if _, _, trusted := s.view.Position(u.ID); !trusted && !s.readState(ctx, engines, u) {
 		return
@@ -131,8 +132,8 @@
 	return true
 }
 
-// watchTrust ends a stream when answers have shown that its events are being
-// lost: with no further event there is no gap to see.
+// cancelWhenUntrusted cancels an event stream once responses have shown that events are being
+// lost. If no further event arrives, the stream itself never shows a gap.
 func (s *Scheduler) cancelWhenUntrusted(u *upstream.Upstream, cancel context.CancelFunc) (stop func()) {
 	var timer *time.Timer
 	var mu sync.Mutex
@@ -160,7 +161,7 @@
 	}
 }
 
-// inflows counts the new blocks a second of each engine.
+// inflows measures the rate of new cache blocks of each engine, in blocks per second.
 type inflows struct {
 	mu    sync.Mutex
 	rates map[uint32]*decayingRate
--- a/internal/scheduler/grant.go
+++ b/internal/scheduler/grant.go
@@ -12,19 +12,21 @@
 )
 
 const (
-	// A step's patience is patienceFactor times what is expected, and at least patienceMin.
+	// The progress timeout of a model call is progressTimeoutFactor times the expected time
+	// without progress, and at least progressTimeoutMin.
 	progressTimeoutFactor = 4
 	progressTimeoutMin    = 3 * time.Second
-	// The same for services, by the mean time of a whole call.
+	// The progress timeout of a service call is serviceTimeoutFactor times the mean duration of a
+	// call, and at least serviceTimeoutMin.
 	serviceTimeoutFactor = 8
 	serviceTimeoutMin    = 10 * time.Second
-	// hedgeFactor times the mean call time is when a repeatable call may be sent again.
+	// hedgeFactor times the mean call duration is the delay before a repeatable call is hedged.
 	hedgeFactor = 3
-	// moveTimeMin is the least time given to a move of cache.
+	// moveTimeoutMin is the minimum timeout of a cache move.
 	moveTimeoutMin = 200 * time.Millisecond
 )
 
-// Grant is the right to send one step to one upstream.
+// Grant is the right to send one step to one upstream. It occupies a slot there until Done.
 type Grant struct {
 	// Upstream is the name and Address the host:port of the upstream.
 	Upstream   string
@@ -32,45 +34,47 @@
 	DataCentre string
 	// Model is the name under which the engine serves the model.
 	Model string
-	// Priority is for engines that honour it; higher goes first.
+	// Priority is for engines that support priorities; higher goes first.
 	Priority int
-	// Patience bounds the time to the first token and between chunks: when it
-	// is over, the upstream hangs, and a model call is better cancelled and retried.
+	// ProgressTimeout bounds the time to the first token and between chunks. When it expires,
+	// the upstream is considered hung, and a model call should be cancelled and retried.
 	ProgressTimeout time.Duration
-	// HedgeAfter is when a second copy of the call may be sent, with this
-	// upstream in Tried; 0 where it may not.
+	// HedgeAfter is the delay before a hedged attempt may be sent, with this upstream in Tried;
+	// 0 if the call may not be hedged.
 	HedgeAfter time.Duration
 	Decision   placement.Decision
 
 	pool     *pool
 	endpoint *upstream.Endpoint
 	waiter   *waiter
-	// trial is the number of the upstream's trial that this call is, or 0.
+	// trial is the number of the half-open trial that this call is, or 0 if it is none.
 	trial        uint64
 	sentAt       time.Time
 	batchSize    int
 	cachedTokens int
-	// moveFrom is the engine from which the program's cache should come.
+	// moveFrom is the address of the engine from which the program's cache is to be fetched, or
+	// empty if the cache is not moved.
 	moveFrom    string
 	movedTokens int
 	prefillDone atomic.Bool
 	done        atomic.Bool
 }
 
-// Feedback is what became of a granted step.
+// Feedback is the outcome of a granted step.
 type Feedback struct {
-	// Cancelled says that the caller gave up; it says nothing about the upstream.
+	// Cancelled reports whether the caller gave up, which is no evidence about the upstream.
 	Cancelled bool
-	// Failure is set where there is no whole answer.
+	// Failure is set if there is no complete response.
 	Failure *upstream.Failure
-	// Prompt, Output and Cached are the answer's token counts.
+	// Prompt, Output and Cached are the token counts of the response.
 	Prompt, Output, Cached int
-	FirstToken, Total      time.Duration
-	// Message is the answer's message, which the engine now has in its cache.
+	// FirstToken and Total are the times until the first token and until the end.
+	FirstToken, Total time.Duration
+	// Message is the message of the response, which the engine now has in its cache.
 	Message *chat.Message
 }
 
-// FeedbackOf returns the feedback of a completion.
+// FeedbackOf returns the feedback for the result of a completion.
 func FeedbackOf(a *engine.Response, err error) Feedback {
 	if err != nil {
 		failure := upstream.FailureOf(err)
@@ -86,7 +90,7 @@
 	}
 }
 
-// grant takes a place on the upstream for the step; the pool's lock is held.
+// grant takes a slot on the chosen upstream for the step. The caller holds the pool's lock.
 func (p *pool) grant(endpoint *upstream.Endpoint, w *waiter, d *placement.Decision, now time.Time) *Grant {
 	c := &p.candidates[d.Chosen]
 	u := endpoint.Upstream
@@ -114,9 +118,9 @@
 	return g
 }
 
-// patienceOf is how long the upstream may make no progress. An engine's calls
-// show progress at their first tokens; a service's show none before their end,
-// and its times spread widely, so it is measured by whole calls.
+// progressTimeoutOf returns how long the upstream may make no progress. A call to an engine makes
+// progress with its first token. A call to a service shows none before its end, and service times
+// vary widely, so the timeout of a service call is based on the mean duration of a call.
 func progressTimeoutOf(w *waiter, endpoint *upstream.Endpoint, d *placement.Decision) time.Duration {
 	if w.request.Service != "" {
 		mean := time.Duration(endpoint.Speed().Call * float64(time.Second))
@@ -132,8 +136,8 @@
 
 func (g *Grant) uncachedTokens() int { return max(0, g.waiter.promptTokens-g.cachedTokens) }
 
-// planMove lets the program's cache be fetched from the engine that has it,
-// where that is quicker than to prefill it again.
+// planMove records from which engine the program's cache is to be fetched, if the decision
+// estimated that moving it is faster than prefilling it again.
 func (p *pool) planMove(g *Grant, d *placement.Decision) {
 	if d.Estimate.MovedTokens == 0 {
 		return
@@ -146,7 +150,7 @@
 	}
 }
 
-// note remembers where the step went.
+// recordPlacement records where a model step was placed, or that a tool step began.
 func (s *Scheduler) recordPlacement(g *Grant, now time.Time) {
 	r := g.waiter.request
 	if r.Model != "" {
@@ -157,8 +161,8 @@
 	}
 }
 
-// move fetches the program's cache to the chosen engine. Its failure only
-// costs the prefill that it was to save, and the time is bounded by that.
+// moveCache fetches the program's cache to the chosen engine. If it fails, the engine prefills the
+// tokens instead, so the timeout is the time that this prefill is expected to take.
 func (s *Scheduler) moveCache(ctx context.Context, g *Grant) {
 	if g.moveFrom == "" {
 		return
@@ -175,14 +179,14 @@
 	s.moveRates.learn(float64(g.movedTokens)/max(1e-3, time.Since(begin).Seconds()), time.Now())
 }
 
-// Sent notes that the step is about to be sent. Where something had to be done
-// between Acquire and the sending, that time does not count against the upstream.
+// Sent records that the step is about to be sent. Time spent between Acquire and Sent does not
+// count against the upstream.
 func (g *Grant) Sent() {
 	g.sentAt = time.Now()
 	g.endpoint.Upstream.Progress(g.sentAt.UnixNano())
 }
 
-// FirstToken notes that the answer has begun.
+// FirstToken records that the response has begun.
 func (g *Grant) FirstToken() {
 	g.Progress()
 	if g.prefillDone.CompareAndSwap(false, true) {
@@ -190,11 +194,10 @@
 	}
 }
 
-// Progress notes that a part of the answer came.
+// Progress records that a part of the response has arrived.
 func (g *Grant) Progress() { g.endpoint.Upstream.Progress(time.Now().UnixNano()) }
 
-// Done gives the place back and feeds back what became of the step. Only the
-// first call counts.
+// Done releases the slot and records the outcome of the step. Only the first call has an effect.
 func (g *Grant) Done(f Feedback) {
 	if !g.done.CompareAndSwap(false, true) {
 		return
@@ -207,7 +210,7 @@
 	u.Finish(now.UnixNano())
 	s := g.pool.scheduler
 	switch {
-	case f.Cancelled: // it says nothing about the upstream
+	case f.Cancelled: // no evidence about the upstream
 	case f.Failure != nil:
 		u.Failed(now, *f.Failure)
 		g.markModelUnloaded(f.Failure)
@@ -223,15 +226,16 @@
 	g.pool.slotFreed()
 }
 
-// noteUnloaded takes an engine out that no longer has the model, until its
-// state shows it again.
+// markModelUnloaded excludes an engine that does not have the model loaded, until its state reports
+// the model again.
 func (g *Grant) markModelUnloaded(f *upstream.Failure) {
 	if f.NotLoaded && g.waiter.request.Model != "" {
 		g.endpoint.SetServing(upstream.Serving{Name: g.Model})
 	}
 }
 
-// learn takes the figures of an answer into speeds, view and expectations.
+// learn updates the learned speeds, the cache view and the expected output lengths from a complete
+// response.
 func (s *Scheduler) learn(g *Grant, f Feedback, now time.Time) {
 	r := g.waiter.request
 	g.endpoint.Upstream.ObserveLatency(now, f.Total, g.Decision.Estimate.ExpectedDuration(&g.waiter.step, f.Output))
@@ -254,11 +258,11 @@
 	}
 }
 
-// Cached returns the prompt's tokens that the upstream was expected to hold.
+// Cached returns the number of prompt tokens that the upstream was expected to have cached.
 func (g *Grant) Cached() int { return g.cachedTokens }
 
-// MeanCall returns the learned mean time of a whole call at the upstream; 0
-// before the first.
+// MeanCall returns the learned mean duration of a call at the upstream, or 0 before the first call
+// has completed.
 func (g *Grant) MeanCall() time.Duration {
 	speed := g.endpoint.Speed()
 	if speed.Samples == 0 {
--- a/internal/scheduler/learned.go
+++ b/internal/scheduler/learned.go
@@ -8,17 +8,19 @@
 )
 
 const (
+	// ewmaWeight is the weight of a new sample in an exponentially weighted mean.
 	ewmaWeight = 0.1
-	// outputPrior is the number of output tokens assumed of a plan's first call.
+	// defaultOutputTokens is the number of output tokens expected of a plan's first call.
 	defaultOutputTokens = 128
-	// pausePrior is the length assumed of a tool's first call.
+	// defaultToolWait is the duration expected of a tool's first call.
 	defaultToolWait = 2 * time.Second
-	// popularPrefixes bounds the shared prefixes whose use is counted.
+	// maxTrackedPrefixes bounds the number of shared prefixes whose use is counted.
 	maxTrackedPrefixes = 4096
-	rateWindow         = 10 * time.Second
+	// rateWindow is the time constant of the decay of a decayingRate.
+	rateWindow = 10 * time.Second
 )
 
-// mean is an exponentially weighted mean.
+// ewma is an exponentially weighted moving average.
 type ewma struct {
 	value       float64
 	initialized bool
@@ -32,7 +34,7 @@
 	m.value += ewmaWeight * (v - m.value)
 }
 
-// outputs learns how many tokens a plan's answers have.
+// outputLengths learns the number of output tokens of each plan's responses from each model.
 type outputLengths struct {
 	mu    sync.Mutex
 	plans map[outputKey]*ewma
@@ -66,7 +68,7 @@
 	return expected
 }
 
-// pauses learns how long programs wait for each tool.
+// toolWaits learns how long programs wait for each tool, in seconds.
 type toolWaits struct {
 	mu    sync.Mutex
 	tools map[string]*ewma
@@ -93,18 +95,18 @@
 	return defaultToolWait
 }
 
-// movePrior is the rate of cache moves in tokens a second before any was measured.
+// defaultMoveRate is the rate of cache moves, in tokens per second, before any was measured.
 const defaultMoveRate = 15000
 
-// moves learns how fast caches move between engines. A failed move counts as
-// no speed at all, so that moves end where engines refuse them.
+// moveRates learns the rate, in tokens per second, at which caches move between engines. A failed
+// move counts as a rate of 0, so that moves stop if the engines refuse them.
 type moveRates struct {
 	mu         sync.Mutex
 	rate       ewma
 	measuredAt time.Time
 }
 
-// moveMemory is how long a measured rate counts, so that moves that failed are tried again.
+// moveRateLifetime is how long a measured rate is used. After it, moves that failed are tried again.
 const moveRateLifetime = time.Minute
 
 func (m *moveRates) learn(tokensPerSecond float64, now time.Time) {
@@ -126,7 +128,7 @@
 	return m.rate.value
 }
 
-// popularity counts how often a shared prefix is used by new programs.
+// popularity measures how often each shared prefix is used by new programs.
 type popularity struct {
 	mu    sync.Mutex
 	rates *lru.Cache[uint64, *decayingRate]
@@ -145,7 +147,7 @@
 	return &popularity{rates: uses}
 }
 
-// use counts one use of the prefix and returns the uses a second of late.
+// recordUse counts one use of the prefix and returns its recent rate, in uses per second.
 func (p *popularity) recordUse(prefix uint64, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/scheduler/log.go
+++ b/internal/scheduler/log.go
@@ -8,9 +8,8 @@
 	"foxhall/internal/placement"
 )
 
-// logDecision writes the one line of a placement, from which the decision can
-// be understood: what was chosen, what it was expected to take, what else
-// there was and why it was out.
+// logDecision writes one log line for a placement: the chosen upstream, its estimated times and
+// cost, and the number of candidates rejected for each reason.
 func (s *Scheduler) logDecision(g *Grant) {
 	if s.settings.Logger == nil {
 		return
@@ -34,7 +33,7 @@
 	s.settings.Logger.WithFields(fields).Info("placed")
 }
 
-// logRefusal writes the one line of a step that got no place.
+// logRefusal writes one log line for a refused step.
 func (s *Scheduler) logRefusal(w *waiter, r *Refusal) {
 	if s.settings.Logger == nil {
 		return
--- a/internal/scheduler/pause.go
+++ b/internal/scheduler/pause.go
@@ -8,7 +8,7 @@
 	"foxhall/internal/upstream"
 )
 
-// seed returns the name on which the blocks of a model's prompts depend.
+// seed returns the model name from which the hashes of a prompt's blocks are computed.
 func (s *Scheduler) seed(model string) string {
 	for _, endpoint := range s.table.Snapshot().Model(model) {
 		if serving := endpoint.Serving(); serving.Ready {
@@ -18,9 +18,9 @@
 	return model
 }
 
-// pause notes that the program waits for a tool, and gives up its memory where
-// keeping it through the expected pause does not pay. The blocks stay in the
-// engine until it needs the room, so a short pause still finds them.
+// beginToolWait records that the program waits for a tool, and releases its cache on the engine if
+// retaining it for the expected wait costs more than it saves. The engine keeps released blocks
+// until it needs the space, so they are still cached after a short wait.
 func (s *Scheduler) beginToolWait(r *Request, now time.Time) {
 	expected := s.toolWaits.expect(r.Service)
 	var last uint32
@@ -39,7 +39,7 @@
 	s.release(u.Address, r.Program)
 }
 
-// resume learns how long the pause was.
+// endToolWait learns the duration of the wait.
 func (s *Scheduler) endToolWait(r *Request, now time.Time) {
 	s.programs.with(r.programKey(), now, func(state *programState) {
 		if state.waitingTool == r.Service {
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// scanLimit bounds the waiting steps that one pass looks at, so that a long
-	// queue of steps that cannot go yet does not cost its square.
+	// maxScanned bounds the number of waiting steps that one scan of the queue considers. Without
+	// a bound, the cost of a long queue of blocked steps would be quadratic in its length.
 	maxScanned = 32
-	// turnLimit of these are taken in turn from behind the first ones. Else
-	// scanLimit steps of a plan whose upstreams are full would hold up every
-	// plan behind them, whose upstreams may be idle.
+	// maxRotated is how many of the maxScanned steps are taken in rotation from behind the first
+	// ones. Otherwise maxScanned steps of a plan whose upstreams are full would block all plans
+	// behind them, whose upstreams may be idle.
 	maxRotated = maxScanned / 2
-	// tick is how often waiting steps are looked at without an event: reports
-	// age, breakers become due and ramps rise without one.
+	// scanInterval is how often the queue is scanned without an event. Load reports age, circuit
+	// breakers reach their half-open trial and concurrency limits ramp up with time alone.
 	scanInterval = 50 * time.Millisecond
-	// outageWait is how long a step waits while every upstream is out.
+	// noUpstreamWait is how long a step waits while no upstream is usable.
 	noUpstreamWait = 2 * time.Second
-	// demandMemory is how long a model counts as wanted after its last step, so
-	// that one is loaded whose only callers were refused until it is there.
+	// demandRetention is how long a model counts as in demand after its last step, so that a model
+	// is loaded even if all its callers are refused until then.
 	demandRetention   = 30 * time.Second
 	defaultQueueLimit = 4096
 )
 
-// pool holds the steps that wait for one model or service. Its lock makes
-// decisions of one model in this instance one after the other, so that each
-// sees what the one before it took; different models do not meet.
+// pool queues the steps that wait for one model or service. Its lock serializes the decisions for
+// one model in this instance, so that each sees the slots taken by the one before it. Different
+// models do not contend.
 type pool struct {
 	scheduler *Scheduler
 	key       poolKey
@@ -42,15 +42,15 @@
 	mu      sync.Mutex
 	queue   queue.Queue[*waiter]
 	running int
-	// asked is when the last step came, also if it was refused.
+	// lastRequestAt is when the last step arrived, even if it was refused.
 	lastRequestAt time.Time
 	tickScheduled bool
 	candidates    []placement.Candidate
 	skipped       []*queue.Item[*waiter]
-	// turn is where the next pass goes on behind the first steps.
+	// rotation is the queue index at which placeRotating continues.
 	rotation int
 	matches  cache.Matches
-	// mean is the mean of the learned speeds, as of meanAt.
+	// meanSpeed is the mean of the learned speeds, computed at meanSpeedAt.
 	meanSpeed   upstream.Speed
 	meanSpeedAt time.Time
 }
@@ -90,9 +90,9 @@
 	return w
 }
 
-// noteHome takes in what other instances know of where the prompt is cached.
-// Without it an instance that has just started, or that a program has just come
-// to, prefills what stands at another engine.
+// recordKnownCache adds to the cache view what other instances know about where the prompt is
+// cached. Without it, an instance that has just started or that receives its first step of a
+// program would choose an engine that has to prefill what another engine has cached.
 func (s *Scheduler) recordKnownCache(w *waiter) {
 	r := w.request
 	if r.LastUpstream == "" || r.LastUpstreamBlocks == 0 {
@@ -123,7 +123,7 @@
 	s.setWantedCopies(w, steps, now)
 }
 
-// place takes the step through the queue to a grant or a refusal.
+// place queues the step and waits for a grant or a refusal.
 func (p *pool) place(ctx context.Context, w *waiter) (*Grant, *Refusal) {
 	if refusal := p.enqueue(w); refusal != nil {
 		return nil, refusal
@@ -131,7 +131,7 @@
 	return p.wait(ctx, w)
 }
 
-// enter puts the step into the queue and looks at once whether it can go.
+// enqueue adds the step to the queue, unless it is shed, and scans the queue at once.
 func (p *pool) enqueue(w *waiter) *Refusal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// keyOf is the step's place: by whole programs, or first come first served
-// where a baseline is measured.
+// queueKey returns the key of the step's place in the queue: ordered by program under the cost
+// policy, first come first served under the baselines.
 func (p *pool) queueKey(w *waiter) time.Time {
 	if p.scheduler.settings.Policy != placement.Cost {
 		return w.enqueued
@@ -154,7 +154,7 @@
 	return w.criteria.Key()
 }
 
-// wait blocks until the step is granted, refused or given up.
+// wait blocks until the step is granted or refused, its deadline passes or ctx is done.
 func (p *pool) wait(ctx context.Context, w *waiter) (*Grant, *Refusal) {
 	var expired <-chan time.Time
 	if !w.request.Deadline.IsZero() {
@@ -176,7 +176,8 @@
 	}
 }
 
-// abandon takes a step out that nobody waits for.
+// abandon removes a step that nobody waits for from the queue. If it was granted at the same
+// moment, the grant is released.
 func (p *pool) abandon(w *waiter) {
 	p.mu.Lock()
 	removed := p.queue.Remove(w.item)
@@ -191,8 +192,8 @@
 	}
 }
 
-// pass lets waiting steps go, in order, as far as there is room. A step that
-// would rather wait for its own engine does not hold up those behind it.
+// placeWaiting scans the queue in order and places the steps for which an upstream has a free slot.
+// A step that waits for a particular engine does not block those behind it.
 func (p *pool) placeWaiting() {
 	endpoints := p.scheduler.endpoints(p.key)
 	now := time.Now()
@@ -205,37 +206,38 @@
 	}
 }
 
-// passFirst looks at the first steps, in order; full is as for try.
-func (p *pool) placeFirst(endpoints []*upstream.Endpoint, now time.Time) (full bool) {
+// placeFirst tries to place the first steps of the queue, in order, and reports whether it stopped
+// because all upstreams are full.
+func (p *pool) placeFirst(endpoints []*upstream.Endpoint, now time.Time) (allFull bool) {
 	for range maxScanned - maxRotated {
 		item := p.queue.Pop()
 		if item == nil {
 			return false
 		}
-		settled, full := p.tryPlace(endpoints, item.Value, now)
-		if !settled {
+		decided, allFull := p.tryPlace(endpoints, item.Value, now)
+		if !decided {
 			p.skipped = append(p.skipped, item)
 		}
-		if full {
+		if allFull {
 			return true
 		}
 	}
 	return false
 }
 
-// passTurn looks at some of the steps behind the first, going on where the
-// last pass ended, so that each has its turn.
+// placeRotating tries to place some of the remaining steps. It continues where the last scan ended,
+// so that every step is considered in time.
 func (p *pool) placeRotating(endpoints []*upstream.Endpoint, now time.Time) {
 	for range min(maxRotated, p.queue.Len()) {
 		if p.rotation >= p.queue.Len() {
 			p.rotation = 0
 		}
 		item := p.queue.At(p.rotation)
-		settled, full := p.tryPlace(endpoints, item.Value, now)
-		if full {
+		decided, allFull := p.tryPlace(endpoints, item.Value, now)
+		if allFull {
 			return
 		}
-		if settled {
+		if decided {
 			p.queue.Remove(item)
 		} else {
 			p.rotation++
@@ -243,9 +245,9 @@
 	}
 }
 
-// try settles one step, granted or refused, or leaves it to wait. Full says
-// that no upstream has room for any step, so that looking at more is in vain.
-func (p *pool) tryPlace(endpoints []*upstream.Endpoint, w *waiter, now time.Time) (settled, full bool) {
+// tryPlace grants or refuses one step, or leaves it waiting. decided reports whether the step was
+// granted or refused, allFull whether all upstreams are full, so that no other step can be placed.
+func (p *pool) tryPlace(endpoints []*upstream.Endpoint, w *waiter, now time.Time) (decided, allFull bool) {
 	w.step.Waited = now.Sub(w.enqueued)
 	d := p.decide(endpoints, w, now)
 	if refusal := p.refuseIfLate(w, &d, now); refusal != nil {
@@ -284,7 +286,7 @@
 	p.scheduleTick()
 }
 
-// freed lets the next step go after one has ended.
+// slotFreed scans the queue after a granted step has ended.
 func (p *pool) slotFreed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/scheduler/programs.go
+++ b/internal/scheduler/programs.go
@@ -13,12 +13,12 @@
 
 const (
 	programShards = 64
-	// maxProgramsPerShard bounds the programs remembered: 640,000 programs over
-	// 370 instances are under 2,000 each (letter 1); this leaves a factor of 30.
+	// maxProgramsPerShard bounds the number of programs that are remembered. 640,000 programs over
+	// 370 instances are under 2,000 for each instance; the bound leaves a factor of 30.
 	maxProgramsPerShard = 1024
 )
 
-// programs remembers what placement needs of each program under way.
+// programs holds the state of the running programs that placement needs, sharded by name.
 type programs struct {
 	shards [programShards]programShard
 }
@@ -30,14 +30,14 @@
 
 type programState struct {
 	startedAt, lastUsedAt time.Time
-	// attained is the service of the whole program, counted at its root.
+	// attained is the service time of the program with its sub-agents, accounted to its root.
 	attained time.Duration
 	steps    int
-	// home is the upstream of the last model step.
+	// lastUpstream is the identity of the upstream of the last model step; 0 if none.
 	lastUpstream uint32
-	// held are the engines that hold memory of the program, by address.
+	// cacheHolders are the addresses of the engines that hold cache memory of the program.
 	cacheHolders map[string]struct{}
-	// pausedBy is the tool that the program waits for, since pausedAt.
+	// waitingTool is the tool that the program has waited for since waitingSince; empty if none.
 	waitingTool  string
 	waitingSince time.Time
 }
@@ -54,7 +54,7 @@
 	return &p.shards[xxhash.Sum64String(name)%programShards]
 }
 
-// with runs f on the program's state under its shard's lock.
+// with calls f with the program's state, created if needed, under the lock of its shard.
 func (p *programs) with(name string, now time.Time, f func(*programState)) {
 	s := p.shard(name)
 	s.mu.Lock()
@@ -69,7 +69,7 @@
 	f(state)
 }
 
-// makeRoom forgets the program that is idle longest where the shard is full.
+// evictIfFull removes the least recently used program if the shard is full.
 func (s *programShard) evictIfFull() {
 	if len(s.states) < maxProgramsPerShard {
 		return
@@ -91,8 +91,8 @@
 	})
 }
 
-// leaveOthers returns the engines but the one at the address that hold memory
-// of the program, and counts them as left.
+// dropOtherHolders removes all engines but the one at the address from the program's cache holders,
+// and returns the addresses that it removed.
 func (p *programs) dropOtherHolders(name, address string, now time.Time) []string {
 	var dropped []string
 	p.with(name, now, func(state *programState) {
--- a/internal/scheduler/rules.go
+++ b/internal/scheduler/rules.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	// The weights of a grant that gives none.
+	// The weights used if the grant sets none.
 	defaultLatencyWeight = 1.0
 	defaultCacheWeight   = 0.5
-	// replicaLoad is how full a shared prefix's engines may be before one more is wanted.
+	// copyLoadThreshold is the load of the engines that cache a shared prefix, as a share of their
+	// slots, above which one more copy of the prefix is wanted.
 	copyLoadThreshold = 0.7
-	// minShared is the least length of a shared prefix that is worth replicating, in tokens.
+	// minSharedTokens is the minimum length of a shared prefix that is worth copying, in tokens.
 	minSharedTokens = 256
 )
 
@@ -36,7 +37,7 @@
 	return r.programKey()
 }
 
-// programKey tells the program from others of the same id.
+// programKey returns the key of the program's state, which is unique across customers.
 func (r *Request) programKey() string {
 	if r.Customer == "" {
 		return r.Program
@@ -53,7 +54,8 @@
 	return s.settings.Random()
 }
 
-// restrict puts a candidate out that this step may not use or already tried.
+// restrict rejects a candidate that this step may not use, that failed it before or that does not
+// have the model loaded. For other data centres it sets the RTT and the age of the view.
 func (s *Scheduler) restrict(c *placement.Candidate, endpoint *upstream.Endpoint, r *Request) {
 	u := endpoint.Upstream
 	switch {
@@ -74,14 +76,14 @@
 	}
 }
 
-// wantReplicas works out on how many engines the prefix should stand that a
-// new program shares with others.
+// setWantedCopies computes on how many engines the prefix that a new program shares with others
+// should be cached.
 func (s *Scheduler) setWantedCopies(w *waiter, steps int, now time.Time) {
 	if steps > 0 || len(w.blockHashes) < minSharedTokens/engine.BlockTokens {
 		return
 	}
-	// The block at minShared stands for the prefix: long enough to tell
-	// prefixes apart, and reached by every prompt that counts.
+	// The hash of the block that ends at minSharedTokens identifies the prefix: it is long enough
+	// to distinguish prefixes, and every prompt that counts reaches it.
 	prefix := w.blockHashes[minSharedTokens/engine.BlockTokens-1]
 	rate := s.prefixPopularity.recordUse(prefix, now)
 	endpoints := s.endpoints(poolKey{name: w.request.Model})
@@ -97,7 +99,7 @@
 	}
 }
 
-// shed refuses early what cannot be done in time, or where the queue is full.
+// shedOnArrival refuses a step if the queue is full or if the step cannot meet its deadline.
 func (p *pool) shedOnArrival(w *waiter) *Refusal {
 	if p.queue.Len() >= p.scheduler.settings.QueueLimit {
 		return refuse(step.CodeOverloaded, 503, "too many steps wait", p.overloadRetryAfter())
@@ -113,23 +115,22 @@
 	return refuse(step.CodeOverloaded, 503, "the step can't be done by its deadline", max(time.Second, need-remaining))
 }
 
-// certainShare is the part of an estimate that a step takes in all likelihood.
+// certainFraction is the fraction of an estimate that a step almost certainly takes.
 const certainFraction = 0.7
 
-// tooLate refuses a step that even the best upstream would not answer by the
-// deadline. Sent, it would take a slot from steps that can still be in time.
+// refuseIfLate refuses a step that cannot meet its deadline even on the best upstream. If sent, it
+// would take a slot from steps that can still meet theirs.
 func (p *pool) refuseIfLate(w *waiter, d *placement.Decision, now time.Time) *Refusal {
 	if d.Chosen < 0 || w.request.Deadline.IsZero() || p.scheduler.settings.Policy != placement.Cost {
 		return nil
 	}
 	if p.learnedCallTime() == 0 {
-		// All that is known is a guess, which must not refuse a step.
+		// Only default speeds are known, and a default must not refuse a step.
 		return nil
 	}
 	expected := d.Estimate.Total()
 	if p.key.service {
-		// Calls to a service take such different times that only the wait before
-		// one is certain.
+		// Service times vary so widely that only the wait before the call is certain.
 		expected = d.Estimate.Wait
 	}
 	need := time.Duration(certainFraction * expected * float64(time.Second))
@@ -139,7 +140,7 @@
 	return refuse(step.CodeDeadline, 504, "the deadline can't be met; not run", time.Second)
 }
 
-// expectedWait is how long a step that comes now waits in the queue.
+// expectedWait returns how long a step that arrives now is expected to wait in the queue.
 func (p *pool) expectedWait() time.Duration {
 	slots := p.usableSlots()
 	free := slots - p.running
@@ -152,8 +153,8 @@
 
 func (p *pool) overloadRetryAfter() time.Duration { return max(time.Second, p.expectedWait()) }
 
-// serviceTime is the mean time of one call over the usable upstreams, by which
-// the queue's length counts as time.
+// expectedCallTime returns the mean duration of a call over the usable upstreams, or a default
+// before any call has completed. It converts the queue length to a waiting time.
 func (p *pool) expectedCallTime() time.Duration {
 	if learned := p.learnedCallTime(); learned > 0 {
 		return learned
@@ -161,8 +162,8 @@
 	return time.Duration(upstream.DefaultSpeed.Call * float64(time.Second))
 }
 
-// learnedTime is the same over those that have answered a call; 0 while none
-// has: a guess must not refuse a step that nothing stands before.
+// learnedCallTime returns the mean duration of a call over the usable upstreams that have completed
+// one, or 0 if none has. A default must not refuse a step that has an empty queue before it.
 func (p *pool) learnedCallTime() time.Duration {
 	now := time.Now().UnixNano()
 	sum, n := 0.0, 0
@@ -199,5 +200,5 @@
 	return refusal
 }
 
-// loadWait is the Retry-After while a model is loaded.
+// modelLoadRetryAfter is the Retry-After value while a model is being loaded.
 const modelLoadRetryAfter = 10 * time.Second
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package scheduler joins the upstream table, the cache view, the placement
-// decisions and the queue behind one call: Acquire waits for an upstream for
-// one step, and the Grant's Done feeds back what became of it.
+// Package scheduler assigns steps to upstreams. It combines the upstream table, the cache view, the
+// placement decisions and the queue: Acquire waits for an upstream for one step, and the Grant's
+// Done reports the outcome of the step.
 package scheduler
 
 import (
@@ -22,89 +22,90 @@
 
 // Settings configure a scheduler.
 type Settings struct {
-	// DataCentre is this instance's; its upstreams are local.
+	// DataCentre is the data centre of this instance. Its upstreams are local.
 	DataCentre string
-	// Ways gives the time to another data centre and back.
+	// DataCentreRTT is the round-trip time to each other data centre.
 	DataCentreRTT map[string]time.Duration
-	// Policy is the way to choose; empty for placement.Cost.
+	// Policy is the placement policy; empty for placement.Cost.
 	Policy placement.Policy
-	// QueueLimit bounds the steps that wait for one model or service; 0 for 4096.
+	// QueueLimit bounds the number of steps that wait for one model or service; 0 for 4096.
 	QueueLimit int
-	// Logger gets one line for each decision; nil for none.
+	// Logger receives one line for each decision; nil for none.
 	Logger log.Interface
-	// Random gives uniform bits to break ties with.
+	// Random returns uniformly distributed bits, used to break ties.
 	Random func() uint64
-	// Remote tells how old the view of another data centre is; nil for never fresh.
+	// RemoteViewAge returns the age of the view of another data centre. If it is nil, the views of
+	// other data centres count as too old.
 	RemoteViewAge func(dataCentre string) time.Duration
-	// Idle reports whether a connection to an upstream is open and unused, and
-	// Connect is what a new one costs; nil where connections cost nothing.
+	// HasIdleConnection reports whether a connection to an upstream is open and unused, and
+	// ConnectCost is the cost of a new one. If HasIdleConnection is nil, connections cost nothing.
 	HasIdleConnection func(upstream, address string) bool
 	ConnectCost       time.Duration
-	// MaxViewAge is how old that view may be; 0 for placement.MaxViewAge.
+	// MaxViewAge is the maximum age of the view of another data centre; 0 for placement.MaxViewAge.
 	MaxViewAge time.Duration
 	// Mover moves programs' caches between engines; nil for no moves.
 	Mover Mover
-	// Release asks engines to give up a program's memory; nil for none. It must not block.
+	// Release asks an engine to release a program's cache memory; nil for none. It must not block.
 	Release func(address string, program string)
 }
 
-// Mover lets an engine fetch a program's cache from another; engine.Client is one.
+// Mover makes an engine fetch a program's cache from another engine. engine.Client implements it.
 type Mover interface {
 	ImportKV(ctx context.Context, addr string, order engine.KVImport) error
 }
 
 // Request is one step that needs an upstream.
 type Request struct {
-	// Plan names the customer's plan, Grant what it may use.
+	// Plan is the name of the customer's plan, and Grant is what the plan may use.
 	Plan  string
 	Grant *usage.Grant
 	// Exactly one of Model and Service is set.
 	Model   string
 	Service string
-	// Customer names the client account, each with programs of its own; empty where ids of
-	// programs tell them apart.
+	// Customer is the client account, which has its own namespace of program ids; empty if program
+	// ids are unique across customers.
 	Customer string
-	// Program is the step's program; Root is the program at the top of its
-	// sub-agents, the same where it is none.
+	// Program is the step's program. Root is the top-level program of which it is a sub-agent, or
+	// the program itself if it is none.
 	Program string
 	Root    string
-	// Critical says that a parent waits for this sub-agent.
+	// Critical reports whether a parent waits for this sub-agent.
 	Critical bool
-	// Priority is the plan's, from 0 to 9.
+	// Priority is the plan's priority, from 0 to 9.
 	Priority int
-	// Messages is the whole conversation of a model call.
+	// Messages is the complete conversation of a model call.
 	Messages []chat.Message
-	// Blocks are the chained hashes of the prompt and PromptTokens its length,
-	// for a caller that names the prompt's parts in place of Messages.
+	// Blocks are the chained block hashes of the prompt and PromptTokens is its length. They
+	// replace Messages for a caller that has only the hashes.
 	Blocks       []uint64
 	PromptTokens int
-	// Home names the upstream that is known, from beyond this instance, to have
-	// run the program's last step, and HomeBlocks how much of the prompt it had.
+	// LastUpstream is the upstream that ran the program's last step according to other instances,
+	// and LastUpstreamBlocks is how many blocks of the prompt it had cached.
 	LastUpstream       string
 	LastUpstreamBlocks int
-	// OutputHint is the expected number of output tokens; 0 where only the
-	// plan's earlier answers tell.
+	// OutputHint is the expected number of output tokens; 0 to estimate it from the plan's
+	// earlier responses.
 	OutputHint int
 	MaxTokens  int
-	// Whole says that the engine is asked for a whole answer and not a stream,
+	// NonStreaming reports whether the engine is asked for a single response instead of a stream,
 	// so that it shows no progress before the end.
 	NonStreaming bool
 	// Deadline is when the caller gives up; zero for none.
 	Deadline time.Time
-	// Tried names the upstreams that failed the step before.
+	// Tried is the names of the upstreams that failed the step before.
 	Tried []string
-	// Repeatable says that a service call may be sent more than once.
+	// Repeatable reports whether a service call may be sent more than once.
 	Repeatable bool
 }
 
-// Refusal says truthfully that the step was not run, and why.
+// Refusal is the reason why a step was not placed on an upstream, and so was not run.
 type Refusal struct {
 	Code       step.Code
 	Status     int
 	Message    string
 	RetryAfter time.Duration
 
-	// decision is the last that was made for the step, if any.
+	// decision is the last decision made for the step, if any.
 	decision placement.Decision
 }
 
@@ -131,7 +132,7 @@
 	name    string
 }
 
-// New returns a scheduler over the table and view, which others feed.
+// New returns a scheduler that reads the table and the view, which the caller keeps up to date.
 func New(settings Settings, table *upstream.Table, view *cache.View) *Scheduler {
 	if settings.Policy == "" {
 		settings.Policy = placement.Cost
@@ -150,11 +151,10 @@
 	}
 }
 
-// Acquire waits for an upstream for the step, in the order of the queue, and
-// returns a grant or a refusal. Nothing has been sent. The caller sends the
-// step and calls the grant's Done exactly once.
+// Acquire waits in the queue for an upstream for the step and returns a grant or a refusal. It does
+// not send the step: the caller sends it and calls the grant's Done exactly once.
 //
-// The end of ctx is a refusal with CodeCancelled.
+// If ctx is done first, the result is a refusal with CodeCancelled.
 func (s *Scheduler) Acquire(ctx context.Context, r Request) (*Grant, *Refusal) {
 	if refusal := s.check(&r); refusal != nil {
 		return nil, refusal
@@ -178,7 +178,7 @@
 	return grant, nil
 }
 
-// check refuses what no waiting would help.
+// check refuses a step that would not succeed after any wait.
 func (s *Scheduler) check(r *Request) *Refusal {
 	members := s.table.Snapshot()
 	switch {
@@ -225,7 +225,7 @@
 	return s.table.Snapshot().Model(key.name)
 }
 
-// Waiting returns the number of steps that wait in this instance.
+// Waiting returns the number of steps queued in this instance.
 func (s *Scheduler) Waiting() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -236,8 +236,8 @@
 	return n
 }
 
-// Demand returns for each model the steps under way and waiting, on which the
-// placement of models is decided.
+// Demand returns the number of running and queued steps of each model, which decides on which
+// engines models are loaded. A model counts as 1 for demandRetention after its last step.
 func (s *Scheduler) Demand() map[string]int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -250,7 +250,7 @@
 	return demand
 }
 
-// End forgets a program and releases its memory on the engines that have it.
+// End removes a program's state and releases its cache memory on the engines that hold it.
 func (s *Scheduler) End(program string) {
 	for _, address := range s.programs.remove(program) {
 		s.release(address, program)
@@ -263,5 +263,5 @@
 	}
 }
 
-// Programs returns the programs whose memory this instance knows to be held.
+// Programs returns the programs that this instance has state of.
 func (s *Scheduler) Programs() []string { return s.programs.names() }
