--- a/internal/placement/baseline.go
+++ b/internal/placement/baseline.go
@@ -1,7 +1,7 @@
 package placement
 
-// chooseNth takes the nth of the upstreams that are there, full or not, so
-// that a program hash stays on its upstream while that is full.
+// chooseNth chooses the nth available upstream, counting full ones, so that a program hash maps to
+// the same upstream while that is full.
 func chooseNth(candidates []Candidate, n uint64, d *Decision) {
 	available := d.Rejections[Allowed] + d.Rejections[Full]
 	if available == 0 {
@@ -28,7 +28,7 @@
 	chooseBest(candidates, s, d, func(c *Candidate) int { return c.Cached })
 }
 
-// chooseBest takes a free candidate with the highest score, by chance among equals.
+// chooseBest chooses a free candidate with the highest score, at random among equals.
 func chooseBest(candidates []Candidate, s *Step, d *Decision, score func(*Candidate) int) {
 	best := 0
 	random := s.Random
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -1,29 +1,29 @@
 package placement
 
 const (
-	// tieMargin is how close to the best cost a candidate counts as equal.
-	// Instances that see the same late reports would otherwise all choose the
-	// same upstream at the same moment.
+	// tieMargin is the relative difference from the best cost up to which a candidate counts as
+	// equal. Instances that see the same delayed reports would otherwise all choose the same
+	// upstream at the same moment.
 	tieMargin = 0.03
-	// tieFloor is the least margin in weighted seconds.
+	// minTieMargin is the minimum margin, in weighted seconds.
 	minTieMargin = 0.01
-	// othersWeight is the weight of what a step costs other calls. At 1 those
-	// seconds count like its own, so that the sum over all programs is least;
-	// the rest stands for what the delayed calls in turn cost the next ones.
+	// coRunnerWeight is the weight of the delay that a step causes to other calls. A weight of 1
+	// counts their seconds like the step's own, which minimizes the sum over all programs. The
+	// part above 1 accounts for the calls that the delayed calls delay in turn.
 	coRunnerWeight = 1.5
-	// replicaShare is the part of a shared prefix's prefill that counts as
-	// wasted while too few engines hold it.
+	// wantedCopyWeight is the fraction of a shared prefix's prefill that counts as redundant while
+	// too few engines have the prefix cached.
 	wantedCopyWeight = 0.25
-	// patienceForHome bounds how long a step waits for a full upstream, as a
-	// share of the time that it saves there.
+	// maxWaitPerSaving bounds how long a step waits for a full upstream, as a multiple of the time
+	// that it saves there.
 	maxWaitPerSaving = 1.0
 )
 
-// Price estimates the course of a step at a candidate and its cost.
+// EstimateCost estimates the times of a step at a candidate and its cost.
 //
-// Latency is what the program waits: way, queue, uncached prefill, decode, each
-// at the learned speed and the measured slowness. Wasted is the prefill of
-// tokens that some allowed candidate has cached.
+// Latency is the time that the program waits: RTT, connection, cache move, queue, uncached prefill
+// and decode. Queue, prefill and decode are at the learned speed and the measured slowness.
+// Redundant prefill is the prefill of tokens that some allowed candidate has cached.
 func EstimateCost(c *Candidate, s *Step, bestCached int) Estimate {
 	moved := movedTokens(c, s, bestCached)
 	uncached := float64(max(0, s.Prompt-c.Cached-moved))
@@ -40,36 +40,36 @@
 }
 
 const (
-	// errorCost is what a call costs its program that is answered with a failure,
-	// in seconds: the turn is sent again after a pause, and there are few tries.
+	// errorCost is the cost of a failed call to its program, in seconds: the turn is retried after
+	// a backoff, and the number of attempts is small.
 	errorCost = 5
-	// errorsFree is the share of failures that says nothing: services fail one
-	// call in a hundred by themselves, and that one must not drive all calls to
-	// the other replicas.
+	// toleratedErrorRate is the error rate up to which errors are ignored. Services fail one call
+	// in a hundred in normal operation, and a single failure must not divert all calls to the
+	// other replicas.
 	toleratedErrorRate = 0.3
 )
 
-// errorTime is the expected cost of failures at a candidate, in seconds.
+// expectedErrorCost returns the expected cost of errors at a candidate, in seconds.
 func expectedErrorCost(c *Candidate) float64 {
 	return errorCost * max(0, c.Load.ErrorRate-toleratedErrorRate)
 }
 
-// serviceSpread is how many times the mean a service's calls take by themselves:
-// a replica counts as slow only beyond it.
+// toleratedServiceSlowness is the multiple of the mean that service calls take by normal variation.
+// A replica counts as slow only above it.
 const toleratedServiceSlowness = 2
 
-// serviceTime is the time of a call to a service. Without the measured slowness
-// a replica that takes four times as long gets as many calls as the others, and
-// programs wait for the slowest of their tools.
+// serviceCallTime returns the expected duration of a call to a service, in seconds. Without the
+// measured slowness, a replica that takes four times as long would get as many calls as the others,
+// and programs wait for the slowest of their tools.
 func serviceCallTime(c *Candidate, s *Step) float64 {
 	return s.MeanCall * max(1, c.Load.Slowness/toleratedServiceSlowness)
 }
 
-// moveMin is the least number of tokens worth moving between engines.
+// minMovedTokens is the minimum number of tokens worth moving between engines.
 const minMovedTokens = 1024
 
-// movedTokens is what is better fetched from the engine that holds it than
-// prefilled again.
+// movedTokens returns the number of tokens that are faster to fetch from the engine that has them
+// cached than to prefill again.
 func movedTokens(c *Candidate, s *Step, bestCached int) int {
 	missing := min(bestCached, s.Prompt) - c.Cached
 	if missing < minMovedTokens || s.MoveTokensPerSecond <= c.Speed.Prefill {
@@ -85,7 +85,7 @@
 	return float64(tokens) / s.MoveTokensPerSecond
 }
 
-// queueTime is the time until a slot is free, where all are taken.
+// queueTime returns the expected time until a slot is free, in seconds; 0 if one is free now.
 func queueTime(c *Candidate) float64 {
 	slots := max(1, c.Slots)
 	excess := c.Load.Total - slots + 1
@@ -95,8 +95,8 @@
 	return float64(excess) * c.Speed.Call / float64(slots)
 }
 
-// othersTime is what the calls already there lose: each of their tokens comes
-// later by the slope of the batch, and prefill takes a share of the decode.
+// coRunnerTime returns the total delay of the calls already running there, in seconds. The larger
+// batch delays each of their tokens, and each call is delayed by half of the prefill time.
 func coRunnerTime(c *Candidate, s *Step, prefill float64) float64 {
 	running := float64(min(c.Load.Total, c.Slots))
 	return running * (c.Speed.TokenPerCall*float64(s.Output) + 0.5*prefill) * c.Load.Slowness
@@ -110,8 +110,8 @@
 	if s.WantedCopies <= 0 {
 		return missing
 	}
-	// A hot shared prefix is wanted on more engines: its copy is an
-	// investment that later programs use, so only a share of it is waste.
+	// More copies of a popular shared prefix are wanted. Later programs use a new copy, so only a
+	// fraction of its prefill counts as redundant.
 	shared := float64(max(0, min(s.SharedTokens, bestCached)-c.Cached))
 	return missing - (1-wantedCopyWeight)*min(shared, missing)
 }
@@ -140,7 +140,7 @@
 	d.Estimate = candidates[d.Chosen].Estimate
 }
 
-// cheaper returns the better of the best so far, -1 if none, and another.
+// cheaper returns the index with the lower cost of best and other. A best of -1 means none yet.
 func cheaper(candidates []Candidate, best, other int) int {
 	if best < 0 || candidates[other].Estimate.Cost < candidates[best].Estimate.Cost {
 		return other
@@ -148,9 +148,9 @@
 	return best
 }
 
-// worthWaiting reports that a full upstream is better even with the wait for
-// it. The wait is bounded by what it saves, so that a wrong estimate of when
-// it becomes free costs at most as much again.
+// worthWaiting reports whether the best full upstream is better than the best free one even with
+// the wait for it. The wait is bounded by the time that it saves, so that a wrong estimate of when
+// a slot becomes free costs at most as much again.
 func worthWaiting(candidates []Candidate, best, bestFull int, s *Step) bool {
 	if bestFull < 0 {
 		return false
@@ -163,9 +163,9 @@
 	return saved > 0 && s.Waited.Seconds() < maxWaitPerSaving*(saved+full.Wait)
 }
 
-// breakTie chooses by chance among the candidates about as good as the best. Of
-// these, one without a connection to spare is left out where another has one:
-// a new connection costs the upstream more than the step.
+// breakTie chooses at random among the candidates whose cost is within the tie margin of the best.
+// Of these, only those with the lowest connection cost take part, because a new connection costs
+// the upstream more than the step.
 func breakTie(candidates []Candidate, best int, s *Step, d *Decision) int {
 	cost := candidates[best].Estimate.Cost
 	limit := cost + max(minTieMargin, tieMargin*cost)
@@ -193,8 +193,8 @@
 	return c.Rejection == Allowed && c.Estimate.Cost <= limit
 }
 
-// mix is the finalizer of SplitMix64 (Steele et al., 2014): successive
-// uniform bits from one random seed, without a lock or an allocation.
+// splitMix64 is the finalizer of SplitMix64 (Steele et al., 2014). It derives successive uniform
+// bits from one random seed without a lock or an allocation.
 func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -202,6 +202,5 @@
 	return x ^ x>>31
 }
 
-// Capable reports whether any candidate could ever take the step; a step that
-// only waits for a full one is capable.
+// AnyCapable reports whether any candidate is able to take the step, now or once it has a free slot.
 func AnyCapable(d *Decision) bool { return d.Rejections[Allowed]+d.Rejections[Full] > 0 }
--- a/internal/placement/pause.go
+++ b/internal/placement/pause.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// keepShare is the part of an engine's cache turnover that a pause may take
-// for its memory to be kept.
+// maxTurnoverShare is the fraction of an engine's cache turnover time up to which a program's cache
+// is retained during a wait.
 const maxTurnoverShare = 0.5
 
-// KeepThroughPause reports whether a program's memory on an engine should be
-// kept while the program waits for a tool. Turnover is how long the engine
-// takes to fill its cache with new tokens: a block kept longer than that pushes
-// out blocks that would have been used sooner, and would soon be evicted itself.
+// ShouldRetainCache reports whether an engine should retain a program's cache while the program
+// waits for a tool. Turnover is how long the engine takes to fill its cache with new tokens. A block
+// retained for longer displaces blocks that would be used sooner, and would soon be evicted itself.
 func ShouldRetainCache(wait, turnover time.Duration) bool {
 	return wait < time.Duration(maxTurnoverShare*float64(turnover))
 }
 
-// Turnover returns how long an engine takes to fill its cache at a rate of new
-// tokens a second.
+// CacheTurnover returns how long an engine takes to fill a cache of cacheTokens tokens at a rate of
+// newTokens tokens per second, at most 24 hours.
 func CacheTurnover(cacheTokens int, newTokens float64) time.Duration {
 	if newTokens <= 0 {
 		return 24 * time.Hour
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement decides which upstream a step goes to. Its functions are
-// pure: they filter, price and choose over a snapshot of the candidates and do
-// no I/O, so that a decision can be replayed from what its log line says.
+// Package placement decides which upstream a step is sent to. Its functions are pure: they filter
+// a snapshot of the candidates, estimate costs and choose, without I/O, so that a decision can be
+// replayed from its log line.
 package placement
 
 import (
@@ -9,10 +9,10 @@
 	"foxhall/internal/upstream"
 )
 
-// Policy names a way to choose.
+// Policy is a placement policy.
 type Policy string
 
-// The policies. Cost is the product's; the others are baselines to measure it against.
+// The policies. Cost is the default; the others are baselines for comparison.
 const (
 	Cost          Policy = "cost"
 	RoundRobin    Policy = "round-robin"
@@ -21,33 +21,33 @@
 	PrefixOnly    Policy = "prefix-only"
 )
 
-// Policies lists all policies, the product's first.
+// Policies lists all policies, the default first.
 var Policies = []Policy{Cost, RoundRobin, LeastInFlight, ProgramHash, PrefixOnly}
 
-// Candidate is one upstream as a decision sees it.
+// Candidate is a snapshot of one upstream, the input of a decision.
 type Candidate struct {
-	// Index is the upstream's place in the caller's list.
+	// Index is the upstream's index in the caller's list.
 	Index int
 	// ID is the upstream's identity in the table.
 	ID    uint32
 	Slots int
 	Load  upstream.Load
 	Speed upstream.Speed
-	// Cached is the number of the prompt's tokens held there.
+	// Cached is the number of the prompt's tokens that the upstream has cached.
 	Cached int
-	// Way is the time to the upstream and back beyond the local; 0 in this data centre.
+	// RTT is the round-trip time to the upstream's data centre; 0 in this data centre.
 	RTT time.Duration
-	// ViewAge is the age of what is known of another data centre; 0 in this one.
+	// ViewAge is the age of the view of the upstream's data centre; 0 in this data centre.
 	ViewAge time.Duration
-	// Connect is the cost of a new connection, where none is idle.
+	// ConnectCost is the cost of a new connection; 0 if one is idle.
 	ConnectCost time.Duration
-	// Estimate is set by a decision.
+	// Estimate is set by Decide.
 	Estimate Estimate
-	// Refused is why the candidate is out, or Allowed.
+	// Rejection is the reason why the candidate is rejected, or Allowed.
 	Rejection Reason
 }
 
-// Reason is why a candidate is out.
+// Reason is the reason why a candidate is rejected.
 type Reason uint8
 
 // The reasons, in the order in which they are checked.
@@ -69,75 +69,76 @@
 	return [...]string{"allowed", "not-granted", "tried", "not-loaded", "leaving", "broken", "stalled", "view-too-old", "full"}[r]
 }
 
-// Step is what a decision needs to know of a step.
+// Step is the step to be placed.
 type Step struct {
-	// Prompt and Output are in tokens; Output is what is expected.
+	// Prompt is the length of the prompt and Output the expected length of the output, in tokens.
 	Prompt, Output int
-	// Call is the mean time of a call to the service, in seconds; 0 for a model call.
+	// MeanCall is the mean duration of a call to the service, in seconds; 0 for a model call.
 	MeanCall float64
-	// Latency and Cache weigh seconds of waiting and seconds of repeated prefill.
+	// LatencyWeight is the weight of a second of waiting, and CacheWeight that of a second of
+	// redundant prefill.
 	LatencyWeight, CacheWeight float64
-	// Home is the upstream of the program's last step; 0 if none.
+	// LastUpstream is the identity of the upstream of the program's last step; 0 if none.
 	LastUpstream uint32
-	// Key spreads programs; Turn counts decisions. Both are for the baselines.
+	// Key is a hash of the program and Turn counts decisions. Both are used by the baselines.
 	Key, Turn uint64
-	// Random breaks ties: uniform bits of this decision.
+	// Random is uniformly distributed bits, used to break ties.
 	Random uint64
 	// Waited is how long the step has waited in the queue.
 	Waited time.Duration
-	// MoveSpeed is the rate in tokens a second at which the program's cache can
-	// be moved to another engine; 0 where it can't.
+	// MoveTokensPerSecond is the rate at which the program's cache can be moved to another engine;
+	// 0 if it cannot be moved.
 	MoveTokensPerSecond float64
-	// MaxViewAge is how old the view of another data centre may be; 0 for the
-	// package's default.
+	// MaxViewAge is the maximum age of the view of another data centre; 0 for the constant
+	// MaxViewAge.
 	MaxViewAge time.Duration
-	// WantedReplicas is how many engines should hold the step's shared prefix,
-	// and SharedTokens its length.
+	// WantedCopies is the number of engines that should cache the step's shared prefix, and
+	// SharedTokens is the length of the prefix. WantedCopies is 0 if no more copies are wanted.
 	WantedCopies, SharedTokens int
 }
 
-// MaxViewAge is how old the view of another data centre may be where a step
-// names no bound. Past it the
-// other side may be gone or full, and a step sent there may come back late.
+// MaxViewAge is the default maximum age of the view of another data centre. With an older view, its
+// upstreams may be full or unreachable, and a response from there may come too late.
 const MaxViewAge = 5 * time.Second
 
-// Decision is the outcome with its reasons.
+// Decision is the result of Decide, with the figures that explain it.
 type Decision struct {
-	// Chosen is the candidate's place in the slice given, or -1.
+	// Chosen is the index of the chosen candidate in the slice passed to Decide, or -1.
 	Chosen int
-	// Wait says that the step should wait for the chosen one, which is full.
+	// Wait reports whether the step should wait for the chosen candidate, which is full.
 	Wait     bool
 	Estimate Estimate
-	// Ties is the number of candidates among which chance decided.
+	// Ties is the number of candidates among which the choice was random.
 	Ties int
-	// BestCached is the largest number of the prompt's tokens that an allowed candidate holds.
+	// BestCached is the largest number of the prompt's tokens that an allowed or full candidate
+	// has cached.
 	BestCached int
-	// Out counts the candidates by the reason for which they were out.
+	// Rejections is the number of candidates for each reason, Allowed included.
 	Rejections [reasonCount]int
 }
 
-// Estimate is the expected course of a step at one candidate, in seconds.
+// Estimate is the estimated times and costs of a step at one candidate, in seconds.
 type Estimate struct {
 	Wait, Prefill, Decode float64
-	// Others is what the step costs the calls that already run there.
+	// CoRunnerCost is the total delay of the calls that already run there.
 	CoRunnerCost float64
-	// Wasted is the prefill of tokens that are cached at another candidate.
+	// RedundantPrefill is the prefill time of tokens that another candidate has cached.
 	RedundantPrefill float64
-	Cost             float64
-	// Moved is the number of tokens to be fetched from the engine that holds them.
+	// Cost is the weighted sum by which candidates are compared.
+	Cost float64
+	// MovedTokens is the number of tokens to be fetched from the engine that has them cached.
 	MovedTokens int
 	// Slowness is the measured slowness that the times above include.
 	Slowness float64
 }
 
-// Total is the time until the answer is whole.
+// Total returns the time until the response is complete, in seconds.
 func (e Estimate) Total() float64 { return e.Wait + e.Prefill + e.Decode }
 
-// Expected is how long a call with an answer of that length should have taken at
-// an upstream that is neither slow nor fast. An answer three times as long as its
-// hint takes longer for no fault of the engine: taken for slowness, instances
-// differ by factors in what they think of one engine, and the one that thinks
-// best of it sends all of its calls there.
+// ExpectedDuration returns how long a call with outputTokens output tokens should have taken at an
+// upstream that is neither slow nor fast. A response three times as long as its hint takes longer
+// through no fault of the engine. If that counted as slowness, the instances' estimates of one
+// engine would differ by factors, and the instance with the best one would send all its calls there.
 func (e Estimate) ExpectedDuration(s *Step, outputTokens int) time.Duration {
 	if s.MeanCall > 0 {
 		return time.Duration(s.MeanCall * float64(time.Second))
@@ -152,7 +153,7 @@
 	return time.Duration((e.Wait + e.Prefill + decode) / e.Slowness * float64(time.Second))
 }
 
-// Filter sets the candidates' Refused and counts the reasons.
+// Filter sets the candidates' Rejection and counts the reasons.
 func Filter(candidates []Candidate, maxViewAge time.Duration, d *Decision) {
 	if maxViewAge == 0 {
 		maxViewAge = MaxViewAge
@@ -188,7 +189,7 @@
 	}
 }
 
-// Decide filters the candidates and chooses one by the policy.
+// Decide filters the candidates and chooses one according to the policy.
 func Decide(policy Policy, candidates []Candidate, s *Step) Decision {
 	d := Decision{Chosen: -1}
 	Filter(candidates, s.MaxViewAge, &d)
