--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,5 +1,5 @@
-// Package queue orders the steps that wait for an upstream. The order is by
-// whole programs, not by calls, and it does no I/O.
+// Package queue orders the steps that wait for an upstream. The order depends on the service that
+// the whole program has had, not only on the single step. The package does no I/O.
 package queue
 
 import (
@@ -7,41 +7,40 @@
 	"time"
 )
 
-// The weights of the order, each as a time by which a step is moved.
+// The weights of the order, as times by which a step's key is advanced or delayed.
 const (
-	// priorityShift is how much earlier one step of a plan's priority counts.
+	// priorityAdvance is how much earlier a step's key is for each level of its plan's priority.
 	priorityAdvance = 2 * time.Second
-	// criticalShift is how much earlier a sub-agent counts that its parent waits for.
+	// criticalAdvance is how much earlier the key is for a sub-agent that its parent waits for.
 	criticalAdvance = 500 * time.Millisecond
-	// attainedWeight is how much later a second of attained service counts.
+	// attainedWeight is how much later the key is, in seconds per second of attained service.
 	attainedWeight = 0.5
-	// attainedMax bounds that, so that a long program waits only so much longer.
+	// maxAttainedDelay bounds the delay by attained service, so that a long program is not delayed
+	// without limit.
 	maxAttainedDelay = 10 * time.Second
-	// deadlineLead is how long before its deadline a step counts as enqueued at
-	// the latest.
+	// deadlineLead is how long before its deadline a step counts as enqueued at the latest.
 	deadlineLead = 10 * time.Second
 )
 
-// Position is what decides a step's place.
+// Criteria determine a step's place in the queue.
 type Criteria struct {
 	// Enqueued is when the step began to wait.
 	Enqueued time.Time
-	// Attained is the service time that the whole program, from its root down,
-	// has had so far.
+	// Attained is the service time that the program has had so far, including its root and all
+	// sub-agents of the root.
 	Attained time.Duration
 	// Deadline is when the caller gives up; zero for none.
 	Deadline time.Time
-	// Priority is the plan's, from 0 to 9.
+	// Priority is the plan's priority, from 0 to 9.
 	Priority int
-	// Critical says that a parent waits for this sub-agent.
+	// Critical reports whether a parent waits for this sub-agent.
 	Critical bool
 }
 
-// Key returns the moment for which the step counts as enqueued; the earliest
-// goes first. A program that had little service goes before one that had much
-// (least attained service), and one whose deadline is near counts as enqueued
-// deadlineLead before it. Since the key never changes while later steps'
-// keys grow with time, nothing starves.
+// Key returns the time at which the step counts as enqueued; the earliest key goes first. A program
+// that has had little service goes before one that has had much (least attained service), and a
+// step counts as enqueued at the latest deadlineLead before its deadline. A step's key never
+// changes, while the keys of later steps grow with time, so no step starves.
 func (p *Criteria) Key() time.Time {
 	delay := min(maxAttainedDelay, time.Duration(attainedWeight*float64(p.Attained)))
 	key := p.Enqueued.Add(delay - time.Duration(p.Priority)*priorityAdvance)
@@ -62,8 +61,8 @@
 	index    int
 }
 
-// Queue holds waiting steps in the order of their keys, first come first among
-// equals. It is not safe for concurrent use.
+// Queue is a priority queue of waiting steps in the order of their keys, first in first out among
+// equal keys. It is not safe for concurrent use.
 type Queue[T any] struct {
 	items        itemHeap[T]
 	lastSequence uint64
@@ -80,11 +79,11 @@
 	return item
 }
 
-// At returns the item at a place from 0 to below Len. The first is at 0; the
-// others stand only roughly in order, and in other places after each change.
+// At returns the item at index i of the heap, from 0 to Len-1. The first item in order is at index
+// 0. The others are only roughly in order, and any change of the queue may move them.
 func (q *Queue[T]) At(i int) *Item[T] { return q.items[i] }
 
-// Remove takes an item out, wherever it stands; it reports whether it was in.
+// Remove removes an item from anywhere in the queue and reports whether it was in the queue.
 func (q *Queue[T]) Remove(item *Item[T]) bool {
 	if item.index < 0 || item.index >= len(q.items) || q.items[item.index] != item {
 		return false
@@ -93,7 +92,7 @@
 	return true
 }
 
-// Pop takes the first item out, or returns nil.
+// Pop removes and returns the first item, or returns nil if the queue is empty.
 func (q *Queue[T]) Pop() *Item[T] {
 	if len(q.items) == 0 {
 		return nil
@@ -101,7 +100,7 @@
 	return heap.Pop(&q.items).(*Item[T])
 }
 
-// Restore puts a popped item back in its old place.
+// Restore returns a popped item to its former place in the order.
 func (q *Queue[T]) Restore(item *Item[T]) { heap.Push(&q.items, item) }
 
 type itemHeap[T any] []*Item[T]
