--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -32,9 +32,8 @@
 	}
 }
 
-// Whatever the candidates are, no policy places a step on one that is out, a
-// full one is only waited for, a free one is never passed over for nothing,
-// and the same snapshot gives the same decision.
+// For any candidates, no policy chooses a rejected one, a full one is only waited for, one is chosen
+// if any is free, and the same snapshot gives the same decision.
 func TestDecideIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 12).Draw(t, "n")
@@ -52,13 +51,13 @@
 			}
 			if d.Chosen < 0 {
 				if d.Rejections[Allowed] > 0 {
-					t.Fatalf("%s: a free upstream was passed over", policy)
+					t.Fatalf("%s: none chosen although an upstream is free", policy)
 				}
 				continue
 			}
 			chosen := &first[d.Chosen]
 			if want := map[bool]Reason{false: Allowed, true: Full}[d.Wait]; chosen.Rejection != want {
-				t.Fatalf("%s: chose one that is %v", policy, chosen.Rejection)
+				t.Fatalf("%s: chose an upstream that is %v", policy, chosen.Rejection)
 			}
 			if policy == Cost && !d.Wait {
 				checkCheapest(t, first, &d)
@@ -71,7 +70,7 @@
 	for i := range candidates {
 		e := &candidates[i].Estimate
 		if candidates[i].Rejection == Allowed && d.Estimate.Cost > e.Cost+max(minTieMargin, tieMargin*e.Cost)+1e-9 {
-			t.Fatalf("chose a cost of %v where %v was free", d.Estimate.Cost, e.Cost)
+			t.Fatalf("chose a cost of %v although a free upstream has %v", d.Estimate.Cost, e.Cost)
 		}
 	}
 }
@@ -82,12 +81,12 @@
 	return []Candidate{{ID: 1, Slots: 8, Load: load, Speed: speed, Cached: 4096}, {ID: 2, Slots: 8, Load: load, Speed: speed}}
 }
 
-// A program's history stands on one engine, and that engine fills up. The step
-// stays there while that pays, and leaves when the wait costs more than to
-// prefill the history again; where the cache counts more, it stays longer.
+// A program's history is cached on one engine, and that engine fills up. Steps are sent there until
+// the wait costs more than prefilling the history again. With a higher cache weight, they are sent
+// there for longer.
 func TestLastUpstreamIsLeftWhenItCostsMore(t *testing.T) {
 	is := is.New(t)
-	leavesAt := func(cacheWeight float64) int {
+	callsWhenLeft := func(cacheWeight float64) int {
 		for running := range 40 {
 			c := twoCandidates()
 			c[0].Load.Total = running
@@ -97,13 +96,13 @@
 		}
 		return 40
 	}
-	is.True(leavesAt(0) > 0)
-	is.True(leavesAt(0) < 40)
-	is.True(leavesAt(2) > leavesAt(0))
+	is.True(callsWhenLeft(0) > 0)
+	is.True(callsWhenLeft(0) < 40)
+	is.True(callsWhenLeft(2) > callsWhenLeft(0))
 }
 
-// Many instances see the same engines at the same moment. Were ties broken by
-// order, all would send to the first.
+// Many instances see the same engines at the same moment. If ties were broken by order, all of them
+// would choose the first engine.
 func TestTiesSpread(t *testing.T) {
 	is := is.New(t)
 	counts := map[int]int{}
@@ -121,9 +120,9 @@
 	}
 }
 
-// A prefix that many programs share stands on one engine only. While more
-// copies are wanted, its prefill elsewhere counts as an investment and a
-// lighter load wins; a program's own history stays a loss.
+// A prefix that many programs share is cached on one engine only. While more copies are wanted, only
+// a fraction of its prefill on another engine counts as redundant, and a less loaded engine is
+// chosen. A program's own history counts in full.
 func TestHotPrefixIsReplicated(t *testing.T) {
 	is := is.New(t)
 	choose := func(wanted int) int {
@@ -140,12 +139,12 @@
 	turnover := CacheTurnover(64000, 3200) // 20 s
 	is.True(ShouldRetainCache(2*time.Second, turnover))
 	is.True(!ShouldRetainCache(15*time.Second, turnover))
-	is.True(ShouldRetainCache(time.Hour, CacheTurnover(64000, 0))) // nobody needs the room
+	is.True(ShouldRetainCache(time.Hour, CacheTurnover(64000, 0))) // no other program needs the space
 }
 
-// Programs wait for the slowest of their tools: a replica that takes four times as
-// long gets as many calls as the others. It must get none while others are free,
-// and one whose calls only differ as a service's calls do must not be left out.
+// Programs wait for the slowest of their tools. A replica that takes four times as long must get no
+// calls while others are free. A replica whose times vary only as service times normally do must
+// still be chosen.
 func TestSlowServiceReplicaIsAvoided(t *testing.T) {
 	is := is.New(t)
 	slow := upstream.Load{Slowness: 4, Limit: 8}
@@ -160,10 +159,10 @@
 	is.Equal(d.Ties, 2)
 }
 
-// Instances differ by factors in what they think of one engine, and the one that
-// thinks best of it sends all of its calls there: answers longer or shorter than
-// their hints pass for slowness. What an answer should have taken goes by its own
-// length, and by the speed of an engine that is neither slow nor fast.
+// If responses longer or shorter than their hints counted as slowness, the instances' estimates of
+// one engine would differ by factors, and the instance with the best one would send all its calls
+// there. The expected duration must depend on the actual output length and on the speed of an engine
+// that is neither slow nor fast.
 func TestOutputLengthDoesNotCountAsSlowness(t *testing.T) {
 	is := is.New(t)
 	e := Estimate{Wait: 0.2, Prefill: 0.2, Decode: 0.4, Slowness: 2}
@@ -175,16 +174,16 @@
 	is.Equal(e.ExpectedDuration(&Step{MeanCall: 0.1}, 0), 100*time.Millisecond)
 }
 
-// A replica that fails what it is sent is idle and would be the cheapest. It must
-// be left while another is free, and one failure must not be enough for that.
+// A replica that fails its calls is idle and would have the lowest cost. It must be avoided while
+// another is free, but a single failure must not be enough for that.
 func TestUpstreamWithErrorsIsAvoided(t *testing.T) {
 	is := is.New(t)
-	at := func(erring float64) Candidate {
-		return Candidate{Slots: 4, Load: upstream.Load{Slowness: 1, Limit: 8, ErrorRate: erring}, Speed: upstream.DefaultSpeed}
+	withErrorRate := func(errorRate float64) Candidate {
+		return Candidate{Slots: 4, Load: upstream.Load{Slowness: 1, Limit: 8, ErrorRate: errorRate}, Speed: upstream.DefaultSpeed}
 	}
-	busy := at(0)
+	busy := withErrorRate(0)
 	busy.Load.Total = 3
 	step := &Step{LatencyWeight: 1, Prompt: 600, Output: 10}
-	is.Equal(Decide(Cost, []Candidate{at(0.25), busy}, step).Chosen, 0)
-	is.Equal(Decide(Cost, []Candidate{at(0.58), busy}, step).Chosen, 1)
+	is.Equal(Decide(Cost, []Candidate{withErrorRate(0.25), busy}, step).Chosen, 0)
+	is.Equal(Decide(Cost, []Candidate{withErrorRate(0.58), busy}, step).Chosen, 1)
 }
