--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -41,13 +41,13 @@
 // that has had little service goes before one that has had much (least attained service), and a
 // step counts as enqueued at the latest deadlineLead before its deadline. A step's key never
 // changes, while the keys of later steps grow with time, so no step starves.
-func (p *Criteria) Key() time.Time {
-	delay := min(maxAttainedDelay, time.Duration(attainedWeight*float64(p.Attained)))
-	key := p.Enqueued.Add(delay - time.Duration(p.Priority)*priorityAdvance)
-	if p.Critical {
+func (c *Criteria) Key() time.Time {
+	delay := min(maxAttainedDelay, time.Duration(attainedWeight*float64(c.Attained)))
+	key := c.Enqueued.Add(delay - time.Duration(c.Priority)*priorityAdvance)
+	if c.Critical {
 		key = key.Add(-criticalAdvance)
 	}
-	if latest := p.Deadline.Add(-deadlineLead); !p.Deadline.IsZero() && latest.Before(key) {
+	if latest := c.Deadline.Add(-deadlineLead); !c.Deadline.IsZero() && latest.Before(key) {
 		return latest
 	}
 	return key
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -16,8 +16,8 @@
 	os.Exit(m.Run())
 }
 
-// Steps come, go, are cancelled from the middle and put back. The oracle is a
-// sorted list; the queue must always give the same first step.
+// Steps are pushed, popped, removed from the middle and restored. The queue must always pop the same
+// step as the oracle, a sorted list.
 func TestQueueAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[int]
@@ -56,7 +56,7 @@
 				}
 				i := rapid.IntRange(0, len(oracle)-1).Draw(t, "which")
 				if !q.Remove(oracle[i]) || q.Remove(oracle[i]) {
-					t.Fatal("a waiting step is removed once")
+					t.Fatal("a waiting step must be removed exactly once")
 				}
 				oracle = slices.Delete(oracle, i, i+1)
 			},
@@ -69,9 +69,8 @@
 	})
 }
 
-// A plan of high priority sends new programs without end. A long program of
-// the lowest priority must still have its turn: no step that comes later than
-// the bound goes before it, whatever the two are.
+// A plan of high priority starts new programs without end. A long program of the lowest priority
+// must still be served: no step enqueued later than it by more than the bound goes before it.
 func TestNoStepStarves(t *testing.T) {
 	const bound = maxAttainedDelay + 9*priorityAdvance + criticalAdvance + deadlineLead
 	draw := func(t *rapid.T, name string) Criteria {
@@ -92,12 +91,12 @@
 		shorter := early
 		shorter.Attained /= 2
 		if early.Key().Before(shorter.Key()) {
-			t.Fatal("a program that had more service goes first")
+			t.Fatal("a program that has had more service goes first")
 		}
 		nearer := early
 		nearer.Deadline = early.Deadline.Add(-5 * time.Second)
 		if early.Key().Before(nearer.Key()) {
-			t.Fatal("a step whose deadline is later goes first")
+			t.Fatal("a step with a later deadline goes first")
 		}
 	})
 }
