--- a/internal/scheduler/learned.go
+++ b/internal/scheduler/learned.go
@@ -134,6 +134,7 @@
 	rates *lru.Cache[uint64, *decayingRate]
 }
 
+// decayingRate is a rate, in events per second, that decays over rateWindow.
 type decayingRate struct {
 	perSecond float64
 	updatedAt time.Time
--- a/internal/scheduler/pause.go
+++ b/internal/scheduler/pause.go
@@ -18,9 +18,9 @@
 	return model
 }
 
-// beginToolWait records that the program waits for a tool, and releases its cache on the engine if
-// retaining it for the expected wait costs more than it saves. The engine keeps released blocks
-// until it needs the space, so they are still cached after a short wait.
+// beginToolWait records that the program waits for a tool, and releases its cache on the engine
+// unless retaining it for the expected wait is worth the space. The engine evicts released blocks
+// only when it needs the space, so they are usually still cached after a short wait.
 func (s *Scheduler) beginToolWait(r *Request, now time.Time) {
 	expected := s.toolWaits.expect(r.Service)
 	var last uint32
@@ -39,7 +39,7 @@
 	s.release(u.Address, r.Program)
 }
 
-// endToolWait learns the duration of the wait.
+// endToolWait records the duration of the wait, from which later waits for the tool are estimated.
 func (s *Scheduler) endToolWait(r *Request, now time.Time) {
 	s.programs.with(r.programKey(), now, func(state *programState) {
 		if state.waitingTool == r.Service {
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -26,8 +26,8 @@
 	scanInterval = 50 * time.Millisecond
 	// noUpstreamWait is how long a step waits while no upstream is usable.
 	noUpstreamWait = 2 * time.Second
-	// demandRetention is how long a model counts as in demand after its last step, so that a model
-	// is loaded even if all its callers are refused until then.
+	// demandRetention is how long a model counts as in demand after its last step. Without it, a
+	// model would not be loaded if all its callers are refused until it is.
 	demandRetention   = 30 * time.Second
 	defaultQueueLimit = 4096
 )
@@ -103,6 +103,7 @@
 	}
 }
 
+// prepareStep sets the inputs of the placement decision and the criteria of the queue.
 func (s *Scheduler) prepareStep(w *waiter, now time.Time) {
 	r := w.request
 	w.step.Prompt = w.promptTokens
--- a/internal/scheduler/rules.go
+++ b/internal/scheduler/rules.go
@@ -16,8 +16,8 @@
 	// The weights used if the grant sets none.
 	defaultLatencyWeight = 1.0
 	defaultCacheWeight   = 0.5
-	// copyLoadThreshold is the load of the engines that cache a shared prefix, as a share of their
-	// slots, above which one more copy of the prefix is wanted.
+	// copyLoadThreshold is the load from new programs, as a share of the slots of the engines that
+	// cache a shared prefix, above which one more copy of the prefix is wanted.
 	copyLoadThreshold = 0.7
 	// minSharedTokens is the minimum length of a shared prefix that is worth copying, in tokens.
 	minSharedTokens = 256
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -55,7 +55,7 @@
 		is := is.New(t)
 		age := time.Second
 		s, _ := newTestScheduler(Settings{DataCentreRTT: map[string]time.Duration{"b": 50 * time.Millisecond}, RemoteViewAge: func(string) time.Duration { return age }},
-			engineAt("local", "a", 2), engineAt("abroad", "b", 2))
+			engineAt("local", "a", 2), engineAt("remote", "b", 2))
 		both := &usage.Grant{Models: []string{testModel}, DataCentres: []string{"a", "b"}, LatencyWeight: 1}
 		place := func(g *usage.Grant) string {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -77,7 +77,7 @@
 			_, refusal := s.Acquire(t.Context(), r)
 			is.True(refusal == nil)
 		}
-		is.Equal(place(both), "abroad")
+		is.Equal(place(both), "remote")
 		is.Equal(place(onlyLocal), string(step.CodeCancelled)) // waits for the local one
 		age = time.Minute
 		is.Equal(place(both), string(step.CodeCancelled))
