--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -24,7 +24,8 @@
 	// scanInterval is how often the queue is scanned without an event. Load reports age, circuit
 	// breakers reach their half-open trial and concurrency limits ramp up with time alone.
 	scanInterval = 50 * time.Millisecond
-	// noUpstreamWait is how long a step waits while no upstream is usable.
+	// noUpstreamWait is how long a step waits while no upstream is usable. It is also the
+	// Retry-After value of the refusal that follows.
 	noUpstreamWait = 2 * time.Second
 	// demandRetention is how long a model counts as in demand after its last step. Without it, a
 	// model would not be loaded if all its callers are refused until it is.
@@ -227,7 +228,7 @@
 }
 
 // placeRotating tries to place some of the remaining steps. It continues where the last scan ended,
-// so that every step is considered in time.
+// so that every step is considered after a bounded number of scans.
 func (p *pool) placeRotating(endpoints []*upstream.Endpoint, now time.Time) {
 	for range min(maxRotated, p.queue.Len()) {
 		if p.rotation >= p.queue.Len() {
--- a/internal/scheduler/rules.go
+++ b/internal/scheduler/rules.go
@@ -163,7 +163,7 @@
 }
 
 // learnedCallTime returns the mean duration of a call over the usable upstreams that have completed
-// one, or 0 if none has. A default must not refuse a step that has an empty queue before it.
+// one, or 0 if none has. A default must not refuse a step that has no other step before it.
 func (p *pool) learnedCallTime() time.Duration {
 	now := time.Now().UnixNano()
 	sum, n := 0.0, 0
