--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -228,7 +228,7 @@
 }
 
 // placeRotating tries to place some of the remaining steps. It continues where the last scan ended,
-// so that every step is considered after a bounded number of scans.
+// so that all steps are considered in turn.
 func (p *pool) placeRotating(endpoints []*upstream.Endpoint, now time.Time) {
 	for range min(maxRotated, p.queue.Len()) {
 		if p.rotation >= p.queue.Len() {
