--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -32,9 +32,8 @@
 	}
 }
 
-// Whatever the candidates are, no policy places a step on one that is out, a
-// full one is only waited for, a free one is never passed over for nothing,
-// and the same snapshot gives the same decision.
+// For any candidates, no policy chooses a rejected one, a full one is only waited for, one is chosen
+// if any is free, and the same snapshot gives the same decision.
 func TestDecideIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 12).Draw(t, "n")
@@ -52,13 +51,13 @@
 			}
 			if d.Chosen < 0 {
 				if d.Rejections[Allowed] > 0 {
-					t.Fatalf("%s: a free upstream was passed over", policy)
+					t.Fatalf("%s: none chosen although an upstream is free", policy)
 				}
 				continue
 			}
 			chosen := &first[d.Chosen]
 			if want := map[bool]Reason{false: Allowed, true: Full}[d.Wait]; chosen.Rejection != want {
-				t.Fatalf("%s: chose one that is %v", policy, chosen.Rejection)
+				t.Fatalf("%s: chose an upstream that is %v", policy, chosen.Rejection)
 			}
 			if policy == Cost && !d.Wait {
 				checkCheapest(t, first, &d)
@@ -70,26 +69,26 @@
 func checkCheapest(t *rapid.T, candidates []Candidate, d *Decision) {
 	for i := range candidates {
 		e := &candidates[i].Estimate
-		if candidates[i].Rejection == Allowed && d.Estimate.Cost > e.Cost+max(tieFloor, tieMargin*e.Cost)+1e-9 {
-			t.Fatalf("chose a cost of %v where %v was free", d.Estimate.Cost, e.Cost)
+		if candidates[i].Rejection == Allowed && d.Estimate.Cost > e.Cost+max(minTieMargin, tieMargin*e.Cost)+1e-9 {
+			t.Fatalf("chose a cost of %v although a free upstream has %v", d.Estimate.Cost, e.Cost)
 		}
 	}
 }
 
-func two() []Candidate {
+func twoCandidates() []Candidate {
 	speed := upstream.Speed{Prefill: 1000, TokenBase: 0.02, TokenPerCall: 0.001, Call: 2}
 	load := upstream.Load{Slowness: 1, Limit: 9}
 	return []Candidate{{ID: 1, Slots: 8, Load: load, Speed: speed, Cached: 4096}, {ID: 2, Slots: 8, Load: load, Speed: speed}}
 }
 
-// A program's history stands on one engine, and that engine fills up. The step
-// stays there while that pays, and leaves when the wait costs more than to
-// prefill the history again; where the cache counts more, it stays longer.
-func TestHomeIsLeftWhenItCostsMore(t *testing.T) {
+// A program's history is cached on one engine, and that engine fills up. Steps are sent there until
+// the wait costs more than prefilling the history again. With a higher cache weight, they are sent
+// there for longer.
+func TestLastUpstreamIsLeftWhenItCostsMore(t *testing.T) {
 	is := is.New(t)
-	leavesAt := func(cacheWeight float64) int {
+	callsWhenLeft := func(cacheWeight float64) int {
 		for running := range 40 {
-			c := two()
+			c := twoCandidates()
 			c[0].Load.Total = running
 			if d := Decide(Cost, c, &Step{Prompt: 4200, Output: 100, LatencyWeight: 1, CacheWeight: cacheWeight}); d.Chosen == 1 {
 				return running
@@ -97,20 +96,20 @@
 		}
 		return 40
 	}
-	is.True(leavesAt(0) > 0)
-	is.True(leavesAt(0) < 40)
-	is.True(leavesAt(2) > leavesAt(0))
+	is.True(callsWhenLeft(0) > 0)
+	is.True(callsWhenLeft(0) < 40)
+	is.True(callsWhenLeft(2) > callsWhenLeft(0))
 }
 
-// Many instances see the same engines at the same moment. Were ties broken by
-// order, all would send to the first.
+// Many instances see the same engines at the same moment. If ties were broken by order, all of them
+// would choose the first engine.
 func TestTiesSpread(t *testing.T) {
 	is := is.New(t)
 	counts := map[int]int{}
 	for random := range 1000 {
 		c := make([]Candidate, 10)
 		for i := range c {
-			c[i] = two()[1]
+			c[i] = twoCandidates()[1]
 		}
 		d := Decide(Cost, c, &Step{Prompt: 100, Output: 10, LatencyWeight: 1, Random: uint64(random) << 32})
 		counts[d.Chosen]++
@@ -121,32 +120,32 @@
 	}
 }
 
-// A prefix that many programs share stands on one engine only. While more
-// copies are wanted, its prefill elsewhere counts as an investment and a
-// lighter load wins; a program's own history stays a loss.
+// A prefix that many programs share is cached on one engine only. While more copies are wanted, only
+// a fraction of its prefill on another engine counts as redundant, and a less loaded engine is
+// chosen. A program's own history counts in full.
 func TestHotPrefixIsReplicated(t *testing.T) {
 	is := is.New(t)
 	choose := func(wanted int) int {
-		c := two()
+		c := twoCandidates()
 		c[0].Load.Total = 7
-		return Decide(Cost, c, &Step{Prompt: 4200, Output: 400, LatencyWeight: 0.4, CacheWeight: 1, WantedReplicas: wanted, SharedTokens: 4096}).Chosen
+		return Decide(Cost, c, &Step{Prompt: 4200, Output: 400, LatencyWeight: 0.4, CacheWeight: 1, WantedCopies: wanted, SharedTokens: 4096}).Chosen
 	}
 	is.Equal(choose(0), 0)
 	is.Equal(choose(3), 1)
 }
 
-func TestPauseKeepsMemoryOnlyWhileItPays(t *testing.T) {
+func TestCacheIsRetainedOnlyForShortWaits(t *testing.T) {
 	is := is.New(t)
 	turnover := CacheTurnover(64000, 3200) // 20 s
 	is.True(ShouldRetainCache(2*time.Second, turnover))
 	is.True(!ShouldRetainCache(15*time.Second, turnover))
-	is.True(ShouldRetainCache(time.Hour, CacheTurnover(64000, 0))) // nobody needs the room
+	is.True(ShouldRetainCache(time.Hour, CacheTurnover(64000, 0))) // no other program needs the space
 }
 
-// Programs wait for the slowest of their tools: a replica that takes four times as
-// long gets as many calls as the others. It must get none while others are free,
-// and one whose calls only differ as a service's calls do must not be left out.
-func TestSlowReplicaOfAServiceIsLeftOut(t *testing.T) {
+// Programs wait for the slowest of their tools. A replica that takes four times as long must get no
+// calls while others are free. A replica whose times vary only as service times normally do must
+// still be chosen.
+func TestSlowServiceReplicaIsAvoided(t *testing.T) {
 	is := is.New(t)
 	slow := upstream.Load{Slowness: 4, Limit: 8}
 	usual := upstream.Load{Slowness: 1.8, Limit: 8}
@@ -160,31 +159,31 @@
 	is.Equal(d.Ties, 2)
 }
 
-// Instances differ by factors in what they think of one engine, and the one that
-// thinks best of it sends all of its calls there: answers longer or shorter than
-// their hints pass for slowness. What an answer should have taken goes by its own
-// length, and by the speed of an engine that is neither slow nor fast.
-func TestLengthOfAnswersIsNoSlowness(t *testing.T) {
+// If responses longer or shorter than their hints counted as slowness, the instances' estimates of
+// one engine would differ by factors, and the instance with the best one would send all its calls
+// there. The expected duration must depend on the actual output length and on the speed of an engine
+// that is neither slow nor fast.
+func TestOutputLengthDoesNotCountAsSlowness(t *testing.T) {
 	is := is.New(t)
 	e := Estimate{Wait: 0.2, Prefill: 0.2, Decode: 0.4, Slowness: 2}
 	model := &Step{Output: 20}
-	is.Equal(e.Expected(model, 20), 400*time.Millisecond)
-	is.Equal(e.Expected(model, 60), 800*time.Millisecond)
+	is.Equal(e.ExpectedDuration(model, 20), 400*time.Millisecond)
+	is.Equal(e.ExpectedDuration(model, 60), 800*time.Millisecond)
 	fast := Estimate{Decode: 0.2, Slowness: 0.5}
-	is.Equal(fast.Expected(model, 20), 400*time.Millisecond)
-	is.Equal(e.Expected(&Step{MeanCall: 0.1}, 0), 100*time.Millisecond)
+	is.Equal(fast.ExpectedDuration(model, 20), 400*time.Millisecond)
+	is.Equal(e.ExpectedDuration(&Step{MeanCall: 0.1}, 0), 100*time.Millisecond)
 }
 
-// A replica that fails what it is sent is idle and would be the cheapest. It must
-// be left while another is free, and one failure must not be enough for that.
-func TestErringUpstreamIsLeft(t *testing.T) {
+// A replica that fails its calls is idle and would have the lowest cost. It must be avoided while
+// another is free, but a single failure must not be enough for that.
+func TestUpstreamWithErrorsIsAvoided(t *testing.T) {
 	is := is.New(t)
-	at := func(erring float64) Candidate {
-		return Candidate{Slots: 4, Load: upstream.Load{Slowness: 1, Limit: 8, ErrorRate: erring}, Speed: upstream.DefaultSpeed}
+	withErrorRate := func(errorRate float64) Candidate {
+		return Candidate{Slots: 4, Load: upstream.Load{Slowness: 1, Limit: 8, ErrorRate: errorRate}, Speed: upstream.DefaultSpeed}
 	}
-	busy := at(0)
+	busy := withErrorRate(0)
 	busy.Load.Total = 3
 	step := &Step{LatencyWeight: 1, Prompt: 600, Output: 10}
-	is.Equal(Decide(Cost, []Candidate{at(0.25), busy}, step).Chosen, 0)
-	is.Equal(Decide(Cost, []Candidate{at(0.58), busy}, step).Chosen, 1)
+	is.Equal(Decide(Cost, []Candidate{withErrorRate(0.25), busy}, step).Chosen, 0)
+	is.Equal(Decide(Cost, []Candidate{withErrorRate(0.58), busy}, step).Chosen, 1)
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,5 +1,5 @@
-// Package queue orders the steps that wait for an upstream. The order is by
-// whole programs, not by calls, and it does no I/O.
+// Package queue orders the steps that wait for an upstream. The order depends on the service that
+// the whole program has had, not only on the single step. The package does no I/O.
 package queue
 
 import (
@@ -7,48 +7,47 @@
 	"time"
 )
 
-// The weights of the order, each as a time by which a step is moved.
+// The weights of the order, as times by which a step's key is advanced or delayed.
 const (
-	// priorityShift is how much earlier one step of a plan's priority counts.
-	priorityShift = 2 * time.Second
-	// criticalShift is how much earlier a sub-agent counts that its parent waits for.
-	criticalShift = 500 * time.Millisecond
-	// attainedWeight is how much later a second of attained service counts.
+	// priorityAdvance is how much earlier a step's key is for each level of its plan's priority.
+	priorityAdvance = 2 * time.Second
+	// criticalAdvance is how much earlier the key is for a sub-agent that its parent waits for.
+	criticalAdvance = 500 * time.Millisecond
+	// attainedWeight is how much later the key is, in seconds per second of attained service.
 	attainedWeight = 0.5
-	// attainedMax bounds that, so that a long program waits only so much longer.
-	attainedMax = 10 * time.Second
-	// deadlineLead is how long before its deadline a step counts as enqueued at
-	// the latest.
+	// maxAttainedDelay bounds the delay by attained service, so that a long program is not delayed
+	// without limit.
+	maxAttainedDelay = 10 * time.Second
+	// deadlineLead is how long before its deadline a step counts as enqueued at the latest.
 	deadlineLead = 10 * time.Second
 )
 
-// Position is what decides a step's place.
-type Position struct {
+// Criteria determine a step's place in the queue.
+type Criteria struct {
 	// Enqueued is when the step began to wait.
 	Enqueued time.Time
-	// Attained is the service time that the whole program, from its root down,
-	// has had so far.
+	// Attained is the service time that the program has had so far, including its root and all
+	// sub-agents of the root.
 	Attained time.Duration
 	// Deadline is when the caller gives up; zero for none.
 	Deadline time.Time
-	// Priority is the plan's, from 0 to 9.
+	// Priority is the plan's priority, from 0 to 9.
 	Priority int
-	// Critical says that a parent waits for this sub-agent.
+	// Critical reports whether a parent waits for this sub-agent.
 	Critical bool
 }
 
-// Key returns the moment for which the step counts as enqueued; the earliest
-// goes first. A program that had little service goes before one that had much
-// (least attained service), and one whose deadline is near counts as enqueued
-// deadlineLead before it. Since the key never changes while later steps'
-// keys grow with time, nothing starves.
-func (p *Position) Key() time.Time {
-	late := min(attainedMax, time.Duration(attainedWeight*float64(p.Attained)))
-	key := p.Enqueued.Add(late - time.Duration(p.Priority)*priorityShift)
-	if p.Critical {
-		key = key.Add(-criticalShift)
+// Key returns the time at which the step counts as enqueued; the earliest key goes first. A program
+// that has had little service goes before one that has had much (least attained service), and a
+// step counts as enqueued at the latest deadlineLead before its deadline. A step's key never
+// changes, while the keys of later steps grow with time, so no step starves.
+func (c *Criteria) Key() time.Time {
+	delay := min(maxAttainedDelay, time.Duration(attainedWeight*float64(c.Attained)))
+	key := c.Enqueued.Add(delay - time.Duration(c.Priority)*priorityAdvance)
+	if c.Critical {
+		key = key.Add(-criticalAdvance)
 	}
-	if latest := p.Deadline.Add(-deadlineLead); !p.Deadline.IsZero() && latest.Before(key) {
+	if latest := c.Deadline.Add(-deadlineLead); !c.Deadline.IsZero() && latest.Before(key) {
 		return latest
 	}
 	return key
@@ -56,17 +55,17 @@
 
 // Item is one waiting step.
 type Item[T any] struct {
-	Value T
-	key   time.Time
-	order uint64
-	index int
+	Value    T
+	key      time.Time
+	sequence uint64
+	index    int
 }
 
-// Queue holds waiting steps in the order of their keys, first come first among
-// equals. It is not safe for concurrent use.
+// Queue is a priority queue of waiting steps in the order of their keys, first in first out among
+// equal keys. It is not safe for concurrent use.
 type Queue[T any] struct {
-	items items[T]
-	order uint64
+	items        itemHeap[T]
+	lastSequence uint64
 }
 
 // Len returns the number of waiting steps.
@@ -74,17 +73,17 @@
 
 // Push adds a step and returns its item.
 func (q *Queue[T]) Push(key time.Time, value T) *Item[T] {
-	q.order++
-	item := &Item[T]{Value: value, key: key, order: q.order}
+	q.lastSequence++
+	item := &Item[T]{Value: value, key: key, sequence: q.lastSequence}
 	heap.Push(&q.items, item)
 	return item
 }
 
-// At returns the item at a place from 0 to below Len. The first is at 0; the
-// others stand only roughly in order, and in other places after each change.
+// At returns the item at index i of the heap, from 0 to Len-1. The first item in order is at index
+// 0. The others are only roughly in order, and any change of the queue may move them.
 func (q *Queue[T]) At(i int) *Item[T] { return q.items[i] }
 
-// Remove takes an item out, wherever it stands; it reports whether it was in.
+// Remove removes an item from anywhere in the queue and reports whether it was in the queue.
 func (q *Queue[T]) Remove(item *Item[T]) bool {
 	if item.index < 0 || item.index >= len(q.items) || q.items[item.index] != item {
 		return false
@@ -93,7 +92,7 @@
 	return true
 }
 
-// Pop takes the first item out, or returns nil.
+// Pop removes and returns the first item, or returns nil if the queue is empty.
 func (q *Queue[T]) Pop() *Item[T] {
 	if len(q.items) == 0 {
 		return nil
@@ -101,34 +100,34 @@
 	return heap.Pop(&q.items).(*Item[T])
 }
 
-// Restore puts a popped item back in its old place.
+// Restore returns a popped item to its former place in the order.
 func (q *Queue[T]) Restore(item *Item[T]) { heap.Push(&q.items, item) }
 
-type items[T any] []*Item[T]
+type itemHeap[T any] []*Item[T]
 
-func (s items[T]) Len() int { return len(s) }
+func (s itemHeap[T]) Len() int { return len(s) }
 
-func (s items[T]) Less(i, j int) bool {
+func (s itemHeap[T]) Less(i, j int) bool {
 	if !s[i].key.Equal(s[j].key) {
 		return s[i].key.Before(s[j].key)
 	}
-	return s[i].order < s[j].order
+	return s[i].sequence < s[j].sequence
 }
 
-func (s items[T]) Swap(i, j int) {
+func (s itemHeap[T]) Swap(i, j int) {
 	s[i], s[j] = s[j], s[i]
 	s[i].index, s[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (s *items[T]) Push(x any) {
+func (s *itemHeap[T]) Push(x any) {
 	item := x.(*Item[T])
 	item.index = len(*s)
 	*s = append(*s, item)
 }
 
 // Pop implements heap.Interface.
-func (s *items[T]) Pop() any {
+func (s *itemHeap[T]) Pop() any {
 	old := *s
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -16,8 +16,8 @@
 	os.Exit(m.Run())
 }
 
-// Steps come, go, are cancelled from the middle and put back. The oracle is a
-// sorted list; the queue must always give the same first step.
+// Steps are pushed, popped, removed from the middle and restored. The queue must always pop the same
+// step as the oracle, a sorted list.
 func TestQueueAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[int]
@@ -27,7 +27,7 @@
 			if c := a.key.Compare(b.key); c != 0 {
 				return c
 			}
-			return int(a.order) - int(b.order)
+			return int(a.sequence) - int(b.sequence)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
@@ -56,7 +56,7 @@
 				}
 				i := rapid.IntRange(0, len(oracle)-1).Draw(t, "which")
 				if !q.Remove(oracle[i]) || q.Remove(oracle[i]) {
-					t.Fatal("a waiting step is removed once")
+					t.Fatal("a waiting step must be removed exactly once")
 				}
 				oracle = slices.Delete(oracle, i, i+1)
 			},
@@ -69,14 +69,13 @@
 	})
 }
 
-// A plan of high priority sends new programs without end. A long program of
-// the lowest priority must still have its turn: no step that comes later than
-// the bound goes before it, whatever the two are.
-func TestNothingStarves(t *testing.T) {
-	const bound = attainedMax + 9*priorityShift + criticalShift + deadlineLead
-	draw := func(t *rapid.T, name string) Position {
+// A plan of high priority starts new programs without end. A long program of the lowest priority
+// must still be served: no step enqueued later than it by more than the bound goes before it.
+func TestNoStepStarves(t *testing.T) {
+	const bound = maxAttainedDelay + 9*priorityAdvance + criticalAdvance + deadlineLead
+	draw := func(t *rapid.T, name string) Criteria {
 		enqueued := time.Unix(1000, 0).Add(time.Duration(rapid.IntRange(0, 120000).Draw(t, name)) * time.Millisecond)
-		return Position{
+		return Criteria{
 			Enqueued: enqueued,
 			Deadline: enqueued.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "left")) * time.Second),
 			Attained: time.Duration(rapid.IntRange(0, 1e6).Draw(t, "attained")) * time.Millisecond,
@@ -92,12 +91,12 @@
 		shorter := early
 		shorter.Attained /= 2
 		if early.Key().Before(shorter.Key()) {
-			t.Fatal("a program that had more service goes first")
+			t.Fatal("a program that has had more service goes first")
 		}
 		nearer := early
 		nearer.Deadline = early.Deadline.Add(-5 * time.Second)
 		if early.Key().Before(nearer.Key()) {
-			t.Fatal("a step whose deadline is later goes first")
+			t.Fatal("a step with a later deadline goes first")
 		}
 	})
 }
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// probeEvery is how often engines are asked for their load.
-	probeEvery = 500 * time.Millisecond
-	// probesPerRound keeps the load reports of an instance at 10 a second,
-	// about 5 KB (letter 1 allows 7 KB a second for control).
+	// probeInterval is how often engines are asked for their load.
+	probeInterval = 500 * time.Millisecond
+	// probesPerRound limits an instance to 10 load reports per second, about 5 KB per second.
+	// The limit for control traffic is 7 KB per second.
 	probesPerRound = 5
-	// followCheck is how often a follower looks whether its view is still trusted.
-	followCheck = time.Second
-	// stateTimeout bounds the reading of an engine's state.
+	// trustCheckInterval is how often a follower checks whether its cache view is still trusted.
+	trustCheckInterval = time.Second
+	// stateTimeout bounds the request for an engine's state.
 	stateTimeout = 5 * time.Second
-	// The pause before a broken event stream is opened again.
-	followMin = 200 * time.Millisecond
-	followMax = 10 * time.Second
+	// reconnectDelayMin and reconnectDelayMax bound the backoff before a broken event stream is
+	// reopened.
+	reconnectDelayMin = 200 * time.Millisecond
+	reconnectDelayMax = 10 * time.Second
 )
 
-// errResync ends a stream whose events can no longer be trusted.
-var errResync = errors.New("scheduler: cache events must be read again")
+// errResync ends an event stream that has a gap; the engine's state has to be read again.
+var errResync = errors.New("scheduler: gap in cache events; engine state must be read again")
 
-// Engines is what the scheduler reads of engines; engine.Client is one.
+// Engines reads the load, cache state and cache events of engines. engine.Client implements it.
 type Engines interface {
 	upstream.Reporter
 	State(ctx context.Context, addr string, blocks bool) (engine.State, error)
@@ -42,16 +43,16 @@
 	_ Mover   = (*engine.Client)(nil)
 )
 
-// Run keeps the load reports and the cache view of this data centre's engines
-// up to date until ctx ends.
+// Run keeps the load reports and the cache view of this data centre's engines up to date until ctx
+// is done.
 func (s *Scheduler) Run(ctx context.Context, engines Engines) {
 	var group sync.WaitGroup
 	defer group.Wait()
-	following := map[*upstream.Upstream]context.CancelFunc{}
-	ticker := time.NewTicker(probeEvery)
+	followers := map[*upstream.Upstream]context.CancelFunc{}
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		s.follow(ctx, &group, engines, following)
+		s.updateFollowers(ctx, &group, engines, followers)
 		s.table.Probe(ctx, s.settings.DataCentre, engines, probesPerRound)
 		select {
 		case <-ticker.C:
@@ -61,34 +62,34 @@
 	}
 }
 
-// follow starts a follower for each new engine and ends those of engines that are gone.
-func (s *Scheduler) follow(ctx context.Context, group *sync.WaitGroup, engines Engines, following map[*upstream.Upstream]context.CancelFunc) {
+// updateFollowers starts a follower for each new engine and stops those of removed engines.
+func (s *Scheduler) updateFollowers(ctx context.Context, group *sync.WaitGroup, engines Engines, followers map[*upstream.Upstream]context.CancelFunc) {
 	members := s.table.Snapshot()
-	for u, stop := range following {
+	for u, stop := range followers {
 		if members.Upstream(u.Name) != u {
 			stop()
-			delete(following, u)
+			delete(followers, u)
 			s.view.Drop(u.ID)
 			s.inflow.forget(u.ID)
 		}
 	}
 	for _, u := range members.All {
-		if u.Service != "" || u.DataCentre != s.settings.DataCentre || following[u] != nil {
+		if u.Service != "" || u.DataCentre != s.settings.DataCentre || followers[u] != nil {
 			continue
 		}
 		child, stop := context.WithCancel(ctx)
-		following[u] = stop
+		followers[u] = stop
 		group.Go(func() { s.followEngine(child, engines, u) })
 	}
 }
 
 func (s *Scheduler) followEngine(ctx context.Context, engines Engines, u *upstream.Upstream) {
 	delay := backoff.NewExponentialBackOff()
-	delay.InitialInterval, delay.MaxInterval = followMin, followMax
+	delay.InitialInterval, delay.MaxInterval = reconnectDelayMin, reconnectDelayMax
 	for ctx.Err() == nil {
 		begin := time.Now()
 		s.followOnce(ctx, engines, u)
-		if time.Since(begin) > followMax {
+		if time.Since(begin) > reconnectDelayMax {
 			delay.Reset()
 		}
 		select {
@@ -98,15 +99,15 @@
 	}
 }
 
-// followOnce reads the state where the view is not trusted, and then the
-// events after it until the stream breaks or a gap shows.
+// followOnce reads the engine's state if the view is not trusted, and then applies events until
+// the stream breaks or has a gap.
 func (s *Scheduler) followOnce(ctx context.Context, engines Engines, u *upstream.Upstream) {
 	if _, _, trusted := s.view.Position(u.ID); !trusted && !s.readState(ctx, engines, u) {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := s.watchTrust(u, cancel)
+	stop := s.cancelWhenUntrusted(u, cancel)
 	defer stop()
 	_, seq, _ := s.view.Position(u.ID)
 	_ = engines.Events(ctx, u.Address, seq, func(event engine.Event) error {
@@ -131,9 +132,9 @@
 	return true
 }
 
-// watchTrust ends a stream when answers have shown that its events are being
-// lost: with no further event there is no gap to see.
-func (s *Scheduler) watchTrust(u *upstream.Upstream, cancel context.CancelFunc) (stop func()) {
+// cancelWhenUntrusted cancels an event stream once responses have shown that events are being
+// lost. If no further event arrives, the stream itself never shows a gap.
+func (s *Scheduler) cancelWhenUntrusted(u *upstream.Upstream, cancel context.CancelFunc) (stop func()) {
 	var timer *time.Timer
 	var mu sync.Mutex
 	stopped := false
@@ -146,11 +147,11 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if !stopped {
-			timer = time.AfterFunc(followCheck, check)
+			timer = time.AfterFunc(trustCheckInterval, check)
 		}
 	}
 	mu.Lock()
-	timer = time.AfterFunc(followCheck, check)
+	timer = time.AfterFunc(trustCheckInterval, check)
 	mu.Unlock()
 	return func() {
 		mu.Lock()
@@ -160,25 +161,25 @@
 	}
 }
 
-// inflows counts the new blocks a second of each engine.
+// inflows measures the rate of new cache blocks of each engine, in blocks per second.
 type inflows struct {
 	mu    sync.Mutex
-	rates map[uint32]*useRate
+	rates map[uint32]*decayingRate
 }
 
 func (f *inflows) add(id uint32, blocks int, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.rates == nil {
-		f.rates = map[uint32]*useRate{}
+		f.rates = map[uint32]*decayingRate{}
 	}
 	r := f.rates[id]
 	if r == nil {
-		r = &useRate{at: now}
+		r = &decayingRate{updatedAt: now}
 		f.rates[id] = r
 	}
 	r.decay(now)
-	r.perSecond += float64(blocks) / popularHalf.Seconds()
+	r.perSecond += float64(blocks) / rateWindow.Seconds()
 }
 
 func (f *inflows) rate(id uint32, now time.Time) float64 {
--- a/internal/scheduler/log.go
+++ b/internal/scheduler/log.go
@@ -8,9 +8,8 @@
 	"foxhall/internal/placement"
 )
 
-// logDecision writes the one line of a placement, from which the decision can
-// be understood: what was chosen, what it was expected to take, what else
-// there was and why it was out.
+// logDecision writes one log line for a placement: the chosen upstream, its estimated times and
+// cost, and the number of candidates rejected for each reason.
 func (s *Scheduler) logDecision(g *Grant) {
 	if s.settings.Logger == nil {
 		return
@@ -26,7 +25,7 @@
 	fields["cost"] = d.Estimate.Cost
 	fields["slowness"] = d.Estimate.Slowness
 	fields["ties"] = d.Ties
-	fields["cached"] = g.cached
+	fields["cached"] = g.cachedTokens
 	fields["queued_ms"] = time.Since(g.waiter.enqueued).Milliseconds()
 	if g.moveFrom != "" {
 		fields["move_from"] = g.moveFrom
@@ -34,7 +33,7 @@
 	s.settings.Logger.WithFields(fields).Info("placed")
 }
 
-// logRefusal writes the one line of a step that got no place.
+// logRefusal writes one log line for a refused step.
 func (s *Scheduler) logRefusal(w *waiter, r *Refusal) {
 	if s.settings.Logger == nil {
 		return
@@ -52,7 +51,7 @@
 		"program":     w.request.Program,
 		"plan":        w.request.Plan,
 		"policy":      string(s.settings.Policy),
-		"prompt":      w.prompt,
+		"prompt":      w.promptTokens,
 		"output":      w.step.Output,
 		"best_cached": d.BestCached,
 	}
--- a/internal/scheduler/pause.go
+++ b/internal/scheduler/pause.go
@@ -8,27 +8,27 @@
 	"foxhall/internal/upstream"
 )
 
-// seed returns the name on which the blocks of a model's prompts depend.
+// seed returns the model name from which the hashes of a prompt's blocks are computed.
 func (s *Scheduler) seed(model string) string {
-	for _, cell := range s.table.Snapshot().Model(model) {
-		if serving := cell.Serving(); serving.Ready {
+	for _, endpoint := range s.table.Snapshot().Model(model) {
+		if serving := endpoint.Serving(); serving.Ready {
 			return engine.CacheName(serving.Name)
 		}
 	}
 	return model
 }
 
-// pause notes that the program waits for a tool, and gives up its memory where
-// keeping it through the expected pause does not pay. The blocks stay in the
-// engine until it needs the room, so a short pause still finds them.
-func (s *Scheduler) pause(r *Request, now time.Time) {
-	expected := s.pauses.expect(r.Service)
-	var home uint32
+// beginToolWait records that the program waits for a tool, and releases its cache on the engine
+// unless retaining it for the expected wait is worth the space. The engine evicts released blocks
+// only when it needs the space, so they are usually still cached after a short wait.
+func (s *Scheduler) beginToolWait(r *Request, now time.Time) {
+	expected := s.toolWaits.expect(r.Service)
+	var last uint32
 	s.programs.with(r.programKey(), now, func(state *programState) {
-		state.pausedBy, state.pausedAt = r.Service, now
-		home = state.home
+		state.waitingTool, state.waitingSince = r.Service, now
+		last = state.lastUpstream
 	})
-	u := s.upstreamByID(home)
+	u := s.upstreamByID(last)
 	if u == nil || s.settings.Policy != placement.Cost {
 		return
 	}
@@ -39,12 +39,12 @@
 	s.release(u.Address, r.Program)
 }
 
-// resume learns how long the pause was.
-func (s *Scheduler) resume(r *Request, now time.Time) {
+// endToolWait records the duration of the wait, from which later waits for the tool are estimated.
+func (s *Scheduler) endToolWait(r *Request, now time.Time) {
 	s.programs.with(r.programKey(), now, func(state *programState) {
-		if state.pausedBy == r.Service {
-			s.pauses.learn(r.Service, now.Sub(state.pausedAt))
-			state.pausedBy = ""
+		if state.waitingTool == r.Service {
+			s.toolWaits.learn(r.Service, now.Sub(state.waitingSince))
+			state.waitingTool = ""
 		}
 	})
 }
--- a/internal/scheduler/workload_test.go
+++ b/internal/scheduler/workload_test.go
@@ -17,7 +17,7 @@
 	"foxhall/internal/usage"
 )
 
-// scenario is a workload and the engines that it meets.
+// scenario is a workload and the engines that serve it.
 type scenario struct {
 	name                       string
 	engines                    int
@@ -31,8 +31,8 @@
 	latencyWeight, cacheWeight float64
 }
 
-// The shapes of the two workloads: buyers' agents with short tool calls and a
-// live lot to bid on, and night traffic with long waits for partners on small engines.
+// The two workloads: agents of buyers with short tool calls and a deadline to bid, and night traffic
+// with long tool waits on small engines.
 var (
 	kerlouan = scenario{
 		name: "kerlouan", engines: 15, slots: 12, cacheTokens: 96 * 1024, prefill: 5000, decode: 60, slowdown: 0.06,
@@ -51,67 +51,67 @@
 	testModel     = "oak"
 	testInstances = 4
 	testPlans     = 3
-	// Programs of the first warmUp count for no figure: caches and learned
-	// speeds are empty then, under every policy.
+	// Programs that start during warmUp are not counted, because caches and learned speeds are
+	// empty then under every policy.
 	warmUp  = 30 * time.Second
 	runTime = 120 * time.Second
-	// faultAfter is when a fault begins, after the warm-up.
+	// faultAfter is the time from the end of the warm-up to the start of a fault.
 	faultAfter = 30 * time.Second
 )
 
-// arrivalRate returns the programs a second at which the engines are loaded to
-// the share. 100% is where all engines decode in full batches and prefill each
-// program's own new tokens once, with every earlier token found in a cache.
+// arrivalRate returns the arrival rate, in programs per second, at which the engines are loaded to
+// the given share. At 100%, all engines decode in full batches and prefill each program's new tokens
+// once, with all earlier tokens cached.
 func (c *scenario) arrivalRate(share float64) float64 {
 	turns := float64(c.turns[0]+c.turns[1]) / 2
 	steps := turns * (1 + c.childShare*2*0.5)
-	out := steps * float64(c.output[0]+c.output[1]) / 2
-	in := steps * float64(c.user[0]+c.user[1]) / 2
+	outputTokens := steps * float64(c.output[0]+c.output[1]) / 2
+	inputTokens := steps * float64(c.user[0]+c.user[1]) / 2
 	capacity := 0.0
 	for i := range c.engines {
 		f := speedFactors[i%len(speedFactors)]
 		batch := float64(c.slots) * c.decode * f / (1 + c.slowdown*float64(c.slots-1))
-		capacity += 1 / (out/batch + 0.5*in/(c.prefill*f))
+		capacity += 1 / (outputTokens/batch + 0.5*inputTokens/(c.prefill*f))
 	}
 	return share * capacity
 }
 
-// outcome is what one run measured.
+// outcome is the measurements of one run.
 type outcome struct {
-	latencies                          []float64
-	began, inTime, refused, late, lost int
-	prompt, repeated, calls            int64
-	goneMemory                         float64
-	planBegan, planInTime              [testPlans]int
-	wrong                              int
+	latencies                                    []float64
+	began, inTime, refused, missedDeadline, lost int
+	prompt, recomputed, calls                    int64
+	staleMemory                                  float64
+	planBegan, planInTime                        [testPlans]int
+	wrong                                        int
 }
 
 type bench struct {
-	scenario scenario
-	policy   placement.Policy
-	fleet    standin.Fleet
-	nodes    []*Scheduler
-	tables   []*upstream.Table
-	listed   []usage.Upstream
-	grants   [testPlans]*usage.Grant
-	random   *rand.Rand
+	scenario  scenario
+	policy    placement.Policy
+	fleet     standin.Fleet
+	instances []*Scheduler
+	tables    []*upstream.Table
+	listed    []usage.Upstream
+	grants    [testPlans]*usage.Grant
+	random    *rand.Rand
 
-	mu   sync.Mutex
-	out  outcome
-	gone map[string]bool
-	// patience is how long callers stay; shorter than the deadline never.
-	patience time.Duration
-	warm     time.Time
-	// lasts is how long programs arrive after the warm-up.
-	lasts time.Duration
-	// at is called faultAfter the warm-up.
-	at func()
-	// sentAt notes when each engine was sent a step.
+	mu            sync.Mutex
+	outcome       outcome
+	endedPrograms map[string]bool
+	// callerTimeout is how long callers wait, at least the scenario's deadline.
+	callerTimeout time.Duration
+	warmUpEnd     time.Time
+	// arrivalDuration is how long programs arrive after the warm-up.
+	arrivalDuration time.Duration
+	// onFault is called faultAfter after the warm-up; nil for no fault.
+	onFault func()
+	// sentAt is the times at which steps were sent to each engine.
 	sentAt map[string][]time.Time
 }
 
 func newBench(c scenario, policy placement.Policy, seed uint64) *bench {
-	b := &bench{scenario: c, policy: policy, fleet: standin.Fleet{}, random: rand.New(rand.NewPCG(seed, 77)), gone: map[string]bool{}, sentAt: map[string][]time.Time{}, lasts: runTime}
+	b := &bench{scenario: c, policy: policy, fleet: standin.Fleet{}, random: rand.New(rand.NewPCG(seed, 77)), endedPrograms: map[string]bool{}, sentAt: map[string][]time.Time{}, arrivalDuration: runTime}
 	for i := range c.engines {
 		f := speedFactors[i%len(speedFactors)]
 		name := fmt.Sprintf("e%02d", i)
@@ -127,12 +127,12 @@
 		b.grants[i] = &usage.Grant{Models: []string{testModel}, Services: []string{"tool"}, DataCentres: []string{"a"}, LatencyWeight: c.latencyWeight, CacheWeight: c.cacheWeight}
 	}
 	for i := range testInstances {
-		b.nodes = append(b.nodes, b.newNode(seed, i))
+		b.instances = append(b.instances, b.newInstance(seed, i))
 	}
 	return b
 }
 
-func (b *bench) newNode(seed uint64, i int) *Scheduler {
+func (b *bench) newInstance(seed uint64, i int) *Scheduler {
 	listed := append([]usage.Upstream(nil), b.listed...)
 	listed = append(listed, usage.Upstream{Name: "tool", Address: "tool", Kind: usage.KindService, Service: "tool", DataCentre: "a", Slots: 10000})
 	table := upstream.NewTable()
@@ -153,26 +153,27 @@
 	}, table, cache.New(cache.DefaultOptions))
 }
 
-// run lets programs arrive for runTime at the load and waits for them all.
+// run starts programs at the given load for arrivalDuration after the warm-up and waits for all of
+// them.
 func (b *bench) run(t *testing.T, load float64) outcome {
 	ctx, cancel := context.WithCancel(t.Context())
 	var background, work sync.WaitGroup
-	for _, node := range b.nodes {
+	for _, node := range b.instances {
 		background.Go(func() { node.Run(ctx, b.fleet) })
 	}
-	background.Go(func() { b.watchMemory(ctx) })
+	background.Go(func() { b.measureStaleMemory(ctx) })
 	background.Go(func() { b.exchange(ctx) })
 	rate := b.scenario.arrivalRate(load)
-	// Below saturation callers stay to the end, so that late programs count in
-	// the latency; in overload they leave at the deadline.
-	b.patience = time.Hour
+	// Below saturation, callers wait for the end, so that late programs count in the latency. In
+	// overload, they give up at the deadline.
+	b.callerTimeout = time.Hour
 	if load > 1 {
-		b.patience = b.scenario.deadline
+		b.callerTimeout = b.scenario.deadline
 	}
-	b.warm = time.Now().Add(warmUp)
-	end := b.warm.Add(b.lasts)
-	if b.at != nil {
-		time.AfterFunc(warmUp+faultAfter, b.at)
+	b.warmUpEnd = time.Now().Add(warmUp)
+	end := b.warmUpEnd.Add(b.arrivalDuration)
+	if b.onFault != nil {
+		time.AfterFunc(warmUp+faultAfter, b.onFault)
 	}
 	for n := 0; ; n++ {
 		time.Sleep(time.Duration(b.random.ExpFloat64() / rate * float64(time.Second)))
@@ -185,10 +186,10 @@
 	work.Wait()
 	cancel()
 	background.Wait()
-	return b.out
+	return b.outcome
 }
 
-// exchange passes signals among the instances, as peers do.
+// exchange distributes upstream signals among the instances, as peers do.
 func (b *bench) exchange(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -205,8 +206,8 @@
 	}
 }
 
-// watchMemory measures the share of all cache memory that is held by programs that are gone.
-func (b *bench) watchMemory(ctx context.Context) {
+// measureStaleMemory measures the mean share of all cache memory that is held by ended programs.
+func (b *bench) measureStaleMemory(ctx context.Context) {
 	total := float64(b.scenario.engines * b.scenario.cacheTokens)
 	samples := 0.0
 	for ctx.Err() == nil {
@@ -218,14 +219,14 @@
 			}
 			b.mu.Lock()
 			for program, tokens := range state.Programs {
-				if b.gone[program] {
+				if b.endedPrograms[program] {
 					held += float64(tokens)
 				}
 			}
 			b.mu.Unlock()
 		}
 		samples++
-		b.out.goneMemory += (held/total - b.out.goneMemory) / samples
+		b.outcome.staleMemory += (held/total - b.outcome.staleMemory) / samples
 		select {
 		case <-time.After(time.Second):
 		case <-ctx.Done():
@@ -240,7 +241,7 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// mover is part of the product's policy; the baselines only place.
+// mover returns the fleet under the cost policy. The baselines do not move caches.
 func (b *bench) mover() Mover {
 	if b.policy != placement.Cost {
 		return nil
@@ -248,17 +249,18 @@
 	return b.fleet
 }
 
-func (b *bench) sent(name string) {
+func (b *bench) recordSent(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sentAt[name] = append(b.sentAt[name], time.Now())
 }
 
-// sentBetween counts the steps sent to an engine in a span after the fault.
+// sentBetween returns the number of steps sent to an engine from one time to another, both relative
+// to the start of the fault.
 func (b *bench) sentBetween(name string, from, to time.Duration) int {
 	n := 0
 	for _, at := range b.sentAt[name] {
-		if since := at.Sub(b.warm.Add(faultAfter)); since >= from && since < to {
+		if since := at.Sub(b.warmUpEnd.Add(faultAfter)); since >= from && since < to {
 			n++
 		}
 	}
