--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -10,7 +10,7 @@
 
 // blocksOf returns the chained hashes of a prompt's blocks. Each covers its
 // block and all before it, so equal hashes mean equal prefixes.
-func blocksOf(service string, prompt []Part) []uint64 {
+func hashBlocks(service string, prompt []Part) []uint64 {
 	if len(prompt) == 0 {
 		return nil
 	}
@@ -20,14 +20,14 @@
 	for _, p := range prompt {
 		tokens += p.Tokens
 		for i := uint64(0); len(blocks) < tokens/engine.BlockTokens; i++ {
-			chain = mix(chain, p.ID, i)
+			chain = hashBlock(chain, p.ID, i)
 			blocks = append(blocks, chain)
 		}
 	}
 	return blocks
 }
 
-func mix(chain, part, i uint64) uint64 {
+func hashBlock(chain, part, i uint64) uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[:], chain)
 	binary.LittleEndian.PutUint64(b[8:], part)
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -16,16 +16,16 @@
 
 // splitter cuts a stream into whole events. A replica may stop within one, and
 // what came of it must not be passed on: the next run sends it whole.
-type splitter struct {
+type eventSplitter struct {
 	buffer []byte
 }
 
 // add takes in bytes and returns the events that they complete.
-func (s *splitter) add(data []byte) []Event {
+func (s *eventSplitter) add(data []byte) []Event {
 	s.buffer = append(s.buffer, data...)
 	var events []Event
 	for {
-		end, size := eventEnd(s.buffer)
+		end, size := findEventEnd(s.buffer)
 		if end < 0 {
 			return events
 		}
@@ -36,10 +36,10 @@
 }
 
 // rest reports whether bytes of an incomplete event are left.
-func (s *splitter) rest() bool { return len(bytes.TrimSpace(s.buffer)) > 0 }
+func (s *eventSplitter) hasPartialEvent() bool { return len(bytes.TrimSpace(s.buffer)) > 0 }
 
 // eventEnd finds the blank line that ends the first event.
-func eventEnd(b []byte) (at, size int) {
+func findEventEnd(b []byte) (at, size int) {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	if crlf >= 0 && (lf < 0 || crlf < lf) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,12 +20,12 @@
 const (
 	// notReadyAfter is when a caller may come again to an instance that does
 	// not know its configuration yet; it takes about that long to read it.
-	notReadyAfter = 500 * time.Millisecond
+	notReadyRetryAfter = 500 * time.Millisecond
 	// sendsMost bounds the replicas asked for one call. A replica that refuses
 	// has not run it, so that it may go on to others, but not for ever.
-	sendsMost = 4
+	maxAttempts = 4
 	// leastLeft is the least time worth giving to a replica.
-	leastLeft = 5 * time.Millisecond
+	minTimeLeft = 5 * time.Millisecond
 )
 
 // Gateway serves calls. It is safe for concurrent use.
@@ -36,12 +36,12 @@
 	turns     Turns
 	logger    log.Interface
 	// settling are the turns that ended and are not settled yet.
-	settling sync.WaitGroup
+	pendingSettlements sync.WaitGroup
 
 	latency  metrics.Histogram
 	outcomes [CallerGone + 1]metrics.Counter
-	refusals *refusals
-	sendings *sendings
+	reasons  *reasonCounters
+	attempts *attemptCounters
 }
 
 // Settings are what a gateway is told by the instance that it serves in.
@@ -72,12 +72,12 @@
 }
 
 // latencySample is the number of recent calls that the histogram keeps.
-const latencySample = 1028
+const latencySampleSize = 1028
 
 // New returns a gateway.
 func New(s Settings, sched *scheduler.Scheduler, replicas Replicas, turns Turns, logger log.Interface, registry metrics.Registry) *Gateway {
-	g := &Gateway{settings: s, scheduler: sched, replicas: replicas, turns: turns, logger: logger, refusals: newRefusals(registry), sendings: newSendings(registry)}
-	g.latency = metrics.GetOrRegisterHistogram("gateway.call.us", registry, metrics.NewUniformSample(latencySample))
+	g := &Gateway{settings: s, scheduler: sched, replicas: replicas, turns: turns, logger: logger, reasons: newReasonCounters(registry), attempts: newAttemptCounters(registry)}
+	g.latency = metrics.GetOrRegisterHistogram("gateway.call.us", registry, metrics.NewUniformSample(latencySampleSize))
 	for o := range g.outcomes {
 		g.outcomes[o] = metrics.GetOrRegisterCounter("gateway.calls."+Outcome(o).String(), registry)
 	}
@@ -86,7 +86,7 @@
 
 // Serve takes a call to its end. ctx ends when the caller leaves.
 func (g *Gateway) Serve(ctx context.Context, call *Call, caller Caller) Result {
-	f := &flight{gateway: g, call: call, caller: caller, gone: ctx}
+	f := &inFlightCall{gateway: g, call: call, caller: caller, callerCtx: ctx}
 	result := f.serve(ctx)
 	if ctx.Err() != nil && result.Outcome != Answered {
 		result.Outcome, result.Reason = CallerGone, CallerDisconnected
@@ -94,76 +94,76 @@
 	g.latency.Update(time.Since(call.Arrived).Microseconds())
 	g.outcomes[result.Outcome].Inc(1)
 	if result.Reason != "" {
-		g.refusals.count(result.Reason, f.customerName())
+		g.reasons.count(result.Reason, f.customerName())
 	}
-	f.logEnd(&result)
+	f.logResult(&result)
 	return result
 }
 
 // flight is one call under way.
-type flight struct {
+type inFlightCall struct {
 	gateway *Gateway
 	call    *Call
 	caller  Caller
 	// gone ends when the caller leaves.
-	gone    context.Context
-	table   *routing.Table
-	route   *routing.Route
-	service *routing.Service
+	callerCtx context.Context
+	table     *routing.Table
+	route     *routing.Route
+	service   *routing.Service
 	// customer is whose call it is; nil where no key is needed.
 	customer *routing.Customer
 	deadline time.Time
 	// body is what replicas are to receive.
-	body   []byte
-	blocks []uint64
-	tried  []string
+	body          []byte
+	blocks        []uint64
+	triedReplicas []string
 	// home is the engine that most likely has the prompt cached.
-	home string
+	lastUpstream string
 	// sends counts sendings.
-	sends int
+	attempts int
 	// runs are the replicas that may have run the call.
-	runs runs
+	possibleRuns replicaNames
 	// replica is the one that was sent to last.
-	replica string
+	lastReplica string
 	// begun says that the answer's head was passed on.
-	begun bool
+	headerSent bool
 	// firstAt is when the first event was passed on.
-	firstAt time.Time
-	stages  stages
+	firstEventAt time.Time
+	stageTimes   stageTimes
 }
 
 // stages is the time that a call spent in each part of its way.
-type stages struct {
+type stageTimes struct {
 	// reserving is the wait for the program's keepers before a turn, keeping the
 	// wait for them after it.
-	reserving, keeping time.Duration
+	reserving, retaining time.Duration
 	// placing is the wait for a place at a replica.
 	placing time.Duration
 	// sending is the time at replicas up to the head of their answers.
-	sending time.Duration
+	awaitingHeader time.Duration
 }
 
-func (f *flight) serve(ctx context.Context) Result {
+func (f *inFlightCall) serve(ctx context.Context) Result {
 	f.table = f.gateway.settings.Table()
 	if f.table == nil {
-		return refused(NoConfiguration, notReadyAfter)
+		return refused(NoConfiguration, notReadyRetryAfter)
 	}
 	f.route = f.table.Match(f.call.Host, f.call.Path)
 	if f.route == nil {
 		return refused(NoRoute, 0)
 	}
-	if !f.identify() {
+	if !f.authenticate() {
 		return refused(UnknownKey, 0)
 	}
-	f.service = f.table.Service(f.route.Choose(f.key()))
+	f.service = f.table.Service(f.route.Choose(f.serviceKey()))
 	if f.service == nil {
-		return refused(NoReplica, notReadyAfter)
+		return refused(NoReplica, notReadyRetryAfter)
 	}
 	if refusal := f.admit(); refusal != nil {
 		return *refusal
 	}
 	admitted := time.Now()
-	result := f.run(ctx)
+	result := f.serveAdmitted(ctx)
 	if result.Outcome == NotRun && f.customer != nil {
 		f.gateway.settings.Quotas.Return(f.customer.Name, admitted, time.Now())
 	}
@@ -171,7 +171,7 @@
 }
 
 // admit holds the call's customer to its quota.
-func (f *flight) admit() *Result {
+func (f *inFlightCall) admit() *Result {
 	if f.customer == nil {
 		return nil
 	}
@@ -192,7 +192,7 @@
 }
 
 // run takes an admitted call to its end.
-func (f *flight) run(ctx context.Context) Result {
+func (f *inFlightCall) serveAdmitted(ctx context.Context) Result {
 	f.deadline = f.call.Arrived.Add(f.route.Timeout)
 	if !f.call.Deadline.IsZero() && f.call.Deadline.Before(f.deadline) {
 		f.deadline = f.call.Deadline
@@ -200,19 +200,19 @@
 	ctx, cancel := context.WithDeadline(ctx, f.deadline)
 	defer cancel()
 	f.body = f.call.Body
-	f.blocks = blocksOf(f.service.Name, f.call.Prompt)
+	f.blocks = hashBlocks(f.service.Name, f.call.Prompt)
 	if f.route.Kind != routing.Stream {
-		return f.exchange(ctx)
+		return f.serveNonStreaming(ctx)
 	}
 	if f.gateway.turns != nil && (f.route.RetainsTurns || f.call.Program.Budget > 0) {
-		return f.turn(ctx)
+		return f.serveTurn(ctx)
 	}
-	return f.stream(ctx, &record{})
+	return f.serveStream(ctx, &streamRecord{})
 }
 
 // identify finds out whose call it is; false where the route needs a key and the call has
 // none that is in force. A key that is not needed still tells whose call it is.
-func (f *flight) identify() bool {
+func (f *inFlightCall) authenticate() bool {
 	if f.table.Customers == nil {
 		return true
 	}
@@ -223,7 +223,7 @@
 }
 
 // customerName returns the name of the client account; empty for none.
-func (f *flight) customerName() string {
+func (f *inFlightCall) customerName() string {
 	if f.customer == nil {
 		return ""
 	}
@@ -231,7 +231,7 @@
 }
 
 // priority is the call's rank, 0 the first.
-func (f *flight) priority() int {
+func (f *inFlightCall) priority() int {
 	if f.customer != nil && f.customer.Priority != nil {
 		return max(0, *f.customer.Priority)
 	}
@@ -239,7 +239,7 @@
 }
 
 // key is what a call's service is chosen by: a program stays with one.
-func (f *flight) key() uint64 {
+func (f *inFlightCall) serviceKey() uint64 {
 	if f.call.Program.ID != "" {
 		return xxhash.Sum64String(f.call.Program.ID)
 	}
@@ -247,19 +247,19 @@
 }
 
 // acquire gets a replica from the scheduler.
-func (f *flight) acquire(ctx context.Context) (*scheduler.Grant, *scheduler.Refusal) {
+func (f *inFlightCall) acquire(ctx context.Context) (*scheduler.Grant, *scheduler.Refusal) {
 	r := scheduler.Request{
 		Customer:           f.customerName(),
 		Program:            f.call.Program.ID,
-		Priority:           priorityMost - min(priorityMost, f.priority()),
+		Priority:           maxPriority - min(maxPriority, f.priority()),
 		Deadline:           f.deadline,
-		Tried:              f.tried,
+		Tried:              f.triedReplicas,
 		MaxTokens:          f.call.MaxOutput,
 		OutputHint:         min(f.call.OutputHint, f.call.MaxOutput),
 		Blocks:             f.blocks,
 		PromptTokens:       f.call.PromptTokens,
 		Plan:               f.route.Name,
-		LastUpstream:       f.home,
+		LastUpstream:       f.lastUpstream,
 		LastUpstreamBlocks: f.sharedBlocks(),
 		Repeatable:         f.route.Repeatable(),
 	}
@@ -272,13 +272,13 @@
 		r.Service = f.service.Name
 	}
 	began := time.Now()
-	defer func() { f.stages.placing += time.Since(began) }()
+	defer func() { f.stageTimes.placing += time.Since(began) }()
 	return f.gateway.scheduler.Acquire(ctx, r)
 }
 
 // sharedBlocks is the number of the prompt's blocks before its last part, which
 // is new with this call.
-func (f *flight) sharedBlocks() int {
+func (f *inFlightCall) sharedBlocks() int {
 	tokens := 0
 	for _, p := range f.call.Prompt[:max(0, len(f.call.Prompt)-1)] {
 		tokens += p.Tokens
@@ -287,25 +287,25 @@
 }
 
 // priorityMost is the scheduler's highest priority; routes count from 0, the first.
-const priorityMost = 9
+const maxPriority = 9
 
 // refusal is the end of a call for which there is no replica.
-func (f *flight) refusal(r *scheduler.Refusal) Result {
+func (f *inFlightCall) refuse(r *scheduler.Refusal) Result {
 	reason := Overloaded
 	if r.Code == step.CodeNoUpstream || r.Code == step.CodeModelNotFound {
 		reason = NoReplica
 	}
 	result := refused(reason, r.RetryAfter)
-	result.Attempts, result.Replica = f.sends, f.replica
+	result.Attempts, result.Replica = f.attempts, f.lastReplica
 	return result
 }
 
 // sendTo sends the call once to the granted replica.
-func (f *flight) sendTo(ctx context.Context, g *scheduler.Grant, resumeAfter string) (*Response, error) {
-	f.replica = g.Upstream
-	f.sends++
+func (f *inFlightCall) sendTo(ctx context.Context, g *scheduler.Grant, resumeAfter string) (*Response, error) {
+	f.lastReplica = g.Upstream
+	f.attempts++
 	g.Sent()
-	s := &Attempt{
+	attempt := &Attempt{
 		Call:           f.call,
 		Target:         Target{ID: g.Upstream, Address: g.Address},
 		Body:           f.body,
@@ -313,32 +313,32 @@
 		Priority:       f.priority(),
 		Customer:       f.customerName(),
 		ResumeAfter:    resumeAfter,
-		MaxConnections: f.connections(),
+		MaxConnections: f.connectionLimit(),
 	}
 	began := time.Now()
-	defer func() { f.stages.sending += time.Since(began) }()
-	return f.gateway.replicas.Send(ctx, s)
+	defer func() { f.stageTimes.awaitingHeader += time.Since(began) }()
+	return f.gateway.replicas.Send(ctx, attempt)
 }
 
 // connections is this instance's part of what a replica accepts from all.
-func (f *flight) connections() int {
+func (f *inFlightCall) connectionLimit() int {
 	if f.service.MaxConnections == 0 {
-		return unlimited
+		return unlimitedConnections
 	}
 	return max(1, f.service.MaxConnections/max(1, f.gateway.settings.Instances()))
 }
 
 // unlimited is the number of connections to a replica that names no bound.
-const unlimited = 1 << 10
+const unlimitedConnections = 1 << 10
 
-func (f *flight) end(outcome Outcome, reason Reason, status int) Result {
-	return Result{Outcome: outcome, Reason: reason, Status: status, Replica: f.replica, Attempts: f.sends}
+func (f *inFlightCall) result(outcome Outcome, reason Reason, status int) Result {
+	return Result{Outcome: outcome, Reason: reason, Status: status, Replica: f.lastReplica, Attempts: f.attempts}
 }
 
-func (f *flight) late() bool { return time.Until(f.deadline) < leastLeft }
+func (f *inFlightCall) isOutOfTime() bool { return time.Until(f.deadline) < minTimeLeft }
 
 // logEnd writes the one line from which the call's course can be told.
-func (f *flight) logEnd(r *Result) {
+func (f *inFlightCall) logResult(r *Result) {
 	fields := log.Fields{
 		"request": f.call.ID,
 		"outcome": r.Outcome.String(),
@@ -348,8 +348,8 @@
 	if f.call.Program.ID != "" {
 		fields["program"] = f.call.Program.ID
 	}
-	if o := f.call.Program.Objective; !o.IsZero() {
-		fields["program_left_ms"] = time.Until(o).Milliseconds()
+	if objective := f.call.Program.Objective; !objective.IsZero() {
+		fields["program_left_ms"] = time.Until(objective).Milliseconds()
 	}
 	if f.table != nil {
 		fields["version"] = f.table.Version
@@ -366,10 +366,10 @@
 	if r.Status != 0 {
 		fields["status"] = r.Status
 	}
-	if !f.firstAt.IsZero() {
-		fields["first_ms"] = f.firstAt.Sub(f.call.Arrived).Milliseconds()
+	if !f.firstEventAt.IsZero() {
+		fields["first_ms"] = f.firstEventAt.Sub(f.call.Arrived).Milliseconds()
 	}
-	f.stages.log(fields)
+	f.stageTimes.addTo(fields)
 	if r.Cause != nil {
 		fields["cause"] = r.Cause
 		fields["previous"] = f.call.Previous
@@ -385,9 +385,9 @@
 }
 
 // log adds the stages that took a millisecond or more.
-func (s *stages) log(fields log.Fields) {
+func (s *stageTimes) addTo(fields log.Fields) {
 	for name, d := range map[string]time.Duration{
-		"reserving_ms": s.reserving, "keeping_ms": s.keeping, "placing_ms": s.placing, "sending_ms": s.sending,
+		"reserving_ms": s.reserving, "keeping_ms": s.retaining, "placing_ms": s.placing, "sending_ms": s.awaitingHeader,
 	} {
 		if d >= time.Millisecond {
 			fields[name] = d.Milliseconds()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -29,18 +29,18 @@
 
 // fakeReplicas answers sendings by a script, one step for each.
 type fakeReplicas struct {
-	mu    sync.Mutex
-	steps []func(ctx context.Context, s *Attempt) (*Response, error)
-	sends []Attempt
+	mu       sync.Mutex
+	steps    []func(ctx context.Context, s *Attempt) (*Response, error)
+	attempts []Attempt
 }
 
 // replicaNames are the replicas of the service.
-var replicaNames = []string{"a", "b", "c", "d"}
+var testReplicas = []string{"a", "b", "c", "d"}
 
 func (f *fakeReplicas) Send(ctx context.Context, s *Attempt) (*Response, error) {
 	f.mu.Lock()
-	n := len(f.sends)
-	f.sends = append(f.sends, *s)
+	n := len(f.attempts)
+	f.attempts = append(f.attempts, *s)
 	script := f.steps[min(n, len(f.steps)-1)]
 	f.mu.Unlock()
 	return script(ctx, s)
@@ -48,7 +48,7 @@
 
 func (f *fakeReplicas) targets() []string {
 	var list []string
-	for _, s := range f.sends {
+	for _, s := range f.attempts {
 		list = append(list, s.Target.ID)
 	}
 	return list
@@ -56,7 +56,7 @@
 
 type script = func(context.Context, *Attempt) (*Response, error)
 
-func fails(err error) script {
+func failsWith(err error) script {
 	return func(context.Context, *Attempt) (*Response, error) { return nil, err }
 }
 
@@ -65,7 +65,7 @@
 	return nil, errors.Wrap(httpconn.ErrResponseLost, "cancelled")
 }
 
-func answers(a Response, body string) script {
+func respondsWith(a Response, body string) script {
 	return func(context.Context, *Attempt) (*Response, error) {
 		a.Body = strings.NewReader(body)
 		if a.Length == 0 {
@@ -75,11 +75,11 @@
 	}
 }
 
-func good(body string) script {
-	return answers(Response{Status: 200, Verified: true, Executed: true}, body)
+func succeedsWith(body string) script {
+	return respondsWith(Response{Status: 200, Verified: true, Executed: true}, body)
 }
 
-var refuses = answers(Response{Status: 503}, "full")
+var refuses = respondsWith(Response{Status: 503}, "full")
 
 // streams sends events and then ends, or breaks off with an error.
 func streams(err error, events ...string) script {
@@ -100,25 +100,25 @@
 
 // fakeTurns grants or refuses, and remembers endings.
 type fakeTurns struct {
-	mu      sync.Mutex
-	err     error
-	chain   []Turn
-	settled error
-	endings []Settlement
+	mu          sync.Mutex
+	reserveErr  error
+	chain       []Turn
+	settleErr   error
+	settlements []Settlement
 	// settleAfter is how long a settling takes.
-	settleAfter time.Duration
+	settleDelay time.Duration
 }
 
 func (f *fakeTurns) Reserve(context.Context, Reservation) (Reserved, error) {
-	return Reserved{Chain: f.chain}, f.err
+	return Reserved{Chain: f.chain}, f.reserveErr
 }
 
 func (f *fakeTurns) Settle(_ context.Context, e Settlement) error {
-	time.Sleep(f.settleAfter)
+	time.Sleep(f.settleDelay)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.endings = append(f.endings, e)
-	return f.settled
+	f.settlements = append(f.settlements, e)
+	return f.settleErr
 }
 
 type fakeCaller struct {
@@ -136,32 +136,32 @@
 	return nil
 }
 
-type outcome struct {
-	result Result
-	status int
-	body   string
-	took   time.Duration
-	sends  []string
-	sent   []Attempt
+type testOutcome struct {
+	result   Result
+	status   int
+	body     string
+	duration time.Duration
+	targets  []string
+	attempts []Attempt
 	// exceeded counts the calls that the gateway says ran at more replicas than allowed.
 	exceeded int64
 	lines    []*log.Entry
 }
 
 // serve serves one call over the replicas of a service, on virtual time.
-func serve(t *testing.T, route routing.Route, call Call, turns *fakeTurns, steps ...script) outcome {
-	heard := func(string, func()) func() { return func() {} }
-	return serveThrough(t, heard, route, call, turns, steps...)
+func serve(t *testing.T, route routing.Route, call Call, turns *fakeTurns, steps ...script) testOutcome {
+	neverSilent := func(string, func()) func() { return func() {} }
+	return serveWithSilence(t, neverSilent, route, call, turns, steps...)
 }
 
 // serveThrough is the same where a data centre may fall silent.
-func serveThrough(t *testing.T, whenSilent func(string, func()) func(), route routing.Route, call Call, turns *fakeTurns, steps ...script) outcome {
-	return serveFor(t, nil, Settings{OnSilence: whenSilent}, route, call, turns, steps...)
+func serveWithSilence(t *testing.T, onSilence func(string, func()) func(), route routing.Route, call Call, turns *fakeTurns, steps ...script) testOutcome {
+	return serveWith(t, nil, Settings{OnSilence: onSilence}, route, call, turns, steps...)
 }
 
 // serveFor is the same with customers, and settings of which those not given are quiet ones.
-func serveFor(t *testing.T, customers *routing.Customers, settings Settings, route routing.Route, call Call, turns *fakeTurns, steps ...script) outcome {
-	var out outcome
+func serveWith(t *testing.T, customers *routing.Customers, settings Settings, route routing.Route, call Call, turns *fakeTurns, steps ...script) testOutcome {
+	var got testOutcome
 	synctest.Test(t, func(t *testing.T) {
 		replicas := &fakeReplicas{steps: steps}
 		route.Host, route.Prefix, route.Services = "h", "/", []routing.WeightedService{{Service: "s", Weight: 1}}
@@ -175,7 +175,7 @@
 		table := routing.NewTable(1, routing.Limits{}, customers, []routing.Route{route}, []routing.Service{service})
 		upstreams := upstream.NewTable()
 		var list []usage.Upstream
-		for _, name := range replicaNames {
+		for _, name := range testReplicas {
 			u := usage.Upstream{Name: name, Address: name, Kind: usage.KindService, Service: "s", Slots: 4}
 			if service.Engine != nil {
 				u.Kind, u.Service, u.Models = usage.KindEngine, "", []string{"s"}
@@ -201,18 +201,18 @@
 		call.Host, call.Path, call.Arrived = "h", "/x", time.Now()
 		caller := &fakeCaller{}
 		began := time.Now()
-		out.result = g.Serve(context.Background(), &call, caller)
-		out.took, out.status, out.body, out.sends = time.Since(began), caller.status, caller.body.String(), replicas.targets()
-		out.sent, out.exceeded = replicas.sends, g.sendings.exceeded.Count()
-		time.Sleep(settleTime)
+		got.result = g.Serve(context.Background(), &call, caller)
+		got.duration, got.status, got.body, got.targets = time.Since(began), caller.status, caller.body.String(), replicas.targets()
+		got.attempts, got.exceeded = replicas.attempts, g.attempts.exceeded.Count()
+		time.Sleep(settleTimeout)
 		synctest.Wait()
-		out.lines = lines.Entries
+		got.lines = lines.Entries
 	})
-	return out
+	return got
 }
 
 // line returns the first line with the message.
-func (o outcome) line(message string) log.Fields {
+func (o testOutcome) logFields(message string) log.Fields {
 	for _, e := range o.lines {
 		if e.Message == message {
 			return e.Fields
@@ -223,80 +223,80 @@
 
 // A caller is charged twice. The replica took the call and its answer was lost,
 // so it may have run; sent again it would run again. It must end as unknown.
-func TestCallThatMayHaveRunIsNotSentAgain(t *testing.T) {
+func TestNonRepeatableCallThatMayHaveRunIsNotRetried(t *testing.T) {
 	for _, script := range []script{
-		fails(httpconn.ErrResponseLost), fails(httpconn.ErrUnresponsive), hangs,
-		answers(Response{Status: 200, Verified: true, Executed: true, Length: 99}, "cut short"),
-		answers(Response{Status: 200, Executed: true}, "unsigned"),
-		answers(Response{Status: 200, Verified: true, Executed: true, BodyAltered: true}, "packed"),
+		failsWith(httpconn.ErrResponseLost), failsWith(httpconn.ErrUnresponsive), hangs,
+		respondsWith(Response{Status: 200, Verified: true, Executed: true, Length: 99}, "cut short"),
+		respondsWith(Response{Status: 200, Executed: true}, "unsigned"),
+		respondsWith(Response{Status: 200, Verified: true, Executed: true, BodyAltered: true}, "packed"),
 	} {
 		is := is.New(t)
-		out := serve(t, routing.Route{Kind: routing.Once, Attempts: 3}, Call{ID: "r"}, nil, script, good("second"))
-		is.Equal(out.result.Outcome, Unknown)
-		is.Equal(len(out.sends), 1)
-		is.Equal(out.body, "")
+		got := serve(t, routing.Route{Kind: routing.Once, Attempts: 3}, Call{ID: "r"}, nil, script, succeedsWith("second"))
+		is.Equal(got.result.Outcome, Unknown)
+		is.Equal(len(got.targets), 1)
+		is.Equal(got.body, "")
 	}
 }
 
 // A caller is refused although another replica is free. A replica that says
 // that it did not run the call, or that could not be reached, costs nothing.
-func TestCallThatHasNotRunGoesToAnother(t *testing.T) {
-	for _, script := range []script{fails(httpconn.ErrNotSent), refuses, answers(Response{Status: 421, Executed: true, Misdirected: true}, "")} {
+func TestCallThatDidNotRunIsRetriedOnAnotherReplica(t *testing.T) {
+	for _, script := range []script{failsWith(httpconn.ErrNotSent), refuses, respondsWith(Response{Status: 421, Executed: true, Misdirected: true}, "")} {
 		is := is.New(t)
-		out := serve(t, routing.Route{Kind: routing.Once, Attempts: 1}, Call{ID: "r"}, nil, script, good("second"))
-		is.Equal(out.result.Outcome, Answered)
-		is.Equal(out.body, "second")
-		is.True(out.sends[0] != out.sends[1])
+		got := serve(t, routing.Route{Kind: routing.Once, Attempts: 1}, Call{ID: "r"}, nil, script, succeedsWith("second"))
+		is.Equal(got.result.Outcome, Answered)
+		is.Equal(got.body, "second")
+		is.True(got.targets[0] != got.targets[1])
 	}
 }
 
 // Callers are told "not run" and the call was run: an idempotent call may have
 // run at one replica before the others refused it.
-func TestRefusalAfterALostAnswerIsNotPromised(t *testing.T) {
+func TestRefusalAfterLostResponseEndsAsUnknown(t *testing.T) {
 	is := is.New(t)
-	out := serve(t, routing.Route{Kind: routing.Idempotent, Attempts: 2}, Call{ID: "r"}, nil, fails(httpconn.ErrResponseLost), refuses)
-	is.Equal(out.result.Outcome, Unknown)
+	got := serve(t, routing.Route{Kind: routing.Idempotent, Attempts: 2}, Call{ID: "r"}, nil, failsWith(httpconn.ErrResponseLost), refuses)
+	is.Equal(got.result.Outcome, Unknown)
 }
 
 // An idempotent call is sent to more replicas than its route allows. Where only
 // one is allowed, the same is asked again.
-func TestIdempotentCallIsRepeatedWithinTheAttempts(t *testing.T) {
+func TestIdempotentCallIsRetriedWithinTheAttemptLimit(t *testing.T) {
 	is := is.New(t)
-	out := serve(t, routing.Route{Kind: routing.Idempotent, Attempts: 1}, Call{ID: "r"}, nil, fails(httpconn.ErrResponseLost), good("second"))
-	is.Equal(out.body, "second")
-	is.Equal(out.sends[0], out.sends[1])
-	out = serve(t, routing.Route{Kind: routing.Idempotent, Attempts: 2}, Call{ID: "r"}, nil, fails(httpconn.ErrResponseLost), good("second"))
-	is.Equal(out.body, "second")
-	is.True(out.sends[0] != out.sends[1])
+	got := serve(t, routing.Route{Kind: routing.Idempotent, Attempts: 1}, Call{ID: "r"}, nil, failsWith(httpconn.ErrResponseLost), succeedsWith("second"))
+	is.Equal(got.body, "second")
+	is.Equal(got.targets[0], got.targets[1])
+	got = serve(t, routing.Route{Kind: routing.Idempotent, Attempts: 2}, Call{ID: "r"}, nil, failsWith(httpconn.ErrResponseLost), succeedsWith("second"))
+	is.Equal(got.body, "second")
+	is.True(got.targets[0] != got.targets[1])
 }
 
 // A caller waits past the time that operators gave the route.
 func TestRouteTimeoutEndsTheCall(t *testing.T) {
 	is := is.New(t)
-	out := serve(t, routing.Route{Kind: routing.Once, Attempts: 1, Timeout: 700 * time.Millisecond}, Call{ID: "r"}, nil, hangs)
-	is.Equal(out.result, Result{Outcome: Unknown, Reason: TimedOut, Replica: out.sends[0], Attempts: 1})
-	is.Equal(out.took, 700*time.Millisecond)
+	got := serve(t, routing.Route{Kind: routing.Once, Attempts: 1, Timeout: 700 * time.Millisecond}, Call{ID: "r"}, nil, hangs)
+	is.Equal(got.result, Result{Outcome: Unknown, Reason: TimedOut, Replica: got.targets[0], Attempts: 1})
+	is.Equal(got.duration, 700*time.Millisecond)
 }
 
 // A caller gets an event twice, or half of one. The replica broke off within an
 // event; the stream must go on behind the last whole one, at the same replica
 // where the route allows one only.
-func TestResumedStreamHasEachEventOnce(t *testing.T) {
+func TestResumedStreamDeliversEachEventOnce(t *testing.T) {
 	is := is.New(t)
 	broken := streams(io.ErrUnexpectedEOF, event(1), event(2), "id: 3\ndata: d")
-	out := serve(t, routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 1}, Call{ID: "r"}, nil, broken, streams(nil, event(3), event(4)))
-	is.Equal(out.result.Outcome, Answered)
-	is.Equal(out.body, event(1)+event(2)+event(3)+event(4))
-	is.Equal(out.sends[0], out.sends[1])
+	got := serve(t, routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 1}, Call{ID: "r"}, nil, broken, streams(nil, event(3), event(4)))
+	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.body, event(1)+event(2)+event(3)+event(4))
+	is.Equal(got.targets[0], got.targets[1])
 }
 
 // A caller takes half an answer for a whole one. A stream that may not be
 // resumed must end in a way that shows it.
-func TestBrokenStreamIsNotResumedWhereItMayNot(t *testing.T) {
+func TestTruncatedStreamIsNotResumedUnlessResumable(t *testing.T) {
 	is := is.New(t)
-	out := serve(t, routing.Route{Kind: routing.Stream, Attempts: 2}, Call{ID: "r"}, nil, streams(io.ErrUnexpectedEOF, event(1)), streams(nil, event(2)))
-	is.Equal(out.result.Outcome, Truncated)
-	is.Equal(len(out.sends), 1)
+	got := serve(t, routing.Route{Kind: routing.Stream, Attempts: 2}, Call{ID: "r"}, nil, streams(io.ErrUnexpectedEOF, event(1)), streams(nil, event(2)))
+	is.Equal(got.result.Outcome, Truncated)
+	is.Equal(len(got.targets), 1)
 }
 
 func turnCall() Call {
@@ -307,64 +307,64 @@
 
 // A turn reaches the engine without what was said before, or is kept without
 // what the engine said.
-func TestTurnIsSentWithItsChainAndKept(t *testing.T) {
+func TestTurnIsSentWithItsChainAndRetained(t *testing.T) {
 	is := is.New(t)
 	turns := &fakeTurns{chain: []Turn{{ID: "t1", Input: []byte("old"), Events: [][]byte{[]byte("x"), []byte("y")}}}}
 	var body string
-	out := serve(t, turnRoute, turnCall(), turns, func(ctx context.Context, s *Attempt) (*Response, error) {
+	got := serve(t, turnRoute, turnCall(), turns, func(ctx context.Context, s *Attempt) (*Response, error) {
 		body = string(s.Body)
 		return streams(nil, event(1), event(2))(ctx, s)
 	})
-	is.Equal(out.result.Outcome, Answered)
+	is.Equal(got.result.Outcome, Answered)
 	is.Equal(body, "oldx\ny\nnew")
-	is.Equal(len(turns.endings), 1)
-	is.Equal(turns.endings[0].OutputTokens, 4)
-	is.Equal(string(turns.endings[0].RetainedTurn.Input), "new")
-	is.Equal(turns.endings[0].RetainedTurn.Events, [][]byte{[]byte("d1"), []byte("d2")})
+	is.Equal(len(turns.settlements), 1)
+	is.Equal(turns.settlements[0].OutputTokens, 4)
+	is.Equal(string(turns.settlements[0].RetainedTurn.Input), "new")
+	is.Equal(turns.settlements[0].RetainedTurn.Events, [][]byte{[]byte("d1"), []byte("d2")})
 }
 
 // A caller continues a turn that is not there. Its end may only be passed on
 // once the turn is durable.
-func TestTurnThatIsNotKeptDoesNotEnd(t *testing.T) {
+func TestTurnThatCannotBeRetainedIsTruncated(t *testing.T) {
 	is := is.New(t)
-	turns := &fakeTurns{settled: errors.New("no disk")}
-	out := serve(t, turnRoute, turnCall(), turns, streams(nil, event(1)))
-	is.Equal(out.result.Outcome, Truncated)
-	is.Equal(out.result.Reason, TurnNotRetained)
+	turns := &fakeTurns{settleErr: errors.New("no disk")}
+	got := serve(t, turnRoute, turnCall(), turns, streams(nil, event(1)))
+	is.Equal(got.result.Outcome, Truncated)
+	is.Equal(got.result.Reason, TurnNotRetained)
 }
 
 // A caller waits for keepers that change, though its turn need not be kept: its
 // answer must end with its last event, and the turn be settled behind it.
-func TestTurnThatNeedNotBeKeptDoesNotWaitForTheKeepers(t *testing.T) {
+func TestTurnWithoutRetentionDoesNotWaitForSettlement(t *testing.T) {
 	is := is.New(t)
-	turns := &fakeTurns{settleAfter: time.Second}
+	turns := &fakeTurns{settleDelay: time.Second}
 	route := turnRoute
 	route.RetainsTurns = false
-	out := serve(t, route, turnCall(), turns, streams(nil, event(1), event(2)))
-	is.Equal(out.result.Outcome, Answered)
-	is.True(out.took < turns.settleAfter)
-	is.Equal(len(turns.endings), 1)
-	is.Equal(turns.endings[0].OutputTokens, 4)
+	got := serve(t, route, turnCall(), turns, streams(nil, event(1), event(2)))
+	is.Equal(got.result.Outcome, Answered)
+	is.True(got.duration < turns.settleDelay)
+	is.Equal(len(turns.settlements), 1)
+	is.Equal(turns.settlements[0].OutputTokens, 4)
 }
 
 // A program is refused too soon, as if it had used all that its last turn might have
 // made: the keeping of a turn failed, and nothing settled it after that.
-func TestTurnWhoseKeepingFailedIsSettled(t *testing.T) {
+func TestTurnIsSettledAfterRetainingFailed(t *testing.T) {
 	is := is.New(t)
-	turns := &fakeTurns{settled: errors.New("no disk")}
+	turns := &fakeTurns{settleErr: errors.New("no disk")}
 	serve(t, turnRoute, turnCall(), turns, streams(nil, event(1)))
-	is.Equal(len(turns.endings), 2)
-	is.True(turns.endings[1].RetainedTurn == nil)
-	is.Equal(turns.endings[1].OutputTokens, 2)
+	is.Equal(len(turns.settlements), 2)
+	is.True(turns.settlements[1].RetainedTurn == nil)
+	is.Equal(turns.settlements[1].OutputTokens, 2)
 }
 
 // An instance that stops leaves turns unsettled, and their programs are refused too
 // soon elsewhere. It must wait for them, and no longer than it may.
-func TestDrainWaitsForSettlings(t *testing.T) {
+func TestDrainWaitsForSettlements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := &Gateway{}
-		g.settling.Go(func() { time.Sleep(time.Second) })
+		g.pendingSettlements.Go(func() { time.Sleep(time.Second) })
 		began := time.Now()
 		short, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 		defer cancel()
@@ -378,43 +378,43 @@
 // A caller waits for a replica behind a cut until its connection gives up. As its data
 // centre falls silent, a call must go to another at once where its route allows one more
 // attempt, and go on waiting where it does not: the replica may run on.
-func TestCallsLeaveASilentDataCentreWithinTheirAttempts(t *testing.T) {
-	silentAfter, timeout := 300*time.Millisecond, 2*time.Second
-	halfway := func(ctx context.Context, s *Attempt) (*Response, error) {
-		body := &hangingReader{ctx: ctx, begin: strings.NewReader(event(1))}
+func TestCallsFailOverFromSilentDataCentreWithinTheAttemptLimit(t *testing.T) {
+	silenceAfter, timeout := 300*time.Millisecond, 2*time.Second
+	hangsAfterOneEvent := func(ctx context.Context, s *Attempt) (*Response, error) {
+		body := &hangingReader{ctx: ctx, start: strings.NewReader(event(1))}
 		return NewResponse(Response{Status: 200, Length: -1, Verified: true, Executed: true, Body: body}, func() {}), nil
 	}
 	is := is.New(t)
 	route := routing.Route{Kind: routing.Idempotent, Attempts: 2, Timeout: timeout}
-	out := serveThrough(t, silentOnce(silentAfter), route, Call{}, nil, hangs, good("done"))
-	is.Equal(out.result.Outcome, Answered)
-	is.Equal(out.took, silentAfter)
+	got := serveWithSilence(t, fallsSilentAfter(silenceAfter), route, Call{}, nil, hangs, succeedsWith("done"))
+	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.duration, silenceAfter)
 
 	stream := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2, Timeout: timeout}
-	out = serveThrough(t, silentOnce(silentAfter), stream, Call{}, nil, halfway, streams(nil, event(2)))
-	is.Equal(out.result.Outcome, Answered)
-	is.Equal(out.body, event(1)+event(2))
-	is.Equal(out.took, silentAfter)
+	got = serveWithSilence(t, fallsSilentAfter(silenceAfter), stream, Call{}, nil, hangsAfterOneEvent, streams(nil, event(2)))
+	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.body, event(1)+event(2))
+	is.Equal(got.duration, silenceAfter)
 
-	for _, one := range []routing.Route{
+	for _, notFailingOver := range []routing.Route{
 		{Kind: routing.Idempotent, Attempts: 1, Timeout: timeout},
 		{Kind: routing.Stream, Resumable: true, Attempts: 1, Timeout: timeout},
 		{Kind: routing.Once, Attempts: 2, Timeout: timeout},
 	} {
-		out = serveThrough(t, silentOnce(silentAfter), one, Call{}, nil, hangs, hangs, good("twice"))
-		is.Equal(out.took, timeout)
-		is.Equal(distinct(out.sends), 1)
+		got = serveWithSilence(t, fallsSilentAfter(silenceAfter), notFailingOver, Call{}, nil, hangs, hangs, succeedsWith("twice"))
+		is.Equal(got.duration, timeout)
+		is.Equal(countDistinct(got.targets), 1)
 	}
 }
 
 // hangingReader gives what it begins with and then nothing until ctx ends.
 type hangingReader struct {
 	ctx   context.Context
-	begin io.Reader
+	start io.Reader
 }
 
 func (r *hangingReader) Read(p []byte) (int, error) {
-	if n, err := r.begin.Read(p); err == nil {
+	if n, err := r.start.Read(p); err == nil {
 		return n, nil
 	}
 	<-r.ctx.Done()
@@ -423,52 +423,52 @@
 
 // A program loses tokens that it never got: a turn that did not run gives all
 // of its reservation back, one that broke off what it did not make.
-func TestReservationIsSettledByWhatWasMade(t *testing.T) {
+func TestReservationIsSettledByOutputTokens(t *testing.T) {
 	is := is.New(t)
 	turns := &fakeTurns{}
-	out := serve(t, turnRoute, turnCall(), turns, refuses)
-	is.Equal(out.result.Outcome, NotRun)
-	is.Equal(turns.endings[0].OutputTokens, 0)
+	got := serve(t, turnRoute, turnCall(), turns, refuses)
+	is.Equal(got.result.Outcome, NotRun)
+	is.Equal(turns.settlements[0].OutputTokens, 0)
 	turns = &fakeTurns{}
-	out = serve(t, turnRoute, turnCall(), turns, streams(io.ErrUnexpectedEOF, event(1), event(2)))
-	is.Equal(out.result.Outcome, Truncated)
-	is.Equal(turns.endings[0].OutputTokens, 4)
-	is.True(turns.endings[0].RetainedTurn == nil)
+	got = serve(t, turnRoute, turnCall(), turns, streams(io.ErrUnexpectedEOF, event(1), event(2)))
+	is.Equal(got.result.Outcome, Truncated)
+	is.Equal(turns.settlements[0].OutputTokens, 4)
+	is.True(turns.settlements[0].RetainedTurn == nil)
 }
 
 // What is refused before it is sent says so, and why.
-func TestTurnsAreRefusedTruthfully(t *testing.T) {
+func TestRefusedTurnsGiveTheReason(t *testing.T) {
 	for err, reason := range map[error]Reason{
 		ErrBudgetExhausted: BudgetExhausted, ErrNoSuchTurn: NoSuchTurn, ErrIsolated: TurnsUnavailable, errors.New("x"): TurnsUnavailable,
 	} {
 		is := is.New(t)
-		out := serve(t, turnRoute, turnCall(), &fakeTurns{err: err}, good("never"))
-		is.Equal(out.result.Outcome, NotRun)
-		is.Equal(out.result.Reason, reason)
-		is.Equal(len(out.sends), 0)
+		got := serve(t, turnRoute, turnCall(), &fakeTurns{reserveErr: err}, succeedsWith("never"))
+		is.Equal(got.result.Outcome, NotRun)
+		is.Equal(got.result.Reason, reason)
+		is.Equal(len(got.targets), 0)
 	}
 }
 
 // A caller whose data centre is cut off comes back into the cut again and again:
 // it is told to come at once, or so late that its time is over. It must be told
 // to come when the balancer sends it elsewhere.
-func TestCallerFromACutOffDataCentreComesBackWhenItIsSentElsewhere(t *testing.T) {
+func TestTurnInIsolatedDataCentreIsRetriedAfterBalancerFailover(t *testing.T) {
 	is := is.New(t)
-	out := serve(t, turnRoute, turnCall(), &fakeTurns{err: ErrIsolated}, good("never"))
-	is.Equal(out.result.RetryAfter, movedAfter-time.Second)
+	got := serve(t, turnRoute, turnCall(), &fakeTurns{reserveErr: ErrIsolated}, succeedsWith("never"))
+	is.Equal(got.result.RetryAfter, balancerFailoverTime-time.Second)
 }
 
 // A replica that fails all calls at once draws ever more of them. Its own failures
 // must count against it; a call's fault and a passed deadline must not.
-func TestOwnFailuresCountAgainstAReplica(t *testing.T) {
+func TestServerErrorsCountAgainstTheReplica(t *testing.T) {
 	is := is.New(t)
-	is.Equal(ownFailure(500).Kind, upstream.Errored)
-	is.Equal(ownFailure(503).Kind, upstream.Errored)
+	is.Equal(failureOf(500).Kind, upstream.Errored)
+	is.Equal(failureOf(503).Kind, upstream.Errored)
 	for _, status := range []int{200, 402, 404, 504} {
-		is.True(ownFailure(status) == nil)
+		is.True(failureOf(status) == nil)
 	}
-	out := serve(t, turnRoute, turnCall(), &fakeTurns{}, answers(Response{Status: 500, Verified: true, Executed: true}, "broken"))
-	is.Equal(out.status, 500)
-	is.Equal(out.body, "broken")
-	is.Equal(out.result.Outcome, Answered)
+	got := serve(t, turnRoute, turnCall(), &fakeTurns{}, respondsWith(Response{Status: 500, Verified: true, Executed: true}, "broken"))
+	is.Equal(got.status, 500)
+	is.Equal(got.body, "broken")
+	is.Equal(got.result.Outcome, Answered)
 }
--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -52,13 +52,13 @@
 }
 
 // NewAnswer returns an answer that is ended by the function.
-func NewResponse(a Response, end func()) *Response {
-	a.close = end
-	return &a
+func NewResponse(r Response, end func()) *Response {
+	r.close = end
+	return &r
 }
 
 // Close ends the answer; a body not read to its end tells the replica to stop.
-func (a *Response) Close() { a.close() }
+func (r *Response) Close() { r.close() }
 
 // Replicas sends calls to replicas. An error that is httpconn.ErrNotSent says
 // that no byte of the call left.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -12,118 +12,118 @@
 	"foxhall/internal/upstream"
 )
 
-const readSize = 16 << 10
+const readBufferSize = 16 << 10
 
 // record is what was passed on of a stream, over all its runs.
-type record struct {
+type streamRecord struct {
 	// keep says that the events' data are needed afterwards.
-	keep   bool
-	events int
-	data   [][]byte
-	lastID string
+	retainData  bool
+	eventCount  int
+	eventData   [][]byte
+	lastEventID string
 	// settle is called before the end of a whole answer is passed on; nil for none.
 	settle func() bool
 }
 
-func (r *record) add(e Event) {
-	r.events++
+func (r *streamRecord) add(e Event) {
+	r.eventCount++
 	if e.ID != "" {
-		r.lastID = e.ID
+		r.lastEventID = e.ID
 	}
-	if r.keep {
-		r.data = append(r.data, e.Data)
+	if r.retainData {
+		r.eventData = append(r.eventData, e.Data)
 	}
 }
 
 // stream serves a call whose answer is a stream of events.
-func (f *flight) stream(ctx context.Context, rec *record) Result {
+func (f *inFlightCall) serveStream(ctx context.Context, rec *streamRecord) Result {
 	for {
 		grant, refusal := f.acquire(ctx)
 		if refusal != nil {
-			return f.giveUp(lost, refusal)
+			return f.endWithoutResponse(responseLost, refusal)
 		}
-		v, result := f.runOn(ctx, grant, rec)
-		if v == whole {
+		v, result := f.streamFrom(ctx, grant, rec)
+		if v == complete {
 			return result
 		}
-		f.tried = append(f.tried, grant.Upstream)
-		if !f.mayGoOn(ctx) {
-			return f.giveUp(v, nil)
+		f.triedReplicas = append(f.triedReplicas, grant.Upstream)
+		if !f.mayTryAnotherReplica(ctx) {
+			return f.endWithoutResponse(v, nil)
 		}
 	}
 }
 
 // runOn runs the stream on the granted replica. A stream that may be resumed
 // goes on there once more after a broken answer: the replica has its prompt.
-func (f *flight) runOn(ctx context.Context, g *scheduler.Grant, rec *record) (verdict, Result) {
-	v, answer, result := f.runOnce(ctx, g, rec)
-	if f.route.Resumable && f.mayAnswer(ctx, g, v) {
-		var second verdict
-		second, answer, result = f.runOnce(ctx, g, rec)
-		v = v.then(second)
+func (f *inFlightCall) streamFrom(ctx context.Context, g *scheduler.Grant, rec *streamRecord) (verdict, Result) {
+	v, response, result := f.streamOnce(ctx, g, rec)
+	if f.route.Resumable && f.mayRespondToRetry(ctx, g, v) {
+		var retryVerdict verdict
+		retryVerdict, response, result = f.streamOnce(ctx, g, rec)
+		v = v.combine(retryVerdict)
 	}
-	if v != whole {
-		f.report(ctx, g, answer, v)
+	if v != complete {
+		f.reportFailure(ctx, g, response, v)
 	}
 	return v, result
 }
 
 // runOnce sends the call once and passes events on until the stream ends.
-func (f *flight) runOnce(ctx context.Context, g *scheduler.Grant, rec *record) (verdict, *Response, Result) {
-	if f.mayLeave(g) {
-		silent, stop := f.untilSilent(ctx, g)
+func (f *inFlightCall) streamOnce(ctx context.Context, g *scheduler.Grant, rec *streamRecord) (verdict, *Response, Result) {
+	if f.mayFailOver(g) {
+		untilSilence, stop := f.cancelOnSilence(ctx, g)
 		defer stop()
-		ctx = silent
+		ctx = untilSilence
 	}
-	ctx, watch := f.watch(ctx, g)
-	defer watch.stop()
-	s := &sending{grant: g, began: time.Now()}
-	before := rec.events
-	v, answer, result := f.follow(ctx, s, rec, watch)
-	s.events = rec.events - before
-	f.sendingEnded(ctx, s, v)
-	return v, answer, result
+	ctx, watchdog := f.startWatchdog(ctx, g)
+	defer watchdog.stop()
+	state := &attemptState{grant: g, began: time.Now()}
+	countBefore := rec.eventCount
+	v, response, result := f.streamResponse(ctx, state, rec, watchdog)
+	state.eventCount = rec.eventCount - countBefore
+	f.recordAttempt(ctx, state, v)
+	return v, response, result
 }
 
 // follow sends the call and passes on what comes.
-func (f *flight) follow(ctx context.Context, s *sending, rec *record, watch *watchdog) (verdict, *Response, Result) {
-	answer, err := f.sendTo(ctx, s.grant, f.resumePoint(rec))
+func (f *inFlightCall) streamResponse(ctx context.Context, state *attemptState, rec *streamRecord, watchdog *watchdog) (verdict, *Response, Result) {
+	response, err := f.sendTo(ctx, state.grant, f.resumeAfter(rec))
 	if err != nil {
-		return s.failedAs(ctx, err), nil, Result{}
+		return state.classifyError(ctx, err), nil, Result{}
 	}
-	defer answer.Close()
-	if v := judge(answer); v != whole {
-		return v, answer, Result{}
+	defer response.Close()
+	if v := classifyResponse(response); v != complete {
+		return v, response, Result{}
 	}
-	if answer.Status >= 300 {
-		v, result := f.passFailure(s, answer)
-		return v, answer, result
+	if response.Status >= 300 {
+		v, result := f.forwardFailure(state, response)
+		return v, response, result
 	}
-	v, result := f.relay(ctx, s, answer, rec, watch)
-	return v, answer, result
+	v, result := f.relayEvents(ctx, state, response, rec, watchdog)
+	return v, response, result
 }
 
-func (f *flight) resumePoint(rec *record) string {
-	if rec.lastID != "" {
-		return rec.lastID
+func (f *inFlightCall) resumeAfter(rec *streamRecord) string {
+	if rec.lastEventID != "" {
+		return rec.lastEventID
 	}
 	return f.call.ResumeAfter
 }
 
 // passFailure passes on a replica's own failure.
-func (f *flight) passFailure(s *sending, a *Response) (verdict, Result) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer))
-	if err != nil || f.begun {
-		s.err = err
-		return lost, Result{}
+func (f *inFlightCall) forwardFailure(state *attemptState, response *Response) (verdict, Result) {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	if err != nil || f.headerSent {
+		state.err = err
+		return responseLost, Result{}
 	}
-	s.grant.Done(scheduler.Feedback{Failure: ownFailure(a.Status), Cancelled: ownFailure(a.Status) == nil})
-	return whole, f.pass(a, body)
+	state.grant.Done(scheduler.Feedback{Failure: failureOf(response.Status), Cancelled: failureOf(response.Status) == nil})
+	return complete, f.forwardResponse(response, body)
 }
 
 // ownFailure is what a replica's answer with the status says against it: nothing
 // where the call was at fault, or its time was over.
-func ownFailure(status int) *upstream.Failure {
+func failureOf(status int) *upstream.Failure {
 	if status < http.StatusInternalServerError || status == http.StatusGatewayTimeout {
 		return nil
 	}
@@ -131,40 +131,40 @@
 }
 
 // relay passes on whole events as they come.
-func (f *flight) relay(ctx context.Context, s *sending, a *Response, rec *record, watch *watchdog) (verdict, Result) {
-	var split splitter
-	var first time.Duration
-	before := rec.events
-	buffer := make([]byte, readSize)
+func (f *inFlightCall) relayEvents(ctx context.Context, state *attemptState, response *Response, rec *streamRecord, watchdog *watchdog) (verdict, Result) {
+	var splitter eventSplitter
+	var firstEventTime time.Duration
+	countBefore := rec.eventCount
+	buffer := make([]byte, readBufferSize)
 	for {
-		n, err := a.Body.Read(buffer)
+		n, err := response.Body.Read(buffer)
 		if n > 0 {
-			events := split.add(buffer[:n])
+			events := splitter.add(buffer[:n])
 			if len(events) > 0 {
-				if first == 0 {
-					first = time.Since(s.began)
-					s.grant.FirstToken()
+				if firstEventTime == 0 {
+					firstEventTime = time.Since(state.began)
+					state.grant.FirstToken()
 				}
-				s.grant.Progress()
-				watch.progress()
+				state.grant.Progress()
+				watchdog.recordProgress()
 			}
-			if !f.passEvents(a, events, rec) {
-				s.grant.Done(scheduler.Feedback{Cancelled: true})
-				return whole, f.end(CallerGone, CallerDisconnected, a.Status)
+			if !f.forwardEvents(response, events, rec) {
+				state.grant.Done(scheduler.Feedback{Cancelled: true})
+				return complete, f.result(CallerGone, CallerDisconnected, response.Status)
 			}
 		}
 		if err == nil {
 			continue
 		}
-		if err != io.EOF || split.rest() {
-			return s.failedAs(ctx, err), Result{}
+		if err != io.EOF || splitter.hasPartialEvent() {
+			return state.classifyError(ctx, err), Result{}
 		}
-		made := (rec.events - before) * f.tokensPerEvent()
-		s.grant.Done(scheduler.Feedback{
-			Prompt: f.call.PromptTokens, Cached: s.grant.Cached(), Output: made,
-			FirstToken: first, Total: time.Since(s.began),
+		outputTokens := (rec.eventCount - countBefore) * f.tokensPerEvent()
+		state.grant.Done(scheduler.Feedback{
+			Prompt: f.call.PromptTokens, Cached: state.grant.Cached(), Output: outputTokens,
+			FirstToken: firstEventTime, Total: time.Since(state.began),
 		})
-		return whole, f.finish(a, rec)
+		return complete, f.finishStream(response, rec)
 	}
 }
 
@@ -174,35 +174,35 @@
 	// pause that is on time, before its connection is closed and it is resumed.
 	// An answer that is lost never comes; a replica that is only slow loses the
 	// prefill of one prompt, which it still has cached.
-	firstFactor = 4
-	firstLeast  = 800 * time.Millisecond
-	gapFactor   = 2
+	firstEventFactor     = 4
+	minFirstEventTimeout = 800 * time.Millisecond
+	gapFactor            = 2
 )
 
 // watchdog ends a run that makes no progress.
 type watchdog struct {
-	timer  *time.Timer
-	gap    time.Duration
-	cancel context.CancelCauseFunc
+	timer      *time.Timer
+	gapTimeout time.Duration
+	cancel     context.CancelCauseFunc
 }
 
 var errStalled = errors.New("gateway: the replica makes no progress")
 
 // watch returns a context that ends when the run hangs, where it may be resumed.
-func (f *flight) watch(ctx context.Context, g *scheduler.Grant) (context.Context, *watchdog) {
+func (f *inFlightCall) startWatchdog(ctx context.Context, g *scheduler.Grant) (context.Context, *watchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	w := &watchdog{cancel: cancel, gap: gapFactor * f.route.GapObjective}
-	if f.route.Resumable && w.gap > 0 {
-		e := g.Decision.Estimate
-		expected := time.Duration((e.Wait + e.Prefill) * float64(time.Second))
-		w.timer = time.AfterFunc(max(firstLeast, firstFactor*expected), func() { cancel(errStalled) })
+	w := &watchdog{cancel: cancel, gapTimeout: gapFactor * f.route.GapObjective}
+	if f.route.Resumable && w.gapTimeout > 0 {
+		estimate := g.Decision.Estimate
+		expected := time.Duration((estimate.Wait + estimate.Prefill) * float64(time.Second))
+		w.timer = time.AfterFunc(max(minFirstEventTimeout, firstEventFactor*expected), func() { cancel(errStalled) })
 	}
 	return ctx, w
 }
 
-func (w *watchdog) progress() {
+func (w *watchdog) recordProgress() {
 	if w.timer != nil {
-		w.timer.Reset(w.gap)
+		w.timer.Reset(w.gapTimeout)
 	}
 }
 
@@ -215,17 +215,17 @@
 
 // finish ends a whole stream. A turn must be durable before its answer's end
 // is passed on, since from then on the caller may continue from it.
-func (f *flight) finish(a *Response, rec *record) Result {
-	if !f.begin(a) {
-		return f.end(CallerGone, CallerDisconnected, a.Status)
+func (f *inFlightCall) finishStream(response *Response, rec *streamRecord) Result {
+	if !f.forwardHeader(response) {
+		return f.result(CallerGone, CallerDisconnected, response.Status)
 	}
 	if rec.settle != nil && !rec.settle() {
-		return f.end(Truncated, TurnNotRetained, a.Status)
+		return f.result(Truncated, TurnNotRetained, response.Status)
 	}
-	return f.end(Answered, "", a.Status)
+	return f.result(Answered, "", response.Status)
 }
 
-func (f *flight) tokensPerEvent() int {
+func (f *inFlightCall) tokensPerEvent() int {
 	if f.service.Engine == nil {
 		return 1
 	}
@@ -233,18 +233,18 @@
 }
 
 // begin passes the head on, once: a resumed stream keeps its first replica's.
-func (f *flight) begin(a *Response) bool {
-	if f.begun {
+func (f *inFlightCall) forwardHeader(response *Response) bool {
+	if f.headerSent {
 		return true
 	}
-	f.begun = true
-	f.firstAt = time.Now()
-	return f.caller.Begin(a.Status, a.Header, -1) == nil
+	f.headerSent = true
+	f.firstEventAt = time.Now()
+	return f.caller.Begin(response.Status, response.Header, -1) == nil
 }
 
-func (f *flight) passEvents(a *Response, events []Event, rec *record) bool {
+func (f *inFlightCall) forwardEvents(response *Response, events []Event, rec *streamRecord) bool {
 	for _, e := range events {
-		if !f.begin(a) {
+		if !f.forwardHeader(response) {
 			return false
 		}
 		// It counts before it is written: a caller that leaves may have it.
--- a/internal/gateway/turn.go
+++ b/internal/gateway/turn.go
@@ -11,23 +11,23 @@
 const (
 	// unreachedAfter is when to come again while the keepers of turns change:
 	// a change takes about a second.
-	unreachedAfter = 400 * time.Millisecond
+	turnsUnavailableRetryAfter = 400 * time.Millisecond
 	// movedAfter is how long after the begin of a cut the balancer sends callers to
 	// other data centres: it asks each second and leaves out after two misses.
-	movedAfter = 2600 * time.Millisecond
+	balancerFailoverTime = 2600 * time.Millisecond
 	// isolatedLeast is the least time after which a caller may come again from a
 	// data centre that is cut off.
-	isolatedLeast = 100 * time.Millisecond
+	minIsolatedRetryAfter = 100 * time.Millisecond
 	// keepTime bounds the keeping of a turn past the caller's deadline.
-	keepTime = 2 * time.Second
+	retainTimeout = 2 * time.Second
 	// settleTime bounds the settling of a turn that nobody waits for: longer than
 	// most outages, and after it the turn counts as spent.
-	settleTime = 20 * time.Second
+	settleTimeout = 20 * time.Second
 )
 
 // turn serves a turn of a program: within the program's tokens, after its
 // chain, and kept before its answer ends.
-func (f *flight) turn(ctx context.Context) Result {
+func (f *inFlightCall) serveTurn(ctx context.Context) Result {
 	reservation := Reservation{
 		Customer:        f.customerName(),
 		Program:         f.call.Program.ID,
@@ -42,45 +42,45 @@
 	}
 	began := time.Now()
 	reserved, err := f.gateway.turns.Reserve(ctx, reservation)
-	f.stages.reserving += time.Since(began)
+	f.stageTimes.reserving += time.Since(began)
 	if err != nil {
-		return f.unreserved(err)
+		return f.refuseTurn(err)
 	}
-	f.home = reserved.Replica
-	f.body = chainBody(reserved.Chain, f.call.Body)
-	rec := &record{keep: f.route.RetainsTurns}
-	var foreign []Turn
+	f.lastUpstream = reserved.Replica
+	f.body = joinChain(reserved.Chain, f.call.Body)
+	rec := &streamRecord{retainData: f.route.RetainsTurns}
+	var foreignChain []Turn
 	if reserved.ForeignChain {
-		foreign = reserved.Chain
+		foreignChain = reserved.Chain
 	}
-	kept := false
-	if rec.keep {
+	retained := false
+	if rec.retainData {
 		// A turn that is not kept counts as spent until it is settled, so that its
 		// caller need not wait for that.
 		rec.settle = func() bool {
 			began := time.Now()
-			kept = f.keep(ctx, rec, foreign) == nil
-			f.stages.keeping += time.Since(began)
-			return kept
+			retained = f.retainTurn(ctx, rec, foreignChain) == nil
+			f.stageTimes.retaining += time.Since(began)
+			return retained
 		}
 	}
-	result := f.stream(ctx, rec)
-	if !kept {
-		f.settleLater(rec)
+	result := f.serveStream(ctx, rec)
+	if !retained {
+		f.settleInBackground(rec)
 	}
 	return result
 }
 
 // unreserved is the end of a turn that could not be reserved.
-func (f *flight) unreserved(err error) Result {
-	result := refused(TurnsUnavailable, unreachedAfter)
+func (f *inFlightCall) refuseTurn(err error) Result {
+	result := refused(TurnsUnavailable, turnsUnavailableRetryAfter)
 	switch {
 	case errors.Is(err, ErrBudgetExhausted):
 		result = refused(BudgetExhausted, 0)
 	case errors.Is(err, ErrNoSuchTurn):
 		result = refused(NoSuchTurn, 0)
 	case errors.Is(err, ErrIsolated):
-		result.RetryAfter = max(isolatedLeast, movedAfter-f.gateway.settings.IsolatedFor())
+		result.RetryAfter = max(minIsolatedRetryAfter, balancerFailoverTime-f.gateway.settings.IsolatedFor())
 	}
 	result.Cause = err
 	return result
@@ -88,7 +88,7 @@
 
 // chainBody is what a replica receives: for each turn of the chain its input
 // and the data of its events, each followed by a line feed, then the new input.
-func chainBody(chain []Turn, input []byte) []byte {
+func joinChain(chain []Turn, input []byte) []byte {
 	if len(chain) == 0 {
 		return input
 	}
@@ -105,39 +105,39 @@
 }
 
 // ending settles the turn by what it made.
-func (f *flight) ending(rec *record) Settlement {
-	e := Settlement{
+func (f *inFlightCall) newSettlement(rec *streamRecord) Settlement {
+	settlement := Settlement{
 		Customer:     f.customerName(),
 		Program:      f.call.Program.ID,
 		Turn:         f.call.ID,
-		OutputTokens: rec.events * f.tokensPerEvent(),
+		OutputTokens: rec.eventCount * f.tokensPerEvent(),
 		Retention:    f.route.Retention,
 	}
-	if rec.events > 0 {
-		e.Replica = f.replica
+	if rec.eventCount > 0 {
+		settlement.Replica = f.lastReplica
 	}
-	return e
+	return settlement
 }
 
 // keep settles a whole turn and keeps it, after the chain that it continued.
-func (f *flight) keep(ctx context.Context, rec *record, chain []Turn) error {
-	e := f.ending(rec)
-	e.RetainedTurn = &Turn{ID: f.call.ID, Previous: f.call.Previous, Input: f.call.Body, Events: rec.data, Ended: time.Now(), Replica: f.replica}
-	e.Chain = chain
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepTime)
+func (f *inFlightCall) retainTurn(ctx context.Context, rec *streamRecord, chain []Turn) error {
+	settlement := f.newSettlement(rec)
+	settlement.RetainedTurn = &Turn{ID: f.call.ID, Previous: f.call.Previous, Input: f.call.Body, Events: rec.eventData, Ended: time.Now(), Replica: f.lastReplica}
+	settlement.Chain = chain
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), retainTimeout)
 	defer cancel()
-	return f.gateway.turns.Settle(ctx, e)
+	return f.gateway.turns.Settle(ctx, settlement)
 }
 
 // settleLater gives back what a turn that is not kept did not use. The caller
 // does not wait for it.
-func (f *flight) settleLater(rec *record) {
-	e := f.ending(rec)
-	f.gateway.settling.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+func (f *inFlightCall) settleInBackground(rec *streamRecord) {
+	settlement := f.newSettlement(rec)
+	f.gateway.pendingSettlements.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
-		if err := f.gateway.turns.Settle(ctx, e); err != nil {
-			f.gateway.logger.WithError(err).WithField("request", f.call.ID).WithField("program", e.Program).Warn("reservation not settled")
+		if err := f.gateway.turns.Settle(ctx, settlement); err != nil {
+			f.gateway.logger.WithError(err).WithField("request", f.call.ID).WithField("program", settlement.Program).Warn("reservation not settled")
 		}
 	})
 }
@@ -147,7 +147,7 @@
 func (g *Gateway) Drain(ctx context.Context) {
 	settled := make(chan struct{})
 	go func() {
-		g.settling.Wait()
+		g.pendingSettlements.Wait()
 		close(settled)
 	}()
 	select {
