--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -139,7 +139,7 @@
 	route := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}
 	got := serveWithSilence(t, fallsSilentAfter(300*time.Millisecond), route, Call{ID: "r"}, nil, streamsSlowly(time.Second, event(1), event(2)), streams(nil, event(2)))
 	is.Equal(got.result.Outcome, Answered)
-	line := got.logFields("sending ended")
+	line := got.logFields("attempt failed")
 	is.Equal(line["request"], "r")
 	is.Equal(line["replica"], got.targets[0])
 	is.Equal(line["verdict"], "cut-off")
@@ -148,5 +148,5 @@
 	is.Equal(line["events"], 1)
 	is.Equal(line["ran_at"], 1)
 	is.Equal(line["attempts"], 2)
-	is.True(serve(t, route, Call{}, nil, streams(nil, event(1))).logFields("sending ended") == nil)
+	is.True(serve(t, route, Call{}, nil, streams(nil, event(1))).logFields("attempt failed") == nil)
 }
--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -8,8 +8,8 @@
 	"foxhall/internal/engine"
 )
 
-// blocksOf returns the chained hashes of a prompt's blocks. Each covers its
-// block and all before it, so equal hashes mean equal prefixes.
+// hashBlocks returns the chained hashes of a prompt's blocks. Each hash covers its block and all
+// blocks before it, so that equal hashes mean equal prefixes.
 func hashBlocks(service string, prompt []Part) []uint64 {
 	if len(prompt) == 0 {
 		return nil
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -1,7 +1,7 @@
-// Package gateway takes routed calls from callers to replicas and their
-// answers back: it matches the route, reserves a program's tokens, has the
-// scheduler choose a replica, sends, and says truthfully what became of the
-// call. What is spoken on either side is decoded by others.
+// Package gateway forwards calls from callers to replicas of upstream services and their responses
+// back. It matches the route, checks the customer's quota, reserves the program's tokens, asks the
+// scheduler for a replica, sends the call, and reports whether the call has run, has not run or
+// may have run. The wire formats of callers and replicas are decoded by other packages.
 package gateway
 
 import (
@@ -11,24 +11,24 @@
 	"foxhall/internal/routing"
 )
 
-// Part is one part of a prompt. Requests share parts; equal ids mean equal text.
+// Part is one part of a prompt. Calls may share parts; equal IDs mean equal text.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Program is what a call says of the agent program that it belongs to.
+// Program describes the agent program that a call belongs to, as stated by the call.
 type Program struct {
 	ID string
-	// Budget is the number of tokens that all its turns may generate; 0 for none.
+	// Budget is the number of tokens that all its turns may generate; 0 for no limit.
 	Budget int
-	// Objective is until when the whole program is on time; zero if not known.
+	// Objective is the time by which the program should have finished; zero if unknown.
 	Objective time.Time
 }
 
-// Call is one attempt of a caller.
+// Call is one request of a caller.
 type Call struct {
-	// ID names the attempt; each attempt has its own.
+	// ID identifies the request; a caller's retry has another ID.
 	ID      string
 	Host    string
 	Method  string
@@ -37,44 +37,44 @@
 	Header  http.Header
 	Body    []byte
 	Arrived time.Time
-	// Deadline is when the caller gives up.
+	// Deadline is when the caller stops waiting; zero if unknown.
 	Deadline time.Time
-	// Key is the digest of the caller's API key; nil without one.
+	// Key is the digest of the caller's API key; nil if it sent none.
 	Key     *routing.KeyDigest
 	Program Program
 	Prompt  []Part
-	// PromptTokens and MaxOutput are what the caller says of a model call's size.
+	// PromptTokens and MaxOutput are the size of a model call in tokens, as stated by the caller.
 	PromptTokens, MaxOutput int
-	// OutputHint is the caller's estimate of the output; 0 for none.
+	// OutputHint is the caller's estimate of the output in tokens; 0 for none.
 	OutputHint int
-	// Previous is the turn that a call continues from; empty at the start of a chain.
+	// Previous is the ID of the turn that the call continues; empty at the start of a chain.
 	Previous string
-	// ResumeAfter is the last event that the caller has of an earlier answer.
+	// ResumeAfter is the ID of the last event that the caller received of an earlier response.
 	ResumeAfter string
 }
 
-// Caller receives the answer. An error says that the caller is gone.
+// Caller receives the response. An error indicates that the caller has disconnected.
 type Caller interface {
-	// Begin starts the answer; length is -1 where it is not known.
+	// Begin sends the response header; length is -1 if unknown.
 	Begin(status int, header http.Header, length int64) error
-	// Write passes on a part of the body at once.
+	// Write sends a part of the body without buffering it.
 	Write(part []byte) error
 }
 
-// Outcome tells what became of a call.
+// Outcome is how a call ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Answered says that a replica's whole answer was passed on.
+	// Answered: a replica's complete response was forwarded.
 	Answered Outcome = iota
-	// NotRun says that the call has not run and never will.
+	// NotRun: the call has not run and will not run.
 	NotRun
-	// Unknown says that the call may have run.
+	// Unknown: the call may have run, and no part of a response was forwarded.
 	Unknown
-	// BrokenOff says that the answer ended early, after its head was passed on.
+	// Truncated: the response ended early, after its header was forwarded.
 	Truncated
-	// Gone says that the caller left.
+	// CallerGone: the caller disconnected.
 	CallerGone
 )
 
@@ -83,7 +83,7 @@
 	return [...]string{"answered", "not-run", "unknown", "broken-off", "gone"}[o]
 }
 
-// Reason tells why a call was not answered whole.
+// Reason is why a call did not get a complete response.
 type Reason string
 
 // The reasons.
@@ -108,17 +108,17 @@
 	CallerDisconnected     Reason = "caller_left"
 )
 
-// Result is the end of a call.
+// Result describes how a call ended.
 type Result struct {
 	Outcome Outcome
 	Reason  Reason
-	// RetryAfter is when it is worth to come again; 0 for at once.
+	// RetryAfter is the delay after which a retry is worthwhile; 0 for immediately.
 	RetryAfter time.Duration
-	// Status is the replica's, where it answered.
+	// Status is the HTTP status of the replica's response, if there was one.
 	Status   int
 	Replica  string
 	Attempts int
-	// Cause is what is known of why a turn was refused; nil for most.
+	// Cause is the error for which a turn was refused; nil otherwise.
 	Cause error
 }
 
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -6,21 +6,21 @@
 
 // Event is one event of a stream.
 type Event struct {
-	// Raw is the event as it came, with the blank line that ends it.
+	// Raw is the event as received, with the blank line that ends it.
 	Raw []byte
-	// ID is the event's number; empty if it has none.
+	// ID is the event's ID; empty if it has none.
 	ID string
 	// Data is the event's data.
 	Data []byte
 }
 
-// splitter cuts a stream into whole events. A replica may stop within one, and
-// what came of it must not be passed on: the next run sends it whole.
+// eventSplitter splits a stream into complete events. If a replica stops within an event, the
+// partial event must not be forwarded: the resumed stream sends it again from its start.
 type eventSplitter struct {
 	buffer []byte
 }
 
-// add takes in bytes and returns the events that they complete.
+// add appends received bytes and returns the events that they complete.
 func (s *eventSplitter) add(data []byte) []Event {
 	s.buffer = append(s.buffer, data...)
 	var events []Event
@@ -35,10 +35,11 @@
 	}
 }
 
-// rest reports whether bytes of an incomplete event are left.
+// hasPartialEvent reports whether bytes of an incomplete event are buffered.
 func (s *eventSplitter) hasPartialEvent() bool { return len(bytes.TrimSpace(s.buffer)) > 0 }
 
-// eventEnd finds the blank line that ends the first event.
+// findEventEnd returns the position and size of the line breaks that end the first event; the
+// position is -1 if the event is incomplete.
 func findEventEnd(b []byte) (at, size int) {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -12,11 +12,11 @@
 	"foxhall/internal/upstream"
 )
 
-// maxAnswer bounds the body of a plain answer, which is held whole until it is
-// known to be complete.
+// maxResponseBytes bounds the body of a non-streaming response, which is buffered until it is known
+// to be complete.
 const maxResponseBytes = 16 << 20
 
-// exchange serves a call with a plain answer.
+// serveNonStreaming serves a call whose response is not a stream.
 func (f *inFlightCall) serveNonStreaming(ctx context.Context) Result {
 	for {
 		grant, refusal := f.acquire(ctx)
@@ -34,7 +34,7 @@
 	}
 }
 
-// mayGoOn reports whether the call may be sent to one more replica.
+// mayTryAnotherReplica reports whether the call may be sent to one more replica.
 func (f *inFlightCall) mayTryAnotherReplica(ctx context.Context) bool {
 	if len(f.possibleRuns) > 0 && (!f.route.Repeatable() || len(f.possibleRuns) >= f.route.Attempts) {
 		return false
@@ -42,13 +42,14 @@
 	return f.attempts < maxAttempts && !f.isOutOfTime() && ctx.Err() == nil
 }
 
-// mayLeave reports whether the call may go on to another replica though this one may have run it.
+// mayFailOver reports whether the call may be sent to another replica although the granted one may
+// have run it.
 func (f *inFlightCall) mayFailOver(g *scheduler.Grant) bool {
 	return f.route.Repeatable() && len(f.possibleRuns.with(g.Upstream)) < f.route.Attempts
 }
 
-// giveUp ends a call for which no replica is left. Where one may have run it, "not run" would
-// be untrue.
+// endWithoutResponse returns the result of a call for which no replica is left. The outcome is
+// NotRun only if no replica may have run the call.
 func (f *inFlightCall) endWithoutResponse(v verdict, refusal *scheduler.Refusal) Result {
 	if len(f.possibleRuns) > 0 {
 		return f.failureResult(v)
@@ -61,8 +62,8 @@
 	return result
 }
 
-// refusedAfter is when to come again after several replicas refused: about the
-// time of one call at a replica, after which a place is free.
+// refusedRetryAfter is the retry delay after replicas refused a call. It is about the duration of
+// one call at a replica, after which a slot is free.
 const refusedRetryAfter = 150 * time.Millisecond
 
 func (f *inFlightCall) failureResult(v verdict) Result {
@@ -79,10 +80,10 @@
 	return f.result(Unknown, reason, 0)
 }
 
-// try sends the call and reads the whole answer. An idempotent call whose
-// answer was lost is sent to the same replica once more where the route allows
-// no other: that is no further replica, and one that lost an answer mostly
-// still runs.
+// tryReplica sends the call to the granted replica and reads the complete response. An idempotent
+// call whose response was lost is sent to the same replica once more if the route allows no other
+// replica: that does not count as a further replica, and a replica whose response was lost is
+// usually still running.
 func (f *inFlightCall) tryReplica(ctx context.Context, g *scheduler.Grant) (*Response, []byte, verdict) {
 	response, body, v := f.attemptOnce(ctx, g, f.attemptTimeout(g))
 	if f.shouldRetrySameReplica(ctx, g, v) {
@@ -101,26 +102,28 @@
 	return f.route.Kind == routing.Idempotent && len(f.possibleRuns) >= f.route.Attempts && f.mayRespondToRetry(ctx, g, v)
 }
 
-// heardWithin is how lately a data centre must have been heard for a replica there to be asked
-// once more after its connection went silent: only the connection may be gone.
+// maxContactAge is the longest time since the last contact with a data centre for which a replica
+// there is retried after its connection became unresponsive: within it, the connection alone may
+// have failed.
 const maxContactAge = 450 * time.Millisecond
 
-// mayAnswer reports whether the replica may answer a second sending after what the first came to.
+// mayRespondToRetry reports whether the replica may respond to a second attempt after the first
+// one's verdict v.
 func (f *inFlightCall) mayRespondToRetry(ctx context.Context, g *scheduler.Grant, v verdict) bool {
 	mayBeAlive := v == responseLost || v == invalidResponse || v == unresponsive && f.gateway.settings.SilentFor(g.DataCentre) < maxContactAge
 	return mayBeAlive && ctx.Err() == nil && !f.isOutOfTime()
 }
 
 const (
-	// patienceFactor times the mean time of a call is how long an idempotent
-	// call is left with a replica before it is sent again: nine in ten calls
-	// take less, and an answer that is lost never comes.
+	// attemptTimeoutFactor times the mean duration of a call is how long the first attempt of an
+	// idempotent call may take before it is sent again. Nine in ten calls take less, and a lost
+	// response never arrives.
 	attemptTimeoutFactor = 4
 	minAttemptTimeout    = 200 * time.Millisecond
 )
 
-// patience is how long the first sending of an idempotent call may take; 0 for
-// as long as the caller waits.
+// attemptTimeout returns how long the first attempt of an idempotent call may take; 0 for no limit
+// but the call's deadline.
 func (f *inFlightCall) attemptTimeout(g *scheduler.Grant) time.Duration {
 	mean := g.MeanCall()
 	if f.route.Kind != routing.Idempotent || mean == 0 {
@@ -146,7 +149,7 @@
 	return response, body, v
 }
 
-// receive sends the call and reads the whole answer.
+// receiveResponse sends the call and reads the complete response.
 func (f *inFlightCall) receiveResponse(ctx context.Context, state *attemptState) (*Response, []byte, verdict) {
 	response, err := f.sendTo(ctx, state.grant, "")
 	if err != nil {
@@ -173,7 +176,7 @@
 	return response, body, complete
 }
 
-// judge tells from an answer's head whether its body may be passed on.
+// classifyResponse returns complete if the response's body may be forwarded, judging by its header.
 func classifyResponse(response *Response) verdict {
 	switch {
 	case !response.Executed || response.Misdirected:
@@ -187,11 +190,10 @@
 	}
 }
 
-var errDataCentreSilent = errors.New("gateway: the replica's data centre is silent")
+var errDataCentreSilent = errors.New("gateway: attempt cancelled: no contact with the replica's data centre")
 
-// untilSilent returns a context that ends when the replica's data centre falls
-// silent. A call waits for its answer in vain then, until its connection gives up,
-// while others could serve it.
+// cancelOnSilence returns a context that is cancelled when the replica's data centre falls silent.
+// Otherwise the call would wait for the connection's timeout while another replica could serve it.
 func (f *inFlightCall) cancelOnSilence(ctx context.Context, g *scheduler.Grant) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := f.gateway.settings.OnSilence(g.DataCentre, func() { cancel(errDataCentreSilent) })
@@ -205,7 +207,7 @@
 	return errors.Is(context.Cause(ctx), errDataCentreSilent)
 }
 
-// report feeds back what a sending came to, unless this side ended the call.
+// reportFailure reports a failed attempt to the scheduler, or a cancelled one if ctx has ended.
 func (f *inFlightCall) reportFailure(ctx context.Context, g *scheduler.Grant, response *Response, v verdict) {
 	if ctx.Err() != nil {
 		g.Done(scheduler.Feedback{Cancelled: true})
@@ -224,7 +226,7 @@
 	g.Done(scheduler.Feedback{Failure: &failure})
 }
 
-// pass hands a whole answer to the caller.
+// forwardResponse sends a complete response to the caller.
 func (f *inFlightCall) forwardResponse(response *Response, body []byte) Result {
 	f.headerSent = true
 	f.firstEventAt = time.Now()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// notReadyAfter is when a caller may come again to an instance that does
-	// not know its configuration yet; it takes about that long to read it.
+	// notReadyRetryAfter is the retry delay given to callers while the instance has no
+	// configuration; reading it takes about that long.
 	notReadyRetryAfter = 500 * time.Millisecond
-	// sendsMost bounds the replicas asked for one call. A replica that refuses
-	// has not run it, so that it may go on to others, but not for ever.
+	// maxAttempts bounds the attempts of one call. A replica that refuses a call has not run it, so
+	// that refusals don't count against the route's attempts; this bound ends their series.
 	maxAttempts = 4
-	// leastLeft is the least time worth giving to a replica.
+	// minTimeLeft is the shortest time before the deadline at which another attempt starts.
 	minTimeLeft = 5 * time.Millisecond
 )
 
@@ -35,7 +35,7 @@
 	replicas  Replicas
 	turns     Turns
 	logger    log.Interface
-	// settling are the turns that ended and are not settled yet.
+	// pendingSettlements counts the ended turns whose reservations are being settled.
 	pendingSettlements sync.WaitGroup
 
 	latency  metrics.Histogram
@@ -44,34 +44,33 @@
 	attempts *attemptCounters
 }
 
-// Settings are what a gateway is told by the instance that it serves in.
+// Settings connect a gateway to the instance that it runs in.
 type Settings struct {
 	// Table returns the configuration in force, or nil before the first.
 	Table func() *routing.Table
-	// Instances returns the number of instances that send to replicas, which
-	// share what a replica allows.
+	// Instances returns the number of instances that send to replicas. They share the
+	// connections that a replica accepts.
 	Instances func() int
-	// CutOffFor returns for how long this instance has been cut off from the
-	// other data centres.
+	// IsolatedFor returns how long this instance has been isolated from the other data centres.
 	IsolatedFor func() time.Duration
-	// Quotas holds customers to their quotas.
+	// Quotas enforces the customers' quotas.
 	Quotas Quotas
-	// Silence returns for how long nothing was heard from a data centre; 0 where that can't be said.
+	// SilentFor returns the time since the last contact with a data centre; 0 if unknown.
 	SilentFor func(dataCentre string) time.Duration
-	// WhenSilent has f called should a data centre fall silent before stop is called. The
-	// replicas there may answer all the same.
+	// OnSilence registers f to be called if a data centre falls silent before stop is called.
+	// Only its instances are known to be silent: its replicas may still respond.
 	OnSilence func(dataCentre string, f func()) (stop func())
 }
 
-// Quotas holds customers to their quotas over the whole fleet.
+// Quotas enforces customers' quotas over all instances.
 type Quotas interface {
-	// Admit admits a call, or tells when it is worth to come again.
+	// Admit admits a call, or returns the delay after which a retry is worthwhile.
 	Admit(c limit.Call, now time.Time) (limit.Verdict, time.Duration)
-	// Return gives the admission of a call back that has not run.
+	// Return gives back the admission of a call that has not run.
 	Return(customer string, admitted, now time.Time)
 }
 
-// latencySample is the number of recent calls that the histogram keeps.
+// latencySampleSize is the number of calls in the latency histogram's sample.
 const latencySampleSize = 1028
 
 // New returns a gateway.
@@ -84,7 +83,7 @@
 	return g
 }
 
-// Serve takes a call to its end. ctx ends when the caller leaves.
+// Serve serves a call until it ends. ctx is cancelled when the caller disconnects.
 func (g *Gateway) Serve(ctx context.Context, call *Call, caller Caller) Result {
 	f := &inFlightCall{gateway: g, call: call, caller: caller, callerCtx: ctx}
 	result := f.serve(ctx)
@@ -100,46 +99,46 @@
 	return result
 }
 
-// flight is one call under way.
+// inFlightCall is the state of one call that is being served.
 type inFlightCall struct {
 	gateway *Gateway
 	call    *Call
 	caller  Caller
-	// gone ends when the caller leaves.
+	// callerCtx is cancelled when the caller disconnects.
 	callerCtx context.Context
 	table     *routing.Table
 	route     *routing.Route
 	service   *routing.Service
-	// customer is whose call it is; nil where no key is needed.
+	// customer is the customer that the call belongs to; nil if it was made without a known key.
 	customer *routing.Customer
 	deadline time.Time
-	// body is what replicas are to receive.
+	// body is the request body sent to replicas.
 	body          []byte
 	blocks        []uint64
 	triedReplicas []string
-	// home is the engine that most likely has the prompt cached.
+	// lastUpstream is the engine that most likely has the prompt cached.
 	lastUpstream string
-	// sends counts sendings.
+	// attempts counts the attempts so far.
 	attempts int
-	// runs are the replicas that may have run the call.
+	// possibleRuns are the replicas that may have run the call.
 	possibleRuns replicaNames
-	// replica is the one that was sent to last.
+	// lastReplica is the replica of the latest attempt.
 	lastReplica string
-	// begun says that the answer's head was passed on.
+	// headerSent is set once the response header was forwarded to the caller.
 	headerSent bool
-	// firstAt is when the first event was passed on.
+	// firstEventAt is when the first event, or the complete response, was forwarded.
 	firstEventAt time.Time
 	stageTimes   stageTimes
 }
 
-// stages is the time that a call spent in each part of its way.
+// stageTimes is the time that a call spent in each stage.
 type stageTimes struct {
-	// reserving is the wait for the program's keepers before a turn, keeping the
-	// wait for them after it.
+	// reserving is the wait for the program's keepers before a turn, retaining the wait for them
+	// after it.
 	reserving, retaining time.Duration
-	// placing is the wait for a place at a replica.
+	// placing is the wait for the scheduler to grant a replica.
 	placing time.Duration
-	// sending is the time at replicas up to the head of their answers.
+	// awaitingHeader is the time from the start of each attempt to its response header.
 	awaitingHeader time.Duration
 }
 
@@ -170,7 +169,7 @@
 	return result
 }
 
-// admit holds the call's customer to its quota.
+// admit checks the call against its customer's quota. It returns nil if the call is admitted.
 func (f *inFlightCall) admit() *Result {
 	if f.customer == nil {
 		return nil
@@ -191,7 +190,7 @@
 	return &result
 }
 
-// run takes an admitted call to its end.
+// serveAdmitted serves a call that its quota admitted.
 func (f *inFlightCall) serveAdmitted(ctx context.Context) Result {
 	f.deadline = f.call.Arrived.Add(f.route.Timeout)
 	if !f.call.Deadline.IsZero() && f.call.Deadline.Before(f.deadline) {
@@ -210,8 +209,8 @@
 	return f.serveStream(ctx, &streamRecord{})
 }
 
-// identify finds out whose call it is; false where the route needs a key and the call has
-// none that is in force. A key that is not needed still tells whose call it is.
+// authenticate sets the call's customer from its key. It returns false if the route requires a
+// key and the call has no valid one. On a public route a valid key still sets the customer.
 func (f *inFlightCall) authenticate() bool {
 	if f.table.Customers == nil {
 		return true
@@ -222,7 +221,7 @@
 	return f.customer != nil || f.route.Public
 }
 
-// customerName returns the name of the client account; empty for none.
+// customerName returns the name of the call's customer; empty for none.
 func (f *inFlightCall) customerName() string {
 	if f.customer == nil {
 		return ""
@@ -230,7 +229,7 @@
 	return f.customer.Name
 }
 
-// priority is the call's rank, 0 the first.
+// priority returns the call's rank; 0 is the most urgent.
 func (f *inFlightCall) priority() int {
 	if f.customer != nil && f.customer.Priority != nil {
 		return max(0, *f.customer.Priority)
@@ -238,7 +237,8 @@
 	return f.route.Priority
 }
 
-// key is what a call's service is chosen by: a program stays with one.
+// serviceKey returns the key by which the route chooses the call's service. All calls of a
+// program have the same key, so that they go to the same service.
 func (f *inFlightCall) serviceKey() uint64 {
 	if f.call.Program.ID != "" {
 		return xxhash.Sum64String(f.call.Program.ID)
@@ -246,7 +246,7 @@
 	return xxhash.Sum64String(f.call.ID)
 }
 
-// acquire gets a replica from the scheduler.
+// acquire asks the scheduler for a replica.
 func (f *inFlightCall) acquire(ctx context.Context) (*scheduler.Grant, *scheduler.Refusal) {
 	r := scheduler.Request{
 		Customer:           f.customerName(),
@@ -276,8 +276,8 @@
 	return f.gateway.scheduler.Acquire(ctx, r)
 }
 
-// sharedBlocks is the number of the prompt's blocks before its last part, which
-// is new with this call.
+// sharedBlocks returns the number of the prompt's blocks before its last part. Only that part is
+// new in this call.
 func (f *inFlightCall) sharedBlocks() int {
 	tokens := 0
 	for _, p := range f.call.Prompt[:max(0, len(f.call.Prompt)-1)] {
@@ -286,10 +286,11 @@
 	return min(len(f.blocks), tokens/engine.BlockTokens)
 }
 
-// priorityMost is the scheduler's highest priority; routes count from 0, the first.
+// maxPriority is the scheduler's most urgent priority. Ranks of routes and customers run the
+// other way: 0 is the most urgent.
 const maxPriority = 9
 
-// refusal is the end of a call for which there is no replica.
+// refuse returns the result of a call for which the scheduler granted no replica.
 func (f *inFlightCall) refuse(r *scheduler.Refusal) Result {
 	reason := Overloaded
 	if r.Code == step.CodeNoUpstream || r.Code == step.CodeModelNotFound {
@@ -300,7 +301,7 @@
 	return result
 }
 
-// sendTo sends the call once to the granted replica.
+// sendTo makes one attempt at the granted replica.
 func (f *inFlightCall) sendTo(ctx context.Context, g *scheduler.Grant, resumeAfter string) (*Response, error) {
 	f.lastReplica = g.Upstream
 	f.attempts++
@@ -320,7 +321,8 @@
 	return f.gateway.replicas.Send(ctx, attempt)
 }
 
-// connections is this instance's part of what a replica accepts from all.
+// connectionLimit returns this instance's share of the connections that a replica accepts from
+// all instances.
 func (f *inFlightCall) connectionLimit() int {
 	if f.service.MaxConnections == 0 {
 		return unlimitedConnections
@@ -328,7 +330,7 @@
 	return max(1, f.service.MaxConnections/max(1, f.gateway.settings.Instances()))
 }
 
-// unlimited is the number of connections to a replica that names no bound.
+// unlimitedConnections is the connection limit for a service whose MaxConnections is 0.
 const unlimitedConnections = 1 << 10
 
 func (f *inFlightCall) result(outcome Outcome, reason Reason, status int) Result {
@@ -337,7 +339,7 @@
 
 func (f *inFlightCall) isOutOfTime() bool { return time.Until(f.deadline) < minTimeLeft }
 
-// logEnd writes the one line from which the call's course can be told.
+// logResult writes the log line that summarises the call.
 func (f *inFlightCall) logResult(r *Result) {
 	fields := log.Fields{
 		"request": f.call.ID,
@@ -384,7 +386,7 @@
 	f.gateway.logger.WithFields(fields).Info("call")
 }
 
-// log adds the stages that took a millisecond or more.
+// addTo adds the stages that took a millisecond or more to a log line's fields.
 func (s *stageTimes) addTo(fields log.Fields) {
 	for name, d := range map[string]time.Duration{
 		"reserving_ms": s.reserving, "keeping_ms": s.retaining, "placing_ms": s.placing, "sending_ms": s.awaitingHeader,
@@ -395,8 +397,8 @@
 	}
 }
 
-// MaxHeader returns the largest header that callers may send; without a
-// configuration the server's own bound counts.
+// MaxHeader returns the largest request header that callers may send, in bytes. Without a
+// configured limit only the server's own limit applies.
 func (g *Gateway) MaxHeader() int {
 	if t := g.settings.Table(); t != nil && t.Limits.MaxHeaderBytes > 0 {
 		return t.Limits.MaxHeaderBytes
@@ -404,8 +406,8 @@
 	return math.MaxInt
 }
 
-// MaxBody returns the largest body that callers may send, or otherwise before
-// the first configuration.
+// MaxBody returns the largest request body that callers may send, in bytes, or the value of
+// otherwise if no limit is configured.
 func (g *Gateway) MaxBody(otherwise int64) int64 {
 	if t := g.settings.Table(); t != nil && t.Limits.MaxBodyBytes > 0 {
 		return t.Limits.MaxBodyBytes
--- a/internal/gateway/reasons.go
+++ b/internal/gateway/refusals.go
@@ -6,10 +6,11 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// customersCounted bounds the customers that have counters of their own.
+// maxCustomerCounters bounds the number of customers that have counters of their own.
 const maxCustomerCounters = 64
 
-// refusals counts why calls were not answered whole, and whose were over their quotas.
+// reasonCounters counts calls without a complete response by reason, and calls over quota by
+// customer.
 type reasonCounters struct {
 	registry metrics.Registry
 
@@ -28,7 +29,8 @@
 	}
 }
 
-// overQuota returns the customer's counter, or that of all who came after the first ones.
+// overQuotaCounter returns the customer's counter, or the common counter of the customers that
+// appeared after maxCustomerCounters others.
 func (r *reasonCounters) overQuotaCounter(customer string) metrics.Counter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -13,55 +13,55 @@
 	Address string
 }
 
-// Send is one sending of a call.
+// Attempt is one transmission of a call to a replica.
 type Attempt struct {
 	Call   *Call
 	Target Target
-	// Body is what the replica is to receive.
+	// Body is the request body.
 	Body []byte
-	// Left is the time that the replica may take.
+	// Timeout is the time that the replica may take.
 	Timeout time.Duration
-	// Priority is the rank at an engine, 0 the first.
+	// Priority is the call's rank at an engine; 0 is the most urgent.
 	Priority int
-	// Customer names the client account whose call it is; empty for none.
+	// Customer is the name of the customer that the call belongs to; empty for none.
 	Customer string
-	// ResumeAfter is the last event of an earlier run that was passed on; empty for none.
+	// ResumeAfter is the ID of the last event that the caller received; empty for none.
 	ResumeAfter string
-	// Limit is the number of connections that this instance may have there.
+	// MaxConnections is the number of connections that this instance may open to the replica.
 	MaxConnections int
 }
 
-// Answer is a replica's answer, its body still to be read. Close must be called.
+// Response is a replica's response whose body is still to be read. Close must be called.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's length, or -1.
+	// Length is the body's length in bytes, or -1 if unknown.
 	Length int64
 	Body   io.Reader
-	// Verified says that the answer bears the replica's signature.
+	// Verified is set if the response has the replica's signature.
 	Verified bool
-	// Run is false where the replica says that it did not run the call.
+	// Executed is false if the replica states that it did not run the call.
 	Executed bool
-	// Misdirected says that another replica has the address.
+	// Misdirected is set if another replica responded at the address.
 	Misdirected bool
-	// Encoded says that the body was changed on the way.
+	// BodyAltered is set if the body was changed in transit.
 	BodyAltered bool
-	// Leaving says that the replica drains.
+	// Draining is set if the replica takes no new work.
 	Draining bool
 	close    func()
 }
 
-// NewAnswer returns an answer that is ended by the function.
+// NewResponse returns a response whose Close calls end.
 func NewResponse(r Response, end func()) *Response {
 	r.close = end
 	return &r
 }
 
-// Close ends the answer; a body not read to its end tells the replica to stop.
+// Close ends the response. If the body was not read to its end, the replica is told to stop.
 func (r *Response) Close() { r.close() }
 
-// Replicas sends calls to replicas. An error that is httpconn.ErrNotSent says
-// that no byte of the call left.
+// Replicas sends calls to replicas. An error that wraps httpconn.ErrNotSent indicates that no byte
+// of the call was sent.
 type Replicas interface {
 	Send(ctx context.Context, s *Attempt) (*Response, error)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/sending.go
@@ -14,22 +14,23 @@
 	"foxhall/internal/scheduler"
 )
 
-// verdict is what one sending came to.
+// verdict is the result of one attempt.
 type verdict uint8
 
 const (
-	// whole says that the replica's whole answer is here.
+	// complete: the replica's complete response was received.
 	complete verdict = iota
-	// notRun says that the replica refused the call.
+	// notRun: the replica refused the call.
 	notRun
-	// full says that no connection was free, notSent that none could be made.
+	// noFreeConnection: all connections that the replica allows were in use.
 	noFreeConnection
+	// notSent: no connection could be opened, or no byte of the call was sent.
 	notSent
-	// lost says that it may have run.
+	// responseLost: the call was sent and no response arrived; it may have run.
 	responseLost
-	// spoiled says that it ran and its answer is no use.
+	// invalidResponse: the call ran and its response can't be used.
 	invalidResponse
-	// cutOff says that its data centre or its connection went silent; it may have run.
+	// unresponsive: the replica's data centre or the connection fell silent; the call may have run.
 	unresponsive
 )
 
@@ -41,8 +42,8 @@
 // mayHaveRun reports whether the replica may have worked on the call.
 func (v verdict) mayHaveRun() bool { return v != notRun && v != noFreeConnection && v != notSent }
 
-// then returns what two sendings to one replica come to: a refusal of the second does not tell
-// that the first has not run.
+// combine returns the verdict over two attempts at one replica. If the second one did not run, the
+// first one's verdict remains: the call may have run then.
 func (v verdict) combine(second verdict) verdict {
 	if second.mayHaveRun() {
 		return second
@@ -50,11 +51,11 @@
 	return v
 }
 
-// runs are the replicas that may have run a call, each once. All of them count against the
-// route's attempts: no sign that an instance can get tells that a replica has stopped.
+// replicaNames lists the replicas that may have run a call, each once. All of them count against
+// the route's attempts, since an instance has no means to learn that a replica has stopped.
 type replicaNames []string
 
-// with returns the runs and the replica.
+// with returns the list with the replica added.
 func (r replicaNames) with(replica string) replicaNames {
 	if slices.Contains(r, replica) {
 		return r
@@ -62,17 +63,17 @@
 	return append(slices.Clip(r), replica)
 }
 
-// sending is one sending of a call to a replica.
+// attemptState is the state of one attempt at a replica.
 type attemptState struct {
 	grant *scheduler.Grant
 	began time.Time
-	// events is the number of events that it gave.
+	// eventCount is the number of events that the attempt delivered.
 	eventCount int
-	// err is why there is no whole answer, where an error tells.
+	// err is the error for which there is no complete response; nil if none was returned.
 	err error
 }
 
-// failedAs tells what a sending came to that ended with an error.
+// classifyError records the error that ended the attempt and returns its verdict.
 func (a *attemptState) classifyError(ctx context.Context, err error) verdict {
 	a.err = err
 	switch {
@@ -87,7 +88,8 @@
 	}
 }
 
-// sendings counts how sendings ended.
+// attemptCounters counts attempts by verdict, and calls that may have run at more replicas than
+// their route allows.
 type attemptCounters struct {
 	byVerdict [unresponsive + 1]metrics.Counter
 	exceeded  metrics.Counter
@@ -101,7 +103,7 @@
 	return s
 }
 
-// sendingEnded records what a sending came to.
+// recordAttempt counts the attempt by its verdict, and logs it unless it is complete.
 func (f *inFlightCall) recordAttempt(ctx context.Context, state *attemptState, v verdict) {
 	f.gateway.attempts.byVerdict[v].Inc(1)
 	if v.mayHaveRun() {
@@ -128,10 +130,10 @@
 	if state.err != nil {
 		entry = entry.WithError(state.err)
 	}
-	entry.Info("sending ended")
+	entry.Info("attempt failed")
 }
 
-// noteRun records that the replica may have run the call.
+// recordPossibleRun records that the replica may have run the call.
 func (f *inFlightCall) recordPossibleRun(replica string) {
 	before := len(f.possibleRuns)
 	f.possibleRuns = f.possibleRuns.with(replica)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,14 +14,15 @@
 
 const readBufferSize = 16 << 10
 
-// record is what was passed on of a stream, over all its runs.
+// streamRecord is the part of a stream that was forwarded, over all attempts.
 type streamRecord struct {
-	// keep says that the events' data are needed afterwards.
+	// retainData is set if eventData is needed after the stream ends.
 	retainData  bool
 	eventCount  int
 	eventData   [][]byte
 	lastEventID string
-	// settle is called before the end of a whole answer is passed on; nil for none.
+	// settle is called before the end of a complete response is forwarded; nil for none. If it
+	// returns false, the response ends as truncated.
 	settle func() bool
 }
 
@@ -35,7 +36,7 @@
 	}
 }
 
-// stream serves a call whose answer is a stream of events.
+// serveStream serves a call whose response is a stream of events.
 func (f *inFlightCall) serveStream(ctx context.Context, rec *streamRecord) Result {
 	for {
 		grant, refusal := f.acquire(ctx)
@@ -53,8 +54,8 @@
 	}
 }
 
-// runOn runs the stream on the granted replica. A stream that may be resumed
-// goes on there once more after a broken answer: the replica has its prompt.
+// streamFrom streams from the granted replica. If a resumable stream breaks off, it is resumed once
+// at the same replica, which still has the prompt cached.
 func (f *inFlightCall) streamFrom(ctx context.Context, g *scheduler.Grant, rec *streamRecord) (verdict, Result) {
 	v, response, result := f.streamOnce(ctx, g, rec)
 	if f.route.Resumable && f.mayRespondToRetry(ctx, g, v) {
@@ -68,7 +69,7 @@
 	return v, result
 }
 
-// runOnce sends the call once and passes events on until the stream ends.
+// streamOnce makes one attempt and forwards events until the stream ends.
 func (f *inFlightCall) streamOnce(ctx context.Context, g *scheduler.Grant, rec *streamRecord) (verdict, *Response, Result) {
 	if f.mayFailOver(g) {
 		untilSilence, stop := f.cancelOnSilence(ctx, g)
@@ -85,7 +86,7 @@
 	return v, response, result
 }
 
-// follow sends the call and passes on what comes.
+// streamResponse sends the call and forwards the response.
 func (f *inFlightCall) streamResponse(ctx context.Context, state *attemptState, rec *streamRecord, watchdog *watchdog) (verdict, *Response, Result) {
 	response, err := f.sendTo(ctx, state.grant, f.resumeAfter(rec))
 	if err != nil {
@@ -110,7 +111,7 @@
 	return f.call.ResumeAfter
 }
 
-// passFailure passes on a replica's own failure.
+// forwardFailure forwards a response with a status of 300 or more.
 func (f *inFlightCall) forwardFailure(state *attemptState, response *Response) (verdict, Result) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil || f.headerSent {
@@ -121,8 +122,8 @@
 	return complete, f.forwardResponse(response, body)
 }
 
-// ownFailure is what a replica's answer with the status says against it: nothing
-// where the call was at fault, or its time was over.
+// failureOf returns the failure that a status counts as against its replica; nil if the call was
+// at fault or its deadline had passed.
 func failureOf(status int) *upstream.Failure {
 	if status < http.StatusInternalServerError || status == http.StatusGatewayTimeout {
 		return nil
@@ -130,7 +131,7 @@
 	return &upstream.Failure{Kind: upstream.Errored}
 }
 
-// relay passes on whole events as they come.
+// relayEvents forwards complete events as they arrive.
 func (f *inFlightCall) relayEvents(ctx context.Context, state *attemptState, response *Response, rec *streamRecord, watchdog *watchdog) (verdict, Result) {
 	var splitter eventSplitter
 	var firstEventTime time.Duration
@@ -169,26 +170,25 @@
 }
 
 const (
-	// A stream that may be resumed is left without an event for firstFactor
-	// times the expected time to the first, or gapFactor times the longest
-	// pause that is on time, before its connection is closed and it is resumed.
-	// An answer that is lost never comes; a replica that is only slow loses the
-	// prefill of one prompt, which it still has cached.
+	// A resumable stream is closed and resumed if no first event arrives within firstEventFactor
+	// times the expected time (at least minFirstEventTimeout), or no further event within gapFactor
+	// times the route's GapObjective. A lost response never arrives; a replica that is only slow
+	// loses the prefill of one prompt, which it still has cached.
 	firstEventFactor     = 4
 	minFirstEventTimeout = 800 * time.Millisecond
 	gapFactor            = 2
 )
 
-// watchdog ends a run that makes no progress.
+// watchdog cancels an attempt that makes no progress.
 type watchdog struct {
 	timer      *time.Timer
 	gapTimeout time.Duration
 	cancel     context.CancelCauseFunc
 }
 
-var errStalled = errors.New("gateway: the replica makes no progress")
+var errStalled = errors.New("gateway: attempt cancelled: no event from the replica within the progress timeout")
 
-// watch returns a context that ends when the run hangs, where it may be resumed.
+// startWatchdog returns a context that is cancelled when a resumable stream makes no progress.
 func (f *inFlightCall) startWatchdog(ctx context.Context, g *scheduler.Grant) (context.Context, *watchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	w := &watchdog{cancel: cancel, gapTimeout: gapFactor * f.route.GapObjective}
@@ -213,8 +213,8 @@
 	w.cancel(nil)
 }
 
-// finish ends a whole stream. A turn must be durable before its answer's end
-// is passed on, since from then on the caller may continue from it.
+// finishStream ends a complete stream. A turn must be durable before the end of its response is
+// forwarded, since the caller may continue from it from then on.
 func (f *inFlightCall) finishStream(response *Response, rec *streamRecord) Result {
 	if !f.forwardHeader(response) {
 		return f.result(CallerGone, CallerDisconnected, response.Status)
@@ -232,7 +232,8 @@
 	return f.service.Engine.TokensPerEvent
 }
 
-// begin passes the head on, once: a resumed stream keeps its first replica's.
+// forwardHeader sends the response header to the caller, once: a resumed stream keeps that of its
+// first replica. It returns false if the caller has disconnected.
 func (f *inFlightCall) forwardHeader(response *Response) bool {
 	if f.headerSent {
 		return true
@@ -247,7 +248,7 @@
 		if !f.forwardHeader(response) {
 			return false
 		}
-		// It counts before it is written: a caller that leaves may have it.
+		// The event counts before it is written: a caller that disconnects may have received it.
 		rec.add(e)
 		if f.caller.Write(e.Raw) != nil {
 			return false
--- a/internal/gateway/turn.go
+++ b/internal/gateway/turn.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// unreachedAfter is when to come again while the keepers of turns change:
-	// a change takes about a second.
+	// turnsUnavailableRetryAfter is the retry delay while the keepers of turns are changing, which
+	// takes about a second.
 	turnsUnavailableRetryAfter = 400 * time.Millisecond
-	// movedAfter is how long after the begin of a cut the balancer sends callers to
-	// other data centres: it asks each second and leaves out after two misses.
+	// balancerFailoverTime is the time from the start of a network partition until the load
+	// balancer sends callers to other data centres: it probes every second and removes a data
+	// centre after two failed probes.
 	balancerFailoverTime = 2600 * time.Millisecond
-	// isolatedLeast is the least time after which a caller may come again from a
-	// data centre that is cut off.
+	// minIsolatedRetryAfter is the shortest retry delay given to callers of an isolated data centre.
 	minIsolatedRetryAfter = 100 * time.Millisecond
-	// keepTime bounds the keeping of a turn past the caller's deadline.
+	// retainTimeout bounds the retaining of a turn, also past the caller's deadline.
 	retainTimeout = 2 * time.Second
-	// settleTime bounds the settling of a turn that nobody waits for: longer than
-	// most outages, and after it the turn counts as spent.
+	// settleTimeout bounds the settlement of a turn in the background. It is longer than most
+	// outages; a turn that is not settled by then counts as spent.
 	settleTimeout = 20 * time.Second
 )
 
-// turn serves a turn of a program: within the program's tokens, after its
-// chain, and kept before its answer ends.
+// serveTurn serves a turn of a program: it reserves the turn's tokens, sends the chain with the
+// new input, and retains the turn before the response ends.
 func (f *inFlightCall) serveTurn(ctx context.Context) Result {
 	reservation := Reservation{
 		Customer:        f.customerName(),
@@ -55,8 +55,8 @@
 	}
 	retained := false
 	if rec.retainData {
-		// A turn that is not kept counts as spent until it is settled, so that its
-		// caller need not wait for that.
+		// Only a retained turn is settled before its response ends. Any other turn counts as
+		// spent until it is settled, so that its caller need not wait.
 		rec.settle = func() bool {
 			began := time.Now()
 			retained = f.retainTurn(ctx, rec, foreignChain) == nil
@@ -71,7 +71,7 @@
 	return result
 }
 
-// unreserved is the end of a turn that could not be reserved.
+// refuseTurn returns the result of a turn that could not be reserved.
 func (f *inFlightCall) refuseTurn(err error) Result {
 	result := refused(TurnsUnavailable, turnsUnavailableRetryAfter)
 	switch {
@@ -86,8 +86,8 @@
 	return result
 }
 
-// chainBody is what a replica receives: for each turn of the chain its input
-// and the data of its events, each followed by a line feed, then the new input.
+// joinChain returns the request body of a turn: for each turn of the chain its input and the data
+// of its events, each followed by a line feed, then the new input.
 func joinChain(chain []Turn, input []byte) []byte {
 	if len(chain) == 0 {
 		return input
@@ -104,7 +104,7 @@
 	return b.Bytes()
 }
 
-// ending settles the turn by what it made.
+// newSettlement returns the settlement of the turn by its output so far.
 func (f *inFlightCall) newSettlement(rec *streamRecord) Settlement {
 	settlement := Settlement{
 		Customer:     f.customerName(),
@@ -119,7 +119,7 @@
 	return settlement
 }
 
-// keep settles a whole turn and keeps it, after the chain that it continued.
+// retainTurn settles a complete turn and stores it, with the chain that it continues.
 func (f *inFlightCall) retainTurn(ctx context.Context, rec *streamRecord, chain []Turn) error {
 	settlement := f.newSettlement(rec)
 	settlement.RetainedTurn = &Turn{ID: f.call.ID, Previous: f.call.Previous, Input: f.call.Body, Events: rec.eventData, Ended: time.Now(), Replica: f.lastReplica}
@@ -129,21 +129,21 @@
 	return f.gateway.turns.Settle(ctx, settlement)
 }
 
-// settleLater gives back what a turn that is not kept did not use. The caller
-// does not wait for it.
+// settleInBackground returns the unused tokens of a turn that was not retained. The caller does not
+// wait for it.
 func (f *inFlightCall) settleInBackground(rec *streamRecord) {
 	settlement := f.newSettlement(rec)
 	f.gateway.pendingSettlements.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
 		if err := f.gateway.turns.Settle(ctx, settlement); err != nil {
-			f.gateway.logger.WithError(err).WithField("request", f.call.ID).WithField("program", settlement.Program).Warn("reservation not settled")
+			f.gateway.logger.WithError(err).WithField("request", f.call.ID).WithField("program", settlement.Program).Warn("turn not settled; its whole reservation counts as spent")
 		}
 	})
 }
 
-// Drain waits until the turns that ended are settled, or ctx ends: what an instance
-// that stops has not settled counts as spent, and its programs are refused too soon.
+// Drain waits until all ended turns are settled, or ctx ends. Turns that an instance leaves
+// unsettled when it stops count as spent, so that their programs are refused too early.
 func (g *Gateway) Drain(ctx context.Context) {
 	settled := make(chan struct{})
 	go func() {
--- a/internal/gateway/turns.go
+++ b/internal/gateway/turns.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Turn is a kept turn: what the engine was given and what it made.
+// Turn is a retained turn: the input and the output of its engine.
 type Turn struct {
 	ID       string
 	Previous string
@@ -15,27 +15,27 @@
 	// Events are the data of the turn's events, in order.
 	Events [][]byte
 	Ended  time.Time
-	// Replica is the engine that ran it.
+	// Replica is the engine that ran the turn.
 	Replica string
 }
 
 // Reservation asks to run a turn within its program's tokens.
 type Reservation struct {
-	// Customer names the client account that the program belongs to; empty for none.
+	// Customer is the name of the customer that the program belongs to; empty for none.
 	Customer string
 	Program  string
 	Turn     string
-	// Previous names the turn to continue from; empty for none.
+	// Previous is the ID of the turn to continue; empty for none.
 	Previous string
-	// Most is the number of tokens that the turn may make at the most.
+	// MaxOutputTokens is the largest number of tokens that the turn may generate.
 	MaxOutputTokens int
-	// Budget is what all turns of the program may make; 0 for no bound.
+	// Budget is the number of tokens that all turns of the program may generate; 0 for no limit.
 	Budget int
-	// Deadline is when the caller gives up.
+	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// Kept says that the turn is to be kept.
+	// Retain is set if the turn is to be retained.
 	Retain bool
-	// Retention is how long the account is kept after its last turn.
+	// Retention is how long the program's account is kept after its last turn.
 	Retention time.Duration
 }
 
@@ -43,39 +43,39 @@
 type Reserved struct {
 	// Chain holds the turns before this one, the oldest first.
 	Chain []Turn
-	// Foreign says that the chain is another program's.
+	// ForeignChain is set if the chain belongs to another program.
 	ForeignChain bool
 	// Replica is the engine that most likely has the prompt cached; empty if unknown.
 	Replica string
 }
 
-// Ending settles a reservation.
+// Settlement settles a reservation.
 type Settlement struct {
 	Customer, Program, Turn string
 	// Replica is the engine that ran the turn; empty if none did.
 	Replica string
-	// Made is the number of tokens that were passed on.
+	// OutputTokens is the number of tokens that were forwarded.
 	OutputTokens int
-	// Kept is the whole turn, where its answer is complete and is to be kept.
+	// RetainedTurn is the turn to retain; nil if its response is incomplete or needs no retention.
 	RetainedTurn *Turn
-	// Chain holds the turns before it, for a program that continued another's.
+	// Chain holds the turns before it, for a program that continues another program's chain.
 	Chain []Turn
-	// Retention is how long the turn is kept.
+	// Retention is how long the turn is retained.
 	Retention time.Duration
 }
 
-// The outcomes of a reservation other than a grant. Any other error says that
-// nothing is known, and that the turn must not run.
+// The errors of a refused reservation. Any other error means that the state of the program is
+// unknown; the turn must not run then either.
 var (
-	ErrBudgetExhausted = errors.New("gateway: the program's tokens are spent")
-	ErrNoSuchTurn      = errors.New("gateway: no such turn")
-	// ErrIsolated says that turns can't be kept from here before a cut heals.
-	ErrIsolated = errors.New("gateway: cut off from the keepers of turns")
+	ErrBudgetExhausted = errors.New("gateway: the program's token budget is exhausted")
+	ErrNoSuchTurn      = errors.New("gateway: the previous turn does not exist")
+	// ErrIsolated indicates that this instance can't retain turns until a network partition heals.
+	ErrIsolated = errors.New("gateway: this instance is isolated from the keepers of turns")
 )
 
-// Turns keeps turns and counts programs' tokens for all instances.
+// Turns retains turns and counts the programs' tokens for all instances.
 type Turns interface {
 	Reserve(ctx context.Context, r Reservation) (Reserved, error)
-	// Settle returns once the ending is durable. It may be repeated.
+	// Settle returns once the settlement is durable. It may be repeated.
 	Settle(ctx context.Context, e Settlement) error
 }
