--- a/internal/gateway/attempts_machine_test.go
+++ b/internal/gateway/attempts_machine_test.go
@@ -20,10 +20,10 @@
 	os.Exit(m.Run())
 }
 
-// behaviour is what a replica does with one sending.
+// replicaBehaviour is what a replica does with one attempt.
 type replicaBehaviour struct {
 	name string
-	// runs says that the replica works on the call.
+	// executes is set if the replica runs the call.
 	executes bool
 	script   script
 }
@@ -35,20 +35,21 @@
 		breaksOff = dependingOnResume(breaksOff, streams(io.ErrUnexpectedEOF))
 	}
 	return []replicaBehaviour{
-		{"loses the answer", true, failsWith(httpconn.ErrResponseLost)},
+		{"loses the response", true, failsWith(httpconn.ErrResponseLost)},
 		{"refuses", false, refuses},
 		{"breaks off", true, breaksOff},
-		{"is behind a connection that went silent", true, delayed(100*time.Millisecond, failsWith(httpconn.ErrUnresponsive))},
-		{"answers late", true, delayed(700*time.Millisecond, completes)},
-		{"takes no connection", false, failsWith(httpconn.ErrNotSent)},
-		{"has no connection free", false, failsWith(httpconn.ErrConnectionLimit)},
+		{"has an unresponsive connection", true, delayed(100*time.Millisecond, failsWith(httpconn.ErrUnresponsive))},
+		{"responds late", true, delayed(700*time.Millisecond, completes)},
+		{"accepts no connection", false, failsWith(httpconn.ErrNotSent)},
+		{"has no free connection", false, failsWith(httpconn.ErrConnectionLimit)},
 		{"hangs", true, hangs},
-		{"sends nonsense", true, respondsWith(Response{Status: 200, Executed: true}, "unsigned")},
-		{"answers", true, completes},
+		{"sends an unsigned response", true, respondsWith(Response{Status: 200, Executed: true}, "unsigned")},
+		{"responds", true, completes},
 	}
 }
 
-// resumed answers one way from the start, and another behind the first event.
+// dependingOnResume runs start for an attempt from the start of a stream, and after for one that
+// resumes it.
 func dependingOnResume(start, after script) script {
 	return func(ctx context.Context, s *Attempt) (*Response, error) {
 		if s.ResumeAfter != "" {
@@ -58,7 +59,7 @@
 	}
 }
 
-// afterPause runs the script after a time, unless the caller leaves.
+// delayed runs the script after a pause, unless the attempt is cancelled.
 func delayed(pause time.Duration, then script) script {
 	return func(ctx context.Context, s *Attempt) (*Response, error) {
 		select {
@@ -70,11 +71,11 @@
 	}
 }
 
-// ran are the sendings that a replica worked on, by replica.
+// executions counts the attempts that ran, by replica.
 type executions map[string]int
 
-// scripted makes replicas that behave as drawn, one behaviour for each sending. Those that are
-// cut off run what reaches them and answer nothing.
+// scriptReplicas returns scripts that behave as drawn, one behaviour for each attempt. Silent
+// replicas run the calls that they receive and do not respond.
 func scriptReplicas(drawn []replicaBehaviour, silent map[string]bool, counts executions) []script {
 	var steps []script
 	for _, b := range drawn {
@@ -92,11 +93,13 @@
 	return steps
 }
 
-// Calls run at more replicas than their route allows, more than once where they may not, or are
-// told not to have run: any mix of lost answers, refusals, silent connections and data centres.
+// Guards against calls that run at more replicas than their route allows, run more than once
+// although not repeatable, or are reported as not run although they ran, under any mix of lost
+// responses, refusals, and unresponsive connections and data centres.
 func TestAttemptsMachine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		// rapid prefers small numbers, with which most calls are answered at once.
+		// Drawn by the seed alone: rapid prefers small numbers, with which most calls get a response
+		// immediately.
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0))
 		route := []routing.Route{
 			{Kind: routing.Once}, {Kind: routing.Idempotent},
@@ -120,7 +123,7 @@
 		got := serveWithSilence(t, fallsSilentAfter(silenceAfter), route, Call{ID: "r"}, nil, scriptReplicas(drawn, silent, counts)...)
 
 		fail := func(what string) {
-			rt.Fatalf("%s: route %+v, sends %v, behaviours %v, cut %v, ran %v, result %+v", what, route, got.targets, names, silent, counts, got.result)
+			rt.Fatalf("%s: route %+v, attempts at %v, behaviours %v, silent replicas %v, executions %v, result %+v", what, route, got.targets, names, silent, counts, got.result)
 		}
 		total := 0
 		for _, n := range counts {
@@ -133,10 +136,10 @@
 			fail("ran more than once")
 		}
 		if got.result.Outcome == NotRun && total > 0 {
-			fail("told not to have run")
+			fail("reported as not run, but ran")
 		}
 		if got.result.Outcome == Answered && got.body != "whole" && got.body != event(1)+event(2) {
-			fail("answered with " + got.body)
+			fail("unexpected response body " + got.body)
 		}
 	})
 }
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -16,7 +16,8 @@
 	"foxhall/internal/routing"
 )
 
-// slowly streams an event at once and the next ones after pauses, unless its caller leaves.
+// streamsSlowly streams the first event immediately and each further one after a pause, unless the
+// attempt is cancelled.
 func streamsSlowly(pause time.Duration, events ...string) script {
 	return func(ctx context.Context, _ *Attempt) (*Response, error) {
 		body := &slowReader{ctx: ctx, pause: pause, events: events}
@@ -48,7 +49,8 @@
 	return n, err
 }
 
-// silentOnce has each call told once, after the time, that the data centre is silent.
+// fallsSilentAfter returns an OnSilence function that reports the data centre as silent once, after
+// the given time.
 func fallsSilentAfter(after time.Duration) func(string, func()) func() {
 	return func(_ string, f func()) func() {
 		timer := time.AfterFunc(after, f)
@@ -60,8 +62,8 @@
 	return len(slices.Compact(slices.Sorted(slices.Values(sends))))
 }
 
-// Calls run on more replicas than their route allows: the instances of a data centre are
-// silent while its replicas answer.
+// Guards against calls that run at more replicas than their route allows: the instances of a data
+// centre are silent while its replicas respond.
 func TestAttemptLimitHoldsWhileOnlyInstancesAreSilent(t *testing.T) {
 	is := is.New(t)
 	route := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 1}
@@ -84,8 +86,9 @@
 	is.Equal(got.body, "late")
 }
 
-// Calls run on more replicas than their route allows: a kept connection goes silent while its
-// replica accepts new ones and runs on. The same replica must be asked again.
+// Guards against calls that run at more replicas than their route allows: a reused connection
+// becomes unresponsive while its replica still runs and accepts new ones. The call must be retried
+// at the same replica.
 func TestAttemptLimitHoldsWhenOnlyAConnectionIsUnresponsive(t *testing.T) {
 	is := is.New(t)
 	idempotent := routing.Route{Kind: routing.Idempotent, Attempts: 1}
@@ -103,7 +106,8 @@
 	is.Equal(countDistinct(got.targets), 1)
 }
 
-// A caller waits for a connection into a cut in vain: its data centre is silent as well.
+// Guards against a caller that waits for a connection across a network partition: if the replica's
+// data centre is silent as well as the connection, the replica must not be retried.
 func TestReplicaInSilentDataCentreIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	settings := Settings{SilentFor: func(string) time.Duration { return maxContactAge }}
@@ -113,8 +117,9 @@
 	is.Equal(len(got.targets), 1)
 }
 
-// Calls run on more replicas than their route allows, or are told not to have run: a replica
-// loses an answer and refuses the second sending, which hides that it may have run the first.
+// Guards against calls that run at more replicas than their route allows, or are reported as not
+// run: a replica's first response is lost and it refuses the second attempt, which must not hide
+// that the first may have run.
 func TestRefusedRetryDoesNotHideThatTheFirstAttemptMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	stream := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 1}
@@ -132,8 +137,8 @@
 	}
 }
 
-// Operators can't tell why a run was left, and whether its replica counts: a stream that breaks
-// leaves no line.
+// Guards against streams that break off without a log line, from which operators could not see why
+// an attempt ended and whether its replica counts against the route's attempts.
 func TestFailedAttemptIsLogged(t *testing.T) {
 	is := is.New(t)
 	route := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}
--- a/internal/gateway/customer_test.go
+++ b/internal/gateway/customer_test.go
@@ -25,7 +25,7 @@
 	return c
 }
 
-// A call runs for a caller whose key nobody holds, or for another customer than its key's.
+// Guards against calls that run with an unknown key, or for another customer than the key's.
 func TestCallsRequireAKnownKey(t *testing.T) {
 	first := 0
 	customers := newCustomers(t,
@@ -39,12 +39,12 @@
 		customer string
 		priority int
 	}{
-		{"a key in force", digestOf("k1"), false, Answered, "one", 0},
-		{"a second key", digestOf("k3"), false, Answered, "two", 4},
-		{"a key that nobody holds", digestOf("gone"), false, NotRun, "", 0},
+		{"first key of a customer", digestOf("k1"), false, Answered, "one", 0},
+		{"second key of a customer", digestOf("k3"), false, Answered, "two", 4},
+		{"unknown key", digestOf("gone"), false, NotRun, "", 0},
 		{"no key", nil, false, NotRun, "", 0},
-		{"no key where none is needed", nil, true, Answered, "", 4},
-		{"a key where none is needed", digestOf("k2"), true, Answered, "two", 4},
+		{"no key on a public route", nil, true, Answered, "", 4},
+		{"key on a public route", digestOf("k2"), true, Answered, "two", 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -62,7 +62,7 @@
 	}
 }
 
-// A turn of one customer is kept, and its tokens counted, under another's name.
+// Guards against turns that are retained, and whose tokens are counted, under another customer.
 func TestTurnsAreRetainedForTheirCustomer(t *testing.T) {
 	is := is.New(t)
 	customers := newCustomers(t, routing.Customer{Name: "one", Keys: []routing.KeyDigest{*digestOf("k1")}})
@@ -74,7 +74,7 @@
 	is.Equal(turns.settlements[0].Customer, "one")
 }
 
-// fakeQuotas answers what it is told to.
+// fakeQuotas returns a fixed verdict and records returned admissions.
 type fakeQuotas struct {
 	verdict  limit.Verdict
 	returned []string
@@ -88,7 +88,7 @@
 	f.returned = append(f.returned, customer)
 }
 
-// A call beyond its customer's quota runs, or waits for its end before it is refused.
+// Guards against calls over their customer's quota that run, or that wait before they are refused.
 func TestCallsOverQuotaAreRefusedImmediately(t *testing.T) {
 	customers := newCustomers(t, routing.Customer{Name: "one", Keys: []routing.KeyDigest{*digestOf("k1")}})
 	for verdict, reason := range map[limit.Verdict]Reason{limit.OverQuota: OverQuota, limit.Undetermined: QuotaUnknown} {
@@ -107,7 +107,7 @@
 	}
 }
 
-// A customer's quota is used up by calls that were refused and have not run.
+// Guards against quotas that are used up by calls that were refused and have not run.
 func TestCallsThatDidNotRunAreReturnedToTheQuota(t *testing.T) {
 	customers := newCustomers(t, routing.Customer{Name: "one", Keys: []routing.KeyDigest{*digestOf("k1")}})
 	route := routing.Route{Kind: routing.Once, Attempts: 1}
@@ -122,7 +122,7 @@
 	}
 }
 
-// The metrics of an instance grow without end, by names that callers' accounts bear.
+// Guards against metrics that grow without bound with the number of customers.
 func TestCustomerCountersAreBounded(t *testing.T) {
 	is := is.New(t)
 	registry := metrics.NewRegistry()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -27,14 +27,14 @@
 	"foxhall/internal/usage"
 )
 
-// fakeReplicas answers sendings by a script, one step for each.
+// fakeReplicas responds to attempts by a list of scripts, one for each attempt; the last one repeats.
 type fakeReplicas struct {
 	mu       sync.Mutex
 	steps    []func(ctx context.Context, s *Attempt) (*Response, error)
 	attempts []Attempt
 }
 
-// replicaNames are the replicas of the service.
+// testReplicas are the names of the service's replicas.
 var testReplicas = []string{"a", "b", "c", "d"}
 
 func (f *fakeReplicas) Send(ctx context.Context, s *Attempt) (*Response, error) {
@@ -81,7 +81,7 @@
 
 var refuses = respondsWith(Response{Status: 503}, "full")
 
-// streams sends events and then ends, or breaks off with an error.
+// streams sends events and then ends, or breaks off with err.
 func streams(err error, events ...string) script {
 	return func(context.Context, *Attempt) (*Response, error) {
 		readers := []io.Reader{strings.NewReader(strings.Join(events, ""))}
@@ -98,14 +98,14 @@
 
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: d%d\n\n", n, n) }
 
-// fakeTurns grants or refuses, and remembers endings.
+// fakeTurns grants or refuses reservations, and records settlements.
 type fakeTurns struct {
 	mu          sync.Mutex
 	reserveErr  error
 	chain       []Turn
 	settleErr   error
 	settlements []Settlement
-	// settleAfter is how long a settling takes.
+	// settleDelay is how long a settlement takes.
 	settleDelay time.Duration
 }
 
@@ -143,23 +143,24 @@
 	duration time.Duration
 	targets  []string
 	attempts []Attempt
-	// exceeded counts the calls that the gateway says ran at more replicas than allowed.
+	// exceeded is the gateway's count of calls that may have run at more replicas than allowed.
 	exceeded int64
 	lines    []*log.Entry
 }
 
-// serve serves one call over the replicas of a service, on virtual time.
+// serve serves one call by the replicas of a service, in virtual time.
 func serve(t *testing.T, route routing.Route, call Call, turns *fakeTurns, steps ...script) testOutcome {
 	neverSilent := func(string, func()) func() { return func() {} }
 	return serveWithSilence(t, neverSilent, route, call, turns, steps...)
 }
 
-// serveThrough is the same where a data centre may fall silent.
+// serveWithSilence is serve with data centres that may fall silent.
 func serveWithSilence(t *testing.T, onSilence func(string, func()) func(), route routing.Route, call Call, turns *fakeTurns, steps ...script) testOutcome {
 	return serveWith(t, nil, Settings{OnSilence: onSilence}, route, call, turns, steps...)
 }
 
-// serveFor is the same with customers, and settings of which those not given are quiet ones.
+// serveWith is serve with customers and settings. Settings that are nil get defaults under which
+// nothing falls silent and no quota applies.
 func serveWith(t *testing.T, customers *routing.Customers, settings Settings, route routing.Route, call Call, turns *fakeTurns, steps ...script) testOutcome {
 	var got testOutcome
 	synctest.Test(t, func(t *testing.T) {
@@ -211,7 +212,7 @@
 	return got
 }
 
-// line returns the first line with the message.
+// logFields returns the fields of the first log line with the message; nil if there is none.
 func (o testOutcome) logFields(message string) log.Fields {
 	for _, e := range o.lines {
 		if e.Message == message {
@@ -221,8 +222,8 @@
 	return nil
 }
 
-// A caller is charged twice. The replica took the call and its answer was lost,
-// so it may have run; sent again it would run again. It must end as unknown.
+// Guards against a caller that is charged twice. The replica received the call and its response was
+// lost, so that it may have run, and a retry would run it again. It must end as unknown.
 func TestNonRepeatableCallThatMayHaveRunIsNotRetried(t *testing.T) {
 	for _, script := range []script{
 		failsWith(httpconn.ErrResponseLost), failsWith(httpconn.ErrUnresponsive), hangs,
@@ -238,8 +239,8 @@
 	}
 }
 
-// A caller is refused although another replica is free. A replica that says
-// that it did not run the call, or that could not be reached, costs nothing.
+// Guards against a caller that is refused although another replica is free. A replica that states
+// that it did not run the call, or that is unreachable, does not count against the attempts.
 func TestCallThatDidNotRunIsRetriedOnAnotherReplica(t *testing.T) {
 	for _, script := range []script{failsWith(httpconn.ErrNotSent), refuses, respondsWith(Response{Status: 421, Executed: true, Misdirected: true}, "")} {
 		is := is.New(t)
@@ -250,16 +251,16 @@
 	}
 }
 
-// Callers are told "not run" and the call was run: an idempotent call may have
-// run at one replica before the others refused it.
+// Guards against calls reported as not run that ran: an idempotent call may have run at one replica
+// before the others refused it.
 func TestRefusalAfterLostResponseEndsAsUnknown(t *testing.T) {
 	is := is.New(t)
 	got := serve(t, routing.Route{Kind: routing.Idempotent, Attempts: 2}, Call{ID: "r"}, nil, failsWith(httpconn.ErrResponseLost), refuses)
 	is.Equal(got.result.Outcome, Unknown)
 }
 
-// An idempotent call is sent to more replicas than its route allows. Where only
-// one is allowed, the same is asked again.
+// Guards against idempotent calls that are sent to more replicas than their route allows. If only
+// one is allowed, the call is retried at the same replica.
 func TestIdempotentCallIsRetriedWithinTheAttemptLimit(t *testing.T) {
 	is := is.New(t)
 	got := serve(t, routing.Route{Kind: routing.Idempotent, Attempts: 1}, Call{ID: "r"}, nil, failsWith(httpconn.ErrResponseLost), succeedsWith("second"))
@@ -270,7 +271,7 @@
 	is.True(got.targets[0] != got.targets[1])
 }
 
-// A caller waits past the time that operators gave the route.
+// Guards against callers that wait past the route's timeout.
 func TestRouteTimeoutEndsTheCall(t *testing.T) {
 	is := is.New(t)
 	got := serve(t, routing.Route{Kind: routing.Once, Attempts: 1, Timeout: 700 * time.Millisecond}, Call{ID: "r"}, nil, hangs)
@@ -278,9 +279,9 @@
 	is.Equal(got.duration, 700*time.Millisecond)
 }
 
-// A caller gets an event twice, or half of one. The replica broke off within an
-// event; the stream must go on behind the last whole one, at the same replica
-// where the route allows one only.
+// Guards against callers that receive an event twice, or a part of one. The replica broke off
+// within an event; the stream must resume after the last complete one, at the same replica if the
+// route allows only one.
 func TestResumedStreamDeliversEachEventOnce(t *testing.T) {
 	is := is.New(t)
 	broken := streams(io.ErrUnexpectedEOF, event(1), event(2), "id: 3\ndata: d")
@@ -290,8 +291,8 @@
 	is.Equal(got.targets[0], got.targets[1])
 }
 
-// A caller takes half an answer for a whole one. A stream that may not be
-// resumed must end in a way that shows it.
+// Guards against callers that take a partial response for a complete one. A stream that breaks off
+// and is not resumable must end as truncated.
 func TestTruncatedStreamIsNotResumedUnlessResumable(t *testing.T) {
 	is := is.New(t)
 	got := serve(t, routing.Route{Kind: routing.Stream, Attempts: 2}, Call{ID: "r"}, nil, streams(io.ErrUnexpectedEOF, event(1)), streams(nil, event(2)))
@@ -305,8 +306,8 @@
 
 var turnRoute = routing.Route{Kind: routing.Stream, Attempts: 1, RetainsTurns: true, Retention: time.Minute}
 
-// A turn reaches the engine without what was said before, or is kept without
-// what the engine said.
+// Guards against turns that reach the engine without the earlier turns of their chain, or are
+// retained without their output.
 func TestTurnIsSentWithItsChainAndRetained(t *testing.T) {
 	is := is.New(t)
 	turns := &fakeTurns{chain: []Turn{{ID: "t1", Input: []byte("old"), Events: [][]byte{[]byte("x"), []byte("y")}}}}
@@ -323,8 +324,8 @@
 	is.Equal(turns.settlements[0].RetainedTurn.Events, [][]byte{[]byte("d1"), []byte("d2")})
 }
 
-// A caller continues a turn that is not there. Its end may only be passed on
-// once the turn is durable.
+// Guards against callers that continue a turn that does not exist. The end of a response may be
+// forwarded only once the turn is durable.
 func TestTurnThatCannotBeRetainedIsTruncated(t *testing.T) {
 	is := is.New(t)
 	turns := &fakeTurns{settleErr: errors.New("no disk")}
@@ -333,8 +334,8 @@
 	is.Equal(got.result.Reason, TurnNotRetained)
 }
 
-// A caller waits for keepers that change, though its turn need not be kept: its
-// answer must end with its last event, and the turn be settled behind it.
+// Guards against callers that wait for changing keepers although their turn need not be retained:
+// the response must end with its last event, and the turn be settled afterwards.
 func TestTurnWithoutRetentionDoesNotWaitForSettlement(t *testing.T) {
 	is := is.New(t)
 	turns := &fakeTurns{settleDelay: time.Second}
@@ -347,8 +348,8 @@
 	is.Equal(turns.settlements[0].OutputTokens, 4)
 }
 
-// A program is refused too soon, as if it had used all that its last turn might have
-// made: the keeping of a turn failed, and nothing settled it after that.
+// Guards against programs that are refused too early, as if their last turn had used its whole
+// reservation: retaining a turn failed, and nothing settled it afterwards.
 func TestTurnIsSettledAfterRetainingFailed(t *testing.T) {
 	is := is.New(t)
 	turns := &fakeTurns{settleErr: errors.New("no disk")}
@@ -358,8 +359,8 @@
 	is.Equal(turns.settlements[1].OutputTokens, 2)
 }
 
-// An instance that stops leaves turns unsettled, and their programs are refused too
-// soon elsewhere. It must wait for them, and no longer than it may.
+// Guards against an instance that stops with unsettled turns, so that other instances refuse their
+// programs too early. It must wait for the settlements until its context ends.
 func TestDrainWaitsForSettlements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -375,9 +376,9 @@
 	})
 }
 
-// A caller waits for a replica behind a cut until its connection gives up. As its data
-// centre falls silent, a call must go to another at once where its route allows one more
-// attempt, and go on waiting where it does not: the replica may run on.
+// Guards against callers that wait for a replica across a network partition until the connection
+// times out. When the data centre falls silent, a call must go to another replica immediately if
+// its route allows one more attempt, and keep waiting if not: the replica may still be running.
 func TestCallsFailOverFromSilentDataCentreWithinTheAttemptLimit(t *testing.T) {
 	silenceAfter, timeout := 300*time.Millisecond, 2*time.Second
 	hangsAfterOneEvent := func(ctx context.Context, s *Attempt) (*Response, error) {
@@ -407,7 +408,7 @@
 	}
 }
 
-// hangingReader gives what it begins with and then nothing until ctx ends.
+// hangingReader returns the bytes of start and then blocks until ctx ends.
 type hangingReader struct {
 	ctx   context.Context
 	start io.Reader
@@ -421,8 +422,8 @@
 	return 0, r.ctx.Err()
 }
 
-// A program loses tokens that it never got: a turn that did not run gives all
-// of its reservation back, one that broke off what it did not make.
+// Guards against programs that lose tokens that they did not use: a turn that did not run returns
+// its whole reservation, a truncated one the tokens that it did not generate.
 func TestReservationIsSettledByOutputTokens(t *testing.T) {
 	is := is.New(t)
 	turns := &fakeTurns{}
@@ -436,7 +437,7 @@
 	is.True(turns.settlements[0].RetainedTurn == nil)
 }
 
-// What is refused before it is sent says so, and why.
+// Guards against turns refused before any attempt that end with another outcome or reason.
 func TestRefusedTurnsGiveTheReason(t *testing.T) {
 	for err, reason := range map[error]Reason{
 		ErrBudgetExhausted: BudgetExhausted, ErrNoSuchTurn: NoSuchTurn, ErrIsolated: TurnsUnavailable, errors.New("x"): TurnsUnavailable,
@@ -449,17 +450,17 @@
 	}
 }
 
-// A caller whose data centre is cut off comes back into the cut again and again:
-// it is told to come at once, or so late that its time is over. It must be told
-// to come when the balancer sends it elsewhere.
+// Guards against callers of an isolated data centre that retry there repeatedly, because the retry
+// delay is too short, or miss their deadline, because it is too long. The retry delay must end when
+// the load balancer sends them to another data centre.
 func TestTurnInIsolatedDataCentreIsRetriedAfterBalancerFailover(t *testing.T) {
 	is := is.New(t)
 	got := serve(t, turnRoute, turnCall(), &fakeTurns{reserveErr: ErrIsolated}, succeedsWith("never"))
 	is.Equal(got.result.RetryAfter, balancerFailoverTime-time.Second)
 }
 
-// A replica that fails all calls at once draws ever more of them. Its own failures
-// must count against it; a call's fault and a passed deadline must not.
+// Guards against a replica that fails all calls immediately and therefore attracts ever more of
+// them. Its own failures must count against it; faults of a call and passed deadlines must not.
 func TestServerErrorsCountAgainstTheReplica(t *testing.T) {
 	is := is.New(t)
 	is.Equal(failureOf(500).Kind, upstream.Errored)
