--- a/internal/gateway/turns.go
+++ b/internal/gateway/turns.go
@@ -68,7 +68,7 @@
 // unknown; the turn must not run then either.
 var (
 	ErrBudgetExhausted = errors.New("gateway: the program's token budget is exhausted")
-	ErrNoSuchTurn      = errors.New("gateway: the previous turn does not exist")
+	ErrNoSuchTurn      = errors.New("gateway: turn not found")
 	// ErrIsolated indicates that this instance can't retain turns until a network partition heals.
 	ErrIsolated = errors.New("gateway: this instance is isolated from the keepers of turns")
 )
