--- a/internal/routing/customer.go
+++ b/internal/routing/customer.go
@@ -30,20 +30,20 @@
 }
 
 // check returns why the customer can't be used, if it can't.
-func (c *Customer) check() error {
+func (c *Customer) validate() error {
 	switch {
 	case c.Name == "":
 		return errors.New("customer: name is missing")
-	case !nonNegative(c.Quota.Rate):
+	case !isFiniteNonNegative(c.Quota.Rate):
 		return errors.Errorf("customer %s: rate %v is no limit", c.Name, c.Quota.Rate)
-	case !nonNegative(c.Quota.Burst):
+	case !isFiniteNonNegative(c.Quota.Burst):
 		return errors.Errorf("customer %s: burst %v is no limit", c.Name, c.Quota.Burst)
 	default:
 		return nil
 	}
 }
 
-func nonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
+func isFiniteNonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
 
 // Customers finds customers by their keys. It is immutable.
 type Customers struct {
@@ -58,7 +58,7 @@
 	names := map[string]bool{}
 	for i := range list {
 		customer := &list[i]
-		if err := customer.check(); err != nil {
+		if err := customer.validate(); err != nil {
 			return nil, err
 		}
 		if names[customer.Name] {
--- a/internal/routing/customer_test.go
+++ b/internal/routing/customer_test.go
@@ -13,11 +13,11 @@
 
 // A call is counted against, or handed to, the wrong customer, since the configuration does
 // not tell whose it is.
-func TestAmbiguousCustomersAreRefused(t *testing.T) {
+func TestInvalidCustomersAreRejected(t *testing.T) {
 	shared := DigestKey("shared")
 	for _, c := range []struct {
-		list []Customer
-		says string
+		list      []Customer
+		wantError string
 	}{
 		{[]Customer{{Name: ""}}, "name is missing"},
 		{[]Customer{{Name: "a"}, {Name: "a"}}, "listed twice"},
@@ -29,12 +29,12 @@
 		is := is.New(t)
 		_, err := NewCustomers(c.list)
 		is.True(err != nil)
-		is.True(strings.Contains(err.Error(), c.says))
+		is.True(strings.Contains(err.Error(), c.wantError))
 		is.True(!strings.Contains(err.Error(), "shared")) // an error tells no key
 	}
 }
 
-func TestManyCustomersAreFoundByTheirKeys(t *testing.T) {
+func TestCustomersAreFoundByTheirKeys(t *testing.T) {
 	is := is.New(t)
 	const customers = 10_000
 	list := make([]Customer, customers)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -25,8 +25,8 @@
 )
 
 // String returns the kind's name in log lines.
-func (r Kind) String() string {
-	return [...]string{"once", "idempotent", "stream"}[r]
+func (k Kind) String() string {
+	return [...]string{"once", "idempotent", "stream"}[k]
 }
 
 // Share is one service behind a route with its weight among the others.
@@ -119,8 +119,8 @@
 		r := &routes[i]
 		t.routes[r.Host] = append(t.routes[r.Host], r)
 	}
-	for _, of := range t.routes {
-		slices.SortStableFunc(of, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
+	for _, hostRoutes := range t.routes {
+		slices.SortStableFunc(hostRoutes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	return t
 }
@@ -139,7 +139,7 @@
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
 // Services returns the number of services.
-func (t *Table) Services() int { return len(t.services) }
+func (t *Table) ServiceCount() int { return len(t.services) }
 
 // Choose returns the route's service for a call: by weight, and the same for
 // the same key.
@@ -154,9 +154,9 @@
 		}
 		return r.Services[0].Service
 	}
-	at := int(key % uint64(total))
+	offset := int(key % uint64(total))
 	for _, s := range r.Services {
-		if at -= max(0, s.Weight); at < 0 {
+		if offset -= max(0, s.Weight); offset < 0 {
 			return s.Service
 		}
 	}
@@ -177,16 +177,16 @@
 }
 
 // nameMark separates a replica's id from its incarnation in its name.
-const nameMark = "@"
+const incarnationSeparator = "@"
 
 // Name tells the replica's incarnation from earlier ones of the same id, which
 // know nothing of each other.
 func (r *Replica) Name() string {
-	return r.ID + nameMark + strconv.FormatInt(r.Incarnation, 10)
+	return r.ID + incarnationSeparator + strconv.FormatInt(r.Incarnation, 10)
 }
 
 // IDOf returns the id of the replica of that name.
 func ReplicaID(name string) string {
-	id, _, _ := strings.Cut(name, nameMark)
+	id, _, _ := strings.Cut(name, incarnationSeparator)
 	return id
 }
