--- a/internal/routing/customer.go
+++ b/internal/routing/customer.go
@@ -10,34 +10,34 @@
 	"foxhall/internal/limit"
 )
 
-// KeyDigest stands for an API key, which is kept nowhere itself. Digests are looked up in
-// a hash table: the time that takes tells nothing of how much of a key is right.
+// KeyDigest is the SHA-256 digest of an API key; the key itself is not stored. Digests are looked up
+// in a hash table, so that the time of a look-up does not reveal how much of a guessed key is right.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// String returns the beginning of the digest, enough to tell keys apart in errors.
+// String returns the first 4 bytes of the digest in hexadecimal, enough to distinguish keys in errors.
 func (d KeyDigest) String() string { return hex.EncodeToString(d[:4]) }
 
-// Customer is a client account: calls with one of its keys are its own.
+// Customer is a client account. Calls with one of its keys belong to it.
 type Customer struct {
 	Name string
 	Keys []KeyDigest
-	// Priority goes before that of the route; nil where the route's counts.
+	// Priority overrides the route's priority; nil for the route's.
 	Priority *int
 	Quota    limit.Quota
 }
 
-// check returns why the customer can't be used, if it can't.
+// validate returns an error if the customer's name or quota is invalid.
 func (c *Customer) validate() error {
 	switch {
 	case c.Name == "":
 		return errors.New("customer: name is missing")
 	case !isFiniteNonNegative(c.Quota.Rate):
-		return errors.Errorf("customer %s: rate %v is no limit", c.Name, c.Quota.Rate)
+		return errors.Errorf("customer %s: expected a finite rate of 0 or more, found rate %v", c.Name, c.Quota.Rate)
 	case !isFiniteNonNegative(c.Quota.Burst):
-		return errors.Errorf("customer %s: burst %v is no limit", c.Name, c.Quota.Burst)
+		return errors.Errorf("customer %s: expected a finite burst of 0 or more, found burst %v", c.Name, c.Quota.Burst)
 	default:
 		return nil
 	}
@@ -51,8 +51,8 @@
 	byKey map[KeyDigest]*Customer
 }
 
-// NewCustomers returns the customers of one version. Two of one name, or with one key,
-// are an error: it could not be told whose a call is.
+// NewCustomers returns the customers of one configuration version. Two customers with the same name
+// or the same key are an error: the customer of a call would be ambiguous.
 func NewCustomers(list []Customer) (*Customers, error) {
 	c := &Customers{list: list, byKey: map[KeyDigest]*Customer{}}
 	names := map[string]bool{}
@@ -75,7 +75,7 @@
 	return c, nil
 }
 
-// Quotas returns the limits of those customers that have one, by name.
+// Quotas returns the quotas of the customers that have one, by customer name.
 func (c *Customers) Quotas() map[string]limit.Quota {
 	quotas := map[string]limit.Quota{}
 	if c == nil {
@@ -89,5 +89,5 @@
 	return quotas
 }
 
-// ByKey returns the customer that holds the key, or nil.
+// ByKey returns the customer with the key, or nil.
 func (c *Customers) ByKey(key KeyDigest) *Customer { return c.byKey[key] }
--- a/internal/routing/customer_test.go
+++ b/internal/routing/customer_test.go
@@ -11,8 +11,8 @@
 	"foxhall/internal/limit"
 )
 
-// A call is counted against, or handed to, the wrong customer, since the configuration does
-// not tell whose it is.
+// Guards against configurations in which the customer of a call is ambiguous or a quota is invalid,
+// so that calls are attributed to, or counted against, the wrong customer.
 func TestInvalidCustomersAreRejected(t *testing.T) {
 	shared := DigestKey("shared")
 	for _, c := range []struct {
@@ -30,7 +30,7 @@
 		_, err := NewCustomers(c.list)
 		is.True(err != nil)
 		is.True(strings.Contains(err.Error(), c.wantError))
-		is.True(!strings.Contains(err.Error(), "shared")) // an error tells no key
+		is.True(!strings.Contains(err.Error(), "shared")) // errors must not contain a key
 	}
 }
 
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing holds the aggregate of what operators accept for traffic:
-// routes, the services behind them and the limits on callers. A Table is
-// immutable; its rules do no I/O.
+// Package routing defines the routing configuration that operators have accepted: routes, the
+// services behind them, customers and the limits on callers. A Table is immutable, and the package
+// does no I/O.
 package routing
 
 import (
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Repeat says how often the calls of a route may run.
+// Kind is the kind of a route; it determines how often the route's calls may run.
 type Kind uint8
 
 // The kinds of route.
 const (
-	// Once says that a call runs at most once.
+	// Once: a call runs at most once.
 	Once Kind = iota
-	// Idempotent says that a call may run more than once.
+	// Idempotent: a call may run more than once.
 	Idempotent
-	// Stream says that the answer is a stream of events. A stream runs at most
-	// once unless its route is resumable.
+	// Stream: the response is a stream of events. A stream runs at most once unless its route is
+	// resumable.
 	Stream
 )
 
@@ -29,7 +29,7 @@
 	return [...]string{"once", "idempotent", "stream"}[k]
 }
 
-// Share is one service behind a route with its weight among the others.
+// WeightedService is one service behind a route with its weight relative to the others.
 type WeightedService struct {
 	Service string
 	Weight  int
@@ -42,27 +42,26 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout bounds a call from its arrival to the end of its answer.
+	// Timeout bounds a call from its arrival to the end of its response.
 	Timeout time.Duration
-	// Objective is the time within which an answer is on time; of a stream,
-	// the time to its first event.
+	// Objective is the target time to a complete response, or to the first event of a stream.
 	Objective time.Duration
-	// GapObjective is the longest pause between two events of a stream that is on time.
+	// GapObjective is the target for the longest pause between two events of a stream.
 	GapObjective time.Duration
-	// Attempts is the number of replicas to which one call may be sent.
+	// Attempts is the number of replicas that may run one call.
 	Attempts int
-	// Priority is the rank among routes, 0 the first.
+	// Priority is the rank among routes; 0 is the most urgent.
 	Priority int
 	Services []WeightedService
-	// Affinity says that replicas serve faster what they served before.
+	// Affinity is set if a replica serves calls faster that resemble those it has served before.
 	Affinity bool
-	// Resumable says that a broken stream may go on at another replica.
+	// Resumable is set if a stream that breaks off may be resumed at another replica.
 	Resumable bool
-	// KeepsTurns says that calls continue from earlier answers, which are kept
-	// for Retention after the last of their chain.
+	// RetainsTurns is set if calls continue from earlier turns, which are retained for Retention
+	// after the last turn of their chain.
 	RetainsTurns bool
 	Retention    time.Duration
-	// Public says that calls need no key.
+	// Public is set if calls need no key.
 	Public bool
 }
 
@@ -74,23 +73,24 @@
 // Engine describes the engines of a model service.
 type Engine struct {
 	Slots int
-	// CacheTokens is an engine's memory in tokens.
+	// CacheTokens is the capacity of an engine's cache in tokens.
 	CacheTokens int
-	// TokensPerEvent is the number of output tokens that one event stands for.
+	// TokensPerEvent is the number of output tokens in one event.
 	TokensPerEvent int
 	Models         []string
 }
 
-// Service is a group of replicas that serve alike.
+// Service is a group of interchangeable replicas.
 type Service struct {
 	Name string
-	// MaxConnections is what one replica accepts from all instances together.
+	// MaxConnections is the number of connections that one replica accepts from all instances
+	// together; 0 for no limit.
 	MaxConnections int
-	// Engine is nil for a plain service.
+	// Engine describes the replicas of a model service; nil for any other service.
 	Engine *Engine
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests and connections of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -98,11 +98,11 @@
 	IdleTimeout    time.Duration
 }
 
-// Table is one accepted version of routes, services and limits.
+// Table is one accepted version of the routing configuration.
 type Table struct {
 	Version uint64
 	Limits  Limits
-	// Customers is nil where calls need no key on any route.
+	// Customers is nil if calls need no key on any route.
 	Customers *Customers
 
 	routes   map[string][]*Route
@@ -125,7 +125,7 @@
 	return t
 }
 
-// Match returns the route of the host with the longest prefix of the path, or nil.
+// Match returns the host's route with the longest prefix that matches the path, or nil.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.routes[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -138,11 +138,11 @@
 // Service returns the service of that name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services returns the number of services.
+// ServiceCount returns the number of services.
 func (t *Table) ServiceCount() int { return len(t.services) }
 
-// Choose returns the route's service for a call: by weight, and the same for
-// the same key.
+// Choose returns one of the route's services, in proportion to their weights. The same key gives
+// the same service.
 func (r *Route) Choose(key uint64) string {
 	total := 0
 	for _, s := range r.Services {
@@ -165,9 +165,9 @@
 
 // Replica is one running replica of a service.
 type Replica struct {
-	// ID is the replica's own name, by which it knows whether a call is for it.
+	// ID identifies the replica; the replica compares it to recognise calls that are not meant for it.
 	ID string
-	// Incarnation changes at each start, also under the same id.
+	// Incarnation changes at each start of a replica with the same ID.
 	Incarnation int64
 	Service     string
 	Address     string
@@ -176,16 +176,15 @@
 	Draining    bool
 }
 
-// nameMark separates a replica's id from its incarnation in its name.
+// incarnationSeparator separates a replica's ID from its incarnation in its name.
 const incarnationSeparator = "@"
 
-// Name tells the replica's incarnation from earlier ones of the same id, which
-// know nothing of each other.
+// Name returns the replica's ID with its incarnation. Incarnations of the same ID share no state.
 func (r *Replica) Name() string {
 	return r.ID + incarnationSeparator + strconv.FormatInt(r.Incarnation, 10)
 }
 
-// IDOf returns the id of the replica of that name.
+// ReplicaID returns the ID in a name returned by Replica.Name.
 func ReplicaID(name string) string {
 	id, _, _ := strings.Cut(name, incarnationSeparator)
 	return id
