--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -36,18 +36,18 @@
 const (
 	// defaultIdle is how long a connection is kept whose other side names no
 	// time; those of the replicas met so far were all longer.
-	defaultIdle = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// idleMargin is taken off a time that the other side names: a call sent
 	// while it closes the connection is lost.
 	idleMargin = 700 * time.Millisecond
 	// writeInline is the largest body that is written before the answer is
 	// read; it fits into the socket's buffer.
-	writeInline = 8 << 10
+	maxInlineWrite = 8 << 10
 	// maxStray bounds the body of an answer to another call that is skipped.
-	maxStray = 256 << 10
+	maxStrayBody = 256 << 10
 	// strayMost bounds the number of such answers in a row.
-	strayMost  = 4
-	bufferSize = 4 << 10
+	maxStrayResponses = 4
+	readBufferSize    = 4 << 10
 )
 
 // Call is one HTTP call.
@@ -72,49 +72,49 @@
 	Length int64
 	Body   io.Reader
 
-	conn *conn
-	call int
+	conn       *conn
+	callNumber int
 }
 
 // Pool keeps the connections to one address.
 type Pool struct {
 	address string
 
-	mu   sync.Mutex
-	idle []*conn
-	open int
+	mu        sync.Mutex
+	idle      []*conn
+	openCount int
 	// opened counts connections since the start.
-	opened int64
-	closed bool
+	openedCount int64
+	closed      bool
 }
 
 // NewPool returns a pool without connections.
 func NewPool(address string) *Pool { return &Pool{address: address} }
 
 type conn struct {
-	pool   *Pool
-	net    net.Conn
-	reader *bufio.Reader
+	pool    *Pool
+	netConn net.Conn
+	reader  *bufio.Reader
 	// idleFor is how long the other side keeps the connection.
-	idleFor time.Duration
-	since   time.Time
+	idleTimeout time.Duration
+	idleSince   time.Time
 
 	mu sync.Mutex
 	// calls counts the calls on the connection. Each end of a call names the
 	// call that it ends: an answer is closed once more after its connection
 	// was given to the next call, which that must not touch.
-	calls int
+	callCount int
 	// unwritten says that the body is still being written.
-	unwritten bool
-	done      bool
-	stop      func() bool
+	bodyUnwritten   bool
+	callEnded       bool
+	stopCancelWatch func() bool
 }
 
 // Opened returns the number of connections opened so far.
-func (p *Pool) Opened() int64 {
+func (p *Pool) OpenedCount() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.opened
+	return p.openedCount
 }
 
 // Idle reports whether a connection is open and unused.
@@ -122,7 +122,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
-	return n > 0 && time.Since(p.idle[n-1].since) < p.idle[n-1].idleFor
+	return n > 0 && time.Since(p.idle[n-1].idleSince) < p.idle[n-1].idleTimeout
 }
 
 // Close closes idle connections; those in use end with their calls.
@@ -131,8 +131,8 @@
 	defer p.mu.Unlock()
 	p.closed = true
 	for _, c := range p.idle {
-		p.open--
-		c.net.Close()
+		p.openCount--
+		c.netConn.Close()
 	}
 	p.idle = nil
 }
@@ -141,45 +141,45 @@
 // than limit are open. When ctx ends, the connection is closed at once, which
 // tells the other side to stop its work.
 func (p *Pool) Do(ctx context.Context, call *Call, limit int) (*Response, error) {
-	c, err := p.take(ctx, limit)
+	c, err := p.acquire(ctx, limit)
 	if err != nil {
 		return nil, err
 	}
-	c.begin(ctx)
-	answer, err := c.exchange(call)
+	c.beginCall(ctx)
+	response, err := c.exchange(call)
 	if err != nil {
-		c.discard(c.calls)
+		c.discard(c.callCount)
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
 // begin starts the connection's next call.
-func (c *conn) begin(ctx context.Context) {
+func (c *conn) beginCall(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls++
-	c.done, c.unwritten = false, false
-	c.stop = context.AfterFunc(ctx, func() { c.net.Close() })
+	c.callCount++
+	c.callEnded, c.bodyUnwritten = false, false
+	c.stopCancelWatch = context.AfterFunc(ctx, func() { c.netConn.Close() })
 }
 
-func (p *Pool) take(ctx context.Context, limit int) (*conn, error) {
+func (p *Pool) acquire(ctx context.Context, limit int) (*conn, error) {
 	for {
-		c, dial := p.next(limit)
+		c, dial := p.takeIdleOrReserve(limit)
 		switch {
 		case c == nil && !dial:
 			return nil, ErrConnectionLimit
 		case dial:
 			return p.dial(ctx)
-		case c.usable():
+		case c.isUsable():
 			return c, nil
 		}
-		p.forget(c)
+		p.closeConn(c)
 	}
 }
 
 // next returns the connection that was used last, or says to open one.
-func (p *Pool) next(limit int) (c *conn, dial bool) {
+func (p *Pool) takeIdleOrReserve(limit int) (c *conn, dial bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n := len(p.idle); n > 0 {
@@ -187,11 +187,11 @@
 		p.idle = p.idle[:n-1]
 		return c, false
 	}
-	if p.open >= limit {
+	if p.openCount >= limit {
 		return nil, false
 	}
-	p.open++
-	p.opened++
+	p.openCount++
+	p.openedCount++
 	return nil, true
 }
 
@@ -199,53 +199,53 @@
 	n, err := netdial.Dial(ctx, "tcp", p.address)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.openCount--
 		p.mu.Unlock()
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	return &conn{pool: p, net: n, reader: bufio.NewReaderSize(n, bufferSize), idleFor: defaultIdle}, nil
+	return &conn{pool: p, netConn: n, reader: bufio.NewReaderSize(n, readBufferSize), idleTimeout: defaultIdleTimeout}, nil
 }
 
-func (p *Pool) forget(c *conn) {
-	c.net.Close()
+func (p *Pool) closeConn(c *conn) {
+	c.netConn.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openCount--
 }
 
 // usable reports that the connection was not closed by the other side and has
 // no stray bytes that the next call would take for its answer.
-func (c *conn) usable() bool {
-	return time.Since(c.since) < c.idleFor && c.reader.Buffered() == 0 && quiet(c.net)
+func (c *conn) isUsable() bool {
+	return time.Since(c.idleSince) < c.idleTimeout && c.reader.Buffered() == 0 && isIdleAndOpen(c.netConn)
 }
 
 func (c *conn) exchange(call *Call) (*Response, error) {
-	request, err := requestOf(call)
+	request, err := newRequest(call)
 	if err != nil {
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	if err := c.write(request, call.Body); err != nil {
+	if err := c.writeRequest(request, call.Body); err != nil {
 		return nil, err
 	}
-	for range strayMost {
+	for range maxStrayResponses {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
-			return nil, lost(err)
+			return nil, responseLost(err)
 		}
 		if response.StatusCode < 200 {
 			continue
 		}
 		if call.Matches == nil || call.Matches(response.Header) {
-			return c.answer(response), nil
+			return c.newResponse(response), nil
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStray)); err != nil || response.Close {
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBody)); err != nil || response.Close {
 			return nil, errors.Wrap(ErrResponseLost, "answer to another call")
 		}
 	}
 	return nil, errors.Wrap(ErrResponseLost, "answers to other calls")
 }
 
-func requestOf(call *Call) (*http.Request, error) {
+func newRequest(call *Call) (*http.Request, error) {
 	path, query, _ := strings.Cut(call.Target, "?")
 	if !strings.HasPrefix(path, "/") || strings.HasPrefix(path, "//") {
 		return nil, errors.Errorf("target %q", call.Target)
@@ -264,7 +264,7 @@
 
 // write sends head and body. The rest of a large body is written while the
 // answer is read, since the other side may answer before it has read it all.
-func (c *conn) write(request *http.Request, body []byte) error {
+func (c *conn) writeRequest(request *http.Request, body []byte) error {
 	var message bytes.Buffer
 	if len(body) > 0 {
 		request.Body = io.NopCloser(bytes.NewReader(body))
@@ -274,32 +274,32 @@
 	}
 	first := message.Bytes()
 	var rest []byte
-	if len(first) > writeInline {
-		first, rest = first[:writeInline], first[writeInline:]
+	if len(first) > maxInlineWrite {
+		first, rest = first[:maxInlineWrite], first[maxInlineWrite:]
 	}
-	if err := c.send(first); err != nil {
+	if err := c.writeFirst(first); err != nil {
 		return err
 	}
 	if len(rest) > 0 {
-		c.unwritten = true
+		c.bodyUnwritten = true
 		go c.writeRest(rest)
 	}
 	return nil
 }
 
-func (c *conn) send(data []byte) error {
-	n, err := c.net.Write(data)
+func (c *conn) writeFirst(data []byte) error {
+	n, err := c.netConn.Write(data)
 	switch {
 	case err == nil:
 		return nil
 	case n == 0:
 		return errors.Wrap(ErrNotSent, err.Error())
 	default:
-		return lost(err)
+		return responseLost(err)
 	}
 }
 
-func lost(err error) error {
+func responseLost(err error) error {
 	if netdial.Unresponsive(err) {
 		return errors.Wrap(ErrUnresponsive, err.Error())
 	}
@@ -307,92 +307,92 @@
 }
 
 func (c *conn) writeRest(data []byte) {
-	_, err := c.net.Write(data)
+	_, err := c.netConn.Write(data)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unwritten = err != nil
+	c.bodyUnwritten = err != nil
 }
 
-func (c *conn) answer(r *http.Response) *Response {
-	c.noteIdle(r.Header.Get("Keep-Alive"))
-	a := &Response{Status: r.StatusCode, Header: r.Header, Length: r.ContentLength, conn: c, call: c.calls}
-	a.Body = &body{answer: a, from: r.Body, close: r.Close}
+func (c *conn) newResponse(r *http.Response) *Response {
+	c.updateIdleTimeout(r.Header.Get("Keep-Alive"))
+	response := &Response{Status: r.StatusCode, Header: r.Header, Length: r.ContentLength, conn: c, callNumber: c.callCount}
+	response.Body = &responseBody{response: response, reader: r.Body, closeAfter: r.Close}
 	if r.ContentLength == 0 || r.Body == http.NoBody {
-		a.Body = http.NoBody
-		c.release(a.call, r.Close)
+		response.Body = http.NoBody
+		c.release(response.callNumber, r.Close)
 	}
-	return a
+	return response
 }
 
 // noteIdle takes in how long the other side keeps an idle connection.
-func (c *conn) noteIdle(header string) {
+func (c *conn) updateIdleTimeout(header string) {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			c.idleFor = max(0, time.Duration(seconds)*time.Second-idleMargin)
+			c.idleTimeout = max(0, time.Duration(seconds)*time.Second-idleMargin)
 		}
 	}
 }
 
 // body frees the connection when it has been read to its end.
-type body struct {
-	answer *Response
-	from   io.Reader
-	close  bool
+type responseBody struct {
+	response   *Response
+	reader     io.Reader
+	closeAfter bool
 }
 
-func (b *body) Read(p []byte) (int, error) {
-	n, err := b.from.Read(p)
+func (b *responseBody) Read(p []byte) (int, error) {
+	n, err := b.reader.Read(p)
 	if err == io.EOF {
-		b.answer.conn.release(b.answer.call, b.close)
+		b.response.conn.release(b.response.callNumber, b.closeAfter)
 	}
 	return n, err
 }
 
 // Close ends the answer. A body that was not read to its end costs its
 // connection, which tells the other side to stop.
-func (a *Response) Close() { a.conn.discard(a.call) }
+func (r *Response) Close() { r.conn.discard(r.callNumber) }
 
 // release puts the connection back if it can serve another call.
-func (c *conn) release(call int, closing bool) {
-	if !c.finish(call) {
+func (c *conn) release(callNumber int, closeAfter bool) {
+	if !c.finishCall(callNumber) {
 		return
 	}
 	c.mu.Lock()
-	unwritten := c.unwritten
+	unwritten := c.bodyUnwritten
 	c.mu.Unlock()
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// Bytes behind a whole answer belong to no call; with the body's rest still
 	// unsent the other side would take the next call for it.
-	if closing || unwritten || p.closed || c.reader.Buffered() > 0 {
-		p.open--
-		c.net.Close()
+	if closeAfter || unwritten || p.closed || c.reader.Buffered() > 0 {
+		p.openCount--
+		c.netConn.Close()
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	p.idle = append(p.idle, c)
 }
 
-func (c *conn) discard(call int) {
-	if !c.finish(call) {
+func (c *conn) discard(callNumber int) {
+	if !c.finishCall(callNumber) {
 		return
 	}
-	c.pool.forget(c)
+	c.pool.closeConn(c)
 }
 
 // finish ends the call of that number, once.
-func (c *conn) finish(call int) bool {
+func (c *conn) finishCall(callNumber int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.done || c.calls != call {
+	if c.callEnded || c.callCount != callNumber {
 		return false
 	}
-	c.done = true
+	c.callEnded = true
 	// After a cancelled call the connection is closed, or about to be.
-	if !c.stop() {
-		c.unwritten = true
+	if !c.stopCancelWatch() {
+		c.bodyUnwritten = true
 	}
 	return true
 }
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -19,7 +19,7 @@
 // An answer is read to its end, which frees its connection; the next call takes
 // the connection, and only then is the first answer closed. The next caller
 // sees its answer lost if that close reaches the connection. It must not.
-func TestCloseAfterReuseSparesTheNextCall(t *testing.T) {
+func TestCloseAfterReuseDoesNotEndTheNextCall(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -34,7 +34,7 @@
 	is.NoErr(err)
 	_, err = io.ReadAll(first.Body)
 	is.NoErr(err)
-	answered := make(chan error, 1)
+	result := make(chan error, 1)
 	started := make(chan struct{})
 	go func() {
 		close(started)
@@ -42,26 +42,26 @@
 		if err == nil {
 			_, err = io.ReadAll(second.Body)
 		}
-		answered <- err
+		result <- err
 	}()
 	<-started
 	for pool.inUse() == 0 {
 	}
 	first.Close()
 	close(release)
-	is.NoErr(<-answered)
-	is.Equal(pool.Opened(), int64(1))
+	is.NoErr(<-result)
+	is.Equal(pool.OpenedCount(), int64(1))
 }
 
 func (p *Pool) inUse() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open - len(p.idle)
+	return p.openCount - len(p.idle)
 }
 
 // A replica sends an answer to an earlier call where this one's is expected,
 // and then this one's. The caller must get its own.
-func TestStrayAnswerIsSkipped(t *testing.T) {
+func TestStrayResponseIsSkipped(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -78,16 +78,16 @@
 	}()
 	call := get("/")
 	call.Matches = func(h http.Header) bool { return h.Get("Call") == "2" }
-	answer, err := NewPool(listener.Addr().String()).Do(context.Background(), call, 1)
+	response, err := NewPool(listener.Addr().String()).Do(context.Background(), call, 1)
 	is.NoErr(err)
-	body, err := io.ReadAll(answer.Body)
+	body, err := io.ReadAll(response.Body)
 	is.NoErr(err)
 	is.Equal(string(body), "new")
 }
 
 // A replica sends bytes behind a whole answer. They belong to no call: the
 // connection must not be used again, or the next call takes them for its own.
-func TestBytesBehindAnAnswerCostTheConnection(t *testing.T) {
+func TestConnectionWithBytesAfterAResponseIsClosed(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -105,18 +105,18 @@
 	}()
 	pool := NewPool(listener.Addr().String())
 	for range 2 {
-		answer, err := pool.Do(context.Background(), get("/"), 1)
+		response, err := pool.Do(context.Background(), get("/"), 1)
 		is.NoErr(err)
-		body, err := io.ReadAll(answer.Body)
+		body, err := io.ReadAll(response.Body)
 		is.NoErr(err)
 		is.Equal(string(body), "ok")
 	}
-	is.Equal(pool.Opened(), int64(2))
+	is.Equal(pool.OpenedCount(), int64(2))
 }
 
 // A replica works on for a caller that has left. Its connection must end with the
 // call, which is what tells it to stop, and a later call must not get it.
-func TestCancelledCallFreesItsReplica(t *testing.T) {
+func TestCancelledCallClosesItsConnection(t *testing.T) {
 	is := is.New(t)
 	arrived, stopped := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -139,8 +139,8 @@
 	leave()
 	is.True(errors.Is(<-ended, ErrResponseLost))
 	<-stopped
-	answer, err := pool.Do(context.Background(), get("/quick"), 1)
+	response, err := pool.Do(context.Background(), get("/quick"), 1)
 	is.NoErr(err)
-	answer.Close()
-	is.Equal(pool.Opened(), int64(2))
+	response.Close()
+	is.Equal(pool.OpenedCount(), int64(2))
 }
--- a/internal/httpconn/quiet.go
+++ b/internal/httpconn/quiet.go
@@ -10,7 +10,7 @@
 // quiet reports that an idle connection is open and has nothing to read. Bytes
 // that wait there belong to no call, and an end of file says that the other
 // side has closed: a call sent then would be lost.
-func quiet(c net.Conn) bool {
+func isIdleAndOpen(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -21,7 +21,7 @@
 	// partition or a machine without power answers nothing, and without this
 	// bound a call hangs until its own deadline. It leaves room for two
 	// retransmissions, of 200 and 400 ms, so that single lost packets pass.
-	silence = 900 * time.Millisecond
+	userTimeout = 900 * time.Millisecond
 	// probeInterval is the time between keep-alive probes on an idle connection.
 	probeInterval = time.Second
 	probeCount    = 1
@@ -29,7 +29,7 @@
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount}
 
-var dialer = net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: control}
+var dialer = net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
 
 // Dial connects to the address.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
@@ -38,7 +38,7 @@
 
 // Listen accepts connections at the address.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: control}
+	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return config.Listen(ctx, "tcp", address)
 }
 
@@ -48,13 +48,13 @@
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.EHOSTUNREACH)
 }
 
-func control(_, _ string, c syscall.RawConn) error {
-	var failed error
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
+	var sockoptErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockoptErr
 }
