--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -1,6 +1,6 @@
-// Package httpconn sends HTTP/1.1 calls over kept connections and says of each
-// failure whether the call may have reached the other side. It sends a call
-// once: unlike net/http's transport it never repeats one by itself.
+// Package httpconn sends HTTP/1.1 calls over persistent connections and reports for each failure
+// whether the call may have reached the server. It sends a call once: unlike net/http's Transport
+// it never retries by itself.
 package httpconn
 
 import (
@@ -22,30 +22,31 @@
 )
 
 var (
-	// ErrNotSent says that no byte of the call left: it has not run.
-	ErrNotSent = errors.New("httpconn: not sent")
-	// ErrFull is an ErrNotSent: all connections that the other side allows are in use.
-	ErrConnectionLimit = errors.Wrap(ErrNotSent, "all connections in use")
-	// ErrLost says that the call was sent and no answer to it came: it may have run.
-	ErrResponseLost = errors.New("httpconn: answer lost")
-	// ErrSilent is an ErrLost: the other side answers nothing any more, so that
-	// other calls to it would be lost too.
-	ErrUnresponsive = errors.Wrap(ErrResponseLost, "no sign of life")
+	// ErrNotSent indicates that no byte of the call was sent: it has not run.
+	ErrNotSent = errors.New("httpconn: call not sent")
+	// ErrConnectionLimit is an ErrNotSent: all connections that the caller of Do allows are in use.
+	ErrConnectionLimit = errors.Wrap(ErrNotSent, "connection limit reached")
+	// ErrResponseLost indicates that the call was sent and its response did not arrive: it may have
+	// run.
+	ErrResponseLost = errors.New("httpconn: response lost; the call may have run")
+	// ErrUnresponsive is an ErrResponseLost: the server sends nothing at all, so that the responses
+	// of other calls to it would be lost too.
+	ErrUnresponsive = errors.Wrap(ErrResponseLost, "server unresponsive")
 )
 
 const (
-	// defaultIdle is how long a connection is kept whose other side names no
-	// time; those of the replicas met so far were all longer.
+	// defaultIdleTimeout is the idle timeout of a connection whose server states none in a
+	// Keep-Alive header. It is shorter than the idle timeouts observed on replicas.
 	defaultIdleTimeout = 4 * time.Second
-	// idleMargin is taken off a time that the other side names: a call sent
-	// while it closes the connection is lost.
+	// idleMargin is subtracted from the idle timeout that a server states: a call sent while the
+	// server closes the connection is lost.
 	idleMargin = 700 * time.Millisecond
-	// writeInline is the largest body that is written before the answer is
-	// read; it fits into the socket's buffer.
+	// maxInlineWrite is the number of bytes of a request that are written before the response is
+	// read; they fit into the socket's buffer.
 	maxInlineWrite = 8 << 10
-	// maxStray bounds the body of an answer to another call that is skipped.
+	// maxStrayBody bounds the body, in bytes, of a skipped response to another call.
 	maxStrayBody = 256 << 10
-	// strayMost bounds the number of such answers in a row.
+	// maxStrayResponses bounds the responses read per call, stray and informational ones included.
 	maxStrayResponses = 4
 	readBufferSize    = 4 << 10
 )
@@ -58,17 +59,17 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine reports whether an answer belongs to this call. An answer to an
-	// earlier call may come late, where this one's is expected.
+	// Matches reports whether a response belongs to this call; nil accepts any. A late response to
+	// an earlier call may arrive in place of this call's response.
 	Matches func(http.Header) bool
 }
 
-// Answer is the head of an answer, with its body to be read. Close must be
-// called; a body read to its end frees the connection for the next call.
+// Response is the header of a response, with its body still to be read. Close must be called; a body
+// read to its end frees the connection for the next call.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's length, or -1.
+	// Length is the body's length in bytes, or -1 if unknown.
 	Length int64
 	Body   io.Reader
 
@@ -76,14 +77,14 @@
 	callNumber int
 }
 
-// Pool keeps the connections to one address.
+// Pool holds the connections to one address.
 type Pool struct {
 	address string
 
 	mu        sync.Mutex
 	idle      []*conn
 	openCount int
-	// opened counts connections since the start.
+	// openedCount counts the connections opened since the pool was created.
 	openedCount int64
 	closed      bool
 }
@@ -95,29 +96,31 @@
 	pool    *Pool
 	netConn net.Conn
 	reader  *bufio.Reader
-	// idleFor is how long the other side keeps the connection.
+	// idleTimeout is how long the connection may be idle before it is no longer used.
 	idleTimeout time.Duration
 	idleSince   time.Time
 
 	mu sync.Mutex
-	// calls counts the calls on the connection. Each end of a call names the
-	// call that it ends: an answer is closed once more after its connection
-	// was given to the next call, which that must not touch.
+	// callCount counts the calls on the connection and numbers the current one. Ending a call
+	// requires its number: a response may be closed after its connection was given to the next
+	// call, which must not be affected.
 	callCount int
-	// unwritten says that the body is still being written.
-	bodyUnwritten   bool
-	callEnded       bool
+	// bodyUnwritten is set while the request body is being written, and stays set after a failure.
+	bodyUnwritten bool
+	callEnded     bool
+	// stopCancelWatch stops closing the connection when the call's context ends. It returns false
+	// if that has already begun.
 	stopCancelWatch func() bool
 }
 
-// Opened returns the number of connections opened so far.
+// OpenedCount returns the number of connections opened so far.
 func (p *Pool) OpenedCount() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openedCount
 }
 
-// Idle reports whether a connection is open and unused.
+// Idle reports whether the pool has an idle connection that has not reached its idle timeout.
 func (p *Pool) Idle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +128,7 @@
 	return n > 0 && time.Since(p.idle[n-1].idleSince) < p.idle[n-1].idleTimeout
 }
 
-// Close closes idle connections; those in use end with their calls.
+// Close closes idle connections; those in use are closed when their calls end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,9 +140,8 @@
 	p.idle = nil
 }
 
-// Do sends the call over an idle connection, or over a new one while fewer
-// than limit are open. When ctx ends, the connection is closed at once, which
-// tells the other side to stop its work.
+// Do sends the call over an idle connection, or over a new one if fewer than limit are open. When
+// ctx ends, the connection is closed immediately, which tells the server to stop its work.
 func (p *Pool) Do(ctx context.Context, call *Call, limit int) (*Response, error) {
 	c, err := p.acquire(ctx, limit)
 	if err != nil {
@@ -154,7 +156,7 @@
 	return response, nil
 }
 
-// begin starts the connection's next call.
+// beginCall starts the connection's next call.
 func (c *conn) beginCall(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,7 +180,8 @@
 	}
 }
 
-// next returns the connection that was used last, or says to open one.
+// takeIdleOrReserve returns the idle connection that was used last. If there is none and fewer than
+// limit are open, it reserves a new connection and returns dial, for the caller to open it.
 func (p *Pool) takeIdleOrReserve(limit int) (c *conn, dial bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,8 +216,8 @@
 	p.openCount--
 }
 
-// usable reports that the connection was not closed by the other side and has
-// no stray bytes that the next call would take for its answer.
+// isUsable reports whether the connection is open, within its idle timeout, and free of stray bytes
+// that the next call would take for its response.
 func (c *conn) isUsable() bool {
 	return time.Since(c.idleSince) < c.idleTimeout && c.reader.Buffered() == 0 && isIdleAndOpen(c.netConn)
 }
@@ -239,16 +242,16 @@
 			return c.newResponse(response), nil
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBody)); err != nil || response.Close {
-			return nil, errors.Wrap(ErrResponseLost, "answer to another call")
+			return nil, errors.Wrap(ErrResponseLost, "connection unusable after a response to another call")
 		}
 	}
-	return nil, errors.Wrap(ErrResponseLost, "answers to other calls")
+	return nil, errors.Wrap(ErrResponseLost, "too many responses before the call's own")
 }
 
 func newRequest(call *Call) (*http.Request, error) {
 	path, query, _ := strings.Cut(call.Target, "?")
 	if !strings.HasPrefix(path, "/") || strings.HasPrefix(path, "//") {
-		return nil, errors.Errorf("target %q", call.Target)
+		return nil, errors.Errorf("expected a target with an absolute path, found %q", call.Target)
 	}
 	target := &url.URL{Opaque: path, RawQuery: query, ForceQuery: query == "" && strings.Contains(call.Target, "?")}
 	return &http.Request{
@@ -262,8 +265,8 @@
 	}, nil
 }
 
-// write sends head and body. The rest of a large body is written while the
-// answer is read, since the other side may answer before it has read it all.
+// writeRequest sends header and body. The rest of a large body is written while the response is
+// read, since the server may respond before it has read the whole body.
 func (c *conn) writeRequest(request *http.Request, body []byte) error {
 	var message bytes.Buffer
 	if len(body) > 0 {
@@ -324,7 +327,7 @@
 	return response
 }
 
-// noteIdle takes in how long the other side keeps an idle connection.
+// updateIdleTimeout sets the idle timeout from the server's Keep-Alive header.
 func (c *conn) updateIdleTimeout(header string) {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -334,7 +337,7 @@
 	}
 }
 
-// body frees the connection when it has been read to its end.
+// responseBody reads a response body and releases the connection at its end.
 type responseBody struct {
 	response   *Response
 	reader     io.Reader
@@ -349,11 +352,12 @@
 	return n, err
 }
 
-// Close ends the answer. A body that was not read to its end costs its
-// connection, which tells the other side to stop.
+// Close ends the response. If its body was not read to its end, the connection is closed, which
+// tells the server to stop.
 func (r *Response) Close() { r.conn.discard(r.callNumber) }
 
-// release puts the connection back if it can serve another call.
+// release ends the call and returns the connection to the pool, or closes it if it can't serve
+// another call.
 func (c *conn) release(callNumber int, closeAfter bool) {
 	if !c.finishCall(callNumber) {
 		return
@@ -364,8 +368,8 @@
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Bytes behind a whole answer belong to no call; with the body's rest still
-	// unsent the other side would take the next call for it.
+	// Bytes after a complete response belong to no call. While the rest of the request body is
+	// unsent, the server would take the next call for a part of that body.
 	if closeAfter || unwritten || p.closed || c.reader.Buffered() > 0 {
 		p.openCount--
 		c.netConn.Close()
@@ -382,7 +386,7 @@
 	c.pool.closeConn(c)
 }
 
-// finish ends the call of that number, once.
+// finishCall ends the call with the number. It returns false if that call has already ended.
 func (c *conn) finishCall(callNumber int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -390,7 +394,7 @@
 		return false
 	}
 	c.callEnded = true
-	// After a cancelled call the connection is closed, or about to be.
+	// After a cancelled call the connection is closed, or about to be, and must not be reused.
 	if !c.stopCancelWatch() {
 		c.bodyUnwritten = true
 	}
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -16,9 +16,9 @@
 	return &Call{Method: "GET", Target: target, Host: "a.example", Header: http.Header{}}
 }
 
-// An answer is read to its end, which frees its connection; the next call takes
-// the connection, and only then is the first answer closed. The next caller
-// sees its answer lost if that close reaches the connection. It must not.
+// Guards against a late Close that ends the next call. A response is read to its end, which frees
+// its connection; the next call takes the connection, and only then is the first response closed.
+// That must not close the connection, or the next call's response is lost.
 func TestCloseAfterReuseDoesNotEndTheNextCall(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
@@ -59,8 +59,8 @@
 	return p.openCount - len(p.idle)
 }
 
-// A replica sends an answer to an earlier call where this one's is expected,
-// and then this one's. The caller must get its own.
+// Guards against a caller that gets the response to another call. A replica sends the response to
+// an earlier call first and the expected one after it.
 func TestStrayResponseIsSkipped(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,8 +85,8 @@
 	is.Equal(string(body), "new")
 }
 
-// A replica sends bytes behind a whole answer. They belong to no call: the
-// connection must not be used again, or the next call takes them for its own.
+// Guards against calls that take stray bytes for their response. A replica sends bytes after a
+// complete response; they belong to no call, and the connection must not be reused.
 func TestConnectionWithBytesAfterAResponseIsClosed(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -114,8 +114,9 @@
 	is.Equal(pool.OpenedCount(), int64(2))
 }
 
-// A replica works on for a caller that has left. Its connection must end with the
-// call, which is what tells it to stop, and a later call must not get it.
+// Guards against a replica that keeps working for a caller that has disconnected. The connection
+// must be closed when the call is cancelled, which tells the replica to stop, and must not be
+// reused.
 func TestCancelledCallClosesItsConnection(t *testing.T) {
 	is := is.New(t)
 	arrived, stopped := make(chan struct{}), make(chan struct{})
--- a/internal/httpconn/quiet.go
+++ b/internal/httpconn/quiet.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet reports that an idle connection is open and has nothing to read. Bytes
-// that wait there belong to no call, and an end of file says that the other
-// side has closed: a call sent then would be lost.
+// isIdleAndOpen reports whether an unused connection is open and has nothing to read. Unread bytes
+// belong to no call, and an end of file means that the server has closed the connection: a call
+// sent over it would be lost.
 func isIdleAndOpen(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,5 +1,5 @@
-// Package netdial opens and accepts TCP connections that notice a peer that
-// has gone silent.
+// Package netdial opens and accepts TCP connections that fail within a bounded time when the peer
+// becomes unresponsive.
 package netdial
 
 import (
@@ -14,15 +14,16 @@
 )
 
 const (
-	// dialTimeout bounds one try to connect: a few times the way between data
-	// centres, and below the second that callers give a connection.
+	// dialTimeout bounds one attempt to connect. It is a few times the round-trip time between data
+	// centres, and shorter than the second that callers allow for a connection.
 	dialTimeout = 700 * time.Millisecond
-	// silence is how long sent bytes or probes may stay unacknowledged. A
-	// partition or a machine without power answers nothing, and without this
-	// bound a call hangs until its own deadline. It leaves room for two
-	// retransmissions, of 200 and 400 ms, so that single lost packets pass.
+	// userTimeout (TCP_USER_TIMEOUT) is how long sent bytes or probes may stay unacknowledged. A peer
+	// behind a network partition or without power acknowledges nothing, and without this bound a
+	// call hangs until its own deadline. It allows two retransmissions, after 200 and 400 ms, so
+	// that single lost packets do not break a connection.
 	userTimeout = 900 * time.Millisecond
-	// probeInterval is the time between keep-alive probes on an idle connection.
+	// probeInterval is both the idle time before the first keep-alive probe and the time between
+	// probes.
 	probeInterval = time.Second
 	probeCount    = 1
 )
@@ -31,19 +32,19 @@
 
 var dialer = net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
 
-// Dial connects to the address.
+// Dial connects to the address. The connection fails if the peer becomes unresponsive.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	return dialer.DialContext(ctx, network, address)
 }
 
-// Listen accepts connections at the address.
+// Listen listens at the TCP address. Accepted connections fail if the peer becomes unresponsive.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return config.Listen(ctx, "tcp", address)
 }
 
-// Silent reports that a connection failed since the other side no longer
-// answers at all: it has no power, or the way to it is cut.
+// Unresponsive reports whether a connection failed because the peer sends nothing at all, as after
+// a power failure or behind a network partition.
 func Unresponsive(err error) bool {
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.EHOSTUNREACH)
 }
