--- a/internal/gateway/attempts_machine_test.go
+++ b/internal/gateway/attempts_machine_test.go
@@ -98,8 +98,8 @@
 // responses, refusals, and unresponsive connections and data centres.
 func TestAttemptsMachine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		// Drawn by the seed alone: rapid prefers small numbers, with which most calls get a response
-		// immediately.
+		// Only the seed is drawn by rapid. It prefers small numbers, with which most calls would get a
+		// response immediately.
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0))
 		route := []routing.Route{
 			{Kind: routing.Once}, {Kind: routing.Idempotent},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,8 +21,8 @@
 	// notReadyRetryAfter is the retry delay given to callers while the instance has no
 	// configuration; reading it takes about that long.
 	notReadyRetryAfter = 500 * time.Millisecond
-	// maxAttempts bounds the attempts of one call. A replica that refuses a call has not run it, so
-	// that refusals don't count against the route's attempts; this bound ends their series.
+	// maxAttempts bounds the attempts of one call, refused ones included. These don't count against
+	// the route's attempts, since a replica that refuses a call has not run it.
 	maxAttempts = 4
 	// minTimeLeft is the shortest time before the deadline at which another attempt starts.
 	minTimeLeft = 5 * time.Millisecond
@@ -109,7 +109,8 @@
 	table     *routing.Table
 	route     *routing.Route
 	service   *routing.Service
-	// customer is the customer that the call belongs to; nil if it was made without a known key.
+	// customer is the customer that the call belongs to; nil if it has no known key or the
+	// configuration has no customers.
 	customer *routing.Customer
 	deadline time.Time
 	// body is the request body sent to replicas.
@@ -138,7 +139,8 @@
 	reserving, retaining time.Duration
 	// placing is the wait for the scheduler to grant a replica.
 	placing time.Duration
-	// awaitingHeader is the time from the start of each attempt to its response header.
+	// awaitingHeader is the time from the start of an attempt to its response header, summed over
+	// all attempts.
 	awaitingHeader time.Duration
 }
 
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -22,7 +22,7 @@
 	complete verdict = iota
 	// notRun: the replica refused the call.
 	notRun
-	// noFreeConnection: all connections that the replica allows were in use.
+	// noFreeConnection: all connections that this instance may open to the replica were in use.
 	noFreeConnection
 	// notSent: no connection could be opened, or no byte of the call was sent.
 	notSent
@@ -42,8 +42,8 @@
 // mayHaveRun reports whether the replica may have worked on the call.
 func (v verdict) mayHaveRun() bool { return v != notRun && v != noFreeConnection && v != notSent }
 
-// combine returns the verdict over two attempts at one replica. If the second one did not run, the
-// first one's verdict remains: the call may have run then.
+// combine returns the verdict over two attempts at one replica. A second attempt that did not run
+// does not change the first one's verdict, since the call may have run at the first.
 func (v verdict) combine(second verdict) verdict {
 	if second.mayHaveRun() {
 		return second
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -12,6 +12,7 @@
 	"foxhall/internal/upstream"
 )
 
+// readBufferSize is the size in bytes of the buffer for reading a stream.
 const readBufferSize = 16 << 10
 
 // streamRecord is the part of a stream that was forwarded, over all attempts.
@@ -111,7 +112,8 @@
 	return f.call.ResumeAfter
 }
 
-// forwardFailure forwards a response with a status of 300 or more.
+// forwardFailure forwards a response with a status of 300 or more. If a header was already
+// forwarded, the attempt counts as lost instead.
 func (f *inFlightCall) forwardFailure(state *attemptState, response *Response) (verdict, Result) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil || f.headerSent {
