--- a/internal/node/callerconn.go
+++ b/internal/node/callerconn.go
@@ -37,7 +37,7 @@
 }
 
 // noteState follows the connection's state, as an http.Server tells it.
-func noteState(c net.Conn, s http.ConnState) {
+func trackConnState(c net.Conn, s http.ConnState) {
 	if caller, ok := c.(*callerConn); ok {
 		caller.serving.Store(s == http.StateActive)
 	}
--- a/internal/node/callerconn_test.go
+++ b/internal/node/callerconn_test.go
@@ -14,19 +14,19 @@
 )
 
 // ended returns after how long the server closes the caller's connection.
-func ended(c net.Conn) time.Duration {
+func timeUntilClosed(c net.Conn) time.Duration {
 	began := time.Now()
 	_, _ = c.Read(make([]byte, 1))
 	return time.Since(began)
 }
 
 // oneListener accepts one connection.
-type oneListener struct {
+type singleConnListener struct {
 	conn   chan net.Conn
 	closed chan struct{}
 }
 
-func (l *oneListener) Accept() (net.Conn, error) {
+func (l *singleConnListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conn:
 		return c, nil
@@ -35,12 +35,12 @@
 	}
 }
 
-func (l *oneListener) Close() error {
+func (l *singleConnListener) Close() error {
 	close(l.closed)
 	return nil
 }
 
-func (l *oneListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // An operator shortens the time that callers may be idle or take for a call's
 // head, while a caller is connected. Both must hold from its next wait on, and a
@@ -50,25 +50,25 @@
 		is := is.New(t)
 		limits := routing.Limits{IdleTimeout: 20 * time.Second, HeaderTimeout: 2 * time.Second}
 		caller, side := net.Pipe()
-		l := &oneListener{conn: make(chan net.Conn, 1), closed: make(chan struct{})}
+		l := &singleConnListener{conn: make(chan net.Conn, 1), closed: make(chan struct{})}
 		l.conn <- side
 		handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(time.Minute) })
-		server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: noteState}
+		server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: trackConnState}
 		go server.Serve(&callerListener{Listener: l, limits: func() routing.Limits { return limits }})
 		defer server.Close()
 
 		_, err := caller.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 		is.NoErr(err)
 		limits.IdleTimeout = 5 * time.Second
-		answer := make([]byte, 1024)
-		n, err := caller.Read(answer)
+		response := make([]byte, 1024)
+		n, err := caller.Read(response)
 		is.NoErr(err)
-		is.Equal(string(answer[:12]), "HTTP/1.1 200")
-		for string(answer[max(0, n-4):n]) != "\r\n\r\n" {
-			n, err = caller.Read(answer)
+		is.Equal(string(response[:12]), "HTTP/1.1 200")
+		for string(response[max(0, n-4):n]) != "\r\n\r\n" {
+			n, err = caller.Read(response)
 			is.NoErr(err)
 		}
-		is.Equal(ended(caller), 5*time.Second)
+		is.Equal(timeUntilClosed(caller), 5*time.Second)
 	})
 }
 
@@ -78,14 +78,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		caller, side := net.Pipe()
-		l := &oneListener{conn: make(chan net.Conn, 1), closed: make(chan struct{})}
+		l := &singleConnListener{conn: make(chan net.Conn, 1), closed: make(chan struct{})}
 		l.conn <- side
-		server := &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: noteState}
+		server := &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: trackConnState}
 		limits := func() routing.Limits { return routing.Limits{HeaderTimeout: 2 * time.Second, IdleTimeout: time.Minute} }
 		go server.Serve(&callerListener{Listener: l, limits: limits})
 		defer server.Close()
 		_, err := caller.Write([]byte("GET / HT"))
 		is.NoErr(err)
-		is.Equal(ended(caller), 2*time.Second)
+		is.Equal(timeUntilClosed(caller), 2*time.Second)
 	})
 }
--- a/internal/node/decoded_test.go
+++ b/internal/node/decoded_test.go
@@ -17,7 +17,7 @@
 	is := is.New(t)
 	const entries = 200
 	decodes := 0
-	d := newDecoded(func(e mirror.Entry) (string, bool) {
+	d := newDecodeCache(func(e mirror.Entry) (string, bool) {
 		decodes++
 		return string(e.Value), len(e.Value) > 0
 	})
@@ -37,7 +37,7 @@
 // are judged by what the mirror holds now.
 func TestDecodedFollowsTheMirror(t *testing.T) {
 	is := is.New(t)
-	d := newDecoded(func(e mirror.Entry) (string, bool) { return string(e.Value), string(e.Value) != "bad" })
+	d := newDecodeCache(func(e mirror.Entry) (string, bool) { return string(e.Value), string(e.Value) != "bad" })
 	entry := func(name string, revision store.Version, value string) mirror.Entry {
 		return mirror.Entry{Name: name, Revision: revision, Value: []byte(value)}
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -30,15 +30,15 @@
 	instancePrefix = "instance-"
 	assignmentName = "assignment"
 	// peerIdle is how long a connection between instances is kept without use.
-	peerIdle = time.Minute
+	peerIdleTimeout = time.Minute
 	// registerPause is the pause before an instance registers: its entry may be
 	// on its way. registerEvery is how often it looks whether it is still there.
-	registerPause = 300 * time.Millisecond
-	registerEvery = 10 * time.Second
+	registrationDelay    = 300 * time.Millisecond
+	registrationInterval = 10 * time.Second
 	// forgetAfter is how long an instance may be silent before its entry is
 	// removed: longer than data centres lose each other.
-	forgetAfter = 30 * time.Minute
-	forgetEvery = time.Minute
+	staleTimeout       = 30 * time.Minute
+	staleCheckInterval = time.Minute
 )
 
 // member is an instance as it is registered in the store.
@@ -58,50 +58,50 @@
 	objects  Objects
 	client   *http.Client
 	// hears reports whether an instance was heard from lately.
-	hears func(name string) bool
+	isReachable func(name string) bool
 	// whenSilent has f called should an instance fall silent before stop is called.
-	whenSilent func(name string, f func()) (stop func())
+	onSilence func(name string, f func()) (stop func())
 	// misses reports whether an instance was not heard from lately, and whether
 	// this one can tell.
-	misses func(name string) (misses, known bool)
+	isSilent func(name string) (misses, known bool)
 	// cutOff reports whether this instance hears nobody beyond its data centre.
-	cutOff func() bool
+	isIsolated func() bool
 	// tell sends a keeper's standing to other keepers.
-	tell   func(standing []byte, keepers []*net.UDPAddr)
-	logger log.Interface
+	broadcast func(standing []byte, keepers []*net.UDPAddr)
+	logger    log.Interface
 
 	// listed and assigned are what the mirror's entries decode to. The goroutine that
 	// refreshes uses them.
-	listed   *decoded[member]
-	assigned *decoded[history.Assignment]
+	decodedMembers    *decodeCache[member]
+	decodedAssignment *decodeCache[history.Assignment]
 
 	mu      sync.Mutex
 	members map[string]member
 	// centres are the data centres of the members, which each call asks for.
-	centres []string
-	keepers map[string]historypb.Keeper
-	relays  map[string]mirrorpb.Relay
+	dataCentreNames []string
+	keeperClients   map[string]historypb.Keeper
+	relayClients    map[string]mirrorpb.Relay
 }
 
 func newFleet(s *Settings, m *mirror.Mirror, o Objects, logger log.Interface) *fleet {
 	transport := &http.Transport{
 		DialContext:         netdial.Dial,
 		MaxIdleConnsPerHost: 4,
-		IdleConnTimeout:     peerIdle,
+		IdleConnTimeout:     peerIdleTimeout,
 		DisableCompression:  true,
 	}
 	f := &fleet{
-		settings: s,
-		mirror:   m,
-		objects:  o,
-		logger:   logger,
-		client:   &http.Client{Transport: transport},
-		listed:   newDecoded(decodeMember),
-		members:  map[string]member{},
-		keepers:  map[string]historypb.Keeper{},
-		relays:   map[string]mirrorpb.Relay{},
-	}
-	f.assigned = newDecoded(f.decodeAssignment)
+		settings:       s,
+		mirror:         m,
+		objects:        o,
+		logger:         logger,
+		client:         &http.Client{Transport: transport},
+		decodedMembers: newDecodeCache(decodeMember),
+		members:        map[string]member{},
+		keeperClients:  map[string]historypb.Keeper{},
+		relayClients:   map[string]mirrorpb.Relay{},
+	}
+	f.decodedAssignment = newDecodeCache(f.decodeAssignment)
 	return f
 }
 
@@ -134,21 +134,21 @@
 // refresh takes in the registered instances.
 func (f *fleet) refresh() {
 	members := map[string]member{}
-	for _, m := range f.listed.all(f.mirror.Entries(mirror.Fleet)) {
+	for _, m := range f.decodedMembers.all(f.mirror.Entries(mirror.Fleet)) {
 		members[m.Name] = m
 	}
 	members[f.settings.Instance] = f.self()
-	centres := map[string]bool{}
+	dataCentres := map[string]bool{}
 	for _, m := range members {
-		centres[m.DataCentre] = true
+		dataCentres[m.DataCentre] = true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.members, f.centres = members, slices.Sorted(maps.Keys(centres))
+	f.members, f.dataCentreNames = members, slices.Sorted(maps.Keys(dataCentres))
 }
 
 // entries returns the number of instances that take callers.
-func (f *fleet) entries() int {
+func (f *fleet) entryCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -162,39 +162,39 @@
 
 // heardEntries returns how many of the instances that take callers are heard, and how many
 // there are, this one included.
-func (f *fleet) heardEntries(hears func(member) bool) (heard, all int) {
-	heard, all = 1, 1
-	for _, m := range f.list() {
+func (f *fleet) countAliveEntries(isAlive func(member) bool) (alive, all int) {
+	alive, all = 1, 1
+	for _, m := range f.others() {
 		if !m.Entry {
 			continue
 		}
 		all++
-		if hears(m) {
-			heard++
+		if isAlive(m) {
+			alive++
 		}
 	}
-	return heard, all
+	return alive, all
 }
 
 // dataCentres returns those that have instances. The list is not to be changed.
 func (f *fleet) dataCentres() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.centres
+	return f.dataCentreNames
 }
 
 // datagramAddresses returns where the other entries take datagrams.
-func (f *fleet) datagramAddresses() []*net.UDPAddr {
-	return f.addresses(func(m member) bool { return m.Entry })
+func (f *fleet) entryAddresses() []*net.UDPAddr {
+	return f.addressesOf(func(m member) bool { return m.Entry })
 }
 
 // addresses returns where those of the other instances take datagrams.
-func (f *fleet) addresses(of func(member) bool) []*net.UDPAddr {
+func (f *fleet) addressesOf(include func(member) bool) []*net.UDPAddr {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []*net.UDPAddr
 	for _, m := range f.members {
-		if m.Name != f.settings.Instance && of(m) {
+		if m.Name != f.settings.Instance && include(m) {
 			list = append(list, &net.UDPAddr{IP: net.ParseIP(m.IP), Port: f.settings.PeerPort})
 		}
 	}
@@ -223,7 +223,7 @@
 	var list []mirror.Peer
 	for _, m := range f.members {
 		if m.Name != f.settings.Instance {
-			list = append(list, mirror.Peer{Name: m.Name, DataCentre: m.DataCentre, Relay: f.relay(m.IP)})
+			list = append(list, mirror.Peer{Name: m.Name, DataCentre: m.DataCentre, Relay: f.relayClient(m.IP)})
 		}
 	}
 	if len(list) > 0 {
@@ -231,51 +231,51 @@
 	}
 	for _, ip := range f.settings.Seeds {
 		if ip != f.settings.IP {
-			list = append(list, mirror.Peer{Name: ip, Relay: f.relay(ip)})
+			list = append(list, mirror.Peer{Name: ip, Relay: f.relayClient(ip)})
 		}
 	}
 	return list
 }
 
 // relay returns the client of the instance at the IP number; the lock is held.
-func (f *fleet) relay(ip string) mirrorpb.Relay {
-	if f.relays[ip] == nil {
-		f.relays[ip] = mirrorpb.NewRelayProtobufClient("http://"+f.settings.peerAddress(ip), f.client)
+func (f *fleet) relayClient(ip string) mirrorpb.Relay {
+	if f.relayClients[ip] == nil {
+		f.relayClients[ip] = mirrorpb.NewRelayProtobufClient("http://"+f.settings.peerAddress(ip), f.client)
 	}
-	return f.relays[ip]
+	return f.relayClients[ip]
 }
 
 // keeper returns a client of the keeper of that name.
-func (f *fleet) keeper(name string) (historypb.Keeper, bool) {
+func (f *fleet) keeperClient(name string) (historypb.Keeper, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[name]
 	if !ok {
 		return nil, false
 	}
-	return f.keeperAt("http://" + f.settings.peerAddress(m.IP)), true
+	return f.keeperClientAt("http://" + f.settings.peerAddress(m.IP)), true
 }
 
 // keeperAt returns the client at a base URL; the lock is held.
-func (f *fleet) keeperAt(base string) historypb.Keeper {
-	if f.keepers[base] == nil {
-		f.keepers[base] = historypb.NewKeeperProtobufClient(base, f.client)
+func (f *fleet) keeperClientAt(base string) historypb.Keeper {
+	if f.keeperClients[base] == nil {
+		f.keeperClients[base] = historypb.NewKeeperProtobufClient(base, f.client)
 	}
-	return f.keepers[base]
+	return f.keeperClients[base]
 }
 
 // Keeper implements history.Keepers. A keeper that this instance no longer
 // hears is asked through another entry: the way to the keepers may be cut while
 // the ways to the other entries, and theirs to the keepers, stand.
 func (f *fleet) Keeper(name string) (historypb.Keeper, bool) {
-	direct, ok := f.keeper(name)
-	if !ok || f.hears(name) {
+	direct, ok := f.keeperClient(name)
+	if !ok || f.isReachable(name) {
 		return direct, ok
 	}
 	// No lock is held while it is asked whom this instance hears.
 	var others []member
-	for _, m := range f.list() {
-		if m.Entry && f.hears(m.Name) {
+	for _, m := range f.others() {
+		if m.Entry && f.isReachable(m.Name) {
 			others = append(others, m)
 		}
 	}
@@ -285,30 +285,30 @@
 	other := others[rand.IntN(len(others))]
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.keeperAt("http://" + f.settings.peerAddress(other.IP) + viaPath + name), true
+	return f.keeperClientAt("http://" + f.settings.peerAddress(other.IP) + viaPath + name), true
 }
 
 // WhenSilent implements history.Keepers. One that is not heard already is asked
 // through another entry.
-func (f *fleet) OnSilence(name string, g func()) (stop func()) {
-	if !f.hears(name) {
+func (f *fleet) OnSilence(name string, callback func()) (stop func()) {
+	if !f.isReachable(name) {
 		return func() {}
 	}
-	return f.whenSilent(name, g)
+	return f.onSilence(name, callback)
 }
 
 // CutOff implements history.Keepers.
-func (f *fleet) Isolated() bool { return f.cutOff() }
+func (f *fleet) Isolated() bool { return f.isIsolated() }
 
 // viaPath begins the path at which an entry passes calls on to a keeper.
 const viaPath = "/via/"
 
 // serveVia passes a call on to the keeper named in its path. Where this instance
 // does not hear it either, the caller is told at once and asks another.
-func (f *fleet) serveVia(w http.ResponseWriter, r *http.Request) {
+func (f *fleet) forwardToKeeper(w http.ResponseWriter, r *http.Request) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, viaPath), "/")
-	keeper, ok := f.keeper(name)
-	if !ok || !f.hears(name) {
+	keeper, ok := f.keeperClient(name)
+	if !ok || !f.isReachable(name) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -319,7 +319,7 @@
 
 // Append implements history.Peers.
 func (f *fleet) Append(ctx context.Context, name string, r *historypb.AppendRequest) (*historypb.AppendResponse, error) {
-	k, ok := f.keeper(name)
+	k, ok := f.keeperClient(name)
 	if !ok {
 		return nil, errNoInstance
 	}
@@ -328,7 +328,7 @@
 
 // Status implements history.Peers.
 func (f *fleet) Status(ctx context.Context, name string, r *historypb.StatusRequest) (*historypb.StatusResponse, error) {
-	k, ok := f.keeper(name)
+	k, ok := f.keeperClient(name)
 	if !ok {
 		return nil, errNoInstance
 	}
@@ -342,12 +342,12 @@
 		f.logger.WithError(err).Warn("standing not encoded")
 		return
 	}
-	f.tell(data, f.addresses(func(m member) bool { return m.Keeper }))
+	f.broadcast(data, f.addressesOf(func(m member) bool { return m.Keeper }))
 }
 
 // Fetch implements history.Peers.
 func (f *fleet) Fetch(ctx context.Context, name string, r *historypb.FetchRequest) (*historypb.FetchResponse, error) {
-	k, ok := f.keeper(name)
+	k, ok := f.keeperClient(name)
 	if !ok {
 		return nil, errNoInstance
 	}
@@ -356,7 +356,7 @@
 
 // List implements history.Peers.
 func (f *fleet) List(ctx context.Context, name string, r *historypb.ListRequest) (*historypb.ListResponse, error) {
-	k, ok := f.keeper(name)
+	k, ok := f.keeperClient(name)
 	if !ok {
 		return nil, errNoInstance
 	}
@@ -389,9 +389,9 @@
 	if !errors.As(err, &conflict) {
 		return a, version, err
 	}
-	present, unreadable := history.DecodeAssignment(conflict.Present.Value)
-	if unreadable != nil {
-		f.logger.WithError(unreadable).Error("assignment not readable")
+	present, decodeErr := history.DecodeAssignment(conflict.Present.Value)
+	if decodeErr != nil {
+		f.logger.WithError(decodeErr).Error("assignment not readable")
 		return history.Assignment{}, 0, err
 	}
 	return present, conflict.Present.Version, err
@@ -403,7 +403,7 @@
 	if !ok {
 		return history.Assignment{}, 0, false
 	}
-	list := f.assigned.all([]mirror.Entry{e})
+	list := f.decodedAssignment.all([]mirror.Entry{e})
 	if len(list) == 0 {
 		return history.Assignment{}, 0, false
 	}
@@ -420,12 +420,12 @@
 		return errors.Wrap(err, "register")
 	}
 	for ctx.Err() == nil {
-		if f.registered(self, key.Name) {
-			pause(ctx, registerEvery)
+		if f.isRegistered(self, key.Name) {
+			sleep(ctx, registrationInterval)
 			continue
 		}
-		pause(ctx, registerPause)
-		if _, known := f.mirror.AsOf(mirror.Fleet); !known || f.registered(self, key.Name) {
+		sleep(ctx, registrationDelay)
+		if _, known := f.mirror.AsOf(mirror.Fleet); !known || f.isRegistered(self, key.Name) {
 			continue
 		}
 		e, _ := f.mirror.Get(mirror.Fleet, key.Name)
@@ -436,7 +436,7 @@
 	return nil
 }
 
-func (f *fleet) registered(self member, name string) bool {
+func (f *fleet) isRegistered(self member, name string) bool {
 	e, exists := f.mirror.Get(mirror.Fleet, name)
 	var listed member
 	return exists && json.Unmarshal(e.Value, &listed) == nil && listed == self
@@ -445,14 +445,14 @@
 // forget removes the entries of instances that were not heard for long, which
 // were replaced under other names. One that lives enters itself again. Only a
 // follower does it, so that its calls do not grow with the fleet.
-func (f *fleet) forget(ctx context.Context, following func() bool, heard func(name string, lately time.Duration) bool) {
-	known := map[string]time.Time{}
-	for pause(ctx, forgetEvery); ctx.Err() == nil; pause(ctx, forgetEvery) {
-		for _, m := range f.list() {
-			if known[m.Name].IsZero() {
-				known[m.Name] = time.Now()
+func (f *fleet) removeStale(ctx context.Context, following func() bool, heardWithin func(name string, within time.Duration) bool) {
+	firstSeen := map[string]time.Time{}
+	for sleep(ctx, staleCheckInterval); ctx.Err() == nil; sleep(ctx, staleCheckInterval) {
+		for _, m := range f.others() {
+			if firstSeen[m.Name].IsZero() {
+				firstSeen[m.Name] = time.Now()
 			}
-			if !following() || time.Since(known[m.Name]) < forgetAfter || heard(m.Name, forgetAfter) {
+			if !following() || time.Since(firstSeen[m.Name]) < staleTimeout || heardWithin(m.Name, staleTimeout) {
 				continue
 			}
 			key := store.Key{Kind: string(mirror.Fleet), Name: instancePrefix + m.Name}
@@ -467,7 +467,7 @@
 }
 
 // list returns the other instances.
-func (f *fleet) list() []member {
+func (f *fleet) others() []member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var others []member
@@ -479,7 +479,7 @@
 	return others
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -17,7 +17,7 @@
 )
 
 // fleetWith returns the fleet as one entry sees it, with its load exchange.
-func fleetWith(t *testing.T, members ...member) (*fleet, *peerload.Exchange) {
+func newTestFleet(t *testing.T, members ...member) (*fleet, *peerload.Exchange) {
 	is := is.New(t)
 	s := &Settings{Instance: "me", IP: "10.0.0.1", DataCentre: "a", Callers: "10.0.0.1:1", PeerPort: 7}
 	m := mirror.New()
@@ -28,21 +28,21 @@
 		d.Entries = append(d.Entries, mirror.Entry{Name: instancePrefix + member.Name, Revision: store.Version(i + 1), Value: value})
 	}
 	m.Apply(d)
-	quiet := &log.Logger{Handler: discard.Default}
-	f := newFleet(s, m, nil, quiet)
+	logger := &log.Logger{Handler: discard.Default}
+	f := newFleet(s, m, nil, logger)
 	f.refresh()
-	x := peerload.New("me", "a", peerload.EntryFanout, upstream.NewTable(), f.datagramAddresses, quiet)
-	f.hears = func(name string) bool { return x.HeardOrUnknown(name, cutAfter) }
-	f.cutOff = func() bool { return x.IsolatedFor(nil) > isolatedAfter }
+	x := peerload.New("me", "a", peerload.EntryFanout, upstream.NewTable(), f.entryAddresses, logger)
+	f.isReachable = func(name string) bool { return x.HeardOrUnknown(name, partitionTimeout) }
+	f.isIsolated = func() bool { return x.IsolatedFor(nil) > isolationTimeout }
 	return f, x
 }
 
 // An entry stands still: to ask whom it hears while it looks for a way to a
 // keeper, it takes the same lock twice.
 func TestAskingThroughAnotherEntryTakesNoLockTwice(t *testing.T) {
-	f, _ := fleetWith(t, member{Name: "keeper", IP: "10.0.0.2", Keeper: true}, member{Name: "other", IP: "10.0.0.3", Entry: true})
+	f, _ := newTestFleet(t, member{Name: "keeper", IP: "10.0.0.2", Keeper: true}, member{Name: "other", IP: "10.0.0.3", Entry: true})
 	held := false
-	f.hears = func(name string) bool {
+	f.isReachable = func(name string) bool {
 		if f.mu.TryLock() {
 			f.mu.Unlock()
 		} else {
@@ -59,14 +59,14 @@
 // An unreadable entry of another writer must not hide the other instances.
 func TestUnreadableInstancesAreLeftOut(t *testing.T) {
 	is := is.New(t)
-	f, _ := fleetWith(t, member{Name: "k", IP: "10.0.0.2", Keeper: true})
+	f, _ := newTestFleet(t, member{Name: "k", IP: "10.0.0.2", Keeper: true})
 	f.mirror.Apply(mirror.Delta{Kind: mirror.Fleet, From: 9, AsOf: 12, Entries: []mirror.Entry{
 		{Name: instancePrefix + "odd", Revision: 11, Value: []byte("{")},
 		{Name: assignmentName, Revision: 12, Value: []byte("[]")},
 	}})
 	f.refresh()
 	is.Equal(f.candidates(), []history.Candidate{{Name: "k"}})
-	is.Equal(f.entries(), 1)
+	is.Equal(f.entryCount(), 1)
 	_, _, ok := f.assignment()
 	is.True(!ok)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -56,32 +56,32 @@
 	// RetirementStatus encodes what is said of an order to empty an instance.
 	RetirementStatus func(done bool) []byte
 	// Callers serves callers through the gateway.
-	Callers func(g *gateway.Gateway, sendsAway func() bool) http.Handler
+	Callers func(g *gateway.Gateway, divert func() bool) http.Handler
 }
 
 const (
 	// memoryShare is the part of the allowed memory at which the collector
 	// works harder; the rest is for the kernel's buffers, which count too.
-	memoryShare = 0.7
+	memoryLimitShare = 0.7
 	// outOfRotation is how long an entry that is to stop still takes new
 	// connections: the balancer asks each second and leaves out after two misses.
-	outOfRotation = 2600 * time.Millisecond
+	balancerDelay = 2600 * time.Millisecond
 	// stopMargin is left of the grace for the process to end.
-	stopMargin = 400 * time.Millisecond
+	shutdownMargin = 400 * time.Millisecond
 	// viewBlocks bounds the entry's view of the engines' caches: 24 MB.
-	viewBlocks = 1 << 17
+	cacheViewBlocks = 1 << 17
 	// cutAfter is how long nothing may be heard from another data centre before
 	// no more calls go there: three datagrams in a row from each of its
 	// instances are lost then.
-	cutAfter = 450 * time.Millisecond
+	partitionTimeout = 450 * time.Millisecond
 	// missedAfter is how long an instance is not heard before that is told to a
 	// keeper which asks: two datagrams in a row are lost then, and the keeper
 	// has missed it by itself.
-	missedAfter = 350 * time.Millisecond
+	keeperSilenceTimeout = 350 * time.Millisecond
 	// isolatedAfter is how long nothing may be heard from all other data centres
 	// before this entry asks the balancer to send callers elsewhere. Above
 	// cutAfter, since it moves all callers at once.
-	isolatedAfter = 600 * time.Millisecond
+	isolationTimeout = 600 * time.Millisecond
 	// connectCost is what a new connection to a replica is taken to cost: the
 	// way, the replica's handshake, and a place among those that it allows. It
 	// lies above the margin within which candidates count as equal.
@@ -92,16 +92,16 @@
 	// pauseLook is how often this process looks whether it was paused, and
 	// pauseLongest the longest pause in which nothing it holds can go out of
 	// date: a change has 2 s to come into force.
-	pauseLook    = 500 * time.Millisecond
-	pauseLongest = 500 * time.Millisecond
+	pauseCheckInterval = 500 * time.Millisecond
+	maxHarmlessPause   = 500 * time.Millisecond
 	// refreshEvery is how often held-back removals are looked at again.
-	refreshEvery = 250 * time.Millisecond
+	removalCheckInterval = 250 * time.Millisecond
 )
 
 // Node is one running instance.
 type Node struct {
 	settings Settings
-	dialect  Adapter
+	adapter  Adapter
 	logger   log.Interface
 	registry metrics.Registry
 
@@ -115,39 +115,39 @@
 	quotas   *limit.Quotas
 	gateway  *gateway.Gateway
 	// dataCentres and keepers tell when nothing comes from them any more.
-	dataCentres, keepers *silences
-	stopping             atomic.Bool
+	dataCentreSilence, keeperSilence *silenceMonitor
+	stopping                         atomic.Bool
 
-	changed chan struct{}
+	refreshRequested chan struct{}
 	// configRevision is the store's of the configuration that was read last, so
 	// that a large one is not read again with each change of a replica.
 	configRevision store.Version
 	// assigned is the newest assignment of slices, assignedRevision the store's of it.
 	assigned         atomic.Pointer[history.Assignment]
 	assignedRevision store.Version
-	listed           *decoded[routing.Replica]
+	decodedReplicas  *decodeCache[routing.Replica]
 	replicas         []routing.Replica
-	lapse            lapse
+	removals         removalHold
 }
 
 // New returns a node that is not yet running.
 func New(s Settings, d Adapter, logger log.Interface, registry metrics.Registry) (*Node, error) {
 	n := &Node{
-		settings: s,
-		dialect:  d,
-		logger:   logger.WithField("instance", s.Instance),
-		registry: registry,
-		mirror:   mirror.New(),
-		upstream: upstream.NewTable(),
-		quotas:   limit.NewQuotas(s.Instance, rand.Uint64(), s.Tolerance),
-		changed:  make(chan struct{}, 1),
-
-		dataCentres: newSilences(),
-		keepers:     newSilences(),
+		settings:         s,
+		adapter:          d,
+		logger:           logger.WithField("instance", s.Instance),
+		registry:         registry,
+		mirror:           mirror.New(),
+		upstream:         upstream.NewTable(),
+		quotas:           limit.NewQuotas(s.Instance, rand.Uint64(), s.Tolerance),
+		refreshRequested: make(chan struct{}, 1),
+
+		dataCentreSilence: newSilenceMonitor(),
+		keeperSilence:     newSilenceMonitor(),
 	}
-	n.listed = newDecoded(func(e mirror.Entry) (routing.Replica, bool) { return d.Replica(e.Name, e.Value) })
+	n.decodedReplicas = newDecodeCache(func(e mirror.Entry) (routing.Replica, bool) { return d.Replica(e.Name, e.Value) })
 	n.fleet = newFleet(&n.settings, n.mirror, d.Objects, n.logger)
-	n.mirror.OnChange(func(mirror.Kind) { n.wake() })
+	n.mirror.OnChange(func(mirror.Kind) { n.requestRefresh() })
 	follower := mirror.NewFollower(n.mirror, d.Objects, n.logger)
 	n.relay = mirror.NewRelay(s.Instance, s.DataCentre, n.mirror, follower, n.fleet.peers, n.logger)
 	if s.DataFolder != "" {
@@ -155,21 +155,21 @@
 			return nil, err
 		}
 	}
-	reach := peerload.EntryFanout
+	fanout := peerload.EntryFanout
 	if n.keeper != nil {
-		reach = peerload.KeeperFanout
+		fanout = peerload.KeeperFanout
 	}
-	n.load = peerload.New(s.Instance, s.DataCentre, reach, n.upstream, n.fleet.datagramAddresses, n.logger)
-	n.fleet.tell = n.load.BroadcastKeeperStatus
+	n.load = peerload.New(s.Instance, s.DataCentre, fanout, n.upstream, n.fleet.entryAddresses, n.logger)
+	n.fleet.broadcast = n.load.BroadcastKeeperStatus
 	if n.keeper != nil {
-		n.load.OnKeeperStatus(n.takeStanding)
+		n.load.OnKeeperStatus(n.receiveKeeperStatus)
 	}
 	if s.Callers != "" {
 		n.load.SetQuotas(n.quotas)
 	}
-	n.fleet.hears = func(name string) bool { return n.load.HeardOrUnknown(name, cutAfter) }
-	n.fleet.misses = func(name string) (bool, bool) { return n.load.Silent(name, missedAfter) }
-	n.fleet.cutOff = n.isolated
+	n.fleet.isReachable = func(name string) bool { return n.load.HeardOrUnknown(name, partitionTimeout) }
+	n.fleet.isSilent = func(name string) (bool, bool) { return n.load.Silent(name, keeperSilenceTimeout) }
+	n.fleet.isIsolated = n.isIsolated
 	n.openGateway()
 	return n, nil
 }
@@ -177,25 +177,25 @@
 func (n *Node) openGateway() {
 	sched := scheduler.New(scheduler.Settings{
 		DataCentre:        n.settings.DataCentre,
-		DataCentreRTT:     n.settings.ways(),
+		DataCentreRTT:     n.settings.dataCentreRTT(),
 		Logger:            n.logger,
 		Random:            rand.Uint64,
-		HasIdleConnection: n.dialect.Replicas.Idle,
+		HasIdleConnection: n.adapter.Replicas.Idle,
 		ConnectCost:       connectCost,
 		RemoteViewAge:     n.load.DataCentreSilentFor,
-		MaxViewAge:        cutAfter,
-	}, n.upstream, cache.New(cache.Options{MaxBlocks: viewBlocks}))
-	n.fleet.whenSilent = n.keepers.when
+		MaxViewAge:        partitionTimeout,
+	}, n.upstream, cache.New(cache.Options{MaxBlocks: cacheViewBlocks}))
+	n.fleet.onSilence = n.keeperSilence.onSilence
 	turns := history.NewClient(n.fleet, n.assignment, n.logger)
 	n.gateway = gateway.New(gateway.Settings{
 		Table:       n.table.Load,
-		Instances:   n.fleet.entries,
-		IsolatedFor: n.cutOffFor,
+		Instances:   n.fleet.entryCount,
+		IsolatedFor: n.isolatedFor,
 		Quotas:      n.quotas,
 
 		SilentFor: n.load.DataCentreSilentFor,
-		OnSilence: n.dataCentres.when,
-	}, sched, n.dialect.Replicas, turns, n.logger, n.registry)
+		OnSilence: n.dataCentreSilence.onSilence,
+	}, sched, n.adapter.Replicas, turns, n.logger, n.registry)
 }
 
 func (n *Node) openKeeper() error {
@@ -206,7 +206,7 @@
 		Folder:          n.settings.DataFolder,
 		MaxDiskFailures: n.settings.MaxDiskFailures,
 		Keepers:         n.fleet.candidates,
-		Retiring:        n.retiring,
+		Retiring:        n.isRetiring,
 		Logger:          n.logger,
 	}, n.fleet, n.fleet)
 	n.keeper = k
@@ -220,16 +220,16 @@
 	return history.Assignment{}, false
 }
 
-func (n *Node) wake() {
+func (n *Node) requestRefresh() {
 	select {
-	case n.changed <- struct{}{}:
+	case n.refreshRequested <- struct{}{}:
 	default:
 	}
 }
 
 // Run serves until ctx ends, then stops without cutting a call off.
 func (n *Node) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(memoryShare * float64(n.settings.Memory)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(n.settings.Memory)))
 	n.logger.WithField("keeper", n.keeper != nil).WithField("data_centre", n.settings.DataCentre).Info("start")
 	// Serving outlasts ctx: a planned stop first ends what is under way.
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -237,37 +237,40 @@
 	n.fleet.refresh()
 	var group errgroup.Group
 	group.Go(func() error { n.relay.Run(serving, n.settings.isSeed(), !n.settings.FirstStart); return nil })
-	group.Go(func() error { n.control(serving); return nil })
-	group.Go(func() error { wake.Watch(serving, wake.Boot, pauseLook, pauseLongest, n.woke(serving)); return nil })
+	group.Go(func() error { n.runRefresh(serving); return nil })
+	group.Go(func() error {
+		wake.Watch(serving, wake.Boot, pauseCheckInterval, maxHarmlessPause, n.afterPause(serving))
+		return nil
+	})
 	group.Go(func() error { return n.fleet.register(serving) })
 	if n.settings.Callers != "" {
 		// Keepers are sent no datagrams and can't tell who is silent.
-		group.Go(func() error { n.fleet.forget(serving, n.relay.Following, n.load.HeardWithin); return nil })
+		group.Go(func() error { n.fleet.removeStale(serving, n.relay.Following, n.load.HeardWithin); return nil })
 	}
 	group.Go(func() error { return n.servePeers(serving) })
 	group.Go(func() error { return n.serveMetrics(serving) })
 	if n.keeper != nil {
 		group.Go(func() error { return n.keeper.Run(serving) })
-		group.Go(func() error { n.retire(serving); return nil })
+		group.Go(func() error { n.runRetirement(serving); return nil })
 	}
 	group.Go(func() error {
 		defer stop()
 		if n.settings.Callers == "" {
-			return n.leave(ctx)
+			return n.handOff(ctx)
 		}
 		return n.serveEntry(ctx, serving)
 	})
 	group.Go(func() error { return n.exchangeLoad(serving) })
 	if n.settings.Callers != "" {
-		group.Go(func() error { n.followFleet(serving); return nil })
+		group.Go(func() error { n.reportFleetSize(serving); return nil })
 	}
 	group.Go(func() error {
-		n.dataCentres.run(serving, func(dc string) bool { return n.load.DataCentreSilentFor(dc) > cutAfter })
+		n.dataCentreSilence.run(serving, func(dc string) bool { return n.load.DataCentreSilentFor(dc) > partitionTimeout })
 		return nil
 	})
-	group.Go(func() error { n.logSilences(serving); return nil })
+	group.Go(func() error { n.logSilence(serving); return nil })
 	group.Go(func() error {
-		n.keepers.run(serving, func(name string) bool { return !n.fleet.hears(name) })
+		n.keeperSilence.run(serving, func(name string) bool { return !n.fleet.isReachable(name) })
 		return nil
 	})
 	err := group.Wait()
@@ -276,7 +279,7 @@
 }
 
 // woke returns what is done after a pause of this process.
-func (n *Node) woke(ctx context.Context) func(time.Duration) {
+func (n *Node) afterPause(ctx context.Context) func(time.Duration) {
 	return func(paused time.Duration) {
 		n.logger.WithField("paused_ms", paused.Milliseconds()).Warn("did not run for a while")
 		n.load.ResetAfterPause()
@@ -303,7 +306,7 @@
 }
 
 // takeStanding takes in how another keeper stands.
-func (n *Node) takeStanding(data []byte) {
+func (n *Node) receiveKeeperStatus(data []byte) {
 	status := &historypb.StatusResponse{}
 	if err := proto.Unmarshal(data, status); err != nil {
 		n.logger.WithError(err).Debug("standing of a keeper not readable")
@@ -313,20 +316,20 @@
 }
 
 // leave waits for the order to stop and hands over what this instance keeps.
-func (n *Node) leave(ctx context.Context) error {
+func (n *Node) handOff(ctx context.Context) error {
 	<-ctx.Done()
 	n.logger.Info("stopping")
 	if n.keeper == nil {
 		return nil
 	}
-	limit, cancel := context.WithTimeout(context.Background(), n.settings.Grace-handOverMargin)
+	limit, cancel := context.WithTimeout(context.Background(), n.settings.Grace-handoffMargin)
 	defer cancel()
 	n.keeper.HandOff(limit)
 	return nil
 }
 
 // handOverMargin is left of the grace after a hand-over.
-const handOverMargin = 1500 * time.Millisecond
+const handoffMargin = 1500 * time.Millisecond
 
 // servePeers serves other instances.
 func (n *Node) servePeers(ctx context.Context) error {
@@ -334,7 +337,7 @@
 	relay := mirrorpb.NewRelayServer(n.relay)
 	mux.Handle(relay.PathPrefix(), relay)
 	if n.settings.Callers != "" {
-		mux.HandleFunc(viaPath, n.fleet.serveVia)
+		mux.HandleFunc(viaPath, n.fleet.forwardToKeeper)
 		witness := historypb.NewWitnessServer(n.fleet)
 		mux.Handle(witness.PathPrefix(), witness)
 	}
@@ -349,15 +352,15 @@
 }
 
 // control is the goroutine that owns what this instance believes.
-func (n *Node) control(ctx context.Context) {
-	ticker := time.NewTicker(refreshEvery)
+func (n *Node) runRefresh(ctx context.Context) {
+	ticker := time.NewTicker(removalCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-n.changed:
+		case <-n.refreshRequested:
 			n.refresh()
 		case <-ticker.C:
-			if len(n.lapse.held) > 0 {
+			if len(n.removals.held) > 0 {
 				n.refresh()
 			}
 		case <-ctx.Done():
@@ -375,13 +378,13 @@
 	if table == nil {
 		return
 	}
-	listed := n.listed.all(n.mirror.Entries(mirror.Replicas))
-	before := n.replicas
-	n.replicas = n.lapse.merge(before, listed, n.mirror.RegistrationGrace(time.Now()))
+	listed := n.decodedReplicas.all(n.mirror.Entries(mirror.Replicas))
+	previous := n.replicas
+	n.replicas = n.removals.merge(previous, listed, n.mirror.RegistrationGrace(time.Now()))
 	asOf, _ := n.mirror.AsOf(mirror.Replicas)
-	n.logReplicas(before, n.replicas, uint64(asOf))
+	n.logReplicas(previous, n.replicas, uint64(asOf))
 	n.upstream.Apply(upstreamsOf(table, n.replicas), time.Now())
-	n.dialect.Replicas.RetainTargets(targetsOf(n.replicas))
+	n.adapter.Replicas.RetainTargets(targetsOf(n.replicas))
 }
 
 func (n *Node) refreshAssignment() {
@@ -402,7 +405,7 @@
 		return
 	}
 	n.configRevision = e.Revision
-	table, err := n.dialect.Table(e.Value)
+	table, err := n.adapter.Table(e.Value)
 	if err != nil {
 		n.logger.WithError(err).WithField("revision", uint64(e.Revision)).Warn("configuration not readable")
 		return
@@ -418,17 +421,17 @@
 // serveEntry serves callers until ctx ends, then ends what is under way.
 func (n *Node) serveEntry(ctx, serving context.Context) error {
 	callers := &http.Server{
-		Handler:           n.dialect.Callers(n.gateway, n.sendsAway),
+		Handler:           n.adapter.Callers(n.gateway, n.divertsCallers),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
-		ConnState:         noteState,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         trackConnState,
 	}
 	ready := &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: headerTimeout}
 	var group errgroup.Group
 	group.Go(func() error { return n.listen(serving, ready, n.settings.Ready) })
 	group.Go(func() error {
-		return n.listenThrough(serving, callers, n.settings.Callers, func(l net.Listener) net.Listener {
+		return n.listenWrapped(serving, callers, n.settings.Callers, func(l net.Listener) net.Listener {
 			return &callerListener{Listener: l, limits: n.limits}
 		})
 	})
@@ -437,8 +440,8 @@
 		began := time.Now()
 		n.stopping.Store(true)
 		n.logger.Info("stopping")
-		time.Sleep(outOfRotation)
-		limit, cancel := context.WithDeadline(context.Background(), began.Add(n.settings.Grace-stopMargin))
+		time.Sleep(balancerDelay)
+		limit, cancel := context.WithDeadline(context.Background(), began.Add(n.settings.Grace-shutdownMargin))
 		defer cancel()
 		err := callers.Shutdown(limit)
 		n.gateway.Drain(limit)
@@ -453,8 +456,8 @@
 	headerTimeout = 10 * time.Second
 	// idleTimeout is long, since a caller may use its connection up to the
 	// operators' limit.
-	idleTimeout = 5 * time.Minute
-	maxHeader   = 64 << 10
+	idleTimeout    = 5 * time.Minute
+	maxHeaderBytes = 64 << 10
 )
 
 // limits returns the operators' limits in force; none before the first.
@@ -466,11 +469,11 @@
 }
 
 func (n *Node) listen(ctx context.Context, server *http.Server, address string) error {
-	return n.listenThrough(ctx, server, address, func(l net.Listener) net.Listener { return l })
+	return n.listenWrapped(ctx, server, address, func(l net.Listener) net.Listener { return l })
 }
 
 // listenThrough serves what the wrapped listener accepts.
-func (n *Node) listenThrough(ctx context.Context, server *http.Server, address string, wrap func(net.Listener) net.Listener) error {
+func (n *Node) listenWrapped(ctx context.Context, server *http.Server, address string, wrap func(net.Listener) net.Listener) error {
 	listener, err := netdial.Listen(ctx, address)
 	if err != nil {
 		return errors.Wrap(err, "listen")
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -21,18 +21,18 @@
 )
 
 // noReplicas sends nothing.
-type noReplicas struct{ gateway.Replicas }
+type stubReplicas struct{ gateway.Replicas }
 
-func (noReplicas) RetainTargets(map[gateway.Target]bool) {}
+func (stubReplicas) RetainTargets(map[gateway.Target]bool) {}
 
-func (noReplicas) Idle(string, string) bool { return false }
+func (stubReplicas) Idle(string, string) bool { return false }
 
 // quietNode returns a node that does not run, over a dialect whose entries are
 // the product's own types.
-func quietNode(t *testing.T) *Node {
+func newTestNode(t *testing.T) *Node {
 	t.Helper()
-	dialect := Adapter{
-		Replicas: noReplicas{},
+	adapter := Adapter{
+		Replicas: stubReplicas{},
 		Table: func([]byte) (*routing.Table, error) {
 			route := routing.Route{Host: "h", Prefix: "/", Services: []routing.WeightedService{{Service: "s", Weight: 1}}}
 			return routing.NewTable(1, routing.Limits{}, nil, []routing.Route{route}, []routing.Service{{Name: "s"}}), nil
@@ -44,14 +44,14 @@
 		Callers: func(*gateway.Gateway, func() bool) http.Handler { return http.NotFoundHandler() },
 	}
 	s := Settings{Instance: "me", IP: "10.0.0.1", DataCentre: "a", Callers: "10.0.0.1:1", PeerPort: 7}
-	n, err := New(s, dialect, &log.Logger{Handler: discard.Default}, metrics.NewRegistry())
+	n, err := New(s, adapter, &log.Logger{Handler: discard.Default}, metrics.NewRegistry())
 	is.New(t).NoErr(err)
 	n.mirror.Apply(mirror.Delta{Kind: mirror.Config, Full: true, AsOf: 1, Entries: []mirror.Entry{{Name: mirror.ConfigName, Revision: 1}}})
 	return n
 }
 
 // list puts replicas in force as the store lists them at the version.
-func (n *Node) list(t *testing.T, version store.Version, replicas ...routing.Replica) {
+func (n *Node) setReplicas(t *testing.T, version store.Version, replicas ...routing.Replica) {
 	t.Helper()
 	d := mirror.Delta{Kind: mirror.Replicas, Full: true, AsOf: version}
 	for _, r := range replicas {
@@ -64,7 +64,7 @@
 }
 
 // chosen returns the replica that the next call gets; empty if it is refused.
-func (n *Node) chosen(t *testing.T) string {
+func (n *Node) nextReplica(t *testing.T) string {
 	t.Helper()
 	sched := scheduler.New(scheduler.Settings{DataCentre: "a"}, n.upstream, cache.New(cache.Options{MaxBlocks: 16}))
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
@@ -83,26 +83,26 @@
 // start under the same id counts as another replica.
 func TestLeavingReplicasGetNothingNew(t *testing.T) {
 	is := is.New(t)
-	n := quietNode(t)
+	n := newTestNode(t)
 	r := routing.Replica{ID: "r", Incarnation: 1, Service: "s", Address: "10.0.0.9:80", DataCentre: "a", Slots: 2}
-	n.list(t, 2, r)
-	is.Equal(n.chosen(t), "r@1")
+	n.setReplicas(t, 2, r)
+	is.Equal(n.nextReplica(t), "r@1")
 
 	draining := r
 	draining.Draining = true
-	n.list(t, 3, draining)
-	is.Equal(n.chosen(t), "")
+	n.setReplicas(t, 3, draining)
+	is.Equal(n.nextReplica(t), "")
 
-	again := r
-	again.Incarnation = 2
-	n.list(t, 4, again)
-	is.Equal(n.chosen(t), "r@2")
-	n.list(t, 5)
-	is.Equal(n.chosen(t), "")
+	restarted := r
+	restarted.Incarnation = 2
+	n.setReplicas(t, 4, restarted)
+	is.Equal(n.nextReplica(t), "r@2")
+	n.setReplicas(t, 5)
+	is.Equal(n.nextReplica(t), "")
 
-	n.list(t, 6, again)
-	is.Equal(n.chosen(t), "r@2")
+	n.setReplicas(t, 6, restarted)
+	is.Equal(n.nextReplica(t), "r@2")
 	n.mirror.Apply(mirror.Delta{Kind: mirror.Replicas, From: 6, AsOf: 7, Entries: []mirror.Entry{{Name: "r", Revision: 7, Value: []byte("{")}}})
 	n.refresh()
-	is.Equal(n.chosen(t), "")
+	is.Equal(n.nextReplica(t), "")
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -49,12 +49,12 @@
 func (s *Settings) isSeed() bool { return slices.Contains(s.Seeds, s.IP) }
 
 // ways gives the cost of the way to each other data centre.
-func (s *Settings) ways() map[string]time.Duration {
-	ways := map[string]time.Duration{}
+func (s *Settings) dataCentreRTT() map[string]time.Duration {
+	rtt := map[string]time.Duration{}
 	for _, dc := range s.DataCentres {
 		if dc != s.DataCentre {
-			ways[dc] = remoteCost
+			rtt[dc] = remoteCost
 		}
 	}
-	return ways
+	return rtt
 }
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -14,17 +14,17 @@
 func TestThoseThatWaitAreToldOfSilenceOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSilences()
-		told := map[string]int{}
-		s.when("cut", func() { told["waits"]++ })
-		stop := s.when("cut", func() { told["answered"]++ })
-		s.when("there", func() { told["elsewhere"]++ })
+		s := newSilenceMonitor()
+		called := map[string]int{}
+		s.onSilence("cut", func() { called["waits"]++ })
+		stop := s.onSilence("cut", func() { called["answered"]++ })
+		s.onSilence("there", func() { called["elsewhere"]++ })
 		stop()
-		silent := func(place string) bool { return place == "cut" }
-		s.look(silent)
-		s.look(silent)
-		is.Equal(told, map[string]int{"waits": 1})
-		time.Sleep(silenceEvery)
+		silent := func(source string) bool { return source == "cut" }
+		s.check(silent)
+		s.check(silent)
+		is.Equal(called, map[string]int{"waits": 1})
+		time.Sleep(silenceCheckInterval)
 	})
 }
 
@@ -33,20 +33,20 @@
 func TestSilenceOfADataCentreIsToldAsItBeginsAndEnds(t *testing.T) {
 	is := is.New(t)
 	s, now := silentSince{}, time.Now()
-	told := func(silence time.Duration, after time.Duration) string {
-		fell, back, since := s.note("dc", silence, now.Add(after))
+	observe := func(silence time.Duration, after time.Duration) string {
+		began, ended, since := s.update("dc", silence, now.Add(after))
 		switch {
-		case fell:
+		case began:
 			return "fell " + now.Add(after).Sub(since).String()
-		case back:
+		case ended:
 			return "back " + now.Add(after).Sub(since).String()
 		}
 		return ""
 	}
-	is.Equal(told(cutAfter, 0), "")
-	is.Equal(told(500*time.Millisecond, 0), "fell 500ms")
-	is.Equal(told(time.Second, 500*time.Millisecond), "")
-	is.Equal(told(0, time.Second), "back 1.5s")
-	is.Equal(told(0, 2*time.Second), "")
-	is.Equal(told(time.Second, 3*time.Second), "fell 1s")
+	is.Equal(observe(partitionTimeout, 0), "")
+	is.Equal(observe(500*time.Millisecond, 0), "fell 500ms")
+	is.Equal(observe(time.Second, 500*time.Millisecond), "")
+	is.Equal(observe(0, time.Second), "back 1.5s")
+	is.Equal(observe(0, 2*time.Second), "")
+	is.Equal(observe(time.Second, 3*time.Second), "fell 1s")
 }
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -31,28 +31,28 @@
 }
 
 // logReplicas writes a line for each replica that came, changed or went.
-func (n *Node) logReplicas(before, now []routing.Replica, revision uint64) {
+func (n *Node) logReplicas(previous, current []routing.Replica, revision uint64) {
 	old := map[string]routing.Replica{}
-	for _, r := range before {
+	for _, r := range previous {
 		old[r.Name()] = r
 	}
-	say := func(r *routing.Replica, what string) {
+	logChange := func(r *routing.Replica, message string) {
 		n.logger.WithField("replica", r.Name()).WithField("service", r.Service).WithField("address", r.Address).
-			WithField("revision", revision).Info(what)
+			WithField("revision", revision).Info(message)
 	}
-	for i := range now {
-		r := &now[i]
-		was, known := old[r.Name()]
+	for i := range current {
+		r := &current[i]
+		before, known := old[r.Name()]
 		delete(old, r.Name())
 		switch {
 		case !known:
-			say(r, "replica added")
-		case was.Draining != r.Draining:
-			say(r, "replica draining")
+			logChange(r, "replica added")
+		case before.Draining != r.Draining:
+			logChange(r, "replica draining")
 		}
 	}
 	for _, r := range old {
-		say(&r, "replica removed")
+		logChange(&r, "replica removed")
 	}
 }
 
@@ -68,30 +68,30 @@
 
 // lapse holds back removals of replicas while they may only be unheard of:
 // their entries lapse while the store is away.
-type lapse struct {
+type removalHold struct {
 	held map[string]routing.Replica
 }
 
 // merge returns the replicas to use: those listed, and those that were listed
 // before and may come back within the unsettled time.
-func (l *lapse) merge(before, now []routing.Replica, unsettled time.Duration) []routing.Replica {
+func (l *removalHold) merge(previous, current []routing.Replica, grace time.Duration) []routing.Replica {
 	listed := map[string]bool{}
-	for i := range now {
-		listed[now[i].ID] = true
+	for i := range current {
+		listed[current[i].ID] = true
 	}
-	if unsettled <= 0 {
+	if grace <= 0 {
 		l.held = nil
-		return now
+		return current
 	}
 	if l.held == nil {
 		l.held = map[string]routing.Replica{}
 	}
-	for _, r := range before {
+	for _, r := range previous {
 		if !listed[r.ID] && !r.Draining {
 			l.held[r.ID] = r
 		}
 	}
-	all := now
+	all := current
 	for id, r := range l.held {
 		if listed[id] {
 			delete(l.held, id)
--- a/internal/node/upstreams_test.go
+++ b/internal/node/upstreams_test.go
@@ -26,7 +26,7 @@
 // must be used until then, and be taken for gone when the time is over.
 func TestLapsedReplicasAreUsedUntilTheyMayBeBack(t *testing.T) {
 	is := is.New(t)
-	var l lapse
+	var l removalHold
 	before := []routing.Replica{replica("a", 1, false), replica("b", 1, false)}
 	now := l.merge(before, nil, time.Second)
 	is.Equal(len(now), 2)
@@ -40,7 +40,7 @@
 // removed while the store is unsettled. Only one that did not leave may be held.
 func TestLeavingReplicaIsNotHeld(t *testing.T) {
 	is := is.New(t)
-	var l lapse
+	var l removalHold
 	before := []routing.Replica{replica("a", 1, true)}
 	is.Equal(len(l.merge(before, nil, time.Second)), 0)
 }
--- a/internal/node/witness.go
+++ b/internal/node/witness.go
@@ -13,21 +13,21 @@
 const (
 	// witnessesMost is the number of entries of a data centre that are asked about
 	// a keeper: one of them may be down itself.
-	witnessesMost = 2
+	witnessesPerDataCentre = 2
 	// witnessTime bounds the question: a few ways, and the turn of a busy entry.
 	// All wait for those that are cut off.
-	witnessTime = 100 * time.Millisecond
+	witnessTimeout = 100 * time.Millisecond
 )
 
 // Hears implements historypb.Witness.
 func (f *fleet) Hears(_ context.Context, r *historypb.HearsRequest) (*historypb.HearsResponse, error) {
-	misses, known := f.misses(r.Keeper)
-	return &historypb.HearsResponse{Known: known, Hears: !misses, DataCentre: f.settings.DataCentre}, nil
+	silent, known := f.isSilent(r.Keeper)
+	return &historypb.HearsResponse{Known: known, Hears: !silent, DataCentre: f.settings.DataCentre}, nil
 }
 
 // Witnesses implements history.Peers.
 func (f *fleet) Witnesses(ctx context.Context, keeper string) []history.Witness {
-	ctx, cancel := context.WithTimeout(ctx, witnessTime)
+	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var witnesses []history.Witness
@@ -35,17 +35,17 @@
 	for _, m := range f.witnesses() {
 		group.Go(func() {
 			client := historypb.NewWitnessProtobufClient("http://"+f.settings.peerAddress(m.IP), f.client)
-			answer, err := client.Hears(ctx, &historypb.HearsRequest{Keeper: keeper})
+			response, err := client.Hears(ctx, &historypb.HearsRequest{Keeper: keeper})
 			if err != nil {
 				f.logger.WithError(err).WithField("entry", m.Name).WithField("keeper", keeper).Debug("entry not asked about a keeper")
 				return
 			}
-			if !answer.Known {
+			if !response.Known {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			witnesses = append(witnesses, history.Witness{DataCentre: answer.DataCentre, HearsKeeper: answer.Hears})
+			witnesses = append(witnesses, history.Witness{DataCentre: response.DataCentre, HearsKeeper: response.Hears})
 		})
 	}
 	group.Wait()
@@ -54,12 +54,12 @@
 
 // witnesses returns some entries of each data centre.
 func (f *fleet) witnesses() []member {
-	others := f.list()
+	others := f.others()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	chosen := map[string]int{}
 	var entries []member
 	for _, m := range others {
-		if m.Entry && chosen[m.DataCentre] < witnessesMost {
+		if m.Entry && chosen[m.DataCentre] < witnessesPerDataCentre {
 			chosen[m.DataCentre]++
 			entries = append(entries, m)
 		}
