--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -17,13 +17,13 @@
 const (
 	// queued is the number of lines that may wait for the output. A reader that
 	// has stalled costs lines beyond it, not calls.
-	queued = 2048
+	queueCapacity = 2048
 	// perSecond and burst bound the lines of an instance: some ten times what it
 	// writes at its highest load so far, of 60 calls a second.
-	perSecond = 1500
-	burst     = 3000
+	linesPerSecond = 1500
+	burstLines     = 3000
 	// dropsEvery is how often dropped lines are told.
-	dropsEvery = time.Second
+	dropReportInterval = time.Second
 )
 
 // Writer is a log.Handler that writes lines of JSON from a goroutine of its own.
@@ -42,7 +42,7 @@
 
 // New returns a writer; Run must be called.
 func New() *Writer {
-	return &Writer{lines: make(chan line, queued), limit: rate.NewLimiter(perSecond, burst)}
+	return &Writer{lines: make(chan line, queueCapacity), limit: rate.NewLimiter(linesPerSecond, burstLines)}
 }
 
 // HandleLog implements log.Handler. It never blocks: a line that has no room
@@ -62,25 +62,25 @@
 }
 
 // Run writes lines until ctx ends, and then those that wait.
-func (w *Writer) Run(ctx context.Context, to io.Writer) {
-	out := bufio.NewWriter(to)
-	defer out.Flush()
-	encoder := json.NewEncoder(out)
-	ticker := time.NewTicker(dropsEvery)
+func (w *Writer) Run(ctx context.Context, output io.Writer) {
+	buffered := bufio.NewWriter(output)
+	defer buffered.Flush()
+	encoder := json.NewEncoder(buffered)
+	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case l := <-w.lines:
-			write(encoder, l)
+			writeLine(encoder, l)
 			if len(w.lines) == 0 {
-				out.Flush()
+				buffered.Flush()
 			}
 		case <-ticker.C:
-			w.tellDropped(encoder)
-			out.Flush()
+			w.reportDropped(encoder)
+			buffered.Flush()
 		case <-ctx.Done():
 			for len(w.lines) > 0 {
-				write(encoder, <-w.lines)
+				writeLine(encoder, <-w.lines)
 			}
 			return
 		}
@@ -88,7 +88,7 @@
 }
 
 // write encodes a line; one whose fields can't be encoded is told without them.
-func write(encoder *json.Encoder, l line) {
+func writeLine(encoder *json.Encoder, l line) {
 	for name, value := range l.Fields {
 		if err, ok := value.(error); ok {
 			l.Fields[name] = err.Error()
@@ -100,8 +100,8 @@
 	}
 }
 
-func (w *Writer) tellDropped(encoder *json.Encoder) {
+func (w *Writer) reportDropped(encoder *json.Encoder) {
 	if n := w.dropped.Swap(0); n > 0 {
-		write(encoder, line{Time: time.Now(), Level: "warn", Message: "log lines dropped", Fields: log.Fields{"lines": n}})
+		writeLine(encoder, line{Time: time.Now(), Level: "warn", Message: "log lines dropped", Fields: log.Fields{"lines": n}})
 	}
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -25,24 +25,24 @@
 		w := New()
 		logger := &log.Logger{Handler: w, Level: log.InfoLevel}
 		began := time.Now()
-		for range 3 * queued {
+		for range 3 * queueCapacity {
 			logger.WithField("request", "r").Warn("call")
 		}
 		took = time.Since(began)
 		ctx, cancel := context.WithCancel(context.Background())
 		go w.Run(ctx, &out)
-		time.Sleep(2 * dropsEvery)
+		time.Sleep(2 * dropReportInterval)
 		cancel()
 		synctest.Wait()
 	})
 	is := is.New(t)
 	is.Equal(took, time.Duration(0))
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	is.Equal(len(lines), queued+1)
+	is.Equal(len(lines), queueCapacity+1)
 	var last line
-	is.NoErr(json.Unmarshal([]byte(lines[queued]), &last))
+	is.NoErr(json.Unmarshal([]byte(lines[queueCapacity]), &last))
 	is.Equal(last.Message, "log lines dropped")
-	is.Equal(last.Fields["lines"], float64(2*queued))
+	is.Equal(last.Fields["lines"], float64(2*queueCapacity))
 }
 
 // An operator looks for a cause and finds "{}": errors have no exported fields.
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -35,7 +35,7 @@
 
 // keptRemovals bounds the removals that are remembered for peers that lag. One
 // that lags further is sent the whole kind.
-const keptRemovals = 512
+const maxTombstones = 512
 
 // Entry is one object at its last change.
 type Entry struct {
@@ -55,39 +55,39 @@
 }
 
 // copyOf is the mirrored state of one kind.
-type copyOf struct {
-	known   bool
-	asOf    store.Version
-	entries map[string]Entry
-	removed []Entry
+type kindCopy struct {
+	known      bool
+	asOf       store.Version
+	entries    map[string]Entry
+	tombstones []Entry
 	// since is the version from which on removed is complete.
-	since store.Version
+	tombstonesSince store.Version
 	// confirmed is when the store last said what the kind holds, returned when it
 	// last did so after an outage.
-	confirmed, returned time.Time
+	confirmedAt, returnedAt time.Time
 }
 
 // Mirror is the copy of all kinds. It is safe for concurrent use.
 type Mirror struct {
-	mu     sync.Mutex
-	kinds  map[Kind]*copyOf
-	notify []func(Kind)
+	mu        sync.Mutex
+	kinds     map[Kind]*kindCopy
+	listeners []func(Kind)
 	// unsettledUntil is until when a removed replica may only be unheard of.
-	unsettledUntil time.Time
+	graceUntil time.Time
 }
 
 // New returns an empty mirror.
 func New() *Mirror {
-	m := &Mirror{kinds: map[Kind]*copyOf{}}
+	m := &Mirror{kinds: map[Kind]*kindCopy{}}
 	for _, k := range Kinds {
-		m.kinds[k] = &copyOf{entries: map[string]Entry{}}
+		m.kinds[k] = &kindCopy{entries: map[string]Entry{}}
 	}
 	return m
 }
 
 // OnChange adds a function that is called, without a lock held, after a kind
 // has changed. It must be called before the mirror is shared.
-func (m *Mirror) OnChange(f func(Kind)) { m.notify = append(m.notify, f) }
+func (m *Mirror) OnChange(f func(Kind)) { m.listeners = append(m.listeners, f) }
 
 // AsOf returns the version up to which the kind is known, and whether it is known at all.
 func (m *Mirror) AsOf(k Kind) (store.Version, bool) {
@@ -102,7 +102,7 @@
 func (m *Mirror) Age(k Kind, now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now.Sub(m.kinds[k].confirmed)
+	return now.Sub(m.kinds[k].confirmedAt)
 }
 
 // Confirm notes that the store said so at the time.
@@ -110,13 +110,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.kinds[k]
-	if !at.After(c.confirmed) {
+	if !at.After(c.confirmedAt) {
 		return
 	}
-	if !c.confirmed.IsZero() && at.Sub(c.confirmed) >= outageAfter {
-		c.returned = at
+	if !c.confirmedAt.IsZero() && at.Sub(c.confirmedAt) >= outageThreshold {
+		c.returnedAt = at
 	}
-	c.confirmed = at
+	c.confirmedAt = at
 }
 
 // AfterOutage reports whether the store is silent for so long, or was until a
@@ -125,8 +125,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.kinds[k]
-	silent := !c.confirmed.IsZero() && now.Sub(c.confirmed) >= outageAfter
-	return silent || now.Sub(c.returned) < returnTime
+	silent := !c.confirmedAt.IsZero() && now.Sub(c.confirmedAt) >= outageThreshold
+	return silent || now.Sub(c.returnedAt) < registrationTime
 }
 
 // Doubt takes back when the store last confirmed what is mirrored: this process
@@ -135,7 +135,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.kinds {
-		c.confirmed = time.Time{}
+		c.confirmedAt = time.Time{}
 	}
 }
 
@@ -143,7 +143,7 @@
 func (m *Mirror) Entries(k Kind) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.kinds[k].sorted()
+	return m.kinds[k].sortedEntries()
 }
 
 // Get returns one entry.
@@ -163,17 +163,17 @@
 		return Delta{}, false
 	}
 	d := Delta{Kind: k, From: from, AsOf: c.asOf}
-	if !known || from < c.since {
+	if !known || from < c.tombstonesSince {
 		d.Full = true
-		d.Entries = c.sorted()
+		d.Entries = c.sortedEntries()
 		return d, true
 	}
-	for _, e := range c.sorted() {
+	for _, e := range c.sortedEntries() {
 		if e.Revision > from {
 			d.Entries = append(d.Entries, e)
 		}
 	}
-	for _, e := range c.removed {
+	for _, e := range c.tombstones {
 		if e.Revision > from {
 			d.Removed = append(d.Removed, e)
 		}
@@ -185,10 +185,10 @@
 // than the copy changes nothing, so that a late answer never takes it back.
 func (m *Mirror) Apply(d Delta) bool {
 	m.mu.Lock()
-	changed, renewed := m.kinds[d.Kind].apply(d)
+	changed, becameKnown := m.kinds[d.Kind].apply(d)
 	m.mu.Unlock()
-	if changed || renewed {
-		for _, f := range m.notify {
+	if changed || becameKnown {
+		for _, f := range m.listeners {
 			f(d.Kind)
 		}
 	}
@@ -196,30 +196,30 @@
 }
 
 // apply reports whether entries changed, and whether the kind became known.
-func (c *copyOf) apply(d Delta) (changed, renewed bool) {
+func (c *kindCopy) apply(d Delta) (changed, becameKnown bool) {
 	switch {
 	case c.known && (d.AsOf < c.asOf || d.AsOf == c.asOf && !d.Full):
 		return false, false
 	case d.Full:
-		changed = c.replace(d)
+		changed = c.applyListing(d)
 	case !c.known || d.From > c.asOf:
 		return false, false
 	default:
-		changed = c.merge(d)
+		changed = c.applyChanges(d)
 	}
-	renewed = !c.known
+	becameKnown = !c.known
 	c.known, c.asOf = true, d.AsOf
-	return changed, renewed
+	return changed, becameKnown
 }
 
 // replace takes in a whole listing. What it lacks was removed at some revision
 // up to its own; told so, peers need not be sent the whole kind again.
-func (c *copyOf) replace(d Delta) bool {
+func (c *kindCopy) applyListing(d Delta) bool {
 	if !c.known {
 		for _, e := range d.Entries {
 			c.entries[e.Name] = e
 		}
-		c.since = d.AsOf
+		c.tombstonesSince = d.AsOf
 		return len(d.Entries) > 0
 	}
 	listed := map[string]bool{}
@@ -231,10 +231,10 @@
 			d.Removed = append(d.Removed, Entry{Name: name, Revision: d.AsOf})
 		}
 	}
-	return c.merge(d)
+	return c.applyChanges(d)
 }
 
-func (c *copyOf) merge(d Delta) bool {
+func (c *kindCopy) applyChanges(d Delta) bool {
 	changed := false
 	for _, e := range d.Entries {
 		if e.Revision > c.entries[e.Name].Revision {
@@ -250,16 +250,16 @@
 			delete(c.entries, e.Name)
 			changed = true
 		}
-		c.removed = append(c.removed, Entry{Name: e.Name, Revision: e.Revision})
+		c.tombstones = append(c.tombstones, Entry{Name: e.Name, Revision: e.Revision})
 	}
-	if over := len(c.removed) - keptRemovals; over > 0 {
-		c.since = c.removed[over-1].Revision
-		c.removed = slices.Clone(c.removed[over:])
+	if over := len(c.tombstones) - maxTombstones; over > 0 {
+		c.tombstonesSince = c.tombstones[over-1].Revision
+		c.tombstones = slices.Clone(c.tombstones[over:])
 	}
 	return changed
 }
 
-func (c *copyOf) sorted() []Entry {
+func (c *kindCopy) sortedEntries() []Entry {
 	entries := make([]Entry, 0, len(c.entries))
 	for _, e := range c.entries {
 		entries = append(entries, e)
@@ -283,14 +283,14 @@
 func (m *Mirror) RegistrationGrace(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return max(0, m.unsettledUntil.Sub(now))
+	return max(0, m.graceUntil.Sub(now))
 }
 
 // SetUnsettled notes that entries may be missing until then.
 func (m *Mirror) SetRegistrationGrace(until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if until.After(m.unsettledUntil) {
-		m.unsettledUntil = until
+	if until.After(m.graceUntil) {
+		m.graceUntil = until
 	}
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -21,7 +21,7 @@
 		truth := map[string]store.Version{}
 		version := store.Version(1)
 		copies[0].Apply(Delta{Kind: Replicas, Full: true, AsOf: version})
-		history[version] = show(truth)
+		history[version] = format(truth)
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			name := fmt.Sprint(rapid.IntRange(0, 4).Draw(rt, "name"))
 			switch rapid.SampledFrom([]string{"put", "remove", "list", "exchange", "exchange"}).Draw(rt, "step") {
@@ -48,10 +48,10 @@
 					to.Apply(d)
 				}
 			}
-			history[version] = show(truth)
+			history[version] = format(truth)
 			for i, m := range copies {
 				asOf, known := m.AsOf(Replicas)
-				if held := show(versions(m)); known && held != history[asOf] {
+				if held := format(versions(m)); known && held != history[asOf] {
 					rt.Fatalf("copy %d holds %s as of %d, where the store held %s", i, held, asOf, history[asOf])
 				}
 			}
@@ -67,7 +67,7 @@
 	return held
 }
 
-func show(held map[string]store.Version) string { return fmt.Sprint(held) }
+func format(held map[string]store.Version) string { return fmt.Sprint(held) }
 
 // An instance goes back to an older configuration: a delayed answer of a peer
 // comes after a newer one. It must change nothing.
--- a/internal/mirror/relay.go
+++ b/internal/mirror/relay.go
@@ -17,11 +17,11 @@
 	// relayEvery is the time between two rounds. With one peer chosen by chance
 	// a change reaches some hundred instances in a few rounds even where every
 	// message sent at the change was lost.
-	relayEvery = 300 * time.Millisecond
+	roundInterval = 300 * time.Millisecond
 	// relayTime bounds one exchange.
-	relayTime = 400 * time.Millisecond
+	exchangeTimeout = 400 * time.Millisecond
 	// fanOut is the number of peers that hear of a change at once.
-	fanOut = 3
+	changeFanout = 3
 )
 
 // Peer is another instance.
@@ -42,26 +42,26 @@
 	peers      func() []Peer
 	logger     log.Interface
 
-	wake chan struct{}
+	changed chan struct{}
 
 	mu sync.Mutex
 	// followers are the peers that follow the store, by their last word, and watching
 	// those of them that ask it for changes.
 	followers, watching map[string]Peer
 	// told is a peer that another named as follower and that was not yet asked.
-	told *Peer
+	namedFollower *Peer
 	// elsewhere are the followers of other data centres that were named and are to be
 	// asked themselves, by data centre.
-	elsewhere map[string]Peer
+	remoteFollowers map[string]Peer
 	// unreached are the peers that did not answer, by when they may be asked again.
-	unreached map[string]time.Time
+	unreachableUntil map[string]time.Time
 	// turn counts the rounds in which this instance stood by.
-	turn int
+	standbyRound int
 	// silent counts the rounds in which no other follower of the data centre answered.
-	silent      int
-	followStop  context.CancelFunc
-	followDone  chan struct{}
-	followSince time.Time
+	roundsWithoutFollower int
+	cancelFollow          context.CancelFunc
+	followerDone          chan struct{}
+	followingSince        time.Time
 }
 
 var _ mirrorpb.Relay = (*Relay)(nil)
@@ -70,21 +70,21 @@
 // instances known now.
 func NewRelay(name, dataCentre string, m *Mirror, f *Follower, peers func() []Peer, logger log.Interface) *Relay {
 	r := &Relay{
-		name:       name,
-		dataCentre: dataCentre,
-		mirror:     m,
-		follower:   f,
-		peers:      peers,
-		logger:     logger,
-		wake:       make(chan struct{}, 1),
-		followers:  map[string]Peer{},
-		watching:   map[string]Peer{},
-		elsewhere:  map[string]Peer{},
-		unreached:  map[string]time.Time{},
+		name:             name,
+		dataCentre:       dataCentre,
+		mirror:           m,
+		follower:         f,
+		peers:            peers,
+		logger:           logger,
+		changed:          make(chan struct{}, 1),
+		followers:        map[string]Peer{},
+		watching:         map[string]Peer{},
+		remoteFollowers:  map[string]Peer{},
+		unreachableUntil: map[string]time.Time{},
 	}
 	m.OnChange(func(Kind) {
 		select {
-		case r.wake <- struct{}{}:
+		case r.changed <- struct{}{}:
 		default:
 		}
 	})
@@ -96,21 +96,21 @@
 // the store once by itself: the sooner an instance that was down knows what is
 // in force, the fewer callers it refuses.
 func (r *Relay) Run(ctx context.Context, seed, restarted bool) {
-	ticker := time.NewTicker(relayEvery)
+	ticker := time.NewTicker(roundInterval)
 	defer ticker.Stop()
 	switch {
 	case seed:
-		r.follow(ctx)
+		r.startFollowing(ctx)
 	case restarted:
 		go r.follower.Refresh(ctx)
 	}
-	defer r.unfollow()
+	defer r.stopFollowing()
 	for {
 		select {
 		case <-ticker.C:
-			r.round(ctx)
-		case <-r.wake:
-			r.spread(ctx)
+			r.runRound(ctx)
+		case <-r.changed:
+			r.pushChange(ctx)
 		case <-ctx.Done():
 			return
 		}
@@ -126,51 +126,51 @@
 
 // round talks to those that should follow the store here, and to one peer of
 // any data centre, through which a data centre without the store stays current.
-func (r *Relay) round(ctx context.Context) {
+func (r *Relay) runRound(ctx context.Context) {
 	peers := r.peers()
-	better, trying := false, 0
-	for _, p := range r.before(peers) {
+	hasFollower, responding := false, 0
+	for _, p := range r.peersToDeferTo(peers) {
 		following, ok := r.exchange(ctx, p)
 		if !ok {
-			r.noteUnreached(p)
+			r.markUnreachable(p)
 			continue
 		}
-		trying++
+		responding++
 		if following {
-			better = true
+			hasFollower = true
 			break
 		}
 	}
-	if r.followStop != nil {
-		r.follower.SetStandby(!r.watches())
+	if r.cancelFollow != nil {
+		r.follower.SetStandby(!r.shouldWatch())
 	}
-	if p, ok := r.partner(peers); ok {
+	if p, ok := r.chooseExchangePeer(peers); ok {
 		_, answered := r.exchange(ctx, p)
 		// Before the others of the data centre are known, any that answers will do.
 		_, known := r.mirror.AsOf(Fleet)
-		better = better || answered && !known
+		hasFollower = hasFollower || answered && !known
 	}
-	if better {
-		r.silent = 0
-		if r.followStop != nil && time.Since(r.followSince) >= followsLeast {
-			r.unfollow()
+	if hasFollower {
+		r.roundsWithoutFollower = 0
+		if r.cancelFollow != nil && time.Since(r.followingSince) >= minFollowTime {
+			r.stopFollowing()
 		}
 		return
 	}
-	patience := silentRounds
+	requiredRounds := takeOverRounds
 	if _, known := r.mirror.AsOf(Fleet); !known {
-		patience = silentRoundsAtStart
+		requiredRounds = takeOverRoundsAtStart
 	}
-	if r.silent++; r.silent >= patience<<trying {
-		r.follow(ctx)
+	if r.roundsWithoutFollower++; r.roundsWithoutFollower >= requiredRounds<<responding {
+		r.startFollowing(ctx)
 	}
 }
 
 // spread tells some peers of a change at once.
-func (r *Relay) spread(ctx context.Context) {
+func (r *Relay) pushChange(ctx context.Context) {
 	peers := r.peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	for _, p := range peers[:min(fanOut, len(peers))] {
+	for _, p := range peers[:min(changeFanout, len(peers))] {
 		go r.exchange(ctx, p)
 	}
 }
@@ -178,7 +178,7 @@
 // exchange takes what the peer knows and this instance does not, and gives it
 // what it lacks. It reports whether the peer follows the store and is answered.
 func (r *Relay) exchange(ctx context.Context, p Peer) (following, ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, relayTime)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	request := &mirrorpb.ExchangeRequest{
 		From:        r.name,
@@ -188,18 +188,18 @@
 	response, err := p.Relay.Exchange(ctx, request)
 	if err != nil {
 		r.logger.WithError(err).WithField("peer", p.Name).Debug("not exchanged")
-		r.noteFollowing(p, false, false)
+		r.recordFollowing(p, false, false)
 		return false, false
 	}
-	r.take(response.Deltas, response.UnsettledMs)
-	r.confirm(response.Versions)
-	r.noteFollowing(p, response.Following, response.Watching)
+	r.applyDeltas(response.Deltas, response.UnsettledMs)
+	r.applyConfirmations(response.Versions)
+	r.recordFollowing(p, response.Following, response.Watching)
 	if p.DataCentre == r.dataCentre {
-		r.noteTold(response.Follower)
+		r.recordNamedFollower(response.Follower)
 	} else {
-		r.noteElsewhere(p.DataCentre, response.Follower)
+		r.recordRemoteFollower(p.DataCentre, response.Follower)
 	}
-	if deltas := r.lacking(response.Versions); len(deltas) > 0 {
+	if deltas := r.missingDeltas(response.Versions); len(deltas) > 0 {
 		push := &mirrorpb.ExchangeRequest{From: r.name, Versions: r.versions(), Deltas: deltas}
 		if _, err := p.Relay.Exchange(ctx, push); err != nil {
 			// A lost push is made good by a later round.
@@ -211,12 +211,12 @@
 
 // Exchange implements mirrorpb.Relay.
 func (r *Relay) Exchange(_ context.Context, request *mirrorpb.ExchangeRequest) (*mirrorpb.ExchangeResponse, error) {
-	r.take(request.Deltas, request.UnsettledMs)
-	r.confirm(request.Versions)
+	r.applyDeltas(request.Deltas, request.UnsettledMs)
+	r.applyConfirmations(request.Versions)
 	now := time.Now()
 	return &mirrorpb.ExchangeResponse{
 		Versions:    r.versions(),
-		Deltas:      r.lacking(request.Versions),
+		Deltas:      r.missingDeltas(request.Versions),
 		Following:   r.Following(),
 		Watching:    r.Watching(),
 		UnsettledMs: r.mirror.RegistrationGrace(now).Milliseconds(),
@@ -226,7 +226,7 @@
 
 // confirm takes in when the store spoke last to another instance, of what this
 // one holds too.
-func (r *Relay) confirm(versions []*mirrorpb.Version) {
+func (r *Relay) applyConfirmations(versions []*mirrorpb.Version) {
 	now := time.Now()
 	for _, v := range versions {
 		k := Kind(v.Kind)
@@ -243,21 +243,21 @@
 // other, so that what one of them has asked the store the others need not ask. One
 // that stands by asks those that it relies on by turns: it must know soon when they
 // are lost.
-func (r *Relay) partner(peers []Peer) (Peer, bool) {
+func (r *Relay) chooseExchangePeer(peers []Peer) (Peer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if relied := r.reliedOn(); r.followStop != nil && len(relied) >= watchersMost {
-		r.turn++
-		return relied[r.turn%len(relied)], true
+	if watchers := r.reliedOnWatchers(); r.cancelFollow != nil && len(watchers) >= watcherDataCentres {
+		r.standbyRound++
+		return watchers[r.standbyRound%len(watchers)], true
 	}
-	for dc, p := range r.elsewhere {
-		delete(r.elsewhere, dc)
+	for dc, p := range r.remoteFollowers {
+		delete(r.remoteFollowers, dc)
 		return p, true
 	}
-	if strangers := r.strangers(peers); len(strangers) > 0 && rand.IntN(2) == 0 {
-		return strangers[rand.IntN(len(strangers))], true
+	if undiscovered := r.undiscoveredPeers(peers); len(undiscovered) > 0 && rand.IntN(2) == 0 {
+		return undiscovered[rand.IntN(len(undiscovered))], true
 	}
-	if r.followStop != nil && len(r.followers) > 0 && rand.IntN(4) > 0 {
+	if r.cancelFollow != nil && len(r.followers) > 0 && rand.IntN(4) > 0 {
 		n := rand.IntN(len(r.followers))
 		for _, p := range r.followers {
 			if n--; n < 0 {
@@ -284,7 +284,7 @@
 }
 
 // lacking returns what an instance with these versions does not know.
-func (r *Relay) lacking(versions []*mirrorpb.Version) []*mirrorpb.Delta {
+func (r *Relay) missingDeltas(versions []*mirrorpb.Version) []*mirrorpb.Delta {
 	known := map[Kind]store.Version{}
 	for _, v := range versions {
 		known[Kind(v.Kind)] = store.Version(v.AsOf)
@@ -293,13 +293,13 @@
 	for _, k := range Kinds {
 		from, ok := known[k]
 		if d, lacks := r.mirror.Since(k, from, ok); lacks {
-			deltas = append(deltas, wireDelta(d))
+			deltas = append(deltas, encodeDelta(d))
 		}
 	}
 	return deltas
 }
 
-func (r *Relay) take(deltas []*mirrorpb.Delta, unsettledMs int64) {
+func (r *Relay) applyDeltas(deltas []*mirrorpb.Delta, unsettledMs int64) {
 	// An instance that was cut off takes its own return for the store's. Those that
 	// heard the store all along must not hold removed replicas for its word.
 	if unsettledMs > 0 && r.mirror.AfterOutage(Replicas, time.Now()) {
@@ -312,8 +312,8 @@
 				Full:    d.Full,
 				From:    store.Version(d.From),
 				AsOf:    store.Version(d.AsOf),
-				Entries: entries(d.Entries),
-				Removed: entries(d.Removed),
+				Entries: decodeEntries(d.Entries),
+				Removed: decodeEntries(d.Removed),
 			})
 		}
 	}
--- a/internal/mirror/relay_test.go
+++ b/internal/mirror/relay_test.go
@@ -25,32 +25,32 @@
 	changed chan struct{}
 	// deaf says that questions for changes are left unanswered, refused names
 	// instances that are refused.
-	deaf    bool
-	refused map[string]bool
-	calls   map[string]int
+	ignorePolls bool
+	refused     map[string]bool
+	calls       map[string]int
 }
 
-type storeOf struct {
+type storeClient struct {
 	*fakeStore
 	instance string
 }
 
-func (s storeOf) begin(what string) error {
+func (s storeClient) beginCall(call string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls[what]++
+	s.calls[call]++
 	if s.refused[s.instance] {
 		return store.ErrUnavailable
 	}
 	return nil
 }
 
-func (s storeOf) object() store.Object {
+func (s storeClient) object() store.Object {
 	return store.Object{Key: store.Key{Kind: string(Config), Name: ConfigName}, Version: s.version}
 }
 
-func (s storeOf) Get(context.Context, store.Key) (store.Object, error) {
-	if err := s.begin("get"); err != nil {
+func (s storeClient) Get(context.Context, store.Key) (store.Object, error) {
+	if err := s.beginCall("get"); err != nil {
 		return store.Object{}, err
 	}
 	s.mu.Lock()
@@ -58,8 +58,8 @@
 	return s.object(), nil
 }
 
-func (s storeOf) Snapshot(context.Context, string) (store.Listing, error) {
-	if err := s.begin("list"); err != nil {
+func (s storeClient) Snapshot(context.Context, string) (store.Listing, error) {
+	if err := s.beginCall("list"); err != nil {
 		return store.Listing{}, err
 	}
 	s.mu.Lock()
@@ -67,15 +67,15 @@
 	return store.Listing{AsOf: s.version, Objects: []store.Object{s.object()}}, nil
 }
 
-func (s storeOf) Poll(ctx context.Context, _ string, from store.Version, wait time.Duration) (store.Changes, error) {
-	if err := s.begin("poll"); err != nil {
+func (s storeClient) Poll(ctx context.Context, _ string, from store.Version, wait time.Duration) (store.Changes, error) {
+	if err := s.beginCall("poll"); err != nil {
 		return store.Changes{}, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		version, changed, deaf, refused := s.version, s.changed, s.deaf, s.refused[s.instance]
+		version, changed, deaf, refused := s.version, s.changed, s.ignorePolls, s.refused[s.instance]
 		s.mu.Unlock()
 		if refused {
 			return store.Changes{}, store.ErrUnavailable
@@ -121,7 +121,7 @@
 }
 
 // fleetOf runs instances in two data centres over one store.
-func fleetOf(ctx context.Context, s *fakeStore, size int) []*instance {
+func startFleet(ctx context.Context, s *fakeStore, size int) []*instance {
 	var all []*instance
 	for i := range size {
 		name := fmt.Sprintf("i%02d", i)
@@ -136,7 +136,7 @@
 			return peers
 		}
 		quiet := &log.Logger{Handler: discard.Default}
-		follower := NewFollower(n.mirror, storeOf{s, name}, quiet)
+		follower := NewFollower(n.mirror, storeClient{s, name}, quiet)
 		n.relay = NewRelay(name, fmt.Sprint(i%2), n.mirror, follower, peers, quiet)
 		all = append(all, n)
 	}
@@ -150,7 +150,7 @@
 	return &fakeStore{version: 5, changed: make(chan struct{}), refused: map[string]bool{}, calls: map[string]int{}}
 }
 
-func following(all []*instance) int {
+func countFollowing(all []*instance) int {
 	n := 0
 	for _, i := range all {
 		if i.relay.Following() {
@@ -160,7 +160,7 @@
 	return n
 }
 
-func behind(all []*instance, version store.Version) (list []string) {
+func outdated(all []*instance, version store.Version) (list []string) {
 	for _, i := range all {
 		if e, _ := i.mirror.Get(Config, ConfigName); e.Revision != version {
 			list = append(list, i.name)
@@ -171,16 +171,16 @@
 
 var _ mirrorpb.Relay = (*Relay)(nil)
 
-func inFleet(t *testing.T, test func(s *fakeStore, all []*instance) error) {
-	inFleetOf(t, 6, test)
+func runInFleet(t *testing.T, test func(s *fakeStore, all []*instance) error) {
+	runInFleetOf(t, 6, test)
 }
 
-func inFleetOf(t *testing.T, size int, test func(s *fakeStore, all []*instance) error) {
+func runInFleetOf(t *testing.T, size int, test func(s *fakeStore, all []*instance) error) {
 	var failed error
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := newFakeStore()
-		all := fleetOf(ctx, s, size)
+		all := startFleet(ctx, s, size)
 		time.Sleep(5 * time.Second)
 		failed = test(s, all)
 		cancel()
@@ -191,10 +191,10 @@
 
 // One instance in each data centre asks the store, and all know what it holds.
 func TestOneFollowerInEachDataCentre(t *testing.T) {
-	inFleet(t, func(s *fakeStore, all []*instance) error {
+	runInFleet(t, func(s *fakeStore, all []*instance) error {
 		s.change()
 		time.Sleep(time.Second)
-		if n, late := following(all), behind(all, 6); n != 2 || late != nil {
+		if n, late := countFollowing(all), outdated(all, 6); n != 2 || late != nil {
 			return errors.Errorf("%d follow, behind: %v", n, late)
 		}
 		before := s.checks()
@@ -209,11 +209,11 @@
 // Callers meet an old configuration: the store refuses the instances that
 // follow it and serves the others. They must take over, and pass on.
 func TestRefusedFollowersAreReplaced(t *testing.T) {
-	inFleet(t, func(s *fakeStore, all []*instance) error {
+	runInFleet(t, func(s *fakeStore, all []*instance) error {
 		s.set(func() { s.refused["i00"], s.refused["i01"] = true, true })
 		s.change()
 		time.Sleep(2 * time.Second)
-		if late := behind(all, 6); late != nil {
+		if late := outdated(all, 6); late != nil {
 			return errors.Errorf("behind: %v", late)
 		}
 		return nil
@@ -224,7 +224,7 @@
 // instances took to following it. What a fleet calls then must not grow with it.
 func TestOutageCostsNoMoreCallsInALargeFleet(t *testing.T) {
 	outage := func(size int) (calls int) {
-		inFleetOf(t, size, func(s *fakeStore, all []*instance) error {
+		runInFleetOf(t, size, func(s *fakeStore, all []*instance) error {
 			before := 0
 			s.set(func() {
 				for _, i := range all {
@@ -241,7 +241,7 @@
 			})
 			s.change()
 			time.Sleep(time.Second)
-			if late := behind(all, 6); late != nil {
+			if late := outdated(all, 6); late != nil {
 				return errors.Errorf("behind after the outage: %v", late)
 			}
 			return nil
@@ -256,11 +256,11 @@
 // Callers meet an old configuration: the store leaves questions for changes
 // unanswered while it drops its history. A check must find the change.
 func TestDeafWatchesAreChecked(t *testing.T) {
-	inFleet(t, func(s *fakeStore, all []*instance) error {
-		s.set(func() { s.deaf = true })
+	runInFleet(t, func(s *fakeStore, all []*instance) error {
+		s.set(func() { s.ignorePolls = true })
 		s.change()
 		time.Sleep(2 * time.Second)
-		if late := behind(all, 6); late != nil {
+		if late := outdated(all, 6); late != nil {
 			return errors.Errorf("behind: %v", late)
 		}
 		return nil
@@ -282,7 +282,7 @@
 				unsettled = m.RegistrationGrace(time.Now())
 			}
 		})
-		f := NewFollower(m, storeOf{s, "i"}, &log.Logger{Handler: discard.Default})
+		f := NewFollower(m, storeClient{s, "i"}, &log.Logger{Handler: discard.Default})
 		go f.Run(ctx)
 		time.Sleep(10 * time.Second)
 		before = m.RegistrationGrace(time.Now())
@@ -297,7 +297,7 @@
 	})
 	is := is.New(t)
 	is.Equal(before, time.Duration(0))
-	is.Equal(unsettled, returnTime)
+	is.Equal(unsettled, registrationTime)
 }
 
 // A replica whose entry was removed goes on getting calls: instances that are
@@ -309,7 +309,7 @@
 		is := is.New(t)
 		s := newFakeStore()
 		m := New()
-		f := NewFollower(m, storeOf{s, "i"}, &log.Logger{Handler: discard.Default})
+		f := NewFollower(m, storeClient{s, "i"}, &log.Logger{Handler: discard.Default})
 		f.Refresh(context.Background())
 		is.Equal(m.RegistrationGrace(time.Now()), time.Duration(0))
 		time.Sleep(time.Minute)
@@ -329,16 +329,16 @@
 		m := New()
 		r := NewRelay("i", "a", m, nil, nil, &log.Logger{Handler: discard.Default})
 		r.follower = NewFollower(m, nil, r.logger)
-		word := &mirrorpb.ExchangeRequest{From: "j", UnsettledMs: returnTime.Milliseconds()}
+		word := &mirrorpb.ExchangeRequest{From: "j", UnsettledMs: registrationTime.Milliseconds()}
 		m.Confirm(Replicas, time.Now())
-		time.Sleep(outageAfter / 2)
+		time.Sleep(outageThreshold / 2)
 		_, err := r.Exchange(context.Background(), word)
 		is.NoErr(err)
 		is.Equal(m.RegistrationGrace(time.Now()), time.Duration(0))
-		time.Sleep(outageAfter)
+		time.Sleep(outageThreshold)
 		_, err = r.Exchange(context.Background(), word)
 		is.NoErr(err)
-		is.Equal(m.RegistrationGrace(time.Now()), returnTime)
+		is.Equal(m.RegistrationGrace(time.Now()), registrationTime)
 	})
 }
 
@@ -346,7 +346,7 @@
 // the others: each asks the first ones whether they follow, and never hears of the
 // one that took over; or several that took over hear of each other only by chance.
 func TestOneTakesOverForManyRefused(t *testing.T) {
-	inFleetOf(t, 40, func(s *fakeStore, all []*instance) error {
+	runInFleetOf(t, 40, func(s *fakeStore, all []*instance) error {
 		s.set(func() {
 			for _, i := range all[:10] {
 				s.refused[i.name] = true
@@ -357,7 +357,7 @@
 		time.Sleep(40 * time.Second)
 		s.change()
 		time.Sleep(2 * time.Second)
-		if n, late := following(all), behind(all, 6); n != 2 || late != nil {
+		if n, late := countFollowing(all), outdated(all, 6); n != 2 || late != nil {
 			return errors.Errorf("%d follow, behind: %v", n, late)
 		}
 		return nil
--- a/internal/mirror/succession.go
+++ b/internal/mirror/succession.go
@@ -15,47 +15,47 @@
 const (
 	// watchersMost is the number of data centres whose followers ask the store for
 	// changes all the time.
-	watchersMost = 2
+	watcherDataCentres = 2
 	// silentRounds is how many rounds in a row the instances that should follow
 	// the store must be silent before this one does it.
-	silentRounds = 2
+	takeOverRounds = 2
 	// askMost bounds the instances that are asked in a round whether they follow.
 	// Each of them that lives and is not answered doubles the rounds that this
 	// one waits: while the store is away a few instances of a data centre call
 	// it, and not all of a fleet four times a second each.
-	askMost = 4
+	maxQueried = 4
 	// unreachedFor is how long an instance that did not answer is not asked.
-	unreachedFor = 3 * time.Second
+	unreachableRetryDelay = 3 * time.Second
 	// silentRoundsAtStart is the same for an instance that has heard of no
 	// other yet: all start at once, and those at the seeds' addresses may be late.
-	silentRoundsAtStart = 4
+	takeOverRoundsAtStart = 4
 	// followsLeast is how long an instance follows at least, so that two that
 	// hear of each other by turns do not both start and stop.
-	followsLeast = 2 * time.Second
+	minFollowTime = 2 * time.Second
 	// lostMost is how long the store may not answer a follower that others rely on.
-	lostMost = 700 * time.Millisecond
+	maxUnavailable = 700 * time.Millisecond
 )
 
 // before returns the peers that this instance leaves the store to while they
 // follow it: those of the data centre that should do so sooner, the first of all
 // first. Where those can't, others have taken over; of these the first by name
 // goes on, and one that does not follow leaves it to any.
-func (r *Relay) before(peers []Peer) []Peer {
+func (r *Relay) peersToDeferTo(peers []Peer) []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.sooner(peers)
-	if p, ok := r.firstFollower(); ok && r.leavesTo(p) {
-		before = append([]Peer{p}, before...)
+	preceding := r.precedingPeers(peers)
+	if p, ok := r.firstFollower(); ok && r.defersTo(p) {
+		preceding = append([]Peer{p}, preceding...)
 	}
-	if r.told != nil && r.leavesTo(*r.told) {
-		before = append([]Peer{*r.told}, before...)
+	if r.namedFollower != nil && r.defersTo(*r.namedFollower) {
+		preceding = append([]Peer{*r.namedFollower}, preceding...)
 	}
-	r.told = nil
-	return before
+	r.namedFollower = nil
+	return preceding
 }
 
 // leavesTo reports whether this instance leaves the store to p while p follows it.
-func (r *Relay) leavesTo(p Peer) bool { return r.followStop == nil || p.Name < r.name }
+func (r *Relay) defersTo(p Peer) bool { return r.cancelFollow == nil || p.Name < r.name }
 
 // firstFollower returns the first peer by name of the data centre that follows
 // the store by its last word.
@@ -68,46 +68,46 @@
 	return first, ok
 }
 
-func (r *Relay) sooner(peers []Peer) []Peer {
-	var before []Peer
+func (r *Relay) precedingPeers(peers []Peer) []Peer {
+	var preceding []Peer
 	now := time.Now()
 	for _, p := range peers {
-		if p.DataCentre == r.dataCentre && p.Name < r.name && now.After(r.unreached[p.Name]) {
-			before = append(before, p)
+		if p.DataCentre == r.dataCentre && p.Name < r.name && now.After(r.unreachableUntil[p.Name]) {
+			preceding = append(preceding, p)
 		}
 	}
-	slices.SortFunc(before, func(a, b Peer) int { return strings.Compare(a.Name, b.Name) })
-	return before[:min(askMost, len(before))]
+	slices.SortFunc(preceding, func(a, b Peer) int { return strings.Compare(a.Name, b.Name) })
+	return preceding[:min(maxQueried, len(preceding))]
 }
 
-func (r *Relay) follow(ctx context.Context) {
-	if r.followStop != nil {
+func (r *Relay) startFollowing(ctx context.Context) {
+	if r.cancelFollow != nil {
 		return
 	}
 	r.logger.Info("following the store")
 	ctx, cancel := context.WithCancel(ctx)
-	r.followStop, r.followSince = cancel, time.Now()
+	r.cancelFollow, r.followingSince = cancel, time.Now()
 	done := make(chan struct{})
-	r.followDone = done
+	r.followerDone = done
 	go func() {
 		defer close(done)
 		r.follower.Run(ctx)
 	}()
 }
 
-func (r *Relay) unfollow() {
-	if r.followStop == nil {
+func (r *Relay) stopFollowing() {
+	if r.cancelFollow == nil {
 		return
 	}
 	r.logger.Info("leaving the store to others")
-	r.followStop()
-	<-r.followDone
-	r.followStop = nil
+	r.cancelFollow()
+	<-r.followerDone
+	r.cancelFollow = nil
 }
 
 // Following reports whether this instance follows the store and is answered.
 func (r *Relay) Following() bool {
-	return r.follower.Active() && r.follower.UnavailableFor(time.Now()) < lostMost
+	return r.follower.Active() && r.follower.UnavailableFor(time.Now()) < maxUnavailable
 }
 
 // Watching reports whether this instance follows the store, is answered, and asks it for
@@ -118,15 +118,15 @@
 // In a fleet of many data centres those of the first two do: with one of them lost, what
 // changes still comes at once. The others are told by the relay, and take over where they
 // no longer hear two.
-func (r *Relay) watches() bool {
+func (r *Relay) shouldWatch() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.reliedOn()) < watchersMost
+	return len(r.reliedOnWatchers()) < watcherDataCentres
 }
 
 // reliedOn returns the peers that ask the store for changes so that this instance need
 // not, one of each data centre that goes before its own; the lock is held.
-func (r *Relay) reliedOn() []Peer {
+func (r *Relay) reliedOnWatchers() []Peer {
 	first := map[string]Peer{}
 	for _, p := range r.watching {
 		known, ok := first[p.DataCentre]
@@ -136,28 +136,28 @@
 	}
 	relied := slices.Collect(maps.Values(first))
 	slices.SortFunc(relied, func(a, b Peer) int { return strings.Compare(a.DataCentre, b.DataCentre) })
-	return relied[:min(watchersMost, len(relied))]
+	return relied[:min(watcherDataCentres, len(relied))]
 }
 
-func (r *Relay) noteFollowing(p Peer, following, watching bool) {
+func (r *Relay) recordFollowing(p Peer, following, watching bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	note(r.followers, p, following)
-	note(r.watching, p, following && watching)
+	setMember(r.followers, p, following)
+	setMember(r.watching, p, following && watching)
 }
 
-func note(peers map[string]Peer, p Peer, is bool) {
-	if is {
+func setMember(peers map[string]Peer, p Peer, member bool) {
+	if member {
 		peers[p.Name] = p
 		return
 	}
 	delete(peers, p.Name)
 }
 
-func (r *Relay) noteUnreached(p Peer) {
+func (r *Relay) markUnreachable(p Peer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.unreached[p.Name] = time.Now().Add(unreachedFor)
+	r.unreachableUntil[p.Name] = time.Now().Add(unreachableRetryDelay)
 }
 
 // knownFollower returns the first of the data centre that follows the store by
@@ -181,14 +181,14 @@
 // in trouble is called by several instances of a data centre. All others know
 // the first of them, as they leave the store to it, so any answer tells. The
 // named one is asked itself in the next round, before it is relied on.
-func (r *Relay) noteTold(name string) {
-	if name == "" || name == r.name || !r.unheard(name) {
+func (r *Relay) recordNamedFollower(name string) {
+	if name == "" || name == r.name || !r.isUndiscovered(name) {
 		return
 	}
 	for _, p := range r.peers() {
 		if p.Name == name && p.DataCentre == r.dataCentre {
 			r.mu.Lock()
-			r.told = &p
+			r.namedFollower = &p
 			r.mu.Unlock()
 			return
 		}
@@ -198,14 +198,14 @@
 // noteElsewhere takes in whom a peer of another data centre names as the follower there.
 // Followers must know each other to leave questions to two of them, and meet by chance
 // only after minutes in a fleet of hundreds.
-func (r *Relay) noteElsewhere(dataCentre, name string) {
-	if name == "" || !r.follower.Active() || !r.unheard(name) {
+func (r *Relay) recordRemoteFollower(dataCentre, name string) {
+	if name == "" || !r.follower.Active() || !r.isUndiscovered(name) {
 		return
 	}
 	for _, p := range r.peers() {
 		if p.Name == name && p.DataCentre == dataCentre {
 			r.mu.Lock()
-			r.elsewhere[dataCentre] = p
+			r.remoteFollowers[dataCentre] = p
 			r.mu.Unlock()
 			return
 		}
@@ -215,8 +215,8 @@
 // strangers returns, for a follower that relies on too few, the peers of the first data
 // centres before its own of which it knows nobody that asks the store for changes; the
 // lock is held.
-func (r *Relay) strangers(peers []Peer) []Peer {
-	if !r.follower.Active() || len(r.reliedOn()) >= watchersMost {
+func (r *Relay) undiscoveredPeers(peers []Peer) []Peer {
+	if !r.follower.Active() || len(r.reliedOnWatchers()) >= watcherDataCentres {
 		return nil
 	}
 	known := map[string]bool{}
@@ -230,16 +230,16 @@
 		}
 	}
 	var first []Peer
-	for _, dc := range slices.Sorted(maps.Keys(byDataCentre))[:min(watchersMost, len(byDataCentre))] {
+	for _, dc := range slices.Sorted(maps.Keys(byDataCentre))[:min(watcherDataCentres, len(byDataCentre))] {
 		first = append(first, byDataCentre[dc]...)
 	}
 	return first
 }
 
 // unheard reports whether nothing is known yet of the peer, which should answer.
-func (r *Relay) unheard(name string) bool {
+func (r *Relay) isUndiscovered(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, known := r.followers[name]
-	return !known && time.Now().After(r.unreached[name])
+	return !known && time.Now().After(r.unreachableUntil[name])
 }
--- a/internal/mirror/watch_test.go
+++ b/internal/mirror/watch_test.go
@@ -20,10 +20,10 @@
 
 // inForceIn is the shortest time that operators of today's sites give a change to be in
 // force.
-const inForceIn = 2 * time.Second
+const changeDeadline = 2 * time.Second
 
 // metIn is more than followers need to meet, each by chance.
-const metIn = 30 * time.Second
+const discoveryTime = 30 * time.Second
 
 // network carries exchanges between the instances of a test; lost ones hang.
 type network struct {
@@ -34,12 +34,12 @@
 }
 
 // way is one instance's way to another.
-type way struct {
+type link struct {
 	net      *network
 	from, to *instance
 }
 
-func (w way) Exchange(ctx context.Context, r *mirrorpb.ExchangeRequest) (*mirrorpb.ExchangeResponse, error) {
+func (w link) Exchange(ctx context.Context, r *mirrorpb.ExchangeRequest) (*mirrorpb.ExchangeResponse, error) {
 	time.Sleep(time.Millisecond)
 	w.net.mu.Lock()
 	lost := w.net.lost != nil && w.net.lost(w.from, w.to)
@@ -64,7 +64,7 @@
 func (n *instance) dataCentre() string { return n.relay.dataCentre }
 
 // inBigFleet runs a test on virtual time over a fleet that is whole.
-func inBigFleet(t *testing.T, size int, test func(f *bigFleet) error) {
+func runInBigFleet(t *testing.T, size int, test func(f *bigFleet) error) {
 	var failed error
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -76,19 +76,19 @@
 				var peers []Peer
 				for _, other := range f.all {
 					if other != n {
-						peers = append(peers, Peer{Name: other.name, DataCentre: other.dataCentre(), Relay: way{f.net, n, other}})
+						peers = append(peers, Peer{Name: other.name, DataCentre: other.dataCentre(), Relay: link{f.net, n, other}})
 					}
 				}
 				return peers
 			}
-			follower := NewFollower(n.mirror, storeOf{f.store, n.name}, quiet)
+			follower := NewFollower(n.mirror, storeClient{f.store, n.name}, quiet)
 			n.relay = NewRelay(n.name, fmt.Sprint("dc-", i%bigDataCentres), n.mirror, follower, peers, quiet)
 			f.all = append(f.all, n)
 		}
 		for i, n := range f.all {
 			go n.relay.Run(ctx, i < 3, false)
 		}
-		time.Sleep(metIn)
+		time.Sleep(discoveryTime)
 		failed = test(f)
 		cancel()
 		time.Sleep(time.Minute)
@@ -109,15 +109,15 @@
 }
 
 // lose has the network lose exchanges.
-func (f *bigFleet) lose(lost func(from, to *instance) bool) {
+func (f *bigFleet) setLoss(lost func(from, to *instance) bool) {
 	f.net.mu.Lock()
 	defer f.net.mu.Unlock()
 	f.net.lost = lost
 }
 
 // without loses all exchanges with these instances.
-func (f *bigFleet) without(gone ...*instance) {
-	f.lose(func(from, to *instance) bool { return slices.Contains(gone, from) || slices.Contains(gone, to) })
+func (f *bigFleet) isolate(gone ...*instance) {
+	f.setLoss(func(from, to *instance) bool { return slices.Contains(gone, from) || slices.Contains(gone, to) })
 }
 
 // refuse has the store refuse instances, those that wait for changes too.
@@ -133,7 +133,7 @@
 
 // behind returns the instances but those left out that do not know the version of the
 // configuration and of what instances agree on.
-func (f *bigFleet) behind(version store.Version, except ...*instance) (list []string) {
+func (f *bigFleet) outdated(version store.Version, except ...*instance) (list []string) {
 	for _, n := range f.all {
 		for _, k := range []Kind{Config, Fleet} {
 			if e, _ := n.mirror.Get(k, ConfigName); e.Revision != version && !slices.Contains(except, n) {
@@ -148,7 +148,7 @@
 // each data centre asks for each change. Two must do for a fleet of any size.
 func TestTwoDataCentresAskForChanges(t *testing.T) {
 	for _, size := range []int{10, 200} {
-		inBigFleet(t, size, func(f *bigFleet) error {
+		runInBigFleet(t, size, func(f *bigFleet) error {
 			if w := f.watching(); len(w) != 2 {
 				return errors.Errorf("of %d, %v watch", size, names(w))
 			}
@@ -178,12 +178,12 @@
 	}{
 		{"nothing is lost", func(*bigFleet, []*instance) []*instance { return nil }},
 		{"one is killed or frozen", func(f *bigFleet, w []*instance) []*instance {
-			f.without(w[0])
+			f.isolate(w[0])
 			f.refuse(w[0])
 			return w[:1]
 		}},
 		{"both are killed or frozen", func(f *bigFleet, w []*instance) []*instance {
-			f.without(w...)
+			f.isolate(w...)
 			f.refuse(w...)
 			return w
 		}},
@@ -192,15 +192,15 @@
 			return nil
 		}},
 		{"one is deaf to its peers and reaches the store", func(f *bigFleet, w []*instance) []*instance {
-			f.without(w[0])
+			f.isolate(w[0])
 			return nil
 		}},
 		{"both are deaf to their peers", func(f *bigFleet, w []*instance) []*instance {
-			f.without(w...)
+			f.isolate(w...)
 			return nil
 		}},
 		{"their data centres are cut off", func(f *bigFleet, w []*instance) []*instance {
-			f.lose(func(from, to *instance) bool {
+			f.setLoss(func(from, to *instance) bool {
 				inside := func(n *instance) bool {
 					return n.dataCentre() == w[0].dataCentre() || n.dataCentre() == w[1].dataCentre()
 				}
@@ -209,7 +209,7 @@
 			return nil
 		}},
 		{"another data centre is cut off and reaches the store", func(f *bigFleet, w []*instance) []*instance {
-			f.lose(func(from, to *instance) bool { return (from.dataCentre() == "dc-4") != (to.dataCentre() == "dc-4") })
+			f.setLoss(func(from, to *instance) bool { return (from.dataCentre() == "dc-4") != (to.dataCentre() == "dc-4") })
 			return nil
 		}},
 	}
@@ -217,12 +217,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			// At the worst the loss comes just before the change, or a while before.
 			for _, pause := range []time.Duration{0, 500 * time.Millisecond, 5 * time.Second} {
-				inBigFleet(t, 50, func(f *bigFleet) error {
+				runInBigFleet(t, 50, func(f *bigFleet) error {
 					except := c.lose(f, f.watching())
 					time.Sleep(pause)
 					f.store.change()
-					time.Sleep(inForceIn)
-					if late := f.behind(6, except...); late != nil {
+					time.Sleep(changeDeadline)
+					if late := f.outdated(6, except...); late != nil {
 						return errors.Errorf("%v after the loss, behind: %v", pause, late)
 					}
 					return nil
@@ -235,11 +235,11 @@
 // The same where the store leaves all questions for changes unanswered. Only what must be
 // in force soon is read anew then.
 func TestChangeIsInForceWhileAllQuestionsAreUnanswered(t *testing.T) {
-	inBigFleet(t, 50, func(f *bigFleet) error {
-		f.store.set(func() { f.store.deaf = true })
+	runInBigFleet(t, 50, func(f *bigFleet) error {
+		f.store.set(func() { f.store.ignorePolls = true })
 		f.store.change()
-		time.Sleep(inForceIn)
-		if late := behind(f.all, 6); late != nil {
+		time.Sleep(changeDeadline)
+		if late := outdated(f.all, 6); late != nil {
 			return errors.Errorf("behind: %v", late)
 		}
 		return nil
@@ -248,13 +248,13 @@
 
 // After an outage all data centres go on asking for changes. Two must be left again.
 func TestOthersStandByAgainAfterAnOutage(t *testing.T) {
-	inBigFleet(t, 50, func(f *bigFleet) error {
+	runInBigFleet(t, 50, func(f *bigFleet) error {
 		f.refuse(f.all...)
 		time.Sleep(5 * time.Second)
 		f.store.set(func() { clear(f.store.refused) })
 		f.store.change()
-		time.Sleep(metIn)
-		if w, late := f.watching(), f.behind(6); len(w) != 2 || late != nil {
+		time.Sleep(discoveryTime)
+		if w, late := f.watching(), f.outdated(6); len(w) != 2 || late != nil {
 			return errors.Errorf("%v watch, behind: %v", names(w), late)
 		}
 		return nil
--- a/internal/mirror/wire.go
+++ b/internal/mirror/wire.go
@@ -5,29 +5,29 @@
 	"foxhall/internal/store"
 )
 
-func wireDelta(d Delta) *mirrorpb.Delta {
+func encodeDelta(d Delta) *mirrorpb.Delta {
 	return &mirrorpb.Delta{
 		Kind:    string(d.Kind),
 		Full:    d.Full,
 		From:    uint64(d.From),
 		AsOf:    uint64(d.AsOf),
-		Entries: wireEntries(d.Entries),
-		Removed: wireEntries(d.Removed),
+		Entries: encodeEntries(d.Entries),
+		Removed: encodeEntries(d.Removed),
 	}
 }
 
-func wireEntries(list []Entry) []*mirrorpb.Entry {
-	out := make([]*mirrorpb.Entry, 0, len(list))
+func encodeEntries(list []Entry) []*mirrorpb.Entry {
+	encoded := make([]*mirrorpb.Entry, 0, len(list))
 	for _, e := range list {
-		out = append(out, &mirrorpb.Entry{Name: e.Name, Revision: uint64(e.Revision), Value: e.Value})
+		encoded = append(encoded, &mirrorpb.Entry{Name: e.Name, Revision: uint64(e.Revision), Value: e.Value})
 	}
-	return out
+	return encoded
 }
 
-func entries(list []*mirrorpb.Entry) []Entry {
-	out := make([]Entry, 0, len(list))
+func decodeEntries(list []*mirrorpb.Entry) []Entry {
+	decoded := make([]Entry, 0, len(list))
 	for _, e := range list {
-		out = append(out, Entry{Name: e.Name, Revision: store.Version(e.Revision), Value: e.Value})
+		decoded = append(decoded, Entry{Name: e.Name, Revision: store.Version(e.Revision), Value: e.Value})
 	}
-	return out
+	return decoded
 }
--- a/internal/peerload/peerload.go
+++ b/internal/peerload/peerload.go
@@ -29,11 +29,11 @@
 	// sendEvery is the time between two sendings; an engine takes about as long for a
 	// prompt. It is no longer in a large fleet: with older load, instances choose the same
 	// engines in a burst.
-	sendEvery = 60 * time.Millisecond
+	sendInterval = 60 * time.Millisecond
 	// quietEvery is the time between them while nothing is under way.
-	quietEvery = 150 * time.Millisecond
+	idleSendInterval = 150 * time.Millisecond
 	// loadLife is how long a peer's load counts without a newer datagram.
-	loadLife = 1500 * time.Millisecond
+	loadLifetime = 1500 * time.Millisecond
 	// EntryReach and KeeperReach bound the peers that hear from an instance at once, so
 	// that its cost stays the same whatever the size of the fleet. It goes through all of
 	// them by turns, and receivers scale what they hear to their number. There are few
@@ -43,9 +43,9 @@
 	// sumEvery is the least time between two sums over what all peers tell. In a
 	// fleet of seventy, four hundred datagrams come in a second; a sum for each
 	// of them took 1.7% of a core (BenchmarkTake: 42 µs, 6 with the pause).
-	sumEvery = 15 * time.Millisecond
+	sumInterval = 15 * time.Millisecond
 	// maxDatagram fits some hundred upstreams.
-	maxDatagram = 8 << 10
+	maxDatagramBytes = 8 << 10
 )
 
 // Exchange sends this instance's load and takes in the others'.
@@ -53,68 +53,68 @@
 	name       string
 	dataCentre string
 	// reach is the number of peers that hear at once.
-	reach int
-	table *upstream.Table
+	fanout int
+	table  *upstream.Table
 	// peers returns the addresses of the other instances that send calls.
 	peers  func() []*net.UDPAddr
 	logger log.Interface
 
 	mu    sync.Mutex
-	heard map[string]heard
+	loads map[string]receivedLoad
 	// signs are when anything was last heard from each data centre, and lives
 	// from each instance.
-	signs map[string]time.Time
-	lives map[string]life
+	dataCentreContacts map[string]time.Time
+	contacts           map[string]contact
 	// addresses are where the datagrams of instances come from, and where they take them.
 	addresses map[string]netip.AddrPort
 	// round are the peers that are still to hear in this round of all of them. The sending
 	// goroutine uses it.
-	round []*net.UDPAddr
-	conn  atomic.Pointer[net.UDPConn]
+	pendingPeers []*net.UDPAddr
+	conn         atomic.Pointer[net.UDPConn]
 	// onStanding takes in the standings of other keepers; nil for an instance that is none.
-	onStanding func([]byte)
+	onKeeperStatus func([]byte)
 	// quotas are told of calls of customers; nil for an instance that admits none.
 	quotas Quotas
 	// began is when this instance started.
-	began time.Time
+	startedAt time.Time
 	// listens is since when datagrams are taken in without a pause.
-	listens time.Time
+	listeningSince time.Time
 	// known is the number of peers at the last sending. It is kept here, so that
 	// those who ask whom it hears may hold the lock that peers takes.
-	known int
+	peerCount int
 	// summed is when the peers' loads were summed up last, unsummed that one has
 	// told something since.
-	summed   time.Time
-	unsummed bool
+	summedAt   time.Time
+	sumPending bool
 }
 
-type heard struct {
-	load *peerloadpb.Load
-	at   time.Time
+type receivedLoad struct {
+	load       *peerloadpb.Load
+	receivedAt time.Time
 }
 
 // life is when an instance was heard last, and how many times it sends until each of its
 // peers has had one.
-type life struct {
-	at    time.Time
-	turns uint32
+type contact struct {
+	heardAt       time.Time
+	sendsPerRound uint32
 	// busy says that it had calls under way.
 	busy bool
 }
 
 // silentFor reports that nothing came for as long as some datagrams of a small fleet take.
-func (l life) silentFor(t time.Duration, now time.Time) bool {
-	return now.Sub(l.at) >= t*time.Duration(max(1, l.turns))
+func (l contact) isSilentFor(t time.Duration, now time.Time) bool {
+	return now.Sub(l.heardAt) >= t*time.Duration(max(1, l.sendsPerRound))
 }
 
 // New returns an exchange that is not yet running, with the number of peers that are to
 // hear at once.
-func New(name, dataCentre string, reach int, table *upstream.Table, peers func() []*net.UDPAddr, logger log.Interface) *Exchange {
+func New(name, dataCentre string, fanout int, table *upstream.Table, peers func() []*net.UDPAddr, logger log.Interface) *Exchange {
 	now := time.Now()
 	return &Exchange{
-		name: name, dataCentre: dataCentre, reach: reach, table: table, peers: peers, logger: logger,
-		heard: map[string]heard{}, signs: map[string]time.Time{}, lives: map[string]life{},
-		addresses: map[string]netip.AddrPort{}, began: now, listens: now,
+		name: name, dataCentre: dataCentre, fanout: fanout, table: table, peers: peers, logger: logger,
+		loads: map[string]receivedLoad{}, dataCentreContacts: map[string]time.Time{}, contacts: map[string]contact{},
+		addresses: map[string]netip.AddrPort{}, startedAt: now, listeningSince: now,
 	}
 }
 
@@ -123,7 +123,7 @@
 func (x *Exchange) DataCentreSilentFor(dataCentre string) time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	at, ok := x.signs[dataCentre]
+	at, ok := x.dataCentreContacts[dataCentre]
 	if !ok || dataCentre == x.dataCentre {
 		return 0
 	}
@@ -134,14 +134,14 @@
 func (x *Exchange) SilentFor(instance string) (time.Duration, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	l, ok := x.lives[instance]
-	return time.Since(l.at), ok
+	l, ok := x.contacts[instance]
+	return time.Since(l.heardAt), ok
 }
 
 // leastOthers is the number of other data centres, or of other instances of a
 // fleet within one, whose silence at the same time shows that this instance is
 // cut off and not they.
-const leastOthers = 2
+const minSilentOthers = 2
 
 // CutOffFor returns for how long this instance has heard nobody beyond its own
 // data centre, though there are instances in several others, or nobody at all; 0
@@ -151,28 +151,28 @@
 func (x *Exchange) IsolatedFor(registered []string) time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	beyond := maps.Clone(x.signs)
+	others := maps.Clone(x.dataCentreContacts)
 	for _, dataCentre := range registered {
-		if _, heard := beyond[dataCentre]; !heard {
-			beyond[dataCentre] = x.began
+		if _, heard := others[dataCentre]; !heard {
+			others[dataCentre] = x.startedAt
 		}
 	}
-	delete(beyond, x.dataCentre)
-	lives := map[string]time.Time{}
-	for name, l := range x.lives {
-		lives[name] = l.at
+	delete(others, x.dataCentre)
+	instances := map[string]time.Time{}
+	for name, l := range x.contacts {
+		instances[name] = l.heardAt
 	}
 	now := time.Now()
-	return max(silenceOfAll(beyond, now), silenceOfAll(lives, now))
+	return max(commonSilence(others, now), commonSilence(instances, now))
 }
 
 // silenceOfAll returns the time since any of them was heard.
-func silenceOfAll(heard map[string]time.Time, now time.Time) time.Duration {
-	if len(heard) < leastOthers {
+func commonSilence(contacts map[string]time.Time, now time.Time) time.Duration {
+	if len(contacts) < minSilentOthers {
 		return 0
 	}
 	last := time.Time{}
-	for _, at := range heard {
+	for _, at := range contacts {
 		if at.After(last) {
 			last = at
 		}
@@ -184,7 +184,7 @@
 func (x *Exchange) ResetAfterPause() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.listens = time.Now()
+	x.listeningSince = time.Now()
 }
 
 // Run exchanges over the socket until ctx ends.
@@ -193,7 +193,7 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	go x.receive(ctx, conn)
-	ticker := time.NewTicker(sendEvery)
+	ticker := time.NewTicker(sendInterval)
 	defer ticker.Stop()
 	var sent time.Time
 	busy := false
@@ -203,69 +203,69 @@
 		case <-ctx.Done():
 			return
 		}
-		x.sumLate()
-		x.tellStarted(conn)
-		load := x.own()
-		atOnce := x.addUses(load, time.Now())
+		x.sumPendingLoads()
+		x.reportToNewInstances(conn)
+		load := x.ownLoad()
+		atOnce := x.addUsage(load, time.Now())
 		// One empty datagram after the last call tells that it is over.
-		if !due(active(load) || busy, time.Since(sent)) {
+		if !isDue(isActive(load) || busy, time.Since(sent)) {
 			continue
 		}
-		busy, sent = active(load), time.Now()
+		busy, sent = isActive(load), time.Now()
 		x.send(conn, load, atOnce)
 	}
 }
 
 // active reports whether the sender has calls under way or to tell of.
-func active(l *peerloadpb.Load) bool { return len(l.Upstreams) > 0 || len(l.Customers) > 0 }
+func isActive(l *peerloadpb.Load) bool { return len(l.Upstreams) > 0 || len(l.Customers) > 0 }
 
 // due reports that it is time to send again.
-func due(busy bool, sinceLast time.Duration) bool { return busy || sinceLast >= quietEvery }
+func isDue(busy bool, sinceLast time.Duration) bool { return busy || sinceLast >= idleSendInterval }
 
 // sumLate sums up what came right after the last sum and nothing came after.
-func (x *Exchange) sumLate() {
+func (x *Exchange) sumPendingLoads() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.unsummed {
-		x.sum(time.Now())
+	if x.sumPending {
+		x.sumLoads(time.Now())
 	}
 }
 
 // Hears reports whether an instance was heard from lately, or never at all, of
 // which nothing can be said. In a fleet of more peers than one instance sends
 // to, each is heard so much more seldom.
-func (x *Exchange) HeardOrUnknown(instance string, lately time.Duration) bool {
+func (x *Exchange) HeardOrUnknown(instance string, within time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	l, ok := x.lives[instance]
-	return !ok || !l.silentFor(lately, time.Now())
+	l, ok := x.contacts[instance]
+	return !ok || !l.isSilentFor(within, time.Now())
 }
 
 // Misses reports whether an instance was not heard from lately. It says nothing
 // while this one has not listened for that long.
-func (x *Exchange) Silent(instance string, lately time.Duration) (misses, known bool) {
+func (x *Exchange) Silent(instance string, within time.Duration) (silent, known bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	l, ok := x.lives[instance]
+	l, ok := x.contacts[instance]
 	if !ok {
 		// Of one that was never heard it is not known how often it sends.
-		l.turns = turns(x.known, EntryFanout)
+		l.sendsPerRound = sendsPerRound(x.peerCount, EntryFanout)
 	}
-	listening := life{at: x.listens, turns: l.turns}
-	return l.silentFor(lately, time.Now()), listening.silentFor(lately, time.Now())
+	listening := contact{heardAt: x.listeningSince, sendsPerRound: l.sendsPerRound}
+	return l.isSilentFor(within, time.Now()), listening.isSilentFor(within, time.Now())
 }
 
 // turns returns how many times an instance sends until each of its peers has had one.
-func turns(peers, reach int) uint32 { return uint32(max(1, (peers+reach-1)/reach)) }
+func sendsPerRound(peers, fanout int) uint32 { return uint32(max(1, (peers+fanout-1)/fanout)) }
 
 // Heard reports whether an instance was heard from lately.
-func (x *Exchange) HeardWithin(instance string, lately time.Duration) bool {
+func (x *Exchange) HeardWithin(instance string, within time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return time.Since(x.lives[instance].at) < lately
+	return time.Since(x.contacts[instance].heardAt) < within
 }
 
-func (x *Exchange) own() *peerloadpb.Load {
+func (x *Exchange) ownLoad() *peerloadpb.Load {
 	now := time.Now()
 	load := &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre}
 	for _, u := range x.table.Snapshot().All {
@@ -286,9 +286,9 @@
 func (x *Exchange) send(conn *net.UDPConn, load *peerloadpb.Load, atOnce []string) {
 	next := x.nextPeers()
 	x.mu.Lock()
-	load.Turns = turns(x.known, x.reach)
+	load.Turns = sendsPerRound(x.peerCount, x.fanout)
 	if load.Turns > 1 {
-		next = x.with(next, atOnce)
+		next = x.addPeers(next, atOnce)
 	}
 	x.mu.Unlock()
 	x.sendTo(conn, load, next)
@@ -296,7 +296,7 @@
 
 // with adds the instances of these names, as far as it is known where they are; the lock is
 // held.
-func (x *Exchange) with(peers []*net.UDPAddr, names []string) []*net.UDPAddr {
+func (x *Exchange) addPeers(peers []*net.UDPAddr, names []string) []*net.UDPAddr {
 	all := slices.Clone(peers)
 	for _, name := range names {
 		address := x.addresses[name]
@@ -326,63 +326,63 @@
 // send to the same peers at once, and stays while the peers are the same: each of them
 // then hears at even times.
 func (x *Exchange) nextPeers() []*net.UDPAddr {
-	if len(x.round) == 0 {
-		x.round = x.peers()
+	if len(x.pendingPeers) == 0 {
+		x.pendingPeers = x.peers()
 		x.mu.Lock()
-		x.known = len(x.round)
+		x.peerCount = len(x.pendingPeers)
 		x.mu.Unlock()
-		if len(x.round) > x.reach {
-			ranks := make(map[*net.UDPAddr]uint64, len(x.round))
-			for _, p := range x.round {
+		if len(x.pendingPeers) > x.fanout {
+			ranks := make(map[*net.UDPAddr]uint64, len(x.pendingPeers))
+			for _, p := range x.pendingPeers {
 				ranks[p] = xxhash.Sum64String(x.name + " " + p.String())
 			}
-			slices.SortFunc(x.round, func(a, b *net.UDPAddr) int { return cmp.Compare(ranks[a], ranks[b]) })
+			slices.SortFunc(x.pendingPeers, func(a, b *net.UDPAddr) int { return cmp.Compare(ranks[a], ranks[b]) })
 		}
 	}
-	n := min(x.reach, len(x.round))
-	next := x.round[:n]
-	x.round = x.round[n:]
+	n := min(x.fanout, len(x.pendingPeers))
+	next := x.pendingPeers[:n]
+	x.pendingPeers = x.pendingPeers[n:]
 	return next
 }
 
 // Tell sends a keeper's standing to other keepers. It may be lost.
-func (x *Exchange) BroadcastKeeperStatus(standing []byte, keepers []*net.UDPAddr) {
+func (x *Exchange) BroadcastKeeperStatus(status []byte, keepers []*net.UDPAddr) {
 	if conn := x.conn.Load(); conn != nil {
-		x.sendTo(conn, &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre, Standing: standing}, keepers)
+		x.sendTo(conn, &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre, Standing: status}, keepers)
 	}
 }
 
 func (x *Exchange) receive(ctx context.Context, conn *net.UDPConn) {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			continue
 		}
 		load := &peerloadpb.Load{}
-		if proto.Unmarshal(buffer[:n], load) != nil || !even(load) {
+		if proto.Unmarshal(buffer[:n], load) != nil || !isConsistent(load) {
 			continue
 		}
 		if len(load.Standing) > 0 {
-			if x.onStanding != nil {
-				x.onStanding(load.Standing)
+			if x.onKeeperStatus != nil {
+				x.onKeeperStatus(load.Standing)
 			}
 			continue
 		}
 		now := time.Now()
 		if len(load.Counted) > 0 {
-			x.hearCounted(load, now)
+			x.mergeCounts(load, now)
 			continue
 		}
-		x.take(load, now)
-		x.locate(load.From, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		x.recordLoad(load, now)
+		x.recordAddress(load.From, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 		if x.quotas != nil {
-			x.quotas.Merge(tellingOf(load), now)
+			x.quotas.Merge(decodeQuotaReport(load), now)
 		}
 	}
 }
 
-func (x *Exchange) locate(name string, address netip.AddrPort) {
+func (x *Exchange) recordAddress(name string, address netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.addresses[name] = address
@@ -392,63 +392,63 @@
 func (x *Exchange) GossipRound() time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return time.Duration(turns(x.known, x.reach)) * sendEvery
+	return time.Duration(sendsPerRound(x.peerCount, x.fanout)) * sendInterval
 }
 
 // missedMost is the number of datagrams of a busy instance that may be lost in a row.
-const missedMost = 3
+const maxLostDatagrams = 3
 
 // Alive reports whether an instance was heard as lately as some datagrams of it take, of
 // which one with calls under way sends more. One that was never heard is not.
-func (x *Exchange) Alive(instance string, lately time.Duration) bool {
+func (x *Exchange) Alive(instance string, within time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	l, ok := x.lives[instance]
+	l, ok := x.contacts[instance]
 	if !ok {
 		return false
 	}
 	now := time.Now()
 	if l.busy {
-		return now.Sub(l.at) < max(lately, missedMost*time.Duration(max(1, l.turns))*sendEvery)
+		return now.Sub(l.heardAt) < max(within, maxLostDatagrams*time.Duration(max(1, l.sendsPerRound))*sendInterval)
 	}
-	return !l.silentFor(lately, now)
+	return !l.isSilentFor(within, now)
 }
 
 // OnStanding has f take in the standings of other keepers. It is called before Run.
-func (x *Exchange) OnKeeperStatus(f func([]byte)) { x.onStanding = f }
+func (x *Exchange) OnKeeperStatus(f func([]byte)) { x.onKeeperStatus = f }
 
 // take takes in a peer's load.
-func (x *Exchange) take(load *peerloadpb.Load, now time.Time) {
+func (x *Exchange) recordLoad(load *peerloadpb.Load, now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.heard[load.From] = heard{load: load, at: now}
-	x.signs[load.DataCentre], x.lives[load.From] = now, life{at: now, turns: x.turnsOf(load), busy: active(load)}
-	x.unsummed = true
-	if now.Sub(x.summed) >= sumEvery {
-		x.sum(now)
+	x.loads[load.From] = receivedLoad{load: load, receivedAt: now}
+	x.dataCentreContacts[load.DataCentre], x.contacts[load.From] = now, contact{heardAt: now, sendsPerRound: x.sendsPerRoundOf(load), busy: isActive(load)}
+	x.sumPending = true
+	if now.Sub(x.summedAt) >= sumInterval {
+		x.sumLoads(now)
 	}
 }
 
 // turnsOf returns the sender's turns. One of an older version tells none, and sends to as
 // many at once as an entry; the lock is held.
-func (x *Exchange) turnsOf(load *peerloadpb.Load) uint32 {
+func (x *Exchange) sendsPerRoundOf(load *peerloadpb.Load) uint32 {
 	if load.Turns == 0 {
-		return turns(x.known, EntryFanout)
+		return sendsPerRound(x.peerCount, EntryFanout)
 	}
 	return load.Turns
 }
 
 // sum puts what the others have into the table; the lock is held.
-func (x *Exchange) sum(now time.Time) {
-	x.summed, x.unsummed = now, false
+func (x *Exchange) sumLoads(now time.Time) {
+	x.summedAt, x.sumPending = now, false
 	calls, backlog, erring := map[uint64]int{}, map[uint64]int{}, map[uint64]bool{}
-	known := 0
-	for from, h := range x.heard {
-		if now.Sub(h.at) > loadLife {
-			delete(x.heard, from)
+	heard := 0
+	for from, h := range x.loads {
+		if now.Sub(h.receivedAt) > loadLifetime {
+			delete(x.loads, from)
 			continue
 		}
-		known++
+		heard++
 		for _, hash := range h.load.Erring {
 			erring[hash] = true
 		}
@@ -457,16 +457,16 @@
 			backlog[hash] += int(h.load.Backlog[i])
 		}
 	}
-	scale := max(1, float64(x.known)/float64(max(1, known)))
-	if known < EntryFanout/2 {
+	scale := max(1, float64(x.peerCount)/float64(max(1, heard)))
+	if heard < EntryFanout/2 {
 		// Few peers: those not heard from are down or cut off, and send nothing.
 		scale = 1
 	}
 	for _, u := range x.table.Snapshot().All {
 		hash := xxhash.Sum64String(u.Name)
 		if erring[hash] {
-			u.PeerReportedErrors(now.Add(loadLife))
+			u.PeerReportedErrors(now.Add(loadLifetime))
 		}
-		u.SetRemoteLoad(int(scale*float64(calls[hash])), int(scale*float64(backlog[hash])), now.Add(loadLife))
+		u.SetRemoteLoad(int(scale*float64(calls[hash])), int(scale*float64(backlog[hash])), now.Add(loadLifetime))
 	}
 }
--- a/internal/peerload/peerload_test.go
+++ b/internal/peerload/peerload_test.go
@@ -19,7 +19,7 @@
 	"foxhall/internal/usage"
 )
 
-func exchange() (*Exchange, *upstream.Upstream) {
+func newTestExchange() (*Exchange, *upstream.Upstream) {
 	table := upstream.NewTable()
 	table.Apply([]usage.Upstream{{Name: "u", Address: "u", Kind: usage.KindService, Service: "s", Slots: 4}}, time.Now())
 	peers := func() []*net.UDPAddr { return make([]*net.UDPAddr, 2) }
@@ -36,16 +36,16 @@
 func TestOthersCallsCountWhileTheyAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		x, u := exchange()
-		x.take(loadOf("a", "here", 2), time.Now())
-		x.take(loadOf("b", "there", 3), time.Now())
-		x.sumLate()
+		x, u := newTestExchange()
+		x.recordLoad(loadOf("a", "here", 2), time.Now())
+		x.recordLoad(loadOf("b", "there", 3), time.Now())
+		x.sumPendingLoads()
 		load := u.Load(time.Now().UnixNano())
 		is.Equal([]int{load.Own, load.Total, load.Backlog}, []int{0, 5, 50})
-		time.Sleep(sumEvery)
-		x.take(loadOf("a", "here", 1), time.Now())
+		time.Sleep(sumInterval)
+		x.recordLoad(loadOf("a", "here", 1), time.Now())
 		is.Equal(u.Load(time.Now().UnixNano()).Total, 4)
-		time.Sleep(loadLife)
+		time.Sleep(loadLifetime)
 		is.Equal(u.Load(time.Now().UnixNano()).Total, 0)
 	})
 }
@@ -55,12 +55,12 @@
 func TestSilenceIsOfDataCentresThatWereHeard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		x, _ := exchange()
+		x, _ := newTestExchange()
 		is.Equal(x.DataCentreSilentFor("there"), time.Duration(0))
 		is.True(x.HeardOrUnknown("b", time.Second))
 		_, heard := x.SilentFor("b")
 		is.True(!heard)
-		x.take(loadOf("b", "there", 1), time.Now())
+		x.recordLoad(loadOf("b", "there", 1), time.Now())
 		time.Sleep(2 * time.Second)
 		is.Equal(x.DataCentreSilentFor("there"), 2*time.Second)
 		is.Equal(x.DataCentreSilentFor("here"), time.Duration(0))
@@ -77,19 +77,19 @@
 func TestCutOffIsTheSilenceOfAllOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		x, _ := exchange()
+		x, _ := newTestExchange()
 		is.True(x.IsolatedFor(nil) < time.Second)
-		x.take(loadOf("a", "here", 1), time.Now())
-		x.take(loadOf("b", "there", 1), time.Now())
+		x.recordLoad(loadOf("a", "here", 1), time.Now())
+		x.recordLoad(loadOf("b", "there", 1), time.Now())
 		time.Sleep(2 * time.Second)
-		x.take(loadOf("a", "here", 1), time.Now())
+		x.recordLoad(loadOf("a", "here", 1), time.Now())
 		is.True(x.IsolatedFor(nil) < time.Second)
-		x.take(loadOf("c", "elsewhere", 1), time.Now())
+		x.recordLoad(loadOf("c", "elsewhere", 1), time.Now())
 		is.True(x.IsolatedFor(nil) < time.Second)
 		time.Sleep(2 * time.Second)
-		x.take(loadOf("a", "here", 1), time.Now())
+		x.recordLoad(loadOf("a", "here", 1), time.Now())
 		is.True(x.IsolatedFor(nil) > time.Second)
-		x.take(loadOf("b", "there", 1), time.Now())
+		x.recordLoad(loadOf("b", "there", 1), time.Now())
 		is.True(x.IsolatedFor(nil) < time.Second)
 	})
 }
@@ -98,11 +98,11 @@
 func TestCutOffAloneInOneDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		x, _ := exchange()
-		x.take(loadOf("a", "here", 1), time.Now())
+		x, _ := newTestExchange()
+		x.recordLoad(loadOf("a", "here", 1), time.Now())
 		time.Sleep(2 * time.Second)
 		is.True(x.IsolatedFor(nil) < time.Second)
-		x.take(loadOf("b", "here", 1), time.Now())
+		x.recordLoad(loadOf("b", "here", 1), time.Now())
 		is.True(x.IsolatedFor(nil) < time.Second)
 		time.Sleep(2 * time.Second)
 		is.True(x.IsolatedFor(nil) > time.Second)
@@ -115,16 +115,16 @@
 func TestErringReplicasAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		x, u := exchange()
+		x, u := newTestExchange()
 		for range 3 {
 			u.Failed(time.Now(), upstream.Failure{Kind: upstream.Errored})
 		}
-		is.Equal(x.own().Erring, []uint64{xxhash.Sum64String("u")})
-		y, other := exchange()
-		y.take(x.own(), time.Now())
+		is.Equal(x.ownLoad().Erring, []uint64{xxhash.Sum64String("u")})
+		y, other := newTestExchange()
+		y.recordLoad(x.ownLoad(), time.Now())
 		is.True(other.Load(time.Now().UnixNano()).ErrorRate > 0)
 		is.True(!other.HasHighErrorRate(time.Now()))
-		time.Sleep(loadLife + time.Millisecond)
+		time.Sleep(loadLifetime + time.Millisecond)
 		is.Equal(other.Load(time.Now().UnixNano()).ErrorRate, 0.0)
 	})
 }
@@ -132,7 +132,7 @@
 // An entry among seventy spends half of its processor time on adding up what its
 // peers tell. The sums must not grow with the datagrams.
 func BenchmarkTake(b *testing.B) {
-	x, _ := exchange()
+	x, _ := newTestExchange()
 	now := time.Now()
 	load := loadOf("a", "here", 2)
 	for i := range 70 {
@@ -142,11 +142,11 @@
 	for i := range 70 {
 		peer := proto.Clone(load).(*peerloadpb.Load)
 		peer.From = fmt.Sprint(i)
-		x.take(peer, now)
+		x.recordLoad(peer, now)
 	}
 	for b.Loop() {
 		now = now.Add(2500 * time.Microsecond)
-		x.take(load, now)
+		x.recordLoad(load, now)
 	}
 }
 
@@ -156,14 +156,14 @@
 func TestInstanceThatStartsBehindACutIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		x, _ := exchange()
+		x, _ := newTestExchange()
 		others := []string{"here", "there", "elsewhere"}
-		x.take(loadOf("neighbour", "here", 1), time.Now())
+		x.recordLoad(loadOf("neighbour", "here", 1), time.Now())
 		time.Sleep(time.Second)
-		x.take(loadOf("neighbour", "here", 1), time.Now())
+		x.recordLoad(loadOf("neighbour", "here", 1), time.Now())
 		is.Equal(x.IsolatedFor(others), time.Second)
 		is.Equal(x.IsolatedFor([]string{"here", "there"}), time.Duration(0))
-		x.take(loadOf("b", "there", 1), time.Now())
+		x.recordLoad(loadOf("b", "there", 1), time.Now())
 		is.Equal(x.IsolatedFor(others), time.Duration(0))
 	})
 }
--- a/internal/peerload/quota.go
+++ b/internal/peerload/quota.go
@@ -10,7 +10,7 @@
 )
 
 // countedMost is the number of customers in one datagram, which maxDatagram holds.
-const countedMost = 400
+const maxCountsPerDatagram = 400
 
 // Quotas tells and takes in calls of customers.
 type Quotas interface {
@@ -26,7 +26,7 @@
 func (x *Exchange) SetQuotas(q Quotas) { x.quotas = q }
 
 // addUses adds what is to be told of customers, and returns who is to hear it at once.
-func (x *Exchange) addUses(load *peerloadpb.Load, now time.Time) (atOnce []string) {
+func (x *Exchange) addUsage(load *peerloadpb.Load, now time.Time) (atOnce []string) {
 	if x.quotas == nil {
 		return nil
 	}
@@ -41,7 +41,7 @@
 }
 
 // tellStarted tells instances that have started what they don't know.
-func (x *Exchange) tellStarted(conn *net.UDPConn) {
+func (x *Exchange) reportToNewInstances(conn *net.UDPConn) {
 	if x.quotas == nil {
 		return
 	}
@@ -50,9 +50,9 @@
 		return
 	}
 	x.mu.Lock()
-	peers := x.with(nil, instances)
+	peers := x.addPeers(nil, instances)
 	x.mu.Unlock()
-	for part := range slices.Chunk(t.WindowCounts, countedMost) {
+	for part := range slices.Chunk(t.WindowCounts, maxCountsPerDatagram) {
 		load := &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre, Run: t.Incarnation, KnownMs: uint32(t.ObservedFor.Milliseconds())}
 		for _, c := range part {
 			load.CountedCustomers = append(load.CountedCustomers, c.Customer)
@@ -63,20 +63,20 @@
 }
 
 // hearCounted takes in what an instance tells to one that has started.
-func (x *Exchange) hearCounted(load *peerloadpb.Load, now time.Time) {
+func (x *Exchange) mergeCounts(load *peerloadpb.Load, now time.Time) {
 	if x.quotas != nil {
-		x.quotas.Merge(tellingOf(load), now)
+		x.quotas.Merge(decodeQuotaReport(load), now)
 	}
 }
 
 // even reports that lists which go together are of one length.
-func even(l *peerloadpb.Load) bool {
+func isConsistent(l *peerloadpb.Load) bool {
 	return len(l.Calls) == len(l.Upstreams) && len(l.Backlog) == len(l.Upstreams) &&
 		len(l.Made) == len(l.Customers) && len(l.Recent) == len(l.Customers) &&
 		len(l.Counted) == len(l.CountedCustomers)
 }
 
-func tellingOf(l *peerloadpb.Load) limit.QuotaReport {
+func decodeQuotaReport(l *peerloadpb.Load) limit.QuotaReport {
 	t := limit.QuotaReport{From: l.From, Incarnation: l.Run, ObservedFor: time.Duration(l.KnownMs) * time.Millisecond}
 	for i, customer := range l.Customers {
 		t.Usage = append(t.Usage, limit.CallUsage{Customer: customer, Admitted: l.Made[i], Recent: l.Recent[i]})
--- a/internal/peerload/quota_test.go
+++ b/internal/peerload/quota_test.go
@@ -16,11 +16,11 @@
 
 // fakeQuotas tells what it is given.
 type fakeQuotas struct {
-	telling limit.QuotaReport
-	atOnce  []string
+	report limit.QuotaReport
+	atOnce []string
 }
 
-func (f *fakeQuotas) Report(time.Time) (limit.QuotaReport, []string) { return f.telling, f.atOnce }
+func (f *fakeQuotas) Report(time.Time) (limit.QuotaReport, []string) { return f.report, f.atOnce }
 
 func (f *fakeQuotas) NewInstances(time.Time) ([]string, limit.QuotaReport) {
 	return nil, limit.QuotaReport{}
@@ -31,44 +31,44 @@
 // Calls of customers are counted wrongly by the instances that are told of them.
 func TestUsesAreTakenInAsTheyAreTold(t *testing.T) {
 	is := is.New(t)
-	x, _ := exchange()
-	told := limit.QuotaReport{From: "me", Incarnation: 7, ObservedFor: 5 * time.Second, Usage: []limit.CallUsage{{Customer: 1, Admitted: 9, Recent: 4}, {Customer: 2, Admitted: 1}}}
-	x.SetQuotas(&fakeQuotas{telling: told, atOnce: []string{"a"}})
-	load := x.own()
-	is.Equal(x.addUses(load, time.Now()), []string{"a"})
+	x, _ := newTestExchange()
+	report := limit.QuotaReport{From: "me", Incarnation: 7, ObservedFor: 5 * time.Second, Usage: []limit.CallUsage{{Customer: 1, Admitted: 9, Recent: 4}, {Customer: 2, Admitted: 1}}}
+	x.SetQuotas(&fakeQuotas{report: report, atOnce: []string{"a"}})
+	load := x.ownLoad()
+	is.Equal(x.addUsage(load, time.Now()), []string{"a"})
 	data, err := proto.Marshal(load)
 	is.NoErr(err)
 	heard := &peerloadpb.Load{}
 	is.NoErr(proto.Unmarshal(data, heard))
-	is.True(even(heard))
-	got := tellingOf(heard)
-	got.From = told.From
-	is.Equal(got, told)
+	is.True(isConsistent(heard))
+	got := decodeQuotaReport(heard)
+	got.From = report.From
+	is.Equal(got, report)
 	heard.Made = heard.Made[:1]
-	is.True(!even(heard))
+	is.True(!isConsistent(heard))
 }
 
 // What an instance that has started is told of many customers does not fit one datagram.
 func TestCountsOfManyCustomersFitTheirDatagrams(t *testing.T) {
 	is := is.New(t)
 	load := &peerloadpb.Load{From: "edge-sul-a-10", DataCentre: "sul-a", Run: 1 << 63, KnownMs: 5000}
-	for i := range uint64(countedMost) {
+	for i := range uint64(maxCountsPerDatagram) {
 		load.CountedCustomers, load.Counted = append(load.CountedCustomers, 1<<63+i), append(load.Counted, 1<<20)
 	}
 	data, err := proto.Marshal(load)
 	is.NoErr(err)
-	is.True(len(data) <= maxDatagram)
+	is.True(len(data) <= maxDatagramBytes)
 }
 
 // Instances that have calls of the same customer hear late, since their turn is far away.
 func TestThoseThatHearAtOnceAreAddedToTheTurn(t *testing.T) {
 	is := is.New(t)
-	x, _ := exchange()
+	x, _ := newTestExchange()
 	next := []*net.UDPAddr{{IP: net.IPv4(10, 0, 0, 1).To4(), Port: 7}}
 	for i := range 3 {
-		x.locate(fmt.Sprint("i", i+1), netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7))
+		x.recordAddress(fmt.Sprint("i", i+1), netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7))
 	}
-	all := x.with(next, []string{"i1", "i3", "never heard"})
+	all := x.addPeers(next, []string{"i1", "i3", "never heard"})
 	is.Equal(len(all), 2) // the first has its turn already
 	is.Equal(all[1].String(), "10.0.0.3:7")
 }
@@ -77,10 +77,10 @@
 // quota on both sides of a cut; one that is idle and sends seldom counts as cut off.
 func TestSilentInstancesAreToldFromIdleOnes(t *testing.T) {
 	is := is.New(t)
-	x, _ := exchange()
+	x, _ := newTestExchange()
 	now := time.Now()
-	x.lives["busy"] = life{at: now.Add(-600 * time.Millisecond), turns: 3, busy: true}
-	x.lives["idle"] = life{at: now.Add(-600 * time.Millisecond), turns: 3}
+	x.contacts["busy"] = contact{heardAt: now.Add(-600 * time.Millisecond), sendsPerRound: 3, busy: true}
+	x.contacts["idle"] = contact{heardAt: now.Add(-600 * time.Millisecond), sendsPerRound: 3}
 	is.True(!x.Alive("busy", 450*time.Millisecond))
 	is.True(x.Alive("idle", 450*time.Millisecond))
 	is.True(!x.Alive("never heard", time.Hour))
--- a/internal/peerload/reach_test.go
+++ b/internal/peerload/reach_test.go
@@ -15,7 +15,7 @@
 )
 
 // exchangeAmong returns the exchange of an instance among so many peers.
-func exchangeAmong(name string, peers, reach int) *Exchange {
+func newTestExchangeAmong(name string, peers, fanout int) *Exchange {
 	addresses := func() []*net.UDPAddr {
 		var list []*net.UDPAddr
 		for i := range peers {
@@ -23,25 +23,25 @@
 		}
 		return list
 	}
-	return New(name, "here", reach, upstream.NewTable(), addresses, &log.Logger{Handler: discard.Default})
+	return New(name, "here", fanout, upstream.NewTable(), addresses, &log.Logger{Handler: discard.Default})
 }
 
 // An instance of a large fleet is taken for lost: which peers hear of it at a time was drawn
 // by chance, and some heard nothing for seconds. Each must hear once in as many sendings as
 // the datagram tells.
-func TestEachPeerHearsInEachRound(t *testing.T) {
+func TestEachPeerIsSentADatagramInEachRound(t *testing.T) {
 	for _, peers := range []int{1, 9, 24, 25, 80, 194, 369} {
-		for _, reach := range []int{EntryFanout, KeeperFanout} {
+		for _, fanout := range []int{EntryFanout, KeeperFanout} {
 			is := is.New(t)
-			x := exchangeAmong("me", peers, reach)
+			x := newTestExchangeAmong("me", peers, fanout)
 			last := map[string]int{}
-			most := int(turns(peers, reach))
+			most := int(sendsPerRound(peers, fanout))
 			for sending := range 10 * most {
 				next := x.nextPeers()
-				is.True(len(next) <= reach)
+				is.True(len(next) <= fanout)
 				for _, p := range next {
 					if before, heard := last[p.String()]; heard && sending-before > most {
-						t.Fatalf("%d peers, reach %d: %s hears after %d sendings", peers, reach, p, sending-before)
+						t.Fatalf("%d peers, reach %d: %s hears after %d sendings", peers, fanout, p, sending-before)
 					}
 					last[p.String()] = sending
 				}
@@ -55,7 +55,7 @@
 // through them in different orders.
 func TestInstancesGoThroughPeersInOrdersOfTheirOwn(t *testing.T) {
 	is := is.New(t)
-	first := func(name string) string { return fmt.Sprint(exchangeAmong(name, 194, EntryFanout).nextPeers()) }
+	first := func(name string) string { return fmt.Sprint(newTestExchangeAmong(name, 194, EntryFanout).nextPeers()) }
 	is.Equal(first("a"), first("a"))
 	is.True(first("a") != first("b"))
 }
@@ -64,33 +64,33 @@
 // hundreds. How long its silence may last must follow from what it told of itself.
 func TestSilenceIsJudgedByTheSendersTurns(t *testing.T) {
 	is := is.New(t)
-	x := exchangeAmong("me", 194, EntryFanout)
+	x := newTestExchangeAmong("me", 194, EntryFanout)
 	x.nextPeers()
 	now := time.Now()
-	x.take(&peerloadpb.Load{From: "keeper", Turns: 4}, now.Add(-5*time.Second))
-	x.take(&peerloadpb.Load{From: "entry", Turns: 9}, now.Add(-5*time.Second))
-	x.take(&peerloadpb.Load{From: "older", Turns: 0}, now.Add(-5*time.Second))
+	x.recordLoad(&peerloadpb.Load{From: "keeper", Turns: 4}, now.Add(-5*time.Second))
+	x.recordLoad(&peerloadpb.Load{From: "entry", Turns: 9}, now.Add(-5*time.Second))
+	x.recordLoad(&peerloadpb.Load{From: "older", Turns: 0}, now.Add(-5*time.Second))
 	is.True(!x.HeardOrUnknown("keeper", time.Second))
 	is.True(x.HeardOrUnknown("entry", time.Second))
 	is.True(x.HeardOrUnknown("older", time.Second))
 	is.True(x.HeardOrUnknown("stranger", time.Second))
-	x.listens = now.Add(-5 * time.Second)
-	misses, known := x.Silent("keeper", time.Second)
-	is.True(misses && known)
-	misses, known = x.Silent("entry", time.Second)
-	is.True(!misses && !known)
+	x.listeningSince = now.Add(-5 * time.Second)
+	silent, known := x.Silent("keeper", time.Second)
+	is.True(silent && known)
+	silent, known = x.Silent("entry", time.Second)
+	is.True(!silent && !known)
 }
 
 // Engines of a large fleet are overloaded in a burst while others stand idle: instances tell
 // their load seldom, and choose by what was. Each peer must hear from a busy instance within
 // the time of a few prompts.
 func TestBusyInstanceOfALargeFleetIsHeardSoon(t *testing.T) {
-	for peers, limit := range map[int]time.Duration{9: sendEvery, 194: 600 * time.Millisecond, 369: loadLife} {
-		x := exchangeAmong("me", peers, EntryFanout)
+	for peers, limit := range map[int]time.Duration{9: sendInterval, 194: 600 * time.Millisecond, 369: loadLifetime} {
+		x := newTestExchangeAmong("me", peers, EntryFanout)
 		heard := map[string]time.Duration{}
-		sent := -quietEvery
-		for now := time.Duration(0); now < 10*time.Second; now += sendEvery {
-			if !due(true, now-sent) {
+		sent := -idleSendInterval
+		for now := time.Duration(0); now < 10*time.Second; now += sendInterval {
+			if !isDue(true, now-sent) {
 				continue
 			}
 			sent = now
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -25,10 +25,10 @@
 
 // Watch looks at the clock at each interval until ctx ends, and calls woke with
 // the length of each pause that was longer than the longest that does no harm.
-func Watch(ctx context.Context, clock Clock, interval, longest time.Duration, woke func(pause time.Duration)) {
+func Watch(ctx context.Context, clock Clock, interval, maxPause time.Duration, onPause func(pause time.Duration)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	seen := clock()
+	last := clock()
 	for {
 		select {
 		case <-ticker.C:
@@ -38,9 +38,9 @@
 		// The clock is read once: a pause between two readings would be taken
 		// for seen and never show.
 		now := clock()
-		if gap := now - seen; gap > interval+longest {
-			woke(gap)
+		if gap := now - last; gap > interval+maxPause {
+			onPause(gap)
 		}
-		seen = now
+		last = now
 	}
 }
