--- a/internal/node/callerconn.go
+++ b/internal/node/callerconn.go
@@ -9,10 +9,9 @@
 	"foxhall/internal/routing"
 )
 
-// callerListener accepts callers' connections under the operators' limits in
-// force. net/http takes its limits once, at its start; operators change theirs
-// while callers are connected, so they are put in force where it sets its
-// deadlines.
+// callerListener accepts callers' connections and applies the operators' current limits to them.
+// net/http reads its limits once, at the start, but operators change theirs while callers are
+// connected. The limits are therefore applied where net/http sets deadlines.
 type callerListener struct {
 	net.Listener
 	limits func() routing.Limits
@@ -31,21 +30,21 @@
 type callerConn struct {
 	net.Conn
 	limits func() routing.Limits
-	// serving says that a call's head is read and its answer not yet written.
-	// Deadlines are the handler's own then.
+	// serving is true from the end of a call's header until its response is written. In that time,
+	// deadlines are set by the handler and stay as they are.
 	serving atomic.Bool
 }
 
-// noteState follows the connection's state, as an http.Server tells it.
+// trackConnState records the state that http.Server reports for a connection.
 func trackConnState(c net.Conn, s http.ConnState) {
 	if caller, ok := c.(*callerConn); ok {
 		caller.serving.Store(s == http.StateActive)
 	}
 }
 
-// SetReadDeadline implements net.Conn. Between calls the server sets two
-// deadlines: one for the time until the next call begins, and a much shorter
-// one for the call's head.
+// SetReadDeadline implements net.Conn. Between calls the server sets two deadlines: one for the
+// start of the next call, and a much shorter one for the call's header. A deadline later than
+// headerTimeout is the first kind.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	if t.IsZero() || c.serving.Load() {
 		return c.Conn.SetReadDeadline(t)
--- a/internal/node/callerconn_test.go
+++ b/internal/node/callerconn_test.go
@@ -13,14 +13,14 @@
 	"foxhall/internal/routing"
 )
 
-// ended returns after how long the server closes the caller's connection.
+// timeUntilClosed returns the time until the server closes the caller's connection.
 func timeUntilClosed(c net.Conn) time.Duration {
 	began := time.Now()
 	_, _ = c.Read(make([]byte, 1))
 	return time.Since(began)
 }
 
-// oneListener accepts one connection.
+// singleConnListener accepts one connection.
 type singleConnListener struct {
 	conn   chan net.Conn
 	closed chan struct{}
@@ -42,9 +42,8 @@
 
 func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// An operator shortens the time that callers may be idle or take for a call's
-// head, while a caller is connected. Both must hold from its next wait on, and a
-// call under way must not be cut by either.
+// An operator shortens the idle and header timeouts while a caller is connected. Both must apply
+// from the caller's next wait on, and neither may interrupt a call in flight.
 func TestOperatorsLimitsHoldForOpenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -72,8 +71,8 @@
 	})
 }
 
-// A caller that sends half of a head holds a connection for longer than the
-// operators allow.
+// A caller that sends half of a header must not occupy a connection for longer than the operators'
+// header timeout.
 func TestOperatorsLimitForTheHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/node/datacentres_test.go
+++ b/internal/node/datacentres_test.go
@@ -10,8 +10,8 @@
 	"foxhall/internal/mirror"
 )
 
-// An instance that has just started knows no data centre, its own included, and can't tell that
-// it is cut off.
+// Guards against an instance that knows no data centre right after its start, not even its own, and
+// so can't detect that it is isolated.
 func TestOwnDataCentreIsKnownFromTheStart(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(&Settings{Instance: "a", DataCentre: "x"}, mirror.New(), nil, &log.Logger{Handler: discard.Default})
--- a/internal/node/decoded.go
+++ b/internal/node/decoded.go
@@ -5,9 +5,9 @@
 	"foxhall/internal/store"
 )
 
-// decoded keeps what the mirror's entries decode to. Each change of one entry has all
-// of its kind looked at again, and in a fleet of hundreds decoding the others costs
-// more than the work itself. It is used by one goroutine.
+// decodeCache caches the decoded values of mirror entries. Each change of one entry causes all
+// entries of its kind to be read again, and in a fleet of hundreds decoding the unchanged ones
+// costs more than the work itself. Not safe for concurrent use.
 type decodeCache[T any] struct {
 	decode  func(mirror.Entry) (T, bool)
 	entries map[string]cachedEntry[T]
@@ -23,7 +23,7 @@
 	return &decodeCache[T]{decode: decode}
 }
 
-// all returns the values of the entries that can be read, in their order.
+// all returns the values of the entries that can be decoded, in the order of the entries.
 func (d *decodeCache[T]) all(entries []mirror.Entry) []T {
 	next := make(map[string]cachedEntry[T], len(entries))
 	values := make([]T, 0, len(entries))
--- a/internal/node/decoded_test.go
+++ b/internal/node/decoded_test.go
@@ -10,9 +10,8 @@
 	"foxhall/internal/store"
 )
 
-// Each instance of a large fleet decodes the entries of all others at every change of
-// one: its processor time grows with the square of the fleet. A change must cost one
-// reading, however many entries there are.
+// If each instance decoded all entries at every change of one, processor time would grow with the
+// square of the fleet's size. A change must cost one decoding, however many entries there are.
 func TestChangeOfOneEntryDecodesOne(t *testing.T) {
 	is := is.New(t)
 	const entries = 200
@@ -33,8 +32,8 @@
 	is.Equal(values[7], "two")
 }
 
-// An entry that can't be read hides the others, or one that was removed comes back. Both
-// are judged by what the mirror holds now.
+// An entry that can't be decoded must not hide the others, and a removed one must not come back.
+// The result must follow from the mirror's present entries.
 func TestDecodedFollowsTheMirror(t *testing.T) {
 	is := is.New(t)
 	d := newDecodeCache(func(e mirror.Entry) (string, bool) { return string(e.Value), string(e.Value) != "bad" })
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -25,18 +25,19 @@
 )
 
 const (
-	// instancePrefix begins the names of the objects by which instances find
-	// each other; assignmentName is the one that tells who holds which slice.
+	// instancePrefix begins the names of the objects by which instances find each other.
+	// assignmentName is the name of the object that assigns shards to keepers.
 	instancePrefix = "instance-"
 	assignmentName = "assignment"
-	// peerIdle is how long a connection between instances is kept without use.
+	// peerIdleTimeout is how long an unused connection between instances is kept.
 	peerIdleTimeout = time.Minute
-	// registerPause is the pause before an instance registers: its entry may be
-	// on its way. registerEvery is how often it looks whether it is still there.
+	// registrationDelay is the delay before an instance registers, since its present entry may not
+	// have reached the mirror yet. registrationInterval is how often it checks that the entry
+	// exists.
 	registrationDelay    = 300 * time.Millisecond
 	registrationInterval = 10 * time.Second
-	// forgetAfter is how long an instance may be silent before its entry is
-	// removed: longer than data centres lose each other.
+	// staleTimeout is how long an instance may send nothing before its entry is removed. It is
+	// longer than network partitions between data centres last.
 	staleTimeout       = 30 * time.Minute
 	staleCheckInterval = time.Minute
 )
@@ -46,38 +47,39 @@
 	Name       string `json:"name"`
 	IP         string `json:"ip"`
 	DataCentre string `json:"data_centre"`
-	// Entry says that it takes callers, Keeper that it has a disk.
+	// Entry is true for an instance that takes callers' calls, Keeper for one that has a disk.
 	Entry  bool `json:"entry"`
 	Keeper bool `json:"keeper"`
 }
 
-// fleet is what this instance knows of the others.
+// fleet holds what this instance knows of the other instances, and its clients of them.
 type fleet struct {
 	settings *Settings
 	mirror   *mirror.Mirror
 	objects  Objects
 	client   *http.Client
-	// hears reports whether an instance was heard from lately.
+	// isReachable reports whether an instance has sent something recently, or never did.
 	isReachable func(name string) bool
-	// whenSilent has f called should an instance fall silent before stop is called.
+	// onSilence calls f if the instance becomes unresponsive before stop is called.
 	onSilence func(name string, f func()) (stop func())
-	// misses reports whether an instance was not heard from lately, and whether
-	// this one can tell.
+	// isSilent reports whether an instance has sent nothing recently, and whether this instance has
+	// listened long enough to know.
 	isSilent func(name string) (misses, known bool)
-	// cutOff reports whether this instance hears nobody beyond its data centre.
+	// isIsolated reports whether this instance hears no other data centre.
 	isIsolated func() bool
-	// tell sends a keeper's standing to other keepers.
+	// broadcast sends a keeper's status to other keepers.
 	broadcast func(standing []byte, keepers []*net.UDPAddr)
 	logger    log.Interface
 
-	// listed and assigned are what the mirror's entries decode to. The goroutine that
-	// refreshes uses them.
+	// decodedMembers and decodedAssignment cache decoded mirror entries. Only the refreshing
+	// goroutine uses them.
 	decodedMembers    *decodeCache[member]
 	decodedAssignment *decodeCache[history.Assignment]
 
 	mu      sync.Mutex
 	members map[string]member
-	// centres are the data centres of the members, which each call asks for.
+	// dataCentreNames are the sorted data centres of the members. They are computed in advance,
+	// since each call asks for them.
 	dataCentreNames []string
 	keeperClients   map[string]historypb.Keeper
 	relayClients    map[string]mirrorpb.Relay
@@ -105,18 +107,18 @@
 	return f
 }
 
-// decodeMember reads an instance's entry.
+// decodeMember decodes an instance's entry.
 func decodeMember(e mirror.Entry) (member, bool) {
 	var m member
 	ok := strings.HasPrefix(e.Name, instancePrefix) && json.Unmarshal(e.Value, &m) == nil && m.Name != ""
 	return m, ok
 }
 
-// decodeAssignment reads the assignment of slices. One that can't be read changes nothing.
+// decodeAssignment decodes the assignment of shards. One that can't be decoded changes nothing.
 func (f *fleet) decodeAssignment(e mirror.Entry) (history.Assignment, bool) {
 	a, err := history.DecodeAssignment(e.Value)
 	if err != nil {
-		f.logger.WithError(err).WithField("revision", uint64(e.Revision)).Error("assignment not readable")
+		f.logger.WithError(err).WithField("revision", uint64(e.Revision)).Error("assignment of shards can't be decoded; ignored")
 	}
 	return a, err == nil
 }
@@ -131,7 +133,7 @@
 	}
 }
 
-// refresh takes in the registered instances.
+// refresh reads the registered instances from the mirror.
 func (f *fleet) refresh() {
 	members := map[string]member{}
 	for _, m := range f.decodedMembers.all(f.mirror.Entries(mirror.Fleet)) {
@@ -147,7 +149,7 @@
 	f.members, f.dataCentreNames = members, slices.Sorted(maps.Keys(dataCentres))
 }
 
-// entries returns the number of instances that take callers.
+// entryCount returns the number of instances that take callers' calls.
 func (f *fleet) entryCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -160,8 +162,8 @@
 	return n
 }
 
-// heardEntries returns how many of the instances that take callers are heard, and how many
-// there are, this one included.
+// countAliveEntries returns the number of entries for which isAlive holds and the number of all
+// entries, both including this instance.
 func (f *fleet) countAliveEntries(isAlive func(member) bool) (alive, all int) {
 	alive, all = 1, 1
 	for _, m := range f.others() {
@@ -176,19 +178,20 @@
 	return alive, all
 }
 
-// dataCentres returns those that have instances. The list is not to be changed.
+// dataCentres returns the names of the data centres that have instances. Callers must not modify
+// the slice.
 func (f *fleet) dataCentres() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.dataCentreNames
 }
 
-// datagramAddresses returns where the other entries take datagrams.
+// entryAddresses returns the datagram addresses of the other entries.
 func (f *fleet) entryAddresses() []*net.UDPAddr {
 	return f.addressesOf(func(m member) bool { return m.Entry })
 }
 
-// addresses returns where those of the other instances take datagrams.
+// addressesOf returns the datagram addresses of the other instances for which include returns true.
 func (f *fleet) addressesOf(include func(member) bool) []*net.UDPAddr {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,7 +204,7 @@
 	return list
 }
 
-// candidates returns the instances that have a disk, by name.
+// candidates returns the instances that have a disk, sorted by name.
 func (f *fleet) candidates() []history.Candidate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -215,8 +218,7 @@
 	return list
 }
 
-// peers returns the other instances, and those at the seeds' addresses while
-// no others are known.
+// peers returns the other instances, or those at the seeds' addresses while no others are known.
 func (f *fleet) peers() []mirror.Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -237,7 +239,7 @@
 	return list
 }
 
-// relay returns the client of the instance at the IP number; the lock is held.
+// relayClient returns the client of the instance at an IP address. The caller holds the lock.
 func (f *fleet) relayClient(ip string) mirrorpb.Relay {
 	if f.relayClients[ip] == nil {
 		f.relayClients[ip] = mirrorpb.NewRelayProtobufClient("http://"+f.settings.peerAddress(ip), f.client)
@@ -245,7 +247,7 @@
 	return f.relayClients[ip]
 }
 
-// keeper returns a client of the keeper of that name.
+// keeperClient returns a client of the named keeper.
 func (f *fleet) keeperClient(name string) (historypb.Keeper, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -256,7 +258,7 @@
 	return f.keeperClientAt("http://" + f.settings.peerAddress(m.IP)), true
 }
 
-// keeperAt returns the client at a base URL; the lock is held.
+// keeperClientAt returns the client for a base URL. The caller holds the lock.
 func (f *fleet) keeperClientAt(base string) historypb.Keeper {
 	if f.keeperClients[base] == nil {
 		f.keeperClients[base] = historypb.NewKeeperProtobufClient(base, f.client)
@@ -264,15 +266,15 @@
 	return f.keeperClients[base]
 }
 
-// Keeper implements history.Keepers. A keeper that this instance no longer
-// hears is asked through another entry: the way to the keepers may be cut while
-// the ways to the other entries, and theirs to the keepers, stand.
+// Keeper implements history.Keepers. An unreachable keeper is called through another entry: a
+// network partition may separate this instance from the keeper, but not from other entries, nor
+// those from the keeper.
 func (f *fleet) Keeper(name string) (historypb.Keeper, bool) {
 	direct, ok := f.keeperClient(name)
 	if !ok || f.isReachable(name) {
 		return direct, ok
 	}
-	// No lock is held while it is asked whom this instance hears.
+	// isReachable is called without the lock held, since it may need the same lock.
 	var others []member
 	for _, m := range f.others() {
 		if m.Entry && f.isReachable(m.Name) {
@@ -288,8 +290,8 @@
 	return f.keeperClientAt("http://" + f.settings.peerAddress(other.IP) + viaPath + name), true
 }
 
-// WhenSilent implements history.Keepers. One that is not heard already is asked
-// through another entry.
+// OnSilence implements history.Keepers. A keeper that is unreachable already is called through
+// another entry, whose silence is not watched.
 func (f *fleet) OnSilence(name string, callback func()) (stop func()) {
 	if !f.isReachable(name) {
 		return func() {}
@@ -297,14 +299,14 @@
 	return f.onSilence(name, callback)
 }
 
-// CutOff implements history.Keepers.
+// Isolated implements history.Keepers.
 func (f *fleet) Isolated() bool { return f.isIsolated() }
 
-// viaPath begins the path at which an entry passes calls on to a keeper.
+// viaPath is the path prefix under which an entry forwards calls to a keeper.
 const viaPath = "/via/"
 
-// serveVia passes a call on to the keeper named in its path. Where this instance
-// does not hear it either, the caller is told at once and asks another.
+// forwardToKeeper forwards a call to the keeper named in its path. If the keeper is unreachable
+// from here too, it responds at once with status 503, and the sender tries another entry.
 func (f *fleet) forwardToKeeper(w http.ResponseWriter, r *http.Request) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, viaPath), "/")
 	keeper, ok := f.keeperClient(name)
@@ -335,11 +337,11 @@
 	return k.Status(ctx, r)
 }
 
-// Tell implements history.Peers.
+// BroadcastStatus implements history.Peers.
 func (f *fleet) BroadcastStatus(status *historypb.StatusResponse) {
 	data, err := proto.Marshal(status)
 	if err != nil {
-		f.logger.WithError(err).Warn("standing not encoded")
+		f.logger.WithError(err).Warn("keeper status can't be encoded; not broadcast")
 		return
 	}
 	f.broadcast(data, f.addressesOf(func(m member) bool { return m.Keeper }))
@@ -391,13 +393,13 @@
 	}
 	present, decodeErr := history.DecodeAssignment(conflict.Present.Value)
 	if decodeErr != nil {
-		f.logger.WithError(decodeErr).Error("assignment not readable")
+		f.logger.WithError(decodeErr).Error("assignment of shards can't be decoded; ignored")
 		return history.Assignment{}, 0, err
 	}
 	return present, conflict.Present.Version, err
 }
 
-// assignment returns the newest mirrored assignment.
+// assignment returns the newest assignment in the mirror.
 func (f *fleet) assignment() (history.Assignment, store.Version, bool) {
 	e, ok := f.mirror.Get(mirror.Fleet, assignmentName)
 	if !ok {
@@ -410,8 +412,8 @@
 	return list[0], e.Revision, true
 }
 
-// register keeps this instance's entry in the store, so that others find it.
-// It writes only where the entry is missing or says something else.
+// register keeps this instance's entry in the store, so that others find it. It writes only when
+// the entry is missing or differs.
 func (f *fleet) register(ctx context.Context) error {
 	self := f.self()
 	key := store.Key{Kind: string(mirror.Fleet), Name: instancePrefix + self.Name}
@@ -430,7 +432,7 @@
 		}
 		e, _ := f.mirror.Get(mirror.Fleet, key.Name)
 		if _, err := f.objects.Put(ctx, key, value, e.Revision); err != nil {
-			f.logger.WithError(err).Warn("instance not registered")
+			f.logger.WithError(err).Warn("registration of this instance in the store failed; will retry")
 		}
 	}
 	return nil
@@ -442,9 +444,9 @@
 	return exists && json.Unmarshal(e.Value, &listed) == nil && listed == self
 }
 
-// forget removes the entries of instances that were not heard for long, which
-// were replaced under other names. One that lives enters itself again. Only a
-// follower does it, so that its calls do not grow with the fleet.
+// removeStale removes the entries of instances that have sent nothing for staleTimeout, which
+// happens when they are replaced under other names. A live instance registers again. Only a
+// follower does this, so that the number of store calls does not grow with the fleet.
 func (f *fleet) removeStale(ctx context.Context, following func() bool, heardWithin func(name string, within time.Duration) bool) {
 	firstSeen := map[string]time.Time{}
 	for sleep(ctx, staleCheckInterval); ctx.Err() == nil; sleep(ctx, staleCheckInterval) {
@@ -461,12 +463,12 @@
 				continue
 			}
 			err := f.objects.Delete(ctx, key, e.Revision)
-			f.logger.WithField("gone", m.Name).WithField("deleted", err == nil).Info("instance not heard for long")
+			f.logger.WithField("gone", m.Name).WithField("deleted", err == nil).Info("stale instance: tried to remove its entry")
 		}
 	}
 }
 
-// list returns the other instances.
+// others returns the other instances.
 func (f *fleet) others() []member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -16,7 +16,7 @@
 	"foxhall/internal/upstream"
 )
 
-// fleetWith returns the fleet as one entry sees it, with its load exchange.
+// newTestFleet returns the fleet as seen by one entry, with its load exchange.
 func newTestFleet(t *testing.T, members ...member) (*fleet, *peerload.Exchange) {
 	is := is.New(t)
 	s := &Settings{Instance: "me", IP: "10.0.0.1", DataCentre: "a", Callers: "10.0.0.1:1", PeerPort: 7}
@@ -37,9 +37,9 @@
 	return f, x
 }
 
-// An entry stands still: to ask whom it hears while it looks for a way to a
-// keeper, it takes the same lock twice.
-func TestAskingThroughAnotherEntryTakesNoLockTwice(t *testing.T) {
+// Guards against a deadlock of an entry: isReachable may take the fleet's lock, so it must not be
+// called with the lock held while a path to a keeper is chosen.
+func TestReachabilityIsCheckedWithoutLock(t *testing.T) {
 	f, _ := newTestFleet(t, member{Name: "keeper", IP: "10.0.0.2", Keeper: true}, member{Name: "other", IP: "10.0.0.3", Entry: true})
 	held := false
 	f.isReachable = func(name string) bool {
@@ -56,8 +56,8 @@
 	is.True(!held)
 }
 
-// An unreadable entry of another writer must not hide the other instances.
-func TestUnreadableInstancesAreLeftOut(t *testing.T) {
+// An entry of another writer that can't be decoded must not hide the other instances.
+func TestUndecodableInstancesAreOmitted(t *testing.T) {
 	is := is.New(t)
 	f, _ := newTestFleet(t, member{Name: "k", IP: "10.0.0.2", Keeper: true})
 	f.mirror.Apply(mirror.Delta{Kind: mirror.Fleet, From: 9, AsOf: 12, Entries: []mirror.Entry{
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// metricsPort is where counters and histograms are read.
+	// metricsPort is the TCP port that serves counters and histograms.
 	metricsPort = 9464
 	metricsPath = "/metrics"
 )
 
-// quantiles of histograms that are told.
+// quantiles are the quantiles reported for each histogram.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// serveMetrics serves the registry as text, a name and a value a line.
+// serveMetrics serves the registry as text with one name and value on each line.
 func (n *Node) serveMetrics(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc(metricsPath, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,7 +31,7 @@
 	"foxhall/internal/wake"
 )
 
-// Objects is what a node uses of the platform's store.
+// Objects is the part of the platform's store that a node uses.
 type Objects interface {
 	store.Poller
 	store.StatusWriter
@@ -39,62 +39,63 @@
 	Delete(ctx context.Context, key store.Key, base store.Version) error
 }
 
-// Replicas sends calls and keeps connections to the replicas that are there.
+// Replicas sends calls to the present replicas and keeps connections to them.
 type Replicas interface {
 	gateway.Replicas
 	RetainTargets(targets map[gateway.Target]bool)
 	Idle(name, address string) bool
 }
 
-// Dialect is how the platform's parties are spoken to.
+// Adapter holds what depends on the platform's protocols: the store, the replicas, the formats of
+// stored objects and the callers' API.
 type Adapter struct {
 	Objects  Objects
 	Replicas Replicas
-	// Table and Replica decode what operators and replicas write into the store.
+	// Table and Replica decode the objects that operators and replicas write to the store.
 	Table   func(data []byte) (*routing.Table, error)
 	Replica func(id string, data []byte) (routing.Replica, bool)
-	// RetirementStatus encodes what is said of an order to empty an instance.
+	// RetirementStatus encodes the status of an operators' order to drain an instance.
 	RetirementStatus func(done bool) []byte
-	// Callers serves callers through the gateway.
+	// Callers returns the handler that serves callers through the gateway. While divert returns
+	// true, callers are to use other instances.
 	Callers func(g *gateway.Gateway, divert func() bool) http.Handler
 }
 
 const (
-	// memoryShare is the part of the allowed memory at which the collector
-	// works harder; the rest is for the kernel's buffers, which count too.
+	// memoryLimitShare is the part of the allowed memory that is set as the Go runtime's soft
+	// limit. The rest is for the kernel's buffers, which count as well.
 	memoryLimitShare = 0.7
-	// outOfRotation is how long an entry that is to stop still takes new
-	// connections: the balancer asks each second and leaves out after two misses.
+	// balancerDelay is how long a stopping entry still accepts connections: the load balancer
+	// probes every second and removes an instance after two failed probes.
 	balancerDelay = 2600 * time.Millisecond
-	// stopMargin is left of the grace for the process to end.
+	// shutdownMargin is the part of the grace period left for the process to exit.
 	shutdownMargin = 400 * time.Millisecond
-	// viewBlocks bounds the entry's view of the engines' caches: 24 MB.
+	// cacheViewBlocks bounds the entry's view of the engines' caches to 24 MB.
 	cacheViewBlocks = 1 << 17
-	// cutAfter is how long nothing may be heard from another data centre before
-	// no more calls go there: three datagrams in a row from each of its
-	// instances are lost then.
+	// partitionTimeout is how long another data centre may send nothing before calls to it stop. By
+	// then three datagrams in a row from each of its instances are lost.
 	partitionTimeout = 450 * time.Millisecond
-	// missedAfter is how long an instance is not heard before that is told to a
-	// keeper which asks: two datagrams in a row are lost then, and the keeper
-	// has missed it by itself.
+	// keeperSilenceTimeout is how long a keeper may send nothing before this entry, asked as a
+	// witness, reports it as unresponsive. By then two datagrams in a row are lost, and the asking
+	// keeper has had no contact either.
 	keeperSilenceTimeout = 350 * time.Millisecond
-	// isolatedAfter is how long nothing may be heard from all other data centres
-	// before this entry asks the balancer to send callers elsewhere. Above
-	// cutAfter, since it moves all callers at once.
+	// isolationTimeout is how long all other data centres may send nothing before this entry asks
+	// the load balancer to divert its callers. It exceeds partitionTimeout, since it moves all
+	// callers at once.
 	isolationTimeout = 600 * time.Millisecond
-	// connectCost is what a new connection to a replica is taken to cost: the
-	// way, the replica's handshake, and a place among those that it allows. It
-	// lies above the margin within which candidates count as equal.
+	// connectCost is the assumed cost of a new connection to a replica: the round trip, the
+	// handshake, and one of the connections that the replica allows. It exceeds the margin within
+	// which candidates count as equal.
 	connectCost = 15 * time.Millisecond
-	// remoteCost is what a call to another data centre is taken to cost beside
-	// its load: a cut between them breaks it off, and its bytes are paid for.
+	// remoteCost is the assumed cost of a call to another data centre, apart from load: a network
+	// partition would truncate it, and its bytes are charged for.
 	remoteCost = 30 * time.Millisecond
-	// pauseLook is how often this process looks whether it was paused, and
-	// pauseLongest the longest pause in which nothing it holds can go out of
-	// date: a change has 2 s to come into force.
+	// pauseCheckInterval is how often the process checks whether it was paused. maxHarmlessPause is
+	// the longest pause in which its state cannot become outdated: a change has 2 s to come into
+	// force.
 	pauseCheckInterval = 500 * time.Millisecond
 	maxHarmlessPause   = 500 * time.Millisecond
-	// refreshEvery is how often held-back removals are looked at again.
+	// removalCheckInterval is how often delayed removals of replicas are reconsidered.
 	removalCheckInterval = 250 * time.Millisecond
 )
 
@@ -114,15 +115,16 @@
 	upstream *upstream.Table
 	quotas   *limit.Quotas
 	gateway  *gateway.Gateway
-	// dataCentres and keepers tell when nothing comes from them any more.
+	// dataCentreSilence and keeperSilence notify waiting calls of an unresponsive data centre or
+	// keeper.
 	dataCentreSilence, keeperSilence *silenceMonitor
 	stopping                         atomic.Bool
 
 	refreshRequested chan struct{}
-	// configRevision is the store's of the configuration that was read last, so
-	// that a large one is not read again with each change of a replica.
+	// configRevision is the store revision of the configuration decoded last, so that a large one
+	// is not decoded again at each change of a replica.
 	configRevision store.Version
-	// assigned is the newest assignment of slices, assignedRevision the store's of it.
+	// assigned is the newest assignment of shards, assignedRevision its store revision.
 	assigned         atomic.Pointer[history.Assignment]
 	assignedRevision store.Version
 	decodedReplicas  *decodeCache[routing.Replica]
@@ -227,11 +229,11 @@
 	}
 }
 
-// Run serves until ctx ends, then stops without cutting a call off.
+// Run serves until ctx ends, then completes calls in flight and stops.
 func (n *Node) Run(ctx context.Context) error {
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(n.settings.Memory)))
 	n.logger.WithField("keeper", n.keeper != nil).WithField("data_centre", n.settings.DataCentre).Info("start")
-	// Serving outlasts ctx: a planned stop first ends what is under way.
+	// Serving outlasts ctx: a planned stop first completes calls in flight.
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	n.fleet.refresh()
@@ -244,7 +246,7 @@
 	})
 	group.Go(func() error { return n.fleet.register(serving) })
 	if n.settings.Callers != "" {
-		// Keepers are sent no datagrams and can't tell who is silent.
+		// Keepers receive no load datagrams and can't detect unresponsive instances.
 		group.Go(func() error { n.fleet.removeStale(serving, n.relay.Following, n.load.HeardWithin); return nil })
 	}
 	group.Go(func() error { return n.servePeers(serving) })
@@ -278,10 +280,10 @@
 	return err
 }
 
-// woke returns what is done after a pause of this process.
+// afterPause returns the function to call after a pause of this process.
 func (n *Node) afterPause(ctx context.Context) func(time.Duration) {
 	return func(paused time.Duration) {
-		n.logger.WithField("paused_ms", paused.Milliseconds()).Warn("did not run for a while")
+		n.logger.WithField("paused_ms", paused.Milliseconds()).Warn("process was paused; reading the store again")
 		n.load.ResetAfterPause()
 		if n.keeper != nil {
 			n.keeper.ResetAfterPause()
@@ -290,8 +292,8 @@
 	}
 }
 
-// exchangeLoad tells the entries what this instance has under way, and that it
-// lives: from a data centre that is cut off they hear nothing.
+// exchangeLoad sends this instance's load to the entries, which also serves as its heartbeat: an
+// entry detects a network partition by missing datagrams.
 func (n *Node) exchangeLoad(ctx context.Context) error {
 	address, err := net.ResolveUDPAddr("udp", n.settings.peerAddress(n.settings.IP))
 	if err != nil {
@@ -305,17 +307,17 @@
 	return nil
 }
 
-// takeStanding takes in how another keeper stands.
+// receiveKeeperStatus handles the broadcast status of another keeper.
 func (n *Node) receiveKeeperStatus(data []byte) {
 	status := &historypb.StatusResponse{}
 	if err := proto.Unmarshal(data, status); err != nil {
-		n.logger.WithError(err).Debug("standing of a keeper not readable")
+		n.logger.WithError(err).Debug("status of a keeper can't be decoded; ignored")
 		return
 	}
 	n.keeper.ObserveStatus(status)
 }
 
-// leave waits for the order to stop and hands over what this instance keeps.
+// handOff waits for the order to stop, then hands this keeper's shards off to others.
 func (n *Node) handOff(ctx context.Context) error {
 	<-ctx.Done()
 	n.logger.Info("stopping")
@@ -328,7 +330,7 @@
 	return nil
 }
 
-// handOverMargin is left of the grace after a hand-over.
+// handoffMargin is the part of the grace period left after a handoff.
 const handoffMargin = 1500 * time.Millisecond
 
 // servePeers serves other instances.
@@ -351,7 +353,8 @@
 	return n.listen(ctx, server, n.settings.peerAddress(n.settings.IP))
 }
 
-// control is the goroutine that owns what this instance believes.
+// runRefresh updates this instance's state after each change of the mirror until ctx ends. It is
+// the only goroutine that does.
 func (n *Node) runRefresh(ctx context.Context) {
 	ticker := time.NewTicker(removalCheckInterval)
 	defer ticker.Stop()
@@ -369,7 +372,7 @@
 	}
 }
 
-// refresh puts the mirror's state in force.
+// refresh brings the mirror's contents into force.
 func (n *Node) refresh() {
 	n.fleet.refresh()
 	n.refreshAssignment()
@@ -407,7 +410,7 @@
 	n.configRevision = e.Revision
 	table, err := n.adapter.Table(e.Value)
 	if err != nil {
-		n.logger.WithError(err).WithField("revision", uint64(e.Revision)).Warn("configuration not readable")
+		n.logger.WithError(err).WithField("revision", uint64(e.Revision)).Warn("configuration can't be decoded; the previous one stays in force")
 		return
 	}
 	if old := n.table.Load(); old != nil && table.Version <= old.Version {
@@ -418,7 +421,7 @@
 	n.logger.WithField("config", table.Version).WithField("revision", uint64(e.Revision)).Info("configuration in force")
 }
 
-// serveEntry serves callers until ctx ends, then ends what is under way.
+// serveEntry serves callers until ctx ends, then completes calls in flight.
 func (n *Node) serveEntry(ctx, serving context.Context) error {
 	callers := &http.Server{
 		Handler:           n.adapter.Callers(n.gateway, n.divertsCallers),
@@ -446,21 +449,20 @@
 		err := callers.Shutdown(limit)
 		n.gateway.Drain(limit)
 		_ = ready.Close()
-		return errors.Wrap(err, "calls cut off by the end of the grace")
+		return errors.Wrap(err, "calls still in flight at the end of the grace period")
 	})
 	return group.Wait()
 }
 
-// Bounds beyond which no operator's limit goes, in force before theirs are known.
+// Upper bounds of the operators' limits, in force before those are known.
 const (
 	headerTimeout = 10 * time.Second
-	// idleTimeout is long, since a caller may use its connection up to the
-	// operators' limit.
+	// idleTimeout is long, since a caller may keep its connection idle up to the operators' limit.
 	idleTimeout    = 5 * time.Minute
 	maxHeaderBytes = 64 << 10
 )
 
-// limits returns the operators' limits in force; none before the first.
+// limits returns the operators' limits in force, or the zero value before the first configuration.
 func (n *Node) limits() routing.Limits {
 	if table := n.table.Load(); table != nil {
 		return table.Limits
@@ -472,7 +474,8 @@
 	return n.listenWrapped(ctx, server, address, func(l net.Listener) net.Listener { return l })
 }
 
-// listenThrough serves what the wrapped listener accepts.
+// listenWrapped listens on the address and serves the connections that the wrapped listener
+// accepts.
 func (n *Node) listenWrapped(ctx context.Context, server *http.Server, address string, wrap func(net.Listener) net.Listener) error {
 	listener, err := netdial.Listen(ctx, address)
 	if err != nil {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -20,15 +20,15 @@
 	"foxhall/internal/store"
 )
 
-// noReplicas sends nothing.
+// stubReplicas sends nothing.
 type stubReplicas struct{ gateway.Replicas }
 
 func (stubReplicas) RetainTargets(map[gateway.Target]bool) {}
 
 func (stubReplicas) Idle(string, string) bool { return false }
 
-// quietNode returns a node that does not run, over a dialect whose entries are
-// the product's own types.
+// newTestNode returns a node that does not run, with an adapter that decodes store entries as JSON
+// of the routing types.
 func newTestNode(t *testing.T) *Node {
 	t.Helper()
 	adapter := Adapter{
@@ -50,7 +50,7 @@
 	return n
 }
 
-// list puts replicas in force as the store lists them at the version.
+// setReplicas brings replicas into force as listed by the store at a version.
 func (n *Node) setReplicas(t *testing.T, version store.Version, replicas ...routing.Replica) {
 	t.Helper()
 	d := mirror.Delta{Kind: mirror.Replicas, Full: true, AsOf: version}
@@ -63,7 +63,7 @@
 	n.refresh()
 }
 
-// chosen returns the replica that the next call gets; empty if it is refused.
+// nextReplica returns the replica chosen for the next call, or "" if the call is refused.
 func (n *Node) nextReplica(t *testing.T) string {
 	t.Helper()
 	sched := scheduler.New(scheduler.Settings{DataCentre: "a"}, n.upstream, cache.New(cache.Options{MaxBlocks: 16}))
@@ -77,11 +77,10 @@
 	return grant.Upstream
 }
 
-// A call reaches a replica that said long ago that it leaves, and is cut off when
-// it ends. From the refresh that brings the word on, the replica must get nothing,
-// whether it says so itself, its entry vanishes, or its entry is unreadable; and a
-// start under the same id counts as another replica.
-func TestLeavingReplicasGetNothingNew(t *testing.T) {
+// A call sent to a replica that has long been draining is truncated when the replica exits. A
+// replica must get no calls from the refresh on in which it is draining, its entry is missing, or
+// its entry can't be decoded. A restart under the same id counts as another replica.
+func TestDrainingReplicasGetNoCalls(t *testing.T) {
 	is := is.New(t)
 	n := newTestNode(t)
 	r := routing.Replica{ID: "r", Incarnation: 1, Service: "s", Address: "10.0.0.9:80", DataCentre: "a", Slots: 2}
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -7,11 +7,12 @@
 	"foxhall/internal/mirror"
 )
 
-// fleetEvery is how often it is counted how many instances are heard: several times before
-// callers are sent elsewhere.
+// fleetSizeInterval is how often reachable entries are counted: several times within
+// isolationTimeout, after which callers are diverted.
 const fleetSizeInterval = 100 * time.Millisecond
 
-// followFleet tells the quotas which part of the fleet this instance hears.
+// reportFleetSize reports to the quotas how many entries this instance reaches, and how many there
+// are.
 func (n *Node) reportFleetSize(ctx context.Context) {
 	for ctx.Err() == nil {
 		alive, all := 0, 1
@@ -23,8 +24,8 @@
 	}
 }
 
-// hearsEntry reports whether an instance is heard. Where nothing comes from its data centre,
-// that shows sooner than by its own silence.
+// isEntryAlive reports whether an entry is reachable. The silence of its whole data centre shows
+// sooner than its own.
 func (n *Node) isEntryAlive(m member) bool {
 	return n.load.DataCentreSilentFor(m.DataCentre) <= partitionTimeout && n.load.Alive(m.Name, partitionTimeout)
 }
--- a/internal/node/ready.go
+++ b/internal/node/ready.go
@@ -7,7 +7,7 @@
 	"foxhall/internal/mirror"
 )
 
-// serveReady answers the balancer.
+// serveReady answers the load balancer's probes.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !n.isReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -19,9 +19,9 @@
 	return known && n.table.Load() != nil && !n.divertsCallers()
 }
 
-// sendsAway reports that callers are better served elsewhere: this instance is
-// about to stop, or it is cut off. An entry that is cut off can make no turn
-// durable, while those of other data centres can and are within callers' reach.
+// divertsCallers reports whether callers are better served by other instances: this one is stopping
+// or isolated. An isolated entry can make no turn durable, while entries of other data centres can,
+// and callers reach them.
 func (n *Node) divertsCallers() bool { return n.stopping.Load() || n.isIsolated() }
 
 func (n *Node) isIsolated() bool { return n.isolatedFor() > isolationTimeout }
--- a/internal/node/retire.go
+++ b/internal/node/retire.go
@@ -8,18 +8,18 @@
 	"foxhall/internal/store"
 )
 
-// retireEvery is how often an order to empty this instance is looked at.
+// retirementInterval is how often this instance checks for an order to drain it.
 const retirementInterval = 200 * time.Millisecond
 
-// retiring reports that operators want an instance emptied.
+// isRetiring reports whether operators have ordered an instance drained.
 func (n *Node) isRetiring(instance string) bool {
 	_, ordered := n.mirror.Get(mirror.Retirements, instance)
 	return ordered
 }
 
-// retire follows an order to empty this instance: it says that it has begun,
-// and that it is done once each slice is whole on two others. The machine is
-// taken away with its disk then, so that saying it sooner would lose turns.
+// runRetirement carries out an order to drain this instance. It reports the start, and completion
+// once two other keepers hold each shard completely. The machine is then removed with its disk, so
+// an earlier report would lose turns.
 func (n *Node) runRetirement(ctx context.Context) {
 	begun, done := false, false
 	for sleep(ctx, retirementInterval); ctx.Err() == nil; sleep(ctx, retirementInterval) {
@@ -42,9 +42,9 @@
 	err := n.adapter.Objects.PutStatus(ctx, key, n.adapter.RetirementStatus(done))
 	line := n.logger.WithField("done", done)
 	if err != nil {
-		line.WithError(err).Warn("retirement not reported")
+		line.WithError(err).Warn("retirement status not written to the store; will retry")
 		return false
 	}
-	line.Info("retirement reported")
+	line.Info("retirement status written to the store")
 	return true
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -1,5 +1,5 @@
-// Package node runs one instance of foxhall in front of a platform's replicas:
-// an entry, which takes callers' calls, or a keeper, which has a disk.
+// Package node runs one instance of foxhall in front of a platform's replicas: an entry, which
+// takes callers' calls, or a keeper, which has a disk.
 package node
 
 import (
@@ -11,44 +11,46 @@
 	"foxhall/internal/limit"
 )
 
-// Settings are what an instance is told at its start.
+// Settings configure an instance at its start.
 type Settings struct {
-	// Instance names the instance; the name lasts over restarts.
+	// Instance is the instance's name, which stays the same over restarts.
 	Instance string
 	IP       string
-	// DataCentre is where it stands, DataCentres are all there are.
+	// DataCentre is the instance's own data centre, DataCentres are all of them.
 	DataCentre  string
 	DataCentres []string
-	// Callers and Ready are the addresses served by an entry.
+	// Callers and Ready are the listening addresses of an entry for callers and for readiness
+	// probes.
 	Callers, Ready string
-	// PeerPort is where instances talk to each other; the same on all of them.
+	// PeerPort is the port for traffic between instances, the same on all of them.
 	PeerPort int
-	// Seeds are IP numbers of other instances, which may be out of date.
+	// Seeds are IP addresses of other instances, which may be out of date.
 	Seeds []string
 	// FirstStart is true only when the whole system starts with empty disks.
 	FirstStart bool
-	// DisksLost is how many disks may be lost at once.
+	// MaxDiskFailures is the number of disks that may fail at once without loss of turns.
 	MaxDiskFailures int
 	// DataFolder is empty on an instance without a disk.
 	DataFolder string
-	// Tolerance is how far customers may be let beyond their quotas.
+	// Tolerance is how far customers may exceed their quotas.
 	Tolerance limit.Tolerance
 	// Memory is the memory that the process may use, in bytes.
 	Memory int64
-	// Grace is the time between the order to stop and the end of the process.
+	// Grace is the time allowed from the order to stop until the process exits.
 	Grace time.Duration
 	// Store is the address of the platform's object store.
 	Store string
 }
 
-// peerAddress is where the instance at the IP number listens for others.
+// peerAddress returns the address at which the instance with an IP address listens for other
+// instances.
 func (s *Settings) peerAddress(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.PeerPort))
 }
 
 func (s *Settings) isSeed() bool { return slices.Contains(s.Seeds, s.IP) }
 
-// ways gives the cost of the way to each other data centre.
+// dataCentreRTT returns the assumed cost of a call to each other data centre.
 func (s *Settings) dataCentreRTT() map[string]time.Duration {
 	rtt := map[string]time.Duration{}
 	for _, dc := range s.DataCentres {
--- a/internal/node/silence.go
+++ b/internal/node/silence.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// silenceEvery is how often those that somebody waits for are looked at.
+// silenceCheckInterval is how often the sources with callbacks are checked.
 const silenceCheckInterval = 50 * time.Millisecond
 
-// silences tells those that wait for an answer from somewhere when nothing comes
-// from there any more. What is sent into a cut is not refused: without it a call
-// waits until its connection gives up.
+// silenceMonitor notifies calls that wait for a response when its source becomes unresponsive. A
+// network partition does not refuse what is sent into it, so that a call would otherwise wait until
+// its connection times out.
 type silenceMonitor struct {
 	mu sync.Mutex
-	// waiting are what is done when a place falls silent, by its name.
+	// callbacks are the functions to call when a source becomes unresponsive, by its name.
 	callbacks map[string]map[*func()]bool
 }
 
@@ -22,7 +22,7 @@
 	return &silenceMonitor{callbacks: map[string]map[*func()]bool{}}
 }
 
-// when has f called once, should the place fall silent before stop is called.
+// onSilence calls f once if the source becomes unresponsive before stop is called.
 func (s *silenceMonitor) onSilence(source string, f func()) (stop func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// run looks for silence until ctx ends.
+// run checks the sources until ctx ends.
 func (s *silenceMonitor) run(ctx context.Context, isSilent func(source string) bool) {
 	ticker := time.NewTicker(silenceCheckInterval)
 	defer ticker.Stop()
@@ -63,7 +63,7 @@
 	}
 }
 
-// places returns the places that somebody waits for.
+// sources returns the names of the sources that have callbacks.
 func (s *silenceMonitor) sources() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	return sources
 }
 
-// take returns what waits for a place and forgets it.
+// takeCallbacks returns the callbacks of a source and removes them.
 func (s *silenceMonitor) takeCallbacks(source string) []func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// A call waits for an answer from a data centre that is cut off until its connection
-// gives up. It must be told as the data centre falls silent, once, and not where it
-// has its answer by then.
-func TestThoseThatWaitAreToldOfSilenceOnce(t *testing.T) {
+// Without a notification, a call to a data centre behind a network partition waits until its
+// connection times out. The call must be notified once when the data centre becomes unresponsive,
+// and not if it has its response by then.
+func TestSilenceCallbacksRunOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSilenceMonitor()
@@ -28,9 +28,9 @@
 	})
 }
 
-// Operators can't tell when an instance took a data centre for silent, or find a line for each
-// look at it.
-func TestSilenceOfADataCentreIsToldAsItBeginsAndEnds(t *testing.T) {
+// Operators must be able to see when an instance considered a data centre unresponsive, from one
+// line at the beginning and one at the end rather than one for each check.
+func TestSilenceOfADataCentreIsLoggedAtItsBeginningAndEnd(t *testing.T) {
 	is := is.New(t)
 	s, now := silentSince{}, time.Now()
 	observe := func(silence time.Duration, after time.Duration) string {
--- a/internal/node/silencelog.go
+++ b/internal/node/silencelog.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// silentSince is since when data centres are silent, by their names.
+// silentSince holds, by name, the times since which data centres have been unresponsive.
 type silentSince map[string]time.Time
 
-// note records for how long nothing was heard from a data centre. It reports whether that fell
-// silent or is heard again, and since when it was silent.
+// update records for how long a data centre has sent nothing. It reports whether its silence began
+// or ended with this update, and when the silence began.
 func (s silentSince) update(dataCentre string, silentFor time.Duration, now time.Time) (began, ended bool, since time.Time) {
 	since, wasSilent := s[dataCentre]
 	silent := silentFor > partitionTimeout
@@ -28,7 +28,7 @@
 	return silent && !wasSilent, wasSilent && !silent, since
 }
 
-// logSilences writes a line as a data centre falls silent, and one as it is heard again.
+// logSilence logs when a data centre becomes unresponsive and when it is reachable again.
 func (n *Node) logSilence(ctx context.Context) {
 	ticker := time.NewTicker(silenceCheckInterval)
 	defer ticker.Stop()
@@ -44,18 +44,19 @@
 			entry := n.logger.WithField("data_centre", dataCentre)
 			switch duration := time.Since(since).Milliseconds(); {
 			case began:
-				entry.WithField("unheard_ms", duration).WithField("instances", n.formatSilentInstances(dataCentre)).Info("data centre silent")
+				entry.WithField("unheard_ms", duration).WithField("instances", n.formatSilentInstances(dataCentre)).Info("data centre unresponsive; calls to it stop")
 			case ended:
-				entry.WithField("silent_ms", duration).Info("data centre heard again")
+				entry.WithField("silent_ms", duration).Info("data centre reachable again")
 			}
 		}
 	}
 }
 
-// unheardMost bounds the instances that a line tells of.
+// maxLoggedInstances bounds the number of instances in a log line.
 const maxLoggedInstances = 8
 
-// unheard tells for how long instances of a data centre were not heard, those heard last first.
+// formatSilentInstances lists instances of a data centre with the time since their last contact,
+// the most recent first.
 func (n *Node) formatSilentInstances(dataCentre string) string {
 	ages := map[string]time.Duration{}
 	for _, m := range n.fleet.others() {
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -8,8 +8,8 @@
 	"foxhall/internal/usage"
 )
 
-// upstreamsOf turns the replicas into the scheduler's upstreams. A draining
-// replica is left out, which marks it as leaving for calls that wait.
+// upstreamsOf converts replicas to the scheduler's upstreams. Draining replicas are omitted, which
+// marks them as draining for waiting calls.
 func upstreamsOf(table *routing.Table, replicas []routing.Replica) []usage.Upstream {
 	var list []usage.Upstream
 	for i := range replicas {
@@ -30,7 +30,7 @@
 	return list
 }
 
-// logReplicas writes a line for each replica that came, changed or went.
+// logReplicas logs each replica that was added, changed its draining state or was removed.
 func (n *Node) logReplicas(previous, current []routing.Replica, revision uint64) {
 	old := map[string]routing.Replica{}
 	for _, r := range previous {
@@ -56,8 +56,8 @@
 	}
 }
 
-// targetsOf returns the connections worth keeping: also those to draining
-// replicas, which still answer.
+// targetsOf returns the targets whose connections are retained, including draining replicas, which
+// still complete calls.
 func targetsOf(replicas []routing.Replica) map[gateway.Target]bool {
 	targets := map[gateway.Target]bool{}
 	for i := range replicas {
@@ -66,14 +66,14 @@
 	return targets
 }
 
-// lapse holds back removals of replicas while they may only be unheard of:
-// their entries lapse while the store is away.
+// removalHold delays removals of replicas that may still be alive: entries expire while the store
+// is unavailable.
 type removalHold struct {
 	held map[string]routing.Replica
 }
 
-// merge returns the replicas to use: those listed, and those that were listed
-// before and may come back within the unsettled time.
+// merge returns the replicas to use: those listed now, and those listed before that may register
+// again within the grace time.
 func (l *removalHold) merge(previous, current []routing.Replica, grace time.Duration) []routing.Replica {
 	listed := map[string]bool{}
 	for i := range current {
--- a/internal/node/upstreams_test.go
+++ b/internal/node/upstreams_test.go
@@ -9,22 +9,22 @@
 	"foxhall/internal/routing"
 )
 
-func replica(id string, born int64, draining bool) routing.Replica {
-	return routing.Replica{ID: id, Incarnation: born, Service: "s", Address: "10.0.0.1:80", Slots: 2, Draining: draining}
+func replica(id string, incarnation int64, draining bool) routing.Replica {
+	return routing.Replica{ID: id, Incarnation: incarnation, Service: "s", Address: "10.0.0.1:80", Slots: 2, Draining: draining}
 }
 
 func names(list []routing.Replica) []string {
-	var out []string
+	var result []string
 	for i := range list {
-		out = append(out, list[i].Name())
+		result = append(result, list[i].Name())
 	}
-	return out
+	return result
 }
 
-// All calls are refused for seconds: the store was away, the entries of living
-// replicas lapsed meanwhile, and are only written again after its return. They
-// must be used until then, and be taken for gone when the time is over.
-func TestLapsedReplicasAreUsedUntilTheyMayBeBack(t *testing.T) {
+// Guards against refusing all calls for seconds after a store outage: the entries of live replicas
+// expired during it, and are written again only after its end. The replicas must stay in use for
+// the grace time and be dropped after it.
+func TestExpiredReplicasAreUsedWithinTheGraceTime(t *testing.T) {
 	is := is.New(t)
 	var l removalHold
 	before := []routing.Replica{replica("a", 1, false), replica("b", 1, false)}
@@ -36,18 +36,18 @@
 	is.Equal(names(l.merge(now, back, 0)), []string{"a@1"})
 }
 
-// A leaving replica gets calls after the bound: it said so, and its entry is
-// removed while the store is unsettled. Only one that did not leave may be held.
-func TestLeavingReplicaIsNotHeld(t *testing.T) {
+// Guards against calls to a replica that was draining before its entry was removed within the grace
+// time after a store outage. The removal of a draining replica must not be delayed.
+func TestRemovalOfDrainingReplicaIsNotDelayed(t *testing.T) {
 	is := is.New(t)
 	var l removalHold
 	before := []routing.Replica{replica("a", 1, true)}
 	is.Equal(len(l.merge(before, nil, time.Second)), 0)
 }
 
-// A replica that started again under its id must not pass for the one before:
-// what is known of that one's load and cache is wrong of it.
-func TestUpstreamsAreNamedByTheirStart(t *testing.T) {
+// A replica restarted under the same id must count as a new upstream: the load and cache known of
+// the previous incarnation do not apply to it.
+func TestUpstreamsAreNamedByIncarnation(t *testing.T) {
 	is := is.New(t)
 	engine := routing.Service{Name: "s", Engine: &routing.Engine{CacheTokens: 9}}
 	table := routing.NewTable(1, routing.Limits{}, nil, nil, []routing.Service{engine})
--- a/internal/node/witness.go
+++ b/internal/node/witness.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// witnessesMost is the number of entries of a data centre that are asked about
-	// a keeper: one of them may be down itself.
+	// witnessesPerDataCentre is the number of entries in each data centre that are asked about a
+	// keeper. One of them may be down itself.
 	witnessesPerDataCentre = 2
-	// witnessTime bounds the question: a few ways, and the turn of a busy entry.
-	// All wait for those that are cut off.
+	// witnessTimeout bounds the requests to witnesses: a few round trips and the scheduling delay
+	// of a busy entry. Unreachable witnesses delay the result by all of it.
 	witnessTimeout = 100 * time.Millisecond
 )
 
@@ -37,7 +37,7 @@
 			client := historypb.NewWitnessProtobufClient("http://"+f.settings.peerAddress(m.IP), f.client)
 			response, err := client.Hears(ctx, &historypb.HearsRequest{Keeper: keeper})
 			if err != nil {
-				f.logger.WithError(err).WithField("entry", m.Name).WithField("keeper", keeper).Debug("entry not asked about a keeper")
+				f.logger.WithError(err).WithField("entry", m.Name).WithField("keeper", keeper).Debug("request to a witness failed; its report is left out")
 				return
 			}
 			if !response.Known {
@@ -52,7 +52,7 @@
 	return witnesses
 }
 
-// witnesses returns some entries of each data centre.
+// witnesses returns up to witnessesPerDataCentre randomly chosen entries of each data centre.
 func (f *fleet) witnesses() []member {
 	others := f.others()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
