--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -15,48 +15,45 @@
 )
 
 const (
-	// pollWait is how long a question for changes waits at the store. A silent
-	// connection is found by keep-alive probes, so it may be long; each
-	// question is paid for.
+	// pollTimeout is how long a poll for changes waits at the store. It may be long, since
+	// keep-alive probes detect an unresponsive connection, and each poll is charged for.
 	pollTimeout = 25 * time.Second
-	// checkEvery is how often what must be in force soon is read anew beside the
-	// questions for changes, which the store may leave unanswered for seconds
-	// while it drops its history. It is below the 2 s within which a change has
-	// to be in force, with a margin for passing it on.
+	// checkInterval is how often the configuration and the replicas are read in addition to polls,
+	// which the store may leave unanswered for seconds while it drops its history. It is below the
+	// 2 s within which a change has to be in force, with a margin for relaying it.
 	checkInterval = 1100 * time.Millisecond
-	// checkSpread keeps followers from asking all at the same moment, so that
-	// those that ask later hear of the answer first.
+	// checkJitter spreads the checks of followers, so that the later ones learn of the first
+	// response through the relay and need no check.
 	checkJitter = 350 * time.Millisecond
-	// standbyDelay is how much later a follower checks that stands by: the answers to
-	// others reach it by the rounds in which it asks them.
+	// standbyDelay is the extra delay of a standby follower's checks. Store responses to other
+	// followers reach it through the relay, in its exchange rounds.
 	standbyDelay = 300 * time.Millisecond
-	// checkTick is how often it is looked at whether a check is due.
+	// checkDueInterval is how often a follower determines whether a check is due.
 	checkDueInterval = 60 * time.Millisecond
-	// mergePause is the pause after an answer with changes: a burst of changes,
-	// as at the start of all replicas, costs a few questions and not one each.
+	// debounceDelay is the delay after a response with changes. A burst of changes, such as the
+	// start of all replicas, then costs a few polls rather than one for each.
 	debounceDelay = 250 * time.Millisecond
-	// retryFirst and retryMost are the waits between failed calls.
+	// retryInitialDelay and retryMaxDelay bound the backoff between failed calls.
 	retryInitialDelay = 100 * time.Millisecond
 	retryMaxDelay     = 700 * time.Millisecond
-	// returnTime is how long living replicas need to enter themselves again
-	// after the store was away.
+	// registrationTime is how long live replicas need to register again after a store outage.
 	registrationTime = 2500 * time.Millisecond
-	// outageAfter is how long the store must have said nothing for entries to
-	// have lapsed: three heartbeats of a replica take over 3 s, and checks keep
-	// its last word below 1.5 s.
+	// outageThreshold is how long the store must have sent no response before entries may have
+	// expired. Three heartbeats of a replica take over 3 s, and checks keep the last response less
+	// than 1.5 s old while the store is available.
 	outageThreshold = 2500 * time.Millisecond
 )
 
-// Follower keeps a mirror up to date from the store itself while it is active.
+// Follower updates a mirror directly from the store while it is active.
 type Follower struct {
 	mirror *Mirror
 	store  store.Poller
 	logger log.Interface
-	// lost is, for each kind, since when the store has not answered, in Unix
-	// nanoseconds; 0 while it does.
+	// unavailableSince is, for each kind, the time in Unix nanoseconds since which the store has
+	// not responded, or 0 while it does.
 	unavailableSince []atomic.Int64
 	active           atomic.Bool
-	// standby says that others ask for changes, which this one is told of.
+	// standby is true while other followers poll for changes and relay them to this one.
 	standby atomic.Bool
 }
 
@@ -68,15 +65,16 @@
 // Active reports whether the follower is running.
 func (f *Follower) Active() bool { return f.active.Load() }
 
-// StandBy has the follower leave the questions for changes to others, or ask them again.
-// Standing by it still checks what must be in force soon when it has heard nothing.
+// SetStandby makes the follower leave polls for changes to others, or resume them. A standby
+// follower still checks the configuration and the replicas when it has received no confirmation of
+// them.
 func (f *Follower) SetStandby(standby bool) {
 	if f.standby.Swap(standby) == standby {
 		return
 	}
-	f.logger.WithField("standby", standby).Info("questions for changes")
+	f.logger.WithField("standby", standby).Info("standby state of polls for changes set")
 	if standby {
-		// Whether the store answers this instance is not known any more.
+		// Without polls it is unknown whether the store responds to this instance.
 		f.clearUnavailable()
 	}
 }
@@ -87,7 +85,8 @@
 	}
 }
 
-// LostFor returns how long the store has not answered; 0 while it does.
+// UnavailableFor returns how long the store has not responded, or 0 while it does. Of the kinds,
+// the longest time counts.
 func (f *Follower) UnavailableFor(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for i := range f.unavailableSince {
@@ -112,17 +111,17 @@
 	f.standby.Store(false)
 }
 
-// Look reads all kinds once.
+// Refresh reads all kinds once.
 func (f *Follower) Refresh(ctx context.Context) {
 	for _, k := range Kinds {
 		if err := f.snapshot(ctx, k); err != nil {
-			f.logger.WithError(err).WithField("kind", string(k)).Info("store not read at the start")
+			f.logger.WithError(err).WithField("kind", string(k)).Info("store read failed; waiting for the relay or the next poll")
 		}
 	}
 }
 
-// check reads the configuration and the replicas anew where the store has told
-// no instance about them for a while.
+// runChecks reads the configuration and the replicas whenever the store's last known response to
+// any instance about them is too old.
 func (f *Follower) runChecks(ctx context.Context) {
 	jitter := rand.N(checkJitter)
 	for sleep(ctx, checkDueInterval); ctx.Err() == nil; sleep(ctx, checkDueInterval) {
@@ -145,12 +144,12 @@
 	if err == nil {
 		return
 	}
-	// The question for changes that waits beside it says that the store is lost.
-	f.logger.WithError(err).WithField("kind", string(k)).Debug("not checked")
+	// Store outages are logged by the concurrent poll.
+	f.logger.WithError(err).WithField("kind", string(k)).Debug("store check failed; will retry")
 	sleep(ctx, retryMaxDelay)
 }
 
-// checkConfig reads the one object of its kind, which is cheaper than a listing.
+// checkConfig reads the only object of the kind, which is cheaper than a listing.
 func (f *Follower) checkConfig(ctx context.Context) error {
 	asOf, known := f.mirror.AsOf(Config)
 	if !known {
@@ -179,7 +178,7 @@
 		}
 		wait := pollTimeout
 		if f.unavailableSince[i].Load() != 0 {
-			// The first answer after a loss tells at once that the store is back.
+			// A poll without waiting shows at once when the store is available again.
 			wait = 0
 		}
 		err := f.poll(ctx, k, wait)
@@ -200,8 +199,9 @@
 	}
 }
 
-// probedByFirst reports that the store is lost to this kind and to the first. One
-// kind's calls show when it is back; those of the others would be paid for too.
+// isProbedByFirstKind reports whether the store is unavailable for this kind and for the first. The
+// first kind's calls suffice to detect its return; calls for the others would be charged for as
+// well.
 func (f *Follower) isProbedByFirstKind(i int) bool {
 	return i > 0 && f.unavailableSince[i].Load() != 0 && f.unavailableSince[0].Load() != 0
 }
@@ -231,9 +231,9 @@
 	return nil
 }
 
-// settle keeps only the last event of each name: an object may be removed and
-// written again within one answer. A removal may carry the revision of the
-// object's last write, so it counts as of the whole answer.
+// compactChanges keeps only the last event of each name, since an object may be removed and written
+// again within one response. A removal may carry the revision of the object's last write, so it
+// gets the revision of the whole response.
 func compactChanges(k Kind, from store.Version, changes store.Changes) Delta {
 	last := map[string]store.Event{}
 	for _, e := range changes.Events {
@@ -266,7 +266,8 @@
 	return nil
 }
 
-// list reads the whole kind again after its history was lost.
+// relist reads all entries of a kind after the store has dropped its history, and retries until it
+// succeeds.
 func (f *Follower) relist(ctx context.Context, i int, k Kind) {
 	waits := newBackOff()
 	for ctx.Err() == nil {
@@ -282,7 +283,7 @@
 
 func (f *Follower) markUnavailable(i int, k Kind, err error) {
 	if f.unavailableSince[i].CompareAndSwap(0, time.Now().UnixNano()) {
-		f.logger.WithError(err).WithField("kind", string(k)).Warn("store lost")
+		f.logger.WithError(err).WithField("kind", string(k)).Warn("store unavailable; retrying")
 	}
 }
 
@@ -292,14 +293,13 @@
 		return
 	}
 	outage := time.Since(time.Unix(0, at))
-	f.logger.WithField("kind", string(k)).WithField("away_ms", outage.Milliseconds()).Info("store back")
+	f.logger.WithField("kind", string(k)).WithField("away_ms", outage.Milliseconds()).Info("store available again")
 }
 
-// noteReturn is called before what the store says is taken in. After an outage
-// it may say that living replicas are gone, whose entries lapsed meanwhile;
-// those who hear of it have to know. The first word to a process says nothing of
-// an outage: with instances restarted one after the other, removed replicas would
-// be held for good.
+// detectOutageEnd is called before a store response is applied. After an outage the response may
+// lack live replicas whose entries expired meanwhile, so a registration grace is set first, which
+// listeners see with the change. The first response to a process is not the end of an outage;
+// otherwise a rolling restart of instances would retain removed replicas indefinitely.
 func (f *Follower) detectOutageEnd(k Kind) {
 	if now := time.Now(); k == Replicas && f.mirror.AfterOutage(k, now) && f.mirror.Age(k, now) >= outageThreshold {
 		f.mirror.SetRegistrationGrace(now.Add(registrationTime))
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,7 +1,6 @@
-// Package mirror holds an instance's copy of the store's kinds. A few
-// instances follow the store itself; the others take what changed from them,
-// in the same form, so that calls to the store grow with changes and data
-// centres and not with instances.
+// Package mirror holds an instance's local copy of the store's contents. A few instances follow the
+// store itself, and the others receive the changes from them in the same form. The number of store
+// calls thus grows with changes and data centres, not with instances.
 package mirror
 
 import (
@@ -12,67 +11,68 @@
 	"foxhall/internal/store"
 )
 
-// Kind names a kind of object that is mirrored.
+// Kind is a kind of mirrored object.
 type Kind string
 
 // The mirrored kinds.
 const (
-	// Config holds the operators' configuration, as one object.
+	// Config holds the operators' configuration as one object.
 	Config Kind = "config"
-	// Replicas holds one entry for each replica that is alive or leaving.
+	// Replicas holds one entry for each replica that is live or draining.
 	Replicas Kind = "replicas"
-	// Retirements holds the operators' orders to empty an instance.
+	// Retirements holds the operators' orders to drain an instance.
 	Retirements Kind = "retirements"
-	// Fleet holds what instances agree on among themselves.
+	// Fleet holds what instances agree on: their registrations and the assignment of shards.
 	Fleet Kind = "fleet"
 )
 
 // Kinds lists all mirrored kinds.
 var Kinds = []Kind{Config, Replicas, Retirements, Fleet}
 
-// ConfigName is the one object of the kind Config.
+// ConfigName is the name of the only object of the kind Config.
 const ConfigName = "main"
 
-// keptRemovals bounds the removals that are remembered for peers that lag. One
-// that lags further is sent the whole kind.
+// maxTombstones bounds the tombstones of a kind retained for outdated peers. A peer that lacks more
+// than these receives the whole kind.
 const maxTombstones = 512
 
-// Entry is one object at its last change.
+// Entry is one object as of its last change.
 type Entry struct {
 	Name     string
 	Revision store.Version
 	Value    []byte
 }
 
-// Delta is what changed in a kind after From and up to AsOf.
+// Delta holds the changes of a kind after From and up to AsOf.
 type Delta struct {
 	Kind Kind
-	// Full says that Entries are all of the kind, whatever From is.
+	// Full is true if Entries are all entries of the kind, whatever From is.
 	Full       bool
 	From, AsOf store.Version
 	Entries    []Entry
 	Removed    []Entry
 }
 
-// copyOf is the mirrored state of one kind.
+// kindCopy is the mirrored state of one kind.
 type kindCopy struct {
 	known      bool
 	asOf       store.Version
 	entries    map[string]Entry
 	tombstones []Entry
-	// since is the version from which on removed is complete.
+	// tombstonesSince is the version after which tombstones are complete.
 	tombstonesSince store.Version
-	// confirmed is when the store last said what the kind holds, returned when it
-	// last did so after an outage.
+	// confirmedAt is the time of the store's last known response about the kind, returnedAt that of
+	// the last first response after an outage.
 	confirmedAt, returnedAt time.Time
 }
 
-// Mirror is the copy of all kinds. It is safe for concurrent use.
+// Mirror is the local copy of all kinds. It is safe for concurrent use.
 type Mirror struct {
 	mu        sync.Mutex
 	kinds     map[Kind]*kindCopy
 	listeners []func(Kind)
-	// unsettledUntil is until when a removed replica may only be unheard of.
+	// graceUntil is the time until which a removed replica may still be alive and about to register
+	// again.
 	graceUntil time.Time
 }
 
@@ -85,8 +85,8 @@
 	return m
 }
 
-// OnChange adds a function that is called, without a lock held, after a kind
-// has changed. It must be called before the mirror is shared.
+// OnChange adds a function that is called, without the lock held, after a kind has changed.
+// OnChange must be called before the mirror is shared.
 func (m *Mirror) OnChange(f func(Kind)) { m.listeners = append(m.listeners, f) }
 
 // AsOf returns the version up to which the kind is known, and whether it is known at all.
@@ -97,15 +97,15 @@
 	return c.asOf, c.known
 }
 
-// Age returns how long ago the store last said what the kind holds, to this
-// instance or to one that told it.
+// Age returns the time since the store's last response about the kind, to this instance or to
+// another that relayed it.
 func (m *Mirror) Age(k Kind, now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return now.Sub(m.kinds[k].confirmedAt)
 }
 
-// Confirm notes that the store said so at the time.
+// Confirm records that the store confirmed the mirrored state of the kind at a time.
 func (m *Mirror) Confirm(k Kind, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,8 +119,8 @@
 	c.confirmedAt = at
 }
 
-// AfterOutage reports whether the store is silent for so long, or was until a
-// moment ago, that entries may have lapsed meanwhile.
+// AfterOutage reports whether entries may have expired because the store is unresponsive, or was
+// until less than registrationTime ago.
 func (m *Mirror) AfterOutage(k Kind, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,8 +129,8 @@
 	return silent || now.Sub(c.returnedAt) < registrationTime
 }
 
-// Doubt takes back when the store last confirmed what is mirrored: this process
-// did not run for a while, and what it holds may have changed unseen.
+// MarkStale marks all kinds as unconfirmed. It is called after a pause of this process, in which
+// the store may have changed unnoticed.
 func (m *Mirror) MarkStale() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// Entries returns the kind's entries in the order of their names.
+// Entries returns the kind's entries sorted by name.
 func (m *Mirror) Entries(k Kind) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -154,7 +154,7 @@
 	return e, ok
 }
 
-// Since returns what changed in the kind after a version; false if nothing did.
+// Since returns the changes of the kind after a version, and false if there are none.
 func (m *Mirror) Since(k Kind, from store.Version, known bool) (Delta, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -181,8 +181,8 @@
 	return d, true
 }
 
-// Apply takes in a delta, and reports whether anything changed. What is older
-// than the copy changes nothing, so that a late answer never takes it back.
+// Apply applies a delta and reports whether an entry changed. A delta older than the copy has no
+// effect, so that a delayed response never reverts it.
 func (m *Mirror) Apply(d Delta) bool {
 	m.mu.Lock()
 	changed, becameKnown := m.kinds[d.Kind].apply(d)
@@ -212,8 +212,8 @@
 	return changed, becameKnown
 }
 
-// replace takes in a whole listing. What it lacks was removed at some revision
-// up to its own; told so, peers need not be sent the whole kind again.
+// applyListing applies a complete listing. Entries that it lacks were removed at some revision up
+// to its own. Tombstones for them make it unnecessary to send peers the whole kind again.
 func (c *kindCopy) applyListing(d Delta) bool {
 	if !c.known {
 		for _, e := range d.Entries {
@@ -277,16 +277,16 @@
 	return entries
 }
 
-// Unsettled returns how much longer a removed replica may only be unheard of:
-// entries lapse while the store is away, and those of living replicas are back
-// a moment after its return.
+// RegistrationGrace returns how much longer a removed replica may still be alive. Entries expire
+// during a store outage, and live replicas register again soon after it.
 func (m *Mirror) RegistrationGrace(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return max(0, m.graceUntil.Sub(now))
 }
 
-// SetUnsettled notes that entries may be missing until then.
+// SetRegistrationGrace records that entries of live replicas may be missing until a time. It never
+// shortens the grace.
 func (m *Mirror) SetRegistrationGrace(until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -11,9 +11,9 @@
 	"foxhall/internal/store"
 )
 
-// TestCopiesAgree changes a kind at random at one copy, which follows the store,
-// and lets other copies take deltas from each other at random. After each
-// exchange a copy that says it knows a version holds what the store held then.
+// TestCopiesAgree makes random changes at one copy, which follows the store, and exchanges deltas
+// between random copies. After each exchange, a copy that knows a version must hold exactly what
+// the store held at that version.
 func TestCopiesAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		copies := []*Mirror{New(), New(), New()}
@@ -69,8 +69,8 @@
 
 func format(held map[string]store.Version) string { return fmt.Sprint(held) }
 
-// An instance goes back to an older configuration: a delayed answer of a peer
-// comes after a newer one. It must change nothing.
+// Guards against a return to an older configuration: a delayed response of a peer that arrives
+// after a newer one must have no effect.
 func TestOlderDeltaChangesNothing(t *testing.T) {
 	is := is.New(t)
 	m := New()
@@ -82,10 +82,9 @@
 	is.Equal(e.Revision, store.Version(9))
 }
 
-// A leaving replica gets calls: the store answered a question for changes
-// without it, and the listing that has it bears the same version. The listing
-// must count.
-func TestListingOfTheSameVersionCounts(t *testing.T) {
+// Guards against calls to a draining replica: the store's response to a poll lacks the change, and
+// the listing that has it bears the same version. The listing must be applied.
+func TestListingOfTheSameVersionIsApplied(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	m.Apply(Delta{Kind: Replicas, Full: true, AsOf: 4, Entries: []Entry{{Name: "r", Revision: 3}}})
@@ -95,9 +94,9 @@
 	is.Equal(e.Revision, store.Version(5))
 }
 
-// An instance goes on by a replaced configuration after a suspension: the store's
-// last word seems fresh to it. Doubted, it must count as unheard of.
-func TestDoubtedStateIsUnconfirmed(t *testing.T) {
+// Guards against use of a replaced configuration after a suspension, when the store's last response
+// seems recent. State marked as stale must count as never confirmed.
+func TestStaleStateIsUnconfirmed(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	now := time.Now()
--- a/internal/mirror/relay.go
+++ b/internal/mirror/relay.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// relayEvery is the time between two rounds. With one peer chosen by chance
-	// a change reaches some hundred instances in a few rounds even where every
-	// message sent at the change was lost.
+	// roundInterval is the time between two gossip rounds. With one random peer in each round, a
+	// change reaches about a hundred instances in a few rounds even if every message sent at the
+	// change was lost.
 	roundInterval = 300 * time.Millisecond
-	// relayTime bounds one exchange.
+	// exchangeTimeout bounds one exchange with a peer.
 	exchangeTimeout = 400 * time.Millisecond
-	// fanOut is the number of peers that hear of a change at once.
+	// changeFanout is the number of peers to which a change is pushed at once.
 	changeFanout = 3
 )
 
@@ -31,9 +31,9 @@
 	Relay      mirrorpb.Relay
 }
 
-// Relay exchanges a mirror's state with other instances, and decides whether
-// this instance follows the store itself: in each data centre the first by
-// name that is answered does. Two that do it for a while do no harm.
+// Relay exchanges a mirror's state with other instances, and decides whether this instance follows
+// the store itself. In each data centre the first instance by name to which the store responds does
+// so. Two followers at a time do no harm.
 type Relay struct {
 	name       string
 	dataCentre string
@@ -45,19 +45,22 @@
 	changed chan struct{}
 
 	mu sync.Mutex
-	// followers are the peers that follow the store, by their last word, and watching
-	// those of them that ask it for changes.
+	// followers are the peers that follow the store according to their last response, and watching
+	// those of them that poll it for changes.
 	followers, watching map[string]Peer
-	// told is a peer that another named as follower and that was not yet asked.
+	// namedFollower is a peer of this data centre that another named as follower and that has not
+	// been queried yet.
 	namedFollower *Peer
-	// elsewhere are the followers of other data centres that were named and are to be
-	// asked themselves, by data centre.
+	// remoteFollowers are the followers that peers of other data centres named and that are yet to
+	// be queried, by data centre.
 	remoteFollowers map[string]Peer
-	// unreached are the peers that did not answer, by when they may be asked again.
+	// unreachableUntil holds, for peers that did not respond, the time when they may be queried
+	// again.
 	unreachableUntil map[string]time.Time
-	// turn counts the rounds in which this instance stood by.
+	// standbyRound counts the rounds in which this instance was a standby follower.
 	standbyRound int
-	// silent counts the rounds in which no other follower of the data centre answered.
+	// roundsWithoutFollower counts successive rounds in which no follower responded to which this
+	// instance would defer.
 	roundsWithoutFollower int
 	cancelFollow          context.CancelFunc
 	followerDone          chan struct{}
@@ -66,8 +69,8 @@
 
 var _ mirrorpb.Relay = (*Relay)(nil)
 
-// NewRelay returns a relay that is not yet running. peers returns the other
-// instances known now.
+// NewRelay returns a relay that is not yet running. peers returns the other instances known at
+// present.
 func NewRelay(name, dataCentre string, m *Mirror, f *Follower, peers func() []Peer, logger log.Interface) *Relay {
 	r := &Relay{
 		name:             name,
@@ -91,10 +94,10 @@
 	return r
 }
 
-// Run exchanges until ctx ends. With seed it follows the store at once, since
-// the others come to it; they follow when it is silent. With restarted it reads
-// the store once by itself: the sooner an instance that was down knows what is
-// in force, the fewer callers it refuses.
+// Run exchanges state with peers until ctx ends. With seed it follows the store at once, since the
+// other instances contact the seeds first and follow the store only if these are unresponsive. With
+// restarted it reads the store once itself: the sooner a restarted instance knows what is in force,
+// the fewer calls it refuses.
 func (r *Relay) Run(ctx context.Context, seed, restarted bool) {
 	ticker := time.NewTicker(roundInterval)
 	defer ticker.Stop()
@@ -117,15 +120,16 @@
 	}
 }
 
-// Recheck reads the store once, after a pause of this process: a change that was
-// made meanwhile must not wait for a peer that happens to tell of it.
+// Recheck reads the store once after a pause of this process, so that a change made in the pause
+// need not wait for a gossip round.
 func (r *Relay) Recheck(ctx context.Context) {
 	r.mirror.MarkStale()
 	r.follower.Refresh(ctx)
 }
 
-// round talks to those that should follow the store here, and to one peer of
-// any data centre, through which a data centre without the store stays current.
+// runRound exchanges state with the peers that should follow the store in this data centre, and
+// with one peer of any data centre. Through the latter, a data centre that can't reach the store
+// stays current.
 func (r *Relay) runRound(ctx context.Context) {
 	peers := r.peers()
 	hasFollower, responding := false, 0
@@ -146,7 +150,7 @@
 	}
 	if p, ok := r.chooseExchangePeer(peers); ok {
 		_, answered := r.exchange(ctx, p)
-		// Before the others of the data centre are known, any that answers will do.
+		// Until the members of the data centre are known, any peer that responds counts.
 		_, known := r.mirror.AsOf(Fleet)
 		hasFollower = hasFollower || answered && !known
 	}
@@ -166,7 +170,7 @@
 	}
 }
 
-// spread tells some peers of a change at once.
+// pushChange exchanges state with a few random peers right after a change.
 func (r *Relay) pushChange(ctx context.Context) {
 	peers := r.peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
@@ -175,8 +179,8 @@
 	}
 }
 
-// exchange takes what the peer knows and this instance does not, and gives it
-// what it lacks. It reports whether the peer follows the store and is answered.
+// exchange applies the changes that only the peer has, and sends it those that it lacks. It reports
+// whether the peer follows the store and gets responses from it, and whether the peer responded.
 func (r *Relay) exchange(ctx context.Context, p Peer) (following, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -187,7 +191,7 @@
 	}
 	response, err := p.Relay.Exchange(ctx, request)
 	if err != nil {
-		r.logger.WithError(err).WithField("peer", p.Name).Debug("not exchanged")
+		r.logger.WithError(err).WithField("peer", p.Name).Debug("exchange with a peer failed; a later round repeats it")
 		r.recordFollowing(p, false, false)
 		return false, false
 	}
@@ -202,8 +206,8 @@
 	if deltas := r.missingDeltas(response.Versions); len(deltas) > 0 {
 		push := &mirrorpb.ExchangeRequest{From: r.name, Versions: r.versions(), Deltas: deltas}
 		if _, err := p.Relay.Exchange(ctx, push); err != nil {
-			// A lost push is made good by a later round.
-			r.logger.WithError(err).WithField("peer", p.Name).Debug("not passed on")
+			// A later round repeats a lost push.
+			r.logger.WithError(err).WithField("peer", p.Name).Debug("push of changes to a peer failed; a later round repeats it")
 		}
 	}
 	return response.Following, true
@@ -224,8 +228,8 @@
 	}, nil
 }
 
-// confirm takes in when the store spoke last to another instance, of what this
-// one holds too.
+// applyConfirmations applies the times of the store's last responses to another instance, for the
+// kinds whose version this mirror has reached.
 func (r *Relay) applyConfirmations(versions []*mirrorpb.Version) {
 	now := time.Now()
 	for _, v := range versions {
@@ -239,10 +243,9 @@
 	}
 }
 
-// partner chooses whom to exchange with in a round. Followers often choose each
-// other, so that what one of them has asked the store the others need not ask. One
-// that stands by asks those that it relies on by turns: it must know soon when they
-// are lost.
+// chooseExchangePeer returns the additional peer of a round. Followers prefer each other, so that
+// they need not repeat each other's store calls. A standby follower alternates between the watchers
+// that it relies on, to detect their failure soon.
 func (r *Relay) chooseExchangePeer(peers []Peer) (Peer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -283,7 +286,7 @@
 	return versions
 }
 
-// lacking returns what an instance with these versions does not know.
+// missingDeltas returns the changes that an instance with these versions lacks.
 func (r *Relay) missingDeltas(versions []*mirrorpb.Version) []*mirrorpb.Delta {
 	known := map[Kind]store.Version{}
 	for _, v := range versions {
@@ -300,8 +303,8 @@
 }
 
 func (r *Relay) applyDeltas(deltas []*mirrorpb.Delta, unsettledMs int64) {
-	// An instance that was cut off takes its own return for the store's. Those that
-	// heard the store all along must not hold removed replicas for its word.
+	// An instance that was isolated mistakes its own return for the end of a store outage.
+	// Instances that kept contact with the store must not retain removed replicas because of it.
 	if unsettledMs > 0 && r.mirror.AfterOutage(Replicas, time.Now()) {
 		r.mirror.SetRegistrationGrace(time.Now().Add(time.Duration(unsettledMs) * time.Millisecond))
 	}
--- a/internal/mirror/relay_test.go
+++ b/internal/mirror/relay_test.go
@@ -18,13 +18,13 @@
 	"foxhall/internal/store"
 )
 
-// fakeStore holds one object, which each kind shows; watches may be deaf.
+// fakeStore holds one object, which it returns for each kind. It may leave polls unanswered.
 type fakeStore struct {
 	mu      sync.Mutex
 	version store.Version
 	changed chan struct{}
-	// deaf says that questions for changes are left unanswered, refused names
-	// instances that are refused.
+	// ignorePolls leaves polls for changes unanswered. refused holds the names of instances whose
+	// calls fail.
 	ignorePolls bool
 	refused     map[string]bool
 	calls       map[string]int
@@ -101,7 +101,7 @@
 	s.changed = make(chan struct{})
 }
 
-// checks counts the calls that read something anew.
+// checks returns the number of reads other than polls.
 func (s *fakeStore) checks() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,7 @@
 	relay  *Relay
 }
 
-// fleetOf runs instances in two data centres over one store.
+// startFleet runs instances in two data centres over one store.
 func startFleet(ctx context.Context, s *fakeStore, size int) []*instance {
 	var all []*instance
 	for i := range size {
@@ -189,39 +189,39 @@
 	is.New(t).NoErr(failed)
 }
 
-// One instance in each data centre asks the store, and all know what it holds.
+// One instance in each data centre follows the store, and all instances learn its contents.
 func TestOneFollowerInEachDataCentre(t *testing.T) {
 	runInFleet(t, func(s *fakeStore, all []*instance) error {
 		s.change()
 		time.Sleep(time.Second)
 		if n, late := countFollowing(all), outdated(all, 6); n != 2 || late != nil {
-			return errors.Errorf("%d follow, behind: %v", n, late)
+			return errors.Errorf("%d instances follow, want 2; outdated: %v", n, late)
 		}
 		before := s.checks()
 		time.Sleep(20 * time.Second)
 		if n := s.checks() - before; n > 60 {
-			return errors.Errorf("%d checks in 20 s", n)
+			return errors.Errorf("%d checks in 20 s, want at most 60", n)
 		}
 		return nil
 	})
 }
 
-// Callers meet an old configuration: the store refuses the instances that
-// follow it and serves the others. They must take over, and pass on.
+// Guards against an outdated configuration when the store refuses the instances that follow it and
+// serves the others. Others must take over and relay changes.
 func TestRefusedFollowersAreReplaced(t *testing.T) {
 	runInFleet(t, func(s *fakeStore, all []*instance) error {
 		s.set(func() { s.refused["i00"], s.refused["i01"] = true, true })
 		s.change()
 		time.Sleep(2 * time.Second)
 		if late := outdated(all, 6); late != nil {
-			return errors.Errorf("behind: %v", late)
+			return errors.Errorf("outdated: %v", late)
 		}
 		return nil
 	})
 }
 
-// The store is called to death in the moment of its return: while it was away all
-// instances took to following it. What a fleet calls then must not grow with it.
+// Guards against overload of a store on its return, after all instances started to follow it during
+// the outage. The number of calls during an outage must not grow with the fleet.
 func TestOutageCostsNoMoreCallsInALargeFleet(t *testing.T) {
 	outage := func(size int) (calls int) {
 		runInFleetOf(t, size, func(s *fakeStore, all []*instance) error {
@@ -242,7 +242,7 @@
 			s.change()
 			time.Sleep(time.Second)
 			if late := outdated(all, 6); late != nil {
-				return errors.Errorf("behind after the outage: %v", late)
+				return errors.Errorf("outdated after the outage: %v", late)
 			}
 			return nil
 		})
@@ -253,24 +253,24 @@
 	is.New(t).True(large <= 2*small)
 }
 
-// Callers meet an old configuration: the store leaves questions for changes
-// unanswered while it drops its history. A check must find the change.
-func TestDeafWatchesAreChecked(t *testing.T) {
+// Guards against an outdated configuration when the store leaves polls for changes unanswered while
+// it drops its history. A check must find the change.
+func TestUnansweredPollsAreMadeUpForByChecks(t *testing.T) {
 	runInFleet(t, func(s *fakeStore, all []*instance) error {
 		s.set(func() { s.ignorePolls = true })
 		s.change()
 		time.Sleep(2 * time.Second)
 		if late := outdated(all, 6); late != nil {
-			return errors.Errorf("behind: %v", late)
+			return errors.Errorf("outdated: %v", late)
 		}
 		return nil
 	})
 }
 
-// All calls are refused for seconds after the store was away: its first word
-// says that replicas are gone, whose entries lapsed. An instance must know, when
-// it hears of that, that they may only be unheard of.
-func TestFirstWordAfterAnOutageIsUnsettled(t *testing.T) {
+// Guards against refusing all calls for seconds after a store outage: the first response lacks live
+// replicas whose entries expired. The registration grace must be set by the time listeners learn of
+// the removals.
+func TestFirstResponseAfterAnOutageSetsTheGraceTime(t *testing.T) {
 	var unsettled, before time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -300,11 +300,10 @@
 	is.Equal(unsettled, registrationTime)
 }
 
-// A replica whose entry was removed goes on getting calls: instances that are
-// restarted one after the other each take the store's first word to them for its
-// return from an outage, and tell all others that removed replicas may be back.
-// One that never heard the store, or doubts what it heard, knows of no outage.
-func TestFirstWordToARestartedInstanceUnsettlesNothing(t *testing.T) {
+// Guards against calls to a removed replica during a rolling restart of instances: if each took its
+// first response from the store for the end of an outage, it would announce a registration grace to
+// all others. An instance without any response so far, or with stale state, must assume no outage.
+func TestFirstResponseToARestartedInstanceSetsNoGraceTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newFakeStore()
@@ -319,11 +318,10 @@
 	})
 }
 
-// A replica whose entry was removed goes on getting calls: an instance that was cut
-// off alone takes its return for the store's, and tells all others that removed
-// replicas may be back. Those that heard the store meanwhile must not believe it,
-// and those that did not must.
-func TestReturnOfACutOffInstanceUnsettlesNobodyElse(t *testing.T) {
+// Guards against calls to a removed replica: an instance that was isolated mistakes its own return
+// for the end of a store outage, and announces a registration grace to all others. Instances with
+// recent contact to the store must ignore it, and those without must accept it.
+func TestReturnOfAnIsolatedInstanceSetsNoGraceTimeElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := New()
@@ -342,10 +340,10 @@
 	})
 }
 
-// A store that refuses the first instances of a large data centre is called by all
-// the others: each asks the first ones whether they follow, and never hears of the
-// one that took over; or several that took over hear of each other only by chance.
-func TestOneTakesOverForManyRefused(t *testing.T) {
+// Guards against calls from all instances of a large data centre to a store that refuses the first
+// ones. This happens if each instance queries only the first ones and never learns of the one that
+// took over, or if several that took over discover each other only by chance.
+func TestOneFollowerTakesOverForManyRefused(t *testing.T) {
 	runInFleetOf(t, 40, func(s *fakeStore, all []*instance) error {
 		s.set(func() {
 			for _, i := range all[:10] {
@@ -358,7 +356,7 @@
 		s.change()
 		time.Sleep(2 * time.Second)
 		if n, late := countFollowing(all), outdated(all, 6); n != 2 || late != nil {
-			return errors.Errorf("%d follow, behind: %v", n, late)
+			return errors.Errorf("%d instances follow, want 2; outdated: %v", n, late)
 		}
 		return nil
 	})
--- a/internal/mirror/succession.go
+++ b/internal/mirror/succession.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// Who follows the store: in each data centre the first instance by name that is
-// answered. The others leave the store to it, and take over where it falls silent.
-// Of the followers, those of two data centres ask the store for changes, and the
-// others stand by.
+// Election of followers: in each data centre, the first instance by name to which the store
+// responds follows the store. The others defer to it, and take over if it becomes unresponsive. The
+// followers of two data centres poll the store for changes (they watch it), and the others are on
+// standby.
 const (
-	// watchersMost is the number of data centres whose followers ask the store for
-	// changes all the time.
+	// watcherDataCentres is the number of data centres whose followers watch the store.
 	watcherDataCentres = 2
-	// silentRounds is how many rounds in a row the instances that should follow
-	// the store must be silent before this one does it.
+	// takeOverRounds is the number of successive rounds without a follower after which this
+	// instance follows the store itself.
 	takeOverRounds = 2
-	// askMost bounds the instances that are asked in a round whether they follow.
-	// Each of them that lives and is not answered doubles the rounds that this
-	// one waits: while the store is away a few instances of a data centre call
-	// it, and not all of a fleet four times a second each.
+	// maxQueried bounds the preceding instances that are asked in a round whether they follow. Each
+	// one that responds but gets no response from the store doubles the number of rounds to wait.
+	// During a store outage, only a few instances of a data centre thus call the store, rather than
+	// all of the fleet four times a second each.
 	maxQueried = 4
-	// unreachedFor is how long an instance that did not answer is not asked.
+	// unreachableRetryDelay is how long an instance that did not respond is not queried again.
 	unreachableRetryDelay = 3 * time.Second
-	// silentRoundsAtStart is the same for an instance that has heard of no
-	// other yet: all start at once, and those at the seeds' addresses may be late.
+	// takeOverRoundsAtStart replaces takeOverRounds in an instance that knows no other yet. All
+	// instances start at once, and those at the seeds' addresses may be late.
 	takeOverRoundsAtStart = 4
-	// followsLeast is how long an instance follows at least, so that two that
-	// hear of each other by turns do not both start and stop.
+	// minFollowTime is the minimum time for which an instance follows, so that two that discover
+	// each other alternately do not both keep starting and stopping.
 	minFollowTime = 2 * time.Second
-	// lostMost is how long the store may not answer a follower that others rely on.
+	// maxUnavailable is how long the store may leave a follower without response before others stop
+	// deferring to it.
 	maxUnavailable = 700 * time.Millisecond
 )
 
-// before returns the peers that this instance leaves the store to while they
-// follow it: those of the data centre that should do so sooner, the first of all
-// first. Where those can't, others have taken over; of these the first by name
-// goes on, and one that does not follow leaves it to any.
+// peersToDeferTo returns the peers to which this instance leaves the store while they follow it:
+// those that precede it by name in the data centre, sorted by name. Where these can't follow,
+// others may have taken over, so known followers come before them. Of several followers the first
+// by name continues; an instance that does not follow defers to any.
 func (r *Relay) peersToDeferTo(peers []Peer) []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,11 +54,11 @@
 	return preceding
 }
 
-// leavesTo reports whether this instance leaves the store to p while p follows it.
+// defersTo reports whether this instance leaves the store to p while p follows it.
 func (r *Relay) defersTo(p Peer) bool { return r.cancelFollow == nil || p.Name < r.name }
 
-// firstFollower returns the first peer by name of the data centre that follows
-// the store by its last word.
+// firstFollower returns the first peer by name in this data centre whose last response says that it
+// follows the store.
 func (r *Relay) firstFollower() (first Peer, ok bool) {
 	for _, p := range r.followers {
 		if p.DataCentre == r.dataCentre && (!ok || p.Name < first.Name) {
@@ -99,33 +99,33 @@
 	if r.cancelFollow == nil {
 		return
 	}
-	r.logger.Info("leaving the store to others")
+	r.logger.Info("stopped following the store; deferring to another follower")
 	r.cancelFollow()
 	<-r.followerDone
 	r.cancelFollow = nil
 }
 
-// Following reports whether this instance follows the store and is answered.
+// Following reports whether this instance follows the store and gets responses from it.
 func (r *Relay) Following() bool {
 	return r.follower.Active() && r.follower.UnavailableFor(time.Now()) < maxUnavailable
 }
 
-// Watching reports whether this instance follows the store, is answered, and asks it for
-// changes all the time.
+// Watching reports whether this instance follows the store, gets responses from it, and polls it
+// for changes.
 func (r *Relay) Watching() bool { return r.Following() && !r.follower.standby.Load() }
 
-// watches reports whether this instance, a follower, is to ask the store for changes.
-// In a fleet of many data centres those of the first two do: with one of them lost, what
-// changes still comes at once. The others are told by the relay, and take over where they
-// no longer hear two.
+// shouldWatch reports whether this instance, a follower, is to poll the store for changes. In a
+// fleet of many data centres the followers of the first two do, so that changes still arrive at
+// once if one of them fails. The others receive changes through the relay, and take over if fewer
+// than two respond.
 func (r *Relay) shouldWatch() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.reliedOnWatchers()) < watcherDataCentres
 }
 
-// reliedOn returns the peers that ask the store for changes so that this instance need
-// not, one of each data centre that goes before its own; the lock is held.
+// reliedOnWatchers returns the watching peers that make it unnecessary for this instance to watch:
+// one of each of the first data centres that precede its own by name. The caller holds the lock.
 func (r *Relay) reliedOnWatchers() []Peer {
 	first := map[string]Peer{}
 	for _, p := range r.watching {
@@ -160,10 +160,9 @@
 	r.unreachableUntil[p.Name] = time.Now().Add(unreachableRetryDelay)
 }
 
-// knownFollower returns the first of the data centre that follows the store by
-// its own word, this instance among them; empty for none. What this instance was
-// only told is left out, or the name of one that has stopped would go round for
-// good.
+// knownFollower returns the first follower by name in this data centre that has itself reported
+// following, including this instance, or "" for none. Followers named only by others are excluded,
+// or the name of one that has stopped would circulate indefinitely.
 func (r *Relay) knownFollower() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,13 +173,13 @@
 	return first.Name
 }
 
-// noteTold takes in whom a peer of the data centre names as its follower.
+// recordNamedFollower records the follower that a peer of this data centre names.
 //
-// The failure: many take over from followers that are refused, and by their own
-// questions those hear of each other only after minutes; all that time a store
-// in trouble is called by several instances of a data centre. All others know
-// the first of them, as they leave the store to it, so any answer tells. The
-// named one is asked itself in the next round, before it is relied on.
+// It prevents the following failure: many instances take over from followers refused by the store,
+// and discover each other through their own queries only after minutes. All that time several
+// instances of a data centre call a store that is in trouble. The other instances know the first of
+// them, since they defer to it, so any response names it. The named peer is queried in the next
+// round before this instance relies on it.
 func (r *Relay) recordNamedFollower(name string) {
 	if name == "" || name == r.name || !r.isUndiscovered(name) {
 		return
@@ -195,9 +194,9 @@
 	}
 }
 
-// noteElsewhere takes in whom a peer of another data centre names as the follower there.
-// Followers must know each other to leave questions to two of them, and meet by chance
-// only after minutes in a fleet of hundreds.
+// recordRemoteFollower records the follower that a peer of another data centre names for it.
+// Followers must know each other to leave polls to two of them, and in a fleet of hundreds random
+// exchanges bring them together only after minutes.
 func (r *Relay) recordRemoteFollower(dataCentre, name string) {
 	if name == "" || !r.follower.Active() || !r.isUndiscovered(name) {
 		return
@@ -212,9 +211,8 @@
 	}
 }
 
-// strangers returns, for a follower that relies on too few, the peers of the first data
-// centres before its own of which it knows nobody that asks the store for changes; the
-// lock is held.
+// undiscoveredPeers returns, for a follower that knows too few watchers, the peers of the first
+// data centres that precede its own and in which it knows no watcher. The caller holds the lock.
 func (r *Relay) undiscoveredPeers(peers []Peer) []Peer {
 	if !r.follower.Active() || len(r.reliedOnWatchers()) >= watcherDataCentres {
 		return nil
@@ -236,7 +234,7 @@
 	return first
 }
 
-// unheard reports whether nothing is known yet of the peer, which should answer.
+// isUndiscovered reports whether a peer is not a known follower and may be queried at present.
 func (r *Relay) isUndiscovered(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/mirror/watch_test.go
+++ b/internal/mirror/watch_test.go
@@ -18,22 +18,22 @@
 	"foxhall/internal/store"
 )
 
-// inForceIn is the shortest time that operators of today's sites give a change to be in
-// force.
+// changeDeadline is the shortest time within which operators of present sites require a change to
+// be in force.
 const changeDeadline = 2 * time.Second
 
-// metIn is more than followers need to meet, each by chance.
+// discoveryTime is longer than followers need to discover each other through random exchanges.
 const discoveryTime = 30 * time.Second
 
-// network carries exchanges between the instances of a test; lost ones hang.
+// network carries exchanges between the instances of a test. Lost exchanges wait for their timeout.
 type network struct {
 	mu   sync.Mutex
 	lost func(from, to *instance) bool
-	// sent counts the exchanges that arrived.
+	// sent counts the exchanges, including lost ones.
 	sent int
 }
 
-// way is one instance's way to another.
+// link is the network path from one instance to another.
 type link struct {
 	net      *network
 	from, to *instance
@@ -52,7 +52,7 @@
 	return w.to.relay.Exchange(ctx, r)
 }
 
-// bigFleet is a fleet in five data centres, as its network and store see it.
+// bigFleet is a fleet in five data centres with its network and store.
 type bigFleet struct {
 	store *fakeStore
 	net   *network
@@ -63,7 +63,7 @@
 
 func (n *instance) dataCentre() string { return n.relay.dataCentre }
 
-// inBigFleet runs a test on virtual time over a fleet that is whole.
+// runInBigFleet runs a test in virtual time on a fleet whose followers have discovered each other.
 func runInBigFleet(t *testing.T, size int, test func(f *bigFleet) error) {
 	var failed error
 	synctest.Test(t, func(t *testing.T) {
@@ -96,7 +96,7 @@
 	is.New(t).NoErr(failed)
 }
 
-// watching returns the instances that ask the store for changes.
+// watching returns the instances that poll the store for changes.
 func (f *bigFleet) watching() []*instance {
 	return slices.DeleteFunc(slices.Clone(f.all), func(n *instance) bool { return !n.relay.Watching() })
 }
@@ -108,19 +108,19 @@
 	return list
 }
 
-// lose has the network lose exchanges.
+// setLoss makes the network lose the exchanges for which lost returns true.
 func (f *bigFleet) setLoss(lost func(from, to *instance) bool) {
 	f.net.mu.Lock()
 	defer f.net.mu.Unlock()
 	f.net.lost = lost
 }
 
-// without loses all exchanges with these instances.
+// isolate makes the network lose all exchanges with these instances.
 func (f *bigFleet) isolate(gone ...*instance) {
 	f.setLoss(func(from, to *instance) bool { return slices.Contains(gone, from) || slices.Contains(gone, to) })
 }
 
-// refuse has the store refuse instances, those that wait for changes too.
+// refuse makes the store refuse calls of instances, including their waiting polls.
 func (f *bigFleet) refuse(instances ...*instance) {
 	f.store.set(func() {
 		for _, n := range instances {
@@ -131,8 +131,8 @@
 	})
 }
 
-// behind returns the instances but those left out that do not know the version of the
-// configuration and of what instances agree on.
+// outdated returns the instances, other than the excepted ones, that lack the version of the kinds
+// Config or Fleet.
 func (f *bigFleet) outdated(version store.Version, except ...*instance) (list []string) {
 	for _, n := range f.all {
 		for _, k := range []Kind{Config, Fleet} {
@@ -144,13 +144,13 @@
 	return list
 }
 
-// Calls to the store grow with data centres and changes by their product: the follower of
-// each data centre asks for each change. Two must do for a fleet of any size.
-func TestTwoDataCentresAskForChanges(t *testing.T) {
+// If the follower of each data centre polled for each change, store calls would grow with the
+// product of data centres and changes. Two data centres must suffice for a fleet of any size.
+func TestTwoDataCentresWatchTheStore(t *testing.T) {
 	for _, size := range []int{10, 200} {
 		runInBigFleet(t, size, func(f *bigFleet) error {
 			if w := f.watching(); len(w) != 2 {
-				return errors.Errorf("of %d, %v watch", size, names(w))
+				return errors.Errorf("%d instances: %v watch, want two", size, names(w))
 			}
 			f.store.set(func() { clear(f.store.calls) })
 			for range 20 {
@@ -159,47 +159,48 @@
 			}
 			f.store.mu.Lock()
 			defer f.store.mu.Unlock()
-			// Each watcher asks four kinds for each change, and once for the next.
+			// Each watcher polls four kinds for each change, and once more for the next.
 			if polls, most := f.store.calls["poll"], 2*len(Kinds)*21; polls > most {
-				return errors.Errorf("%d instances: %d questions for changes, %d allowed", size, polls, most)
+				return errors.Errorf("%d instances: %d polls for changes, want at most %d", size, polls, most)
 			}
 			return nil
 		})
 	}
 }
 
-// Callers meet an old configuration in each of these cases: those that ask for changes
-// are lost in some way, and the others must find what changed in time.
-func TestChangeIsInForceWhateverBecomesOfTheWatchers(t *testing.T) {
+// Guards against an outdated configuration when the watchers fail or become unreachable in some
+// way. The other instances must learn of a change in time.
+func TestChangeIsInForceAfterLossOfWatchers(t *testing.T) {
 	cases := []struct {
 		name string
-		// lose loses watchers, and returns the instances that need not know.
+		// lose makes watchers fail or unreachable, and returns the instances that need not learn of
+		// the change.
 		lose func(f *bigFleet, watching []*instance) []*instance
 	}{
-		{"nothing is lost", func(*bigFleet, []*instance) []*instance { return nil }},
-		{"one is killed or frozen", func(f *bigFleet, w []*instance) []*instance {
+		{"no failure", func(*bigFleet, []*instance) []*instance { return nil }},
+		{"one watcher is killed or frozen", func(f *bigFleet, w []*instance) []*instance {
 			f.isolate(w[0])
 			f.refuse(w[0])
 			return w[:1]
 		}},
-		{"both are killed or frozen", func(f *bigFleet, w []*instance) []*instance {
+		{"both watchers are killed or frozen", func(f *bigFleet, w []*instance) []*instance {
 			f.isolate(w...)
 			f.refuse(w...)
 			return w
 		}},
-		{"both are turned away by the store", func(f *bigFleet, w []*instance) []*instance {
+		{"the store refuses both watchers", func(f *bigFleet, w []*instance) []*instance {
 			f.refuse(w...)
 			return nil
 		}},
-		{"one is deaf to its peers and reaches the store", func(f *bigFleet, w []*instance) []*instance {
+		{"one watcher reaches the store but no peers", func(f *bigFleet, w []*instance) []*instance {
 			f.isolate(w[0])
 			return nil
 		}},
-		{"both are deaf to their peers", func(f *bigFleet, w []*instance) []*instance {
+		{"both watchers reach the store but no peers", func(f *bigFleet, w []*instance) []*instance {
 			f.isolate(w...)
 			return nil
 		}},
-		{"their data centres are cut off", func(f *bigFleet, w []*instance) []*instance {
+		{"the watchers' data centres are partitioned from the others", func(f *bigFleet, w []*instance) []*instance {
 			f.setLoss(func(from, to *instance) bool {
 				inside := func(n *instance) bool {
 					return n.dataCentre() == w[0].dataCentre() || n.dataCentre() == w[1].dataCentre()
@@ -208,14 +209,14 @@
 			})
 			return nil
 		}},
-		{"another data centre is cut off and reaches the store", func(f *bigFleet, w []*instance) []*instance {
+		{"another data centre reaches the store but no other data centre", func(f *bigFleet, w []*instance) []*instance {
 			f.setLoss(func(from, to *instance) bool { return (from.dataCentre() == "dc-4") != (to.dataCentre() == "dc-4") })
 			return nil
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			// At the worst the loss comes just before the change, or a while before.
+			// The loss is worst just before the change, or some time before it.
 			for _, pause := range []time.Duration{0, 500 * time.Millisecond, 5 * time.Second} {
 				runInBigFleet(t, 50, func(f *bigFleet) error {
 					except := c.lose(f, f.watching())
@@ -223,7 +224,7 @@
 					f.store.change()
 					time.Sleep(changeDeadline)
 					if late := f.outdated(6, except...); late != nil {
-						return errors.Errorf("%v after the loss, behind: %v", pause, late)
+						return errors.Errorf("%v after the loss, outdated: %v", pause, late)
 					}
 					return nil
 				})
@@ -232,22 +233,22 @@
 	}
 }
 
-// The same where the store leaves all questions for changes unanswered. Only what must be
-// in force soon is read anew then.
-func TestChangeIsInForceWhileAllQuestionsAreUnanswered(t *testing.T) {
+// The same where the store leaves all polls for changes unanswered. Only the configuration and the
+// replicas are read by checks then.
+func TestChangeIsInForceWhileAllPollsAreUnanswered(t *testing.T) {
 	runInBigFleet(t, 50, func(f *bigFleet) error {
 		f.store.set(func() { f.store.ignorePolls = true })
 		f.store.change()
 		time.Sleep(changeDeadline)
 		if late := outdated(f.all, 6); late != nil {
-			return errors.Errorf("behind: %v", late)
+			return errors.Errorf("outdated: %v", late)
 		}
 		return nil
 	})
 }
 
-// After an outage all data centres go on asking for changes. Two must be left again.
-func TestOthersStandByAgainAfterAnOutage(t *testing.T) {
+// Guards against all data centres polling for changes after an outage. Two must remain.
+func TestTwoDataCentresWatchAgainAfterAnOutage(t *testing.T) {
 	runInBigFleet(t, 50, func(f *bigFleet) error {
 		f.refuse(f.all...)
 		time.Sleep(5 * time.Second)
@@ -255,7 +256,7 @@
 		f.store.change()
 		time.Sleep(discoveryTime)
 		if w, late := f.watching(), f.outdated(6); len(w) != 2 || late != nil {
-			return errors.Errorf("%v watch, behind: %v", names(w), late)
+			return errors.Errorf("%v watch, want two; outdated: %v", names(w), late)
 		}
 		return nil
 	})
