--- a/internal/peerload/peerload.go
+++ b/internal/peerload/peerload.go
@@ -1,9 +1,9 @@
-// Package peerload tells instances what the others have under way at the same
-// upstreams, by small datagrams that may be lost.
+// Package peerload exchanges load information about shared upstreams between instances, in small
+// datagrams that may be lost.
 //
-// The failure it prevents: instances that know only their own calls all take
-// the same engine for idle, or the one that holds a shared prefix, and queue
-// there while others stand idle.
+// It prevents the following failure: instances that know only their own calls all choose the same
+// engine, because it seems idle or has a shared prefix in its cache, and their calls queue there
+// while other engines are idle.
 package peerload
 
 import (
@@ -26,64 +26,65 @@
 )
 
 const (
-	// sendEvery is the time between two sendings; an engine takes about as long for a
-	// prompt. It is no longer in a large fleet: with older load, instances choose the same
-	// engines in a burst.
+	// sendInterval is the time between two sends, about the time an engine takes for a prompt. It
+	// is the same in a large fleet: with older load information, instances choose the same engines
+	// in a burst.
 	sendInterval = 60 * time.Millisecond
-	// quietEvery is the time between them while nothing is under way.
+	// idleSendInterval is the time between two sends while no calls are in flight.
 	idleSendInterval = 150 * time.Millisecond
-	// loadLife is how long a peer's load counts without a newer datagram.
+	// loadLifetime is how long a peer's load counts without a newer datagram.
 	loadLifetime = 1500 * time.Millisecond
-	// EntryReach and KeeperReach bound the peers that hear from an instance at once, so
-	// that its cost stays the same whatever the size of the fleet. It goes through all of
-	// them by turns, and receivers scale what they hear to their number. There are few
-	// keepers, and callers wait for one that is lost until that is heard.
+	// EntryFanout and KeeperFanout bound the peers to which an entry or a keeper sends at once, so
+	// that the cost does not depend on the size of the fleet. Successive sends go through all peers
+	// in a round, and receivers extrapolate to the number of peers. Keepers have the larger fanout,
+	// since there are few of them, and callers wait for a failed one until its silence is detected.
 	EntryFanout  = 24
 	KeeperFanout = 48
-	// sumEvery is the least time between two sums over what all peers tell. In a
-	// fleet of seventy, four hundred datagrams come in a second; a sum for each
-	// of them took 1.7% of a core (BenchmarkTake: 42 µs, 6 with the pause).
+	// sumInterval is the minimum time between two sums over the loads of all peers. In a fleet of
+	// seventy, four hundred datagrams arrive each second. A sum for each of them took 1.7% of a
+	// core (BenchmarkRecordLoad: 42 µs, 6 µs with the interval).
 	sumInterval = 15 * time.Millisecond
-	// maxDatagram fits some hundred upstreams.
+	// maxDatagramBytes has space for about a hundred upstreams.
 	maxDatagramBytes = 8 << 10
 )
 
-// Exchange sends this instance's load and takes in the others'.
+// Exchange sends this instance's load and receives that of the others.
 type Exchange struct {
 	name       string
 	dataCentre string
-	// reach is the number of peers that hear at once.
+	// fanout is the maximum number of peers in one send.
 	fanout int
 	table  *upstream.Table
-	// peers returns the addresses of the other instances that send calls.
+	// peers returns the addresses of the other instances that send calls to upstreams.
 	peers  func() []*net.UDPAddr
 	logger log.Interface
 
 	mu    sync.Mutex
 	loads map[string]receivedLoad
-	// signs are when anything was last heard from each data centre, and lives
-	// from each instance.
+	// dataCentreContacts holds the time of the last contact with each data centre, contacts the
+	// last contact with each instance.
 	dataCentreContacts map[string]time.Time
 	contacts           map[string]contact
-	// addresses are where the datagrams of instances come from, and where they take them.
+	// addresses are the source addresses of the instances' datagrams, at which they also receive.
 	addresses map[string]netip.AddrPort
-	// round are the peers that are still to hear in this round of all of them. The sending
+	// pendingPeers are the peers that have not been sent a datagram in this round. Only the sending
 	// goroutine uses it.
 	pendingPeers []*net.UDPAddr
 	conn         atomic.Pointer[net.UDPConn]
-	// onStanding takes in the standings of other keepers; nil for an instance that is none.
+	// onKeeperStatus receives the status of other keepers. It is nil in an instance that is not a
+	// keeper.
 	onKeeperStatus func([]byte)
-	// quotas are told of calls of customers; nil for an instance that admits none.
+	// quotas exchange customers' usage. It is nil in an instance that admits no calls.
 	quotas Quotas
-	// began is when this instance started.
+	// startedAt is the time when this instance started.
 	startedAt time.Time
-	// listens is since when datagrams are taken in without a pause.
+	// listeningSince is the time since which datagrams have been received without a pause.
 	listeningSince time.Time
-	// known is the number of peers at the last sending. It is kept here, so that
-	// those who ask whom it hears may hold the lock that peers takes.
+	// peerCount is the number of peers at the start of the last round. It is stored here so that
+	// callers of methods such as HeardOrUnknown may hold the lock that peers takes.
 	peerCount int
-	// summed is when the peers' loads were summed up last, unsummed that one has
-	// told something since.
+	// summedAt is the time of the last sum over the peers' loads. sumPending is true if a load
+	// arrived since then.
 	summedAt   time.Time
 	sumPending bool
 }
@@ -93,22 +94,23 @@
 	receivedAt time.Time
 }
 
-// life is when an instance was heard last, and how many times it sends until each of its
-// peers has had one.
+// contact is the last contact with an instance. sendsPerRound is the number of sends in which the
+// instance sends one datagram to each of its peers.
 type contact struct {
 	heardAt       time.Time
 	sendsPerRound uint32
-	// busy says that it had calls under way.
+	// busy is true if the instance had calls in flight or customers' usage to report.
 	busy bool
 }
 
-// silentFor reports that nothing came for as long as some datagrams of a small fleet take.
+// isSilentFor reports whether nothing was received for t, where t is the time for a fleet whose
+// rounds take one send. It is scaled to the instance's round length.
 func (l contact) isSilentFor(t time.Duration, now time.Time) bool {
 	return now.Sub(l.heardAt) >= t*time.Duration(max(1, l.sendsPerRound))
 }
 
-// New returns an exchange that is not yet running, with the number of peers that are to
-// hear at once.
+// New returns an exchange that is not yet running. fanout is the maximum number of peers in one
+// send.
 func New(name, dataCentre string, fanout int, table *upstream.Table, peers func() []*net.UDPAddr, logger log.Interface) *Exchange {
 	now := time.Now()
 	return &Exchange{
@@ -118,8 +120,8 @@
 	}
 }
 
-// Silence returns for how long nothing was heard from a data centre; 0 for one
-// that was never heard from, of which nothing can be said.
+// DataCentreSilentFor returns the time since the last contact with another data centre. It returns
+// 0 if there was none, since nothing is then known, and for the own data centre.
 func (x *Exchange) DataCentreSilentFor(dataCentre string) time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -130,7 +132,7 @@
 	return time.Since(at)
 }
 
-// Unheard returns for how long an instance was not heard; false for one that never was.
+// SilentFor returns the time since the last contact with an instance, and false if there was none.
 func (x *Exchange) SilentFor(instance string) (time.Duration, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -138,16 +140,15 @@
 	return time.Since(l.heardAt), ok
 }
 
-// leastOthers is the number of other data centres, or of other instances of a
-// fleet within one, whose silence at the same time shows that this instance is
-// cut off and not they.
+// minSilentOthers is the number of other data centres, or of other instances in a fleet within one
+// data centre, whose simultaneous silence shows that this instance is isolated rather than they.
 const minSilentOthers = 2
 
-// CutOffFor returns for how long this instance has heard nobody beyond its own
-// data centre, though there are instances in several others, or nobody at all; 0
-// where neither can be said. Registered are the data centres that have instances:
-// one that was not heard yet has been silent since the start, or else an instance
-// that starts behind a cut would take itself for connected and draw all callers.
+// IsolatedFor returns for how long this instance has had no contact with any other data centre, if
+// there are several others, or with any instance at all. It returns 0 if neither can be determined.
+// registered are the data centres that have instances. One without contact so far counts as silent
+// since the start; otherwise an instance that starts in a network partition would consider itself
+// connected and attract all callers.
 func (x *Exchange) IsolatedFor(registered []string) time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -166,7 +167,8 @@
 	return max(commonSilence(others, now), commonSilence(instances, now))
 }
 
-// silenceOfAll returns the time since any of them was heard.
+// commonSilence returns the time since the latest of the contacts, or 0 if there are fewer than
+// minSilentOthers.
 func commonSilence(contacts map[string]time.Time, now time.Time) time.Duration {
 	if len(contacts) < minSilentOthers {
 		return 0
@@ -180,14 +182,14 @@
 	return now.Sub(last)
 }
 
-// Woke is called after a pause of this process, in which nothing was heard.
+// ResetAfterPause is called after a pause of this process, in which it received nothing.
 func (x *Exchange) ResetAfterPause() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.listeningSince = time.Now()
 }
 
-// Run exchanges over the socket until ctx ends.
+// Run exchanges datagrams over the socket until ctx ends.
 func (x *Exchange) Run(ctx context.Context, conn *net.UDPConn) {
 	x.conn.Store(conn)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
@@ -207,7 +209,7 @@
 		x.reportToNewInstances(conn)
 		load := x.ownLoad()
 		atOnce := x.addUsage(load, time.Now())
-		// One empty datagram after the last call tells that it is over.
+		// One empty datagram after the last call reports that no call is in flight.
 		if !isDue(isActive(load) || busy, time.Since(sent)) {
 			continue
 		}
@@ -216,13 +218,13 @@
 	}
 }
 
-// active reports whether the sender has calls under way or to tell of.
+// isActive reports whether the sender has calls in flight or customers' usage to report.
 func isActive(l *peerloadpb.Load) bool { return len(l.Upstreams) > 0 || len(l.Customers) > 0 }
 
-// due reports that it is time to send again.
+// isDue reports whether it is time to send again.
 func isDue(busy bool, sinceLast time.Duration) bool { return busy || sinceLast >= idleSendInterval }
 
-// sumLate sums up what came right after the last sum and nothing came after.
+// sumPendingLoads adds up loads that arrived within sumInterval of the last sum.
 func (x *Exchange) sumPendingLoads() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -231,9 +233,9 @@
 	}
 }
 
-// Hears reports whether an instance was heard from lately, or never at all, of
-// which nothing can be said. In a fleet of more peers than one instance sends
-// to, each is heard so much more seldom.
+// HeardOrUnknown reports whether the last contact with an instance is recent, or whether there was
+// none, so that nothing is known. within is scaled to the instance's round length, since an
+// instance with more peers than its fanout sends to each of them less often.
 func (x *Exchange) HeardOrUnknown(instance string, within time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -241,24 +243,25 @@
 	return !ok || !l.isSilentFor(within, time.Now())
 }
 
-// Misses reports whether an instance was not heard from lately. It says nothing
-// while this one has not listened for that long.
+// Silent reports whether there was no recent contact with an instance. The result is known only if
+// this instance has listened for that long.
 func (x *Exchange) Silent(instance string, within time.Duration) (silent, known bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	l, ok := x.contacts[instance]
 	if !ok {
-		// Of one that was never heard it is not known how often it sends.
+		// Without any contact the instance's round length is unknown; that of an entry is assumed.
 		l.sendsPerRound = sendsPerRound(x.peerCount, EntryFanout)
 	}
 	listening := contact{heardAt: x.listeningSince, sendsPerRound: l.sendsPerRound}
 	return l.isSilentFor(within, time.Now()), listening.isSilentFor(within, time.Now())
 }
 
-// turns returns how many times an instance sends until each of its peers has had one.
+// sendsPerRound returns the number of sends in which an instance sends one datagram to each of its
+// peers.
 func sendsPerRound(peers, fanout int) uint32 { return uint32(max(1, (peers+fanout-1)/fanout)) }
 
-// Heard reports whether an instance was heard from lately.
+// HeardWithin reports whether the last contact with an instance is more recent than within.
 func (x *Exchange) HeardWithin(instance string, within time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -294,8 +297,7 @@
 	x.sendTo(conn, load, next)
 }
 
-// with adds the instances of these names, as far as it is known where they are; the lock is
-// held.
+// addPeers adds the named instances whose addresses are known. The caller holds the lock.
 func (x *Exchange) addPeers(peers []*net.UDPAddr, names []string) []*net.UDPAddr {
 	all := slices.Clone(peers)
 	for _, name := range names {
@@ -311,20 +313,20 @@
 func (x *Exchange) sendTo(conn *net.UDPConn, load *peerloadpb.Load, peers []*net.UDPAddr) {
 	data, err := proto.Marshal(load)
 	if err != nil {
-		x.logger.WithError(err).Warn("load not encoded")
+		x.logger.WithError(err).Warn("load can't be encoded; datagram dropped")
 		return
 	}
 	for _, p := range peers {
 		if _, err := conn.WriteToUDP(data, p); err != nil {
-			// A lost datagram is made good by the next.
-			x.logger.WithError(err).Debug("load not sent")
+			// The next datagram makes up for a lost one.
+			x.logger.WithError(err).Debug("datagram not sent; the next one makes up for it")
 		}
 	}
 }
 
-// nextPeers returns those whose turn it is. The order is each instance's own, or all would
-// send to the same peers at once, and stays while the peers are the same: each of them
-// then hears at even times.
+// nextPeers returns the peers of the next send. The order differs between instances, since all
+// would otherwise send to the same peers at once. It stays the same while the peers do, so that
+// each of them receives datagrams at regular intervals.
 func (x *Exchange) nextPeers() []*net.UDPAddr {
 	if len(x.pendingPeers) == 0 {
 		x.pendingPeers = x.peers()
@@ -345,7 +347,7 @@
 	return next
 }
 
-// Tell sends a keeper's standing to other keepers. It may be lost.
+// BroadcastKeeperStatus sends a keeper's status to other keepers. It may be lost.
 func (x *Exchange) BroadcastKeeperStatus(status []byte, keepers []*net.UDPAddr) {
 	if conn := x.conn.Load(); conn != nil {
 		x.sendTo(conn, &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre, Standing: status}, keepers)
@@ -388,18 +390,20 @@
 	x.addresses[name] = address
 }
 
-// Round is how long it takes this instance to tell all its peers, while it is busy.
+// GossipRound returns the time in which this instance sends to all of its peers while it is busy.
 func (x *Exchange) GossipRound() time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return time.Duration(sendsPerRound(x.peerCount, x.fanout)) * sendInterval
 }
 
-// missedMost is the number of datagrams of a busy instance that may be lost in a row.
+// maxLostDatagrams is the number of datagrams in a row after which a busy instance counts as not
+// alive.
 const maxLostDatagrams = 3
 
-// Alive reports whether an instance was heard as lately as some datagrams of it take, of
-// which one with calls under way sends more. One that was never heard is not.
+// Alive reports whether the last contact with an instance is recent, measured by its interval
+// between datagrams, which is shorter while calls are in flight. It returns false if there was no
+// contact.
 func (x *Exchange) Alive(instance string, within time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -414,10 +418,11 @@
 	return !l.isSilentFor(within, now)
 }
 
-// OnStanding has f take in the standings of other keepers. It is called before Run.
+// OnKeeperStatus sets the function that receives the status of other keepers. It must be called
+// before Run.
 func (x *Exchange) OnKeeperStatus(f func([]byte)) { x.onKeeperStatus = f }
 
-// take takes in a peer's load.
+// recordLoad records a peer's load and the contact with it.
 func (x *Exchange) recordLoad(load *peerloadpb.Load, now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -429,8 +434,8 @@
 	}
 }
 
-// turnsOf returns the sender's turns. One of an older version tells none, and sends to as
-// many at once as an entry; the lock is held.
+// sendsPerRoundOf returns the sender's number of sends per round. Older versions don't report it
+// and have the fanout of an entry. The caller holds the lock.
 func (x *Exchange) sendsPerRoundOf(load *peerloadpb.Load) uint32 {
 	if load.Turns == 0 {
 		return sendsPerRound(x.peerCount, EntryFanout)
@@ -438,7 +443,7 @@
 	return load.Turns
 }
 
-// sum puts what the others have into the table; the lock is held.
+// sumLoads writes the summed load of the other instances into the table. The caller holds the lock.
 func (x *Exchange) sumLoads(now time.Time) {
 	x.summedAt, x.sumPending = now, false
 	calls, backlog, erring := map[uint64]int{}, map[uint64]int{}, map[uint64]bool{}
@@ -459,7 +464,8 @@
 	}
 	scale := max(1, float64(x.peerCount)/float64(max(1, heard)))
 	if heard < EntryFanout/2 {
-		// Few peers: those not heard from are down or cut off, and send nothing.
+		// With few peers, those without recent contact are down or unreachable, so there is nothing
+		// to extrapolate to.
 		scale = 1
 	}
 	for _, u := range x.table.Snapshot().All {
--- a/internal/peerload/peerload_test.go
+++ b/internal/peerload/peerload_test.go
@@ -31,9 +31,9 @@
 	return &peerloadpb.Load{From: from, DataCentre: dataCentre, Upstreams: []uint64{xxhash.Sum64String("u")}, Calls: []uint32{calls}, Backlog: []uint32{10 * calls}}
 }
 
-// Instances queue at one upstream while others stand idle: none knows of the
-// others' calls. What they tell must count, and no longer than it is told.
-func TestOthersCallsCountWhileTheyAreTold(t *testing.T) {
+// Guards against calls that queue at one upstream while others are idle, because no instance knows
+// the calls of the others. Reported load must count, and only until it expires.
+func TestRemoteLoadCountsUntilItExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		x, u := newTestExchange()
@@ -50,9 +50,9 @@
 	})
 }
 
-// Calls go into a data centre that is cut off. It must be seen by its silence,
-// and one that was never heard must not pass for cut off.
-func TestSilenceIsOfDataCentresThatWereHeard(t *testing.T) {
+// Guards against calls to a data centre behind a network partition. It must be detected by its
+// silence, and a data centre without any contact so far must not count as silent.
+func TestOnlyContactedDataCentresBecomeSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		x, _ := newTestExchange()
@@ -70,11 +70,11 @@
 	})
 }
 
-// Callers of a data centre that is cut off are refused as long as the cut lasts:
-// its entries count as ready, and the balancer goes on sending callers there.
-// An entry must see from the silence of all others that it is the one cut off,
-// and must not take the loss of one data centre, or a start, for that.
-func TestCutOffIsTheSilenceOfAllOthers(t *testing.T) {
+// Guards against refusing callers of an isolated data centre for as long as it is isolated, because
+// its entries count as ready and the load balancer keeps sending callers there. An entry must
+// conclude from the silence of all others that it is isolated, but not from the loss of one data
+// centre or from its own start.
+func TestIsolationIsTheSilenceOfAllOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		x, _ := newTestExchange()
@@ -94,8 +94,8 @@
 	})
 }
 
-// The same in a fleet of one data centre, where an instance is cut off alone.
-func TestCutOffAloneInOneDataCentre(t *testing.T) {
+// The same in a fleet of one data centre, in which a single instance is isolated.
+func TestIsolationInAFleetOfOneDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		x, _ := newTestExchange()
@@ -109,10 +109,10 @@
 	})
 }
 
-// Each instance learns by its own callers' failures which replica fails all calls:
-// with fifty instances hundreds of turns fail. One's word must be enough for all,
-// and no longer than it is told.
-func TestErringReplicasAreTold(t *testing.T) {
+// If each instance learned only from its own callers' failures which replica fails all calls,
+// hundreds of turns would fail with fifty instances. The report of one instance must suffice for
+// all, and only until it expires.
+func TestFailingReplicasAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		x, u := newTestExchange()
@@ -129,9 +129,9 @@
 	})
 }
 
-// An entry among seventy spends half of its processor time on adding up what its
-// peers tell. The sums must not grow with the datagrams.
-func BenchmarkTake(b *testing.B) {
+// Guards against an entry in a fleet of seventy spending half of its processor time on sums over
+// its peers' loads. The number of sums must not grow with the number of datagrams.
+func BenchmarkRecordLoad(b *testing.B) {
 	x, _ := newTestExchange()
 	now := time.Now()
 	load := loadOf("a", "here", 2)
@@ -150,10 +150,10 @@
 	}
 }
 
-// All callers of a data centre that is cut off stay with the one instance there that
-// has just started: it never heard the others, and says that it is ready. It must
-// count them as silent since its start, and only those that have instances.
-func TestInstanceThatStartsBehindACutIsCutOff(t *testing.T) {
+// Guards against all callers of an isolated data centre staying with an instance there that has
+// just started: it had no contact with the others and reports that it is ready. It must count other
+// data centres as silent since its start, but only those that have instances.
+func TestInstanceStartedInAPartitionIsIsolated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		x, _ := newTestExchange()
--- a/internal/peerload/quota.go
+++ b/internal/peerload/quota.go
@@ -9,23 +9,24 @@
 	"foxhall/internal/peerload/peerloadpb"
 )
 
-// countedMost is the number of customers in one datagram, which maxDatagram holds.
+// maxCountsPerDatagram is the number of customers in one datagram, which fits in maxDatagramBytes.
 const maxCountsPerDatagram = 400
 
-// Quotas tells and takes in calls of customers.
+// Quotas exchanges customers' usage with other instances.
 type Quotas interface {
-	// Tell returns what to tell, and which instances are to hear it beside those whose turn
-	// it is.
+	// Report returns the usage to report, and the names of instances to which it is sent at once,
+	// in addition to the next peers of the round.
 	Report(now time.Time) (t limit.QuotaReport, atOnce []string)
-	// Started returns the instances that have started, and what to tell them.
+	// NewInstances returns the names of instances that have started, and the report for them.
 	NewInstances(now time.Time) (instances []string, t limit.QuotaReport)
 	Merge(t limit.QuotaReport, now time.Time)
 }
 
-// OnUses has the quotas tell and take in calls of customers. It is called before Run.
+// SetQuotas sets the quotas that exchange customers' usage. It must be called before Run.
 func (x *Exchange) SetQuotas(q Quotas) { x.quotas = q }
 
-// addUses adds what is to be told of customers, and returns who is to hear it at once.
+// addUsage adds the customers' usage to a load, and returns the names of instances to which it is
+// sent at once.
 func (x *Exchange) addUsage(load *peerloadpb.Load, now time.Time) (atOnce []string) {
 	if x.quotas == nil {
 		return nil
@@ -40,7 +41,7 @@
 	return atOnce
 }
 
-// tellStarted tells instances that have started what they don't know.
+// reportToNewInstances sends the window's counts to instances that have started.
 func (x *Exchange) reportToNewInstances(conn *net.UDPConn) {
 	if x.quotas == nil {
 		return
@@ -62,14 +63,14 @@
 	}
 }
 
-// hearCounted takes in what an instance tells to one that has started.
+// mergeCounts merges the counts that another instance sends to this one after its start.
 func (x *Exchange) mergeCounts(load *peerloadpb.Load, now time.Time) {
 	if x.quotas != nil {
 		x.quotas.Merge(decodeQuotaReport(load), now)
 	}
 }
 
-// even reports that lists which go together are of one length.
+// isConsistent reports whether parallel lists have equal lengths.
 func isConsistent(l *peerloadpb.Load) bool {
 	return len(l.Calls) == len(l.Upstreams) && len(l.Backlog) == len(l.Upstreams) &&
 		len(l.Made) == len(l.Customers) && len(l.Recent) == len(l.Customers) &&
--- a/internal/peerload/quota_test.go
+++ b/internal/peerload/quota_test.go
@@ -14,7 +14,7 @@
 	"foxhall/internal/peerload/peerloadpb"
 )
 
-// fakeQuotas tells what it is given.
+// fakeQuotas reports preset values.
 type fakeQuotas struct {
 	report limit.QuotaReport
 	atOnce []string
@@ -28,8 +28,9 @@
 
 func (f *fakeQuotas) Merge(limit.QuotaReport, time.Time) {}
 
-// Calls of customers are counted wrongly by the instances that are told of them.
-func TestUsesAreTakenInAsTheyAreTold(t *testing.T) {
+// Guards against customers' calls that are counted wrongly by the instances that receive the
+// report.
+func TestQuotaReportSurvivesEncoding(t *testing.T) {
 	is := is.New(t)
 	x, _ := newTestExchange()
 	report := limit.QuotaReport{From: "me", Incarnation: 7, ObservedFor: 5 * time.Second, Usage: []limit.CallUsage{{Customer: 1, Admitted: 9, Recent: 4}, {Customer: 2, Admitted: 1}}}
@@ -48,8 +49,9 @@
 	is.True(!isConsistent(heard))
 }
 
-// What an instance that has started is told of many customers does not fit one datagram.
-func TestCountsOfManyCustomersFitTheirDatagrams(t *testing.T) {
+// Guards against counts of many customers, sent to an instance that has started, that exceed one
+// datagram.
+func TestMaxCountsFitADatagram(t *testing.T) {
 	is := is.New(t)
 	load := &peerloadpb.Load{From: "edge-sul-a-10", DataCentre: "sul-a", Run: 1 << 63, KnownMs: 5000}
 	for i := range uint64(maxCountsPerDatagram) {
@@ -60,8 +62,9 @@
 	is.True(len(data) <= maxDatagramBytes)
 }
 
-// Instances that have calls of the same customer hear late, since their turn is far away.
-func TestThoseThatHearAtOnceAreAddedToTheTurn(t *testing.T) {
+// Guards against late reports to instances with calls of the same customer whose place in the round
+// is far off.
+func TestImmediateRecipientsAreAddedToTheNextPeers(t *testing.T) {
 	is := is.New(t)
 	x, _ := newTestExchange()
 	next := []*net.UDPAddr{{IP: net.IPv4(10, 0, 0, 1).To4(), Port: 7}}
@@ -69,13 +72,14 @@
 		x.recordAddress(fmt.Sprint("i", i+1), netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7))
 	}
 	all := x.addPeers(next, []string{"i1", "i3", "never heard"})
-	is.Equal(len(all), 2) // the first has its turn already
+	is.Equal(len(all), 2) // the first is among the next peers already
 	is.Equal(all[1].String(), "10.0.0.3:7")
 }
 
-// An instance of which three datagrams are missing counts as heard, and a customer has its
-// quota on both sides of a cut; one that is idle and sends seldom counts as cut off.
-func TestSilentInstancesAreToldFromIdleOnes(t *testing.T) {
+// Guards against two faults: a busy instance of which three datagrams are missing counts as alive,
+// so that a customer gets its quota on both sides of a network partition; or an idle instance,
+// which sends less often, counts as unreachable.
+func TestSilentInstancesAreDistinguishedFromIdleOnes(t *testing.T) {
 	is := is.New(t)
 	x, _ := newTestExchange()
 	now := time.Now()
--- a/internal/peerload/reach_test.go
+++ b/internal/peerload/reach_test.go
@@ -14,7 +14,7 @@
 	"foxhall/internal/upstream"
 )
 
-// exchangeAmong returns the exchange of an instance among so many peers.
+// newTestExchangeAmong returns the exchange of an instance with a number of peers.
 func newTestExchangeAmong(name string, peers, fanout int) *Exchange {
 	addresses := func() []*net.UDPAddr {
 		var list []*net.UDPAddr
@@ -26,9 +26,9 @@
 	return New(name, "here", fanout, upstream.NewTable(), addresses, &log.Logger{Handler: discard.Default})
 }
 
-// An instance of a large fleet is taken for lost: which peers hear of it at a time was drawn
-// by chance, and some heard nothing for seconds. Each must hear once in as many sendings as
-// the datagram tells.
+// Guards against an instance of a large fleet that is considered unresponsive because some peers
+// receive nothing from it for seconds, as happens if the peers of each send are random. Each peer
+// must be sent one datagram in each round of the reported number of sends.
 func TestEachPeerIsSentADatagramInEachRound(t *testing.T) {
 	for _, peers := range []int{1, 9, 24, 25, 80, 194, 369} {
 		for _, fanout := range []int{EntryFanout, KeeperFanout} {
@@ -41,7 +41,7 @@
 				is.True(len(next) <= fanout)
 				for _, p := range next {
 					if before, heard := last[p.String()]; heard && sending-before > most {
-						t.Fatalf("%d peers, reach %d: %s hears after %d sendings", peers, fanout, p, sending-before)
+						t.Fatalf("%d peers, fanout %d: %s is sent a datagram after %d sends", peers, fanout, p, sending-before)
 					}
 					last[p.String()] = sending
 				}
@@ -51,18 +51,19 @@
 	}
 }
 
-// All instances send to the same peers at the same time, where these are small. Two must go
-// through them in different orders.
-func TestInstancesGoThroughPeersInOrdersOfTheirOwn(t *testing.T) {
+// Guards against all instances sending to the same peers at the same time, which overloads small
+// ones. Two instances must go through the peers in different orders.
+func TestInstancesSendInDifferentOrders(t *testing.T) {
 	is := is.New(t)
 	first := func(name string) string { return fmt.Sprint(newTestExchangeAmong(name, 194, EntryFanout).nextPeers()) }
 	is.Equal(first("a"), first("a"))
 	is.True(first("a") != first("b"))
 }
 
-// A lost keeper goes on being asked, for as long as it takes to hear of an entry among
-// hundreds. How long its silence may last must follow from what it told of itself.
-func TestSilenceIsJudgedByTheSendersTurns(t *testing.T) {
+// Guards against requests to a failed keeper for as long as the silence of one entry among hundreds
+// takes to detect. The silence allowed to an instance must follow from the round length that it
+// reported itself.
+func TestSilenceIsJudgedByTheSendersRoundLength(t *testing.T) {
 	is := is.New(t)
 	x := newTestExchangeAmong("me", 194, EntryFanout)
 	x.nextPeers()
@@ -81,10 +82,10 @@
 	is.True(!silent && !known)
 }
 
-// Engines of a large fleet are overloaded in a burst while others stand idle: instances tell
-// their load seldom, and choose by what was. Each peer must hear from a busy instance within
-// the time of a few prompts.
-func TestBusyInstanceOfALargeFleetIsHeardSoon(t *testing.T) {
+// Guards against engines of a large fleet that are overloaded in a burst while others are idle,
+// because instances report their load rarely and choose by outdated load. Each peer must receive
+// the load of a busy instance within the time of a few prompts.
+func TestBusyInstanceOfALargeFleetReachesPeersSoon(t *testing.T) {
 	for peers, limit := range map[int]time.Duration{9: sendInterval, 194: 600 * time.Millisecond, 369: loadLifetime} {
 		x := newTestExchangeAmong("me", peers, EntryFanout)
 		heard := map[string]time.Duration{}
@@ -96,13 +97,13 @@
 			sent = now
 			for _, p := range x.nextPeers() {
 				if before, ok := heard[p.String()]; ok && now-before > limit {
-					t.Fatalf("%d peers: %s hears after %v", peers, p, now-before)
+					t.Fatalf("%d peers: %s is sent a datagram after %v", peers, p, now-before)
 				}
 				heard[p.String()] = now
 			}
 		}
 		if len(heard) != peers {
-			t.Fatalf("%d of %d peers hear", len(heard), peers)
+			t.Fatalf("%d of %d peers are sent a datagram", len(heard), peers)
 		}
 	}
 }
