--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes structured log lines to an output without ever
-// holding up the code that logs.
+// Package logging writes structured log lines to an output without ever blocking the code that
+// logs.
 package logging
 
 import (
@@ -15,18 +15,18 @@
 )
 
 const (
-	// queued is the number of lines that may wait for the output. A reader that
-	// has stalled costs lines beyond it, not calls.
+	// queueCapacity is the number of lines that may wait for the output. If its reader stalls,
+	// further lines are dropped rather than calls delayed.
 	queueCapacity = 2048
-	// perSecond and burst bound the lines of an instance: some ten times what it
-	// writes at its highest load so far, of 60 calls a second.
+	// linesPerSecond and burstLines bound the lines of an instance to about ten times what it
+	// writes at its highest known load, 60 calls per second.
 	linesPerSecond = 1500
 	burstLines     = 3000
-	// dropsEvery is how often dropped lines are told.
+	// dropReportInterval is how often the number of dropped lines is logged.
 	dropReportInterval = time.Second
 )
 
-// Writer is a log.Handler that writes lines of JSON from a goroutine of its own.
+// Writer is a log.Handler that writes lines of JSON from the goroutine that calls Run.
 type Writer struct {
 	lines   chan line
 	limit   *rate.Limiter
@@ -40,14 +40,14 @@
 	Fields  log.Fields `json:"fields,omitempty"`
 }
 
-// New returns a writer; Run must be called.
+// New returns a writer. It writes nothing until Run is called.
 func New() *Writer {
 	return &Writer{lines: make(chan line, queueCapacity), limit: rate.NewLimiter(linesPerSecond, burstLines)}
 }
 
-// HandleLog implements log.Handler. It never blocks: a line that has no room
-// is counted, and the count is told later. Warnings and errors are not limited
-// by the rate.
+// HandleLog implements log.Handler. It never blocks: if the queue is full or the rate exceeded, it
+// drops the line and counts it, and the count is logged later. The rate limit does not apply to
+// warnings and errors.
 func (w *Writer) HandleLog(e *log.Entry) error {
 	if e.Level < log.WarnLevel && !w.limit.Allow() {
 		w.dropped.Add(1)
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Run writes lines until ctx ends, and then those that wait.
+// Run writes lines to output until ctx ends, and then those still queued.
 func (w *Writer) Run(ctx context.Context, output io.Writer) {
 	buffered := bufio.NewWriter(output)
 	defer buffered.Flush()
@@ -87,7 +87,8 @@
 	}
 }
 
-// write encodes a line; one whose fields can't be encoded is told without them.
+// writeLine encodes a line. If its fields can't be encoded, it writes the line without them and
+// sets the field "unencodable".
 func writeLine(encoder *json.Encoder, l line) {
 	for name, value := range l.Fields {
 		if err, ok := value.(error); ok {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -16,9 +16,9 @@
 	_ "foxhall/internal/fuzzing" // one processor under the race detector
 )
 
-// A caller's call hangs since the reader of standard output has stalled. Lines
-// beyond the queue must be dropped at once, and told when it reads again.
-func TestStalledOutputHoldsUpNobody(t *testing.T) {
+// Guards against calls that hang because the reader of standard output has stalled. Lines beyond
+// the queue must be dropped at once, and their number logged when the reader continues.
+func TestStalledOutputDoesNotBlockLogging(t *testing.T) {
 	var out bytes.Buffer
 	var took time.Duration
 	synctest.Test(t, func(t *testing.T) {
@@ -45,7 +45,7 @@
 	is.Equal(last.Fields["lines"], float64(2*queueCapacity))
 }
 
-// An operator looks for a cause and finds "{}": errors have no exported fields.
+// Guards against errors that are logged as "{}", since they have no exported fields.
 func TestErrorsAreWrittenAsText(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -1,5 +1,5 @@
-// Package wake tells a process that it did not run for a while: it was frozen,
-// or its machine was suspended. What it held before may have changed unseen.
+// Package wake detects pauses of this process: it was frozen, or its machine was suspended. State
+// that the process read before may have changed unnoticed.
 package wake
 
 import (
@@ -9,22 +9,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns the time since some fixed moment.
+// Clock returns the time since a fixed moment.
 type Clock func() time.Duration
 
-// Boot is the clock that counts the time in which the machine was suspended,
-// which the steady clock behind time.Since leaves out. With that one a process
-// takes what it heard before a suspension for fresh.
+// Boot is the clock that includes the time in which the machine was suspended. The monotonic clock
+// behind time.Since excludes it, so that information received before a suspension would seem recent
+// afterwards.
 func Boot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic("wake: the boot clock can't be read: " + err.Error())
+		panic("wake: reading CLOCK_BOOTTIME failed: " + err.Error())
 	}
 	return time.Duration(t.Nano())
 }
 
-// Watch looks at the clock at each interval until ctx ends, and calls woke with
-// the length of each pause that was longer than the longest that does no harm.
+// Watch reads the clock at each interval until ctx ends. If more than interval + maxPause has
+// passed since the last reading, it calls onPause with that time.
 func Watch(ctx context.Context, clock Clock, interval, maxPause time.Duration, onPause func(pause time.Duration)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -35,8 +35,8 @@
 		case <-ctx.Done():
 			return
 		}
-		// The clock is read once: a pause between two readings would be taken
-		// for seen and never show.
+		// The clock is read only once in each iteration. A pause between two readings would go
+		// undetected.
 		now := clock()
 		if gap := now - last; gap > interval+maxPause {
 			onPause(gap)
--- a/internal/wake/wake_test.go
+++ b/internal/wake/wake_test.go
@@ -12,10 +12,10 @@
 	_ "foxhall/internal/fuzzing" // one processor under the race detector
 )
 
-// An instance goes on by a configuration that was replaced while its machine was
-// suspended: by its steady clock it heard of it a moment ago. The pause must show
-// by a clock that counts it, once, and short ones must not.
-func TestSuspensionShows(t *testing.T) {
+// Guards against use of a configuration that was replaced while the machine was suspended: by the
+// monotonic clock it was received a moment ago. A clock that includes the suspension must show the
+// pause once, and short pauses must not be reported.
+func TestSuspensionIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		began := time.Now()
@@ -36,8 +36,8 @@
 	})
 }
 
-// The clock must be one that goes on, in steps fine enough to show a pause.
-func TestBootClockGoesOn(t *testing.T) {
+// The clock must be positive and never go back.
+func TestBootClockIsMonotonic(t *testing.T) {
 	is := is.New(t)
 	first := Boot()
 	is.True(first > 0)
