--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -20,7 +20,7 @@
 // the queue must be dropped at once, and their number logged when the reader continues.
 func TestStalledOutputDoesNotBlockLogging(t *testing.T) {
 	var out bytes.Buffer
-	var took time.Duration
+	var elapsed time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		w := New()
 		logger := &log.Logger{Handler: w, Level: log.InfoLevel}
@@ -28,7 +28,7 @@
 		for range 3 * queueCapacity {
 			logger.WithField("request", "r").Warn("call")
 		}
-		took = time.Since(began)
+		elapsed = time.Since(began)
 		ctx, cancel := context.WithCancel(context.Background())
 		go w.Run(ctx, &out)
 		time.Sleep(2 * dropReportInterval)
@@ -36,7 +36,7 @@
 		synctest.Wait()
 	})
 	is := is.New(t)
-	is.Equal(took, time.Duration(0))
+	is.Equal(elapsed, time.Duration(0))
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	is.Equal(len(lines), queueCapacity+1)
 	var last line
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -72,7 +72,7 @@
 	if f.standby.Swap(standby) == standby {
 		return
 	}
-	f.logger.WithField("standby", standby).Info("standby state of polls for changes set")
+	f.logger.WithField("standby", standby).Info("follower changed between standby and polling for changes")
 	if standby {
 		// Without polls it is unknown whether the store responds to this instance.
 		f.clearUnavailable()
@@ -115,7 +115,7 @@
 func (f *Follower) Refresh(ctx context.Context) {
 	for _, k := range Kinds {
 		if err := f.snapshot(ctx, k); err != nil {
-			f.logger.WithError(err).WithField("kind", string(k)).Info("store read failed; waiting for the relay or the next poll")
+			f.logger.WithError(err).WithField("kind", string(k)).Info("store read failed; present state stays until the next exchange or poll")
 		}
 	}
 }
@@ -155,12 +155,12 @@
 	if !known {
 		return nil
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	object, err := f.store.Get(ctx, store.Key{Kind: string(Config), Name: ConfigName})
 	if err != nil {
 		return err
 	}
-	f.mirror.Confirm(Config, asked)
+	f.mirror.Confirm(Config, requestedAt)
 	if object.Version <= asOf {
 		return nil
 	}
@@ -170,7 +170,7 @@
 }
 
 func (f *Follower) followKind(ctx context.Context, i int, k Kind) {
-	waits := newBackOff()
+	delays := newBackOff()
 	for ctx.Err() == nil {
 		if f.standby.Load() || f.isProbedByFirstKind(i) {
 			sleep(ctx, retryInitialDelay)
@@ -187,7 +187,7 @@
 		}
 		if err == nil || errors.Is(err, store.ErrGone) {
 			f.markAvailable(i, k)
-			waits.Reset()
+			delays.Reset()
 			if err == nil {
 				continue
 			}
@@ -195,7 +195,7 @@
 			continue
 		}
 		f.markUnavailable(i, k, err)
-		sleep(ctx, waits.NextBackOff())
+		sleep(ctx, delays.NextBackOff())
 	}
 }
 
@@ -251,13 +251,13 @@
 }
 
 func (f *Follower) snapshot(ctx context.Context, k Kind) error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	listing, err := f.store.Snapshot(ctx, string(k))
 	if err != nil {
 		return err
 	}
 	f.detectOutageEnd(k)
-	f.mirror.Confirm(k, asked)
+	f.mirror.Confirm(k, requestedAt)
 	d := Delta{Kind: k, Full: true, AsOf: listing.AsOf}
 	for _, o := range listing.Objects {
 		d.Entries = append(d.Entries, Entry{Name: o.Key.Name, Revision: o.Version, Value: o.Value})
@@ -269,7 +269,7 @@
 // relist reads all entries of a kind after the store has dropped its history, and retries until it
 // succeeds.
 func (f *Follower) relist(ctx context.Context, i int, k Kind) {
-	waits := newBackOff()
+	delays := newBackOff()
 	for ctx.Err() == nil {
 		err := f.snapshot(ctx, k)
 		if err == nil {
@@ -277,7 +277,7 @@
 			return
 		}
 		f.markUnavailable(i, k, err)
-		sleep(ctx, waits.NextBackOff())
+		sleep(ctx, delays.NextBackOff())
 	}
 }
 
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -32,8 +32,8 @@
 // ConfigName is the name of the only object of the kind Config.
 const ConfigName = "main"
 
-// maxTombstones bounds the tombstones of a kind retained for outdated peers. A peer that lacks more
-// than these receives the whole kind.
+// maxTombstones bounds the tombstones of a kind that are retained for outdated peers. A peer that
+// is further behind receives all entries of the kind.
 const maxTombstones = 512
 
 // Entry is one object as of its last change.
@@ -61,8 +61,8 @@
 	tombstones []Entry
 	// tombstonesSince is the version after which tombstones are complete.
 	tombstonesSince store.Version
-	// confirmedAt is the time of the store's last known response about the kind, returnedAt that of
-	// the last first response after an outage.
+	// confirmedAt is the time of the store's last known response about the kind. returnedAt is the
+	// time of the first response after the latest outage.
 	confirmedAt, returnedAt time.Time
 }
 
@@ -181,8 +181,8 @@
 	return d, true
 }
 
-// Apply applies a delta and reports whether an entry changed. A delta older than the copy has no
-// effect, so that a delayed response never reverts it.
+// Apply applies a delta and reports whether an entry changed. A delta older than the mirrored state
+// has no effect, so that a delayed response never reverts that state.
 func (m *Mirror) Apply(d Delta) bool {
 	m.mu.Lock()
 	changed, becameKnown := m.kinds[d.Kind].apply(d)
@@ -213,7 +213,7 @@
 }
 
 // applyListing applies a complete listing. Entries that it lacks were removed at some revision up
-// to its own. Tombstones for them make it unnecessary to send peers the whole kind again.
+// to its own. With tombstones for them, peers need not be sent all entries of the kind again.
 func (c *kindCopy) applyListing(d Delta) bool {
 	if !c.known {
 		for _, e := range d.Entries {
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -18,25 +18,25 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		copies := []*Mirror{New(), New(), New()}
 		history := map[store.Version]string{}
-		truth := map[string]store.Version{}
+		stored := map[string]store.Version{}
 		version := store.Version(1)
 		copies[0].Apply(Delta{Kind: Replicas, Full: true, AsOf: version})
-		history[version] = format(truth)
+		history[version] = format(stored)
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			name := fmt.Sprint(rapid.IntRange(0, 4).Draw(rt, "name"))
 			switch rapid.SampledFrom([]string{"put", "remove", "list", "exchange", "exchange"}).Draw(rt, "step") {
 			case "put":
 				version++
-				truth[name] = version
+				stored[name] = version
 				copies[0].Apply(Delta{Kind: Replicas, From: version - 1, AsOf: version, Entries: []Entry{{Name: name, Revision: version}}})
 			case "remove":
 				version++
-				delete(truth, name)
+				delete(stored, name)
 				copies[0].Apply(Delta{Kind: Replicas, From: version - 1, AsOf: version, Removed: []Entry{{Name: name, Revision: version}}})
 			case "list":
 				version++
 				d := Delta{Kind: Replicas, Full: true, AsOf: version}
-				for n, r := range truth {
+				for n, r := range stored {
 					d.Entries = append(d.Entries, Entry{Name: n, Revision: r})
 				}
 				copies[0].Apply(d)
@@ -48,7 +48,7 @@
 					to.Apply(d)
 				}
 			}
-			history[version] = format(truth)
+			history[version] = format(stored)
 			for i, m := range copies {
 				asOf, known := m.AsOf(Replicas)
 				if held := format(versions(m)); known && held != history[asOf] {
--- a/internal/mirror/relay.go
+++ b/internal/mirror/relay.go
@@ -149,10 +149,10 @@
 		r.follower.SetStandby(!r.shouldWatch())
 	}
 	if p, ok := r.chooseExchangePeer(peers); ok {
-		_, answered := r.exchange(ctx, p)
+		_, responded := r.exchange(ctx, p)
 		// Until the members of the data centre are known, any peer that responds counts.
 		_, known := r.mirror.AsOf(Fleet)
-		hasFollower = hasFollower || answered && !known
+		hasFollower = hasFollower || responded && !known
 	}
 	if hasFollower {
 		r.roundsWithoutFollower = 0
@@ -303,8 +303,9 @@
 }
 
 func (r *Relay) applyDeltas(deltas []*mirrorpb.Delta, unsettledMs int64) {
-	// An instance that was isolated mistakes its own return for the end of a store outage.
-	// Instances that kept contact with the store must not retain removed replicas because of it.
+	// An instance that was isolated mistakes its own return for the end of a store outage, and
+	// announces a registration grace. Instances that kept contact with the store must not retain
+	// removed replicas because of that.
 	if unsettledMs > 0 && r.mirror.AfterOutage(Replicas, time.Now()) {
 		r.mirror.SetRegistrationGrace(time.Now().Add(time.Duration(unsettledMs) * time.Millisecond))
 	}
--- a/internal/mirror/relay_test.go
+++ b/internal/mirror/relay_test.go
@@ -271,24 +271,24 @@
 // replicas whose entries expired. The registration grace must be set by the time listeners learn of
 // the removals.
 func TestFirstResponseAfterAnOutageSetsTheGraceTime(t *testing.T) {
-	var unsettled, before time.Duration
+	var grace, graceBefore time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := newFakeStore()
 		m := New()
-		var away atomic.Bool
+		var unavailable atomic.Bool
 		m.OnChange(func(k Kind) {
-			if k == Replicas && away.Load() {
-				unsettled = m.RegistrationGrace(time.Now())
+			if k == Replicas && unavailable.Load() {
+				grace = m.RegistrationGrace(time.Now())
 			}
 		})
 		f := NewFollower(m, storeClient{s, "i"}, &log.Logger{Handler: discard.Default})
 		go f.Run(ctx)
 		time.Sleep(10 * time.Second)
-		before = m.RegistrationGrace(time.Now())
+		graceBefore = m.RegistrationGrace(time.Now())
 		s.set(func() { s.refused["i"] = true })
 		time.Sleep(4 * time.Second)
-		away.Store(true)
+		unavailable.Store(true)
 		s.set(func() { s.refused["i"] = false })
 		s.change()
 		time.Sleep(time.Second)
@@ -296,8 +296,8 @@
 		time.Sleep(time.Minute)
 	})
 	is := is.New(t)
-	is.Equal(before, time.Duration(0))
-	is.Equal(unsettled, registrationTime)
+	is.Equal(graceBefore, time.Duration(0))
+	is.Equal(grace, registrationTime)
 }
 
 // Guards against calls to a removed replica during a rolling restart of instances: if each took its
@@ -327,14 +327,14 @@
 		m := New()
 		r := NewRelay("i", "a", m, nil, nil, &log.Logger{Handler: discard.Default})
 		r.follower = NewFollower(m, nil, r.logger)
-		word := &mirrorpb.ExchangeRequest{From: "j", UnsettledMs: registrationTime.Milliseconds()}
+		announcement := &mirrorpb.ExchangeRequest{From: "j", UnsettledMs: registrationTime.Milliseconds()}
 		m.Confirm(Replicas, time.Now())
 		time.Sleep(outageThreshold / 2)
-		_, err := r.Exchange(context.Background(), word)
+		_, err := r.Exchange(context.Background(), announcement)
 		is.NoErr(err)
 		is.Equal(m.RegistrationGrace(time.Now()), time.Duration(0))
 		time.Sleep(outageThreshold)
-		_, err = r.Exchange(context.Background(), word)
+		_, err = r.Exchange(context.Background(), announcement)
 		is.NoErr(err)
 		is.Equal(m.RegistrationGrace(time.Now()), registrationTime)
 	})
--- a/internal/mirror/succession.go
+++ b/internal/mirror/succession.go
@@ -37,9 +37,9 @@
 )
 
 // peersToDeferTo returns the peers to which this instance leaves the store while they follow it:
-// those that precede it by name in the data centre, sorted by name. Where these can't follow,
-// others may have taken over, so known followers come before them. Of several followers the first
-// by name continues; an instance that does not follow defers to any.
+// those that precede it by name in the data centre, sorted by name. Known followers come before
+// them, since others may have taken over where the preceding peers can't follow. Of several
+// followers the first by name continues. An instance that does not follow defers to any follower.
 func (r *Relay) peersToDeferTo(peers []Peer) []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +99,7 @@
 	if r.cancelFollow == nil {
 		return
 	}
-	r.logger.Info("stopped following the store; deferring to another follower")
+	r.logger.Info("stopped following the store")
 	r.cancelFollow()
 	<-r.followerDone
 	r.cancelFollow = nil
@@ -134,9 +134,9 @@
 			first[p.DataCentre] = p
 		}
 	}
-	relied := slices.Collect(maps.Values(first))
-	slices.SortFunc(relied, func(a, b Peer) int { return strings.Compare(a.DataCentre, b.DataCentre) })
-	return relied[:min(watcherDataCentres, len(relied))]
+	watchers := slices.Collect(maps.Values(first))
+	slices.SortFunc(watchers, func(a, b Peer) int { return strings.Compare(a.DataCentre, b.DataCentre) })
+	return watchers[:min(watcherDataCentres, len(watchers))]
 }
 
 func (r *Relay) recordFollowing(p Peer, following, watching bool) {
--- a/internal/mirror/watch_test.go
+++ b/internal/mirror/watch_test.go
@@ -69,7 +69,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		f := &bigFleet{store: newFakeStore(), net: &network{}}
-		quiet := &log.Logger{Handler: discard.Default}
+		logger := &log.Logger{Handler: discard.Default}
 		for i := range size {
 			n := &instance{name: fmt.Sprintf("i%03d", i), mirror: New()}
 			peers := func() []Peer {
@@ -81,8 +81,8 @@
 				}
 				return peers
 			}
-			follower := NewFollower(n.mirror, storeClient{f.store, n.name}, quiet)
-			n.relay = NewRelay(n.name, fmt.Sprint("dc-", i%bigDataCentres), n.mirror, follower, peers, quiet)
+			follower := NewFollower(n.mirror, storeClient{f.store, n.name}, logger)
+			n.relay = NewRelay(n.name, fmt.Sprint("dc-", i%bigDataCentres), n.mirror, follower, peers, logger)
 			f.all = append(f.all, n)
 		}
 		for i, n := range f.all {
@@ -116,8 +116,8 @@
 }
 
 // isolate makes the network lose all exchanges with these instances.
-func (f *bigFleet) isolate(gone ...*instance) {
-	f.setLoss(func(from, to *instance) bool { return slices.Contains(gone, from) || slices.Contains(gone, to) })
+func (f *bigFleet) isolate(isolated ...*instance) {
+	f.setLoss(func(from, to *instance) bool { return slices.Contains(isolated, from) || slices.Contains(isolated, to) })
 }
 
 // refuse makes the store refuse calls of instances, including their waiting polls.
@@ -160,8 +160,8 @@
 			f.store.mu.Lock()
 			defer f.store.mu.Unlock()
 			// Each watcher polls four kinds for each change, and once more for the next.
-			if polls, most := f.store.calls["poll"], 2*len(Kinds)*21; polls > most {
-				return errors.Errorf("%d instances: %d polls for changes, want at most %d", size, polls, most)
+			if polls, limit := f.store.calls["poll"], 2*len(Kinds)*21; polls > limit {
+				return errors.Errorf("%d instances: %d polls for changes, want at most %d", size, polls, limit)
 			}
 			return nil
 		})
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -58,17 +58,19 @@
 	mirror   *mirror.Mirror
 	objects  Objects
 	client   *http.Client
-	// isReachable reports whether an instance has sent something recently, or never did.
+	// isReachable reports whether an instance has sent something recently. It returns true for an
+	// instance that never did, of which nothing is known.
 	isReachable func(name string) bool
 	// onSilence calls f if the instance becomes unresponsive before stop is called.
 	onSilence func(name string, f func()) (stop func())
 	// isSilent reports whether an instance has sent nothing recently, and whether this instance has
 	// listened long enough to know.
-	isSilent func(name string) (misses, known bool)
-	// isIsolated reports whether this instance hears no other data centre.
+	isSilent func(name string) (silent, known bool)
+	// isIsolated reports whether this instance has had no recent contact with any other data
+	// centre.
 	isIsolated func() bool
 	// broadcast sends a keeper's status to other keepers.
-	broadcast func(standing []byte, keepers []*net.UDPAddr)
+	broadcast func(status []byte, keepers []*net.UDPAddr)
 	logger    log.Interface
 
 	// decodedMembers and decodedAssignment cache decoded mirror entries. Only the refreshing
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -70,7 +70,7 @@
 	balancerDelay = 2600 * time.Millisecond
 	// shutdownMargin is the part of the grace period left for the process to exit.
 	shutdownMargin = 400 * time.Millisecond
-	// cacheViewBlocks bounds the entry's view of the engines' caches to 24 MB.
+	// cacheViewBlocks bounds the entry's view of the engines' caches, which takes up to 24 MB.
 	cacheViewBlocks = 1 << 17
 	// partitionTimeout is how long another data centre may send nothing before calls to it stop. By
 	// then three datagrams in a row from each of its instances are lost.
@@ -317,7 +317,7 @@
 	n.keeper.ObserveStatus(status)
 }
 
-// handOff waits for the order to stop, then hands this keeper's shards off to others.
+// handOff waits until ctx ends, then hands this keeper's shards off to other keepers.
 func (n *Node) handOff(ctx context.Context) error {
 	<-ctx.Done()
 	n.logger.Info("stopping")
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// Operators must be able to see when an instance considered a data centre unresponsive, from one
-// line at the beginning and one at the end rather than one for each check.
+// Operators must be able to see from the log when an instance considered a data centre
+// unresponsive: one line at the beginning and one at the end, not one for each check.
 func TestSilenceOfADataCentreIsLoggedAtItsBeginningAndEnd(t *testing.T) {
 	is := is.New(t)
 	s, now := silentSince{}, time.Now()
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -73,28 +73,28 @@
 }
 
 // merge returns the replicas to use: those listed now, and those listed before that may register
-// again within the grace time.
-func (l *removalHold) merge(previous, current []routing.Replica, grace time.Duration) []routing.Replica {
+// again within the remaining grace period.
+func (h *removalHold) merge(previous, current []routing.Replica, grace time.Duration) []routing.Replica {
 	listed := map[string]bool{}
 	for i := range current {
 		listed[current[i].ID] = true
 	}
 	if grace <= 0 {
-		l.held = nil
+		h.held = nil
 		return current
 	}
-	if l.held == nil {
-		l.held = map[string]routing.Replica{}
+	if h.held == nil {
+		h.held = map[string]routing.Replica{}
 	}
 	for _, r := range previous {
 		if !listed[r.ID] && !r.Draining {
-			l.held[r.ID] = r
+			h.held[r.ID] = r
 		}
 	}
 	all := current
-	for id, r := range l.held {
+	for id, r := range h.held {
 		if listed[id] {
-			delete(l.held, id)
+			delete(h.held, id)
 			continue
 		}
 		all = append(all, r)
--- a/internal/node/upstreams_test.go
+++ b/internal/node/upstreams_test.go
@@ -23,8 +23,8 @@
 
 // Guards against refusing all calls for seconds after a store outage: the entries of live replicas
 // expired during it, and are written again only after its end. The replicas must stay in use for
-// the grace time and be dropped after it.
-func TestExpiredReplicasAreUsedWithinTheGraceTime(t *testing.T) {
+// the grace period and be dropped after it.
+func TestExpiredReplicasAreUsedWithinTheGracePeriod(t *testing.T) {
 	is := is.New(t)
 	var l removalHold
 	before := []routing.Replica{replica("a", 1, false), replica("b", 1, false)}
@@ -36,8 +36,8 @@
 	is.Equal(names(l.merge(now, back, 0)), []string{"a@1"})
 }
 
-// Guards against calls to a replica that was draining before its entry was removed within the grace
-// time after a store outage. The removal of a draining replica must not be delayed.
+// Guards against calls to a draining replica whose entry is removed within the grace period after a
+// store outage. The removal of a draining replica must not be delayed.
 func TestRemovalOfDrainingReplicaIsNotDelayed(t *testing.T) {
 	is := is.New(t)
 	var l removalHold
--- a/internal/peerload/peerload.go
+++ b/internal/peerload/peerload.go
@@ -44,7 +44,7 @@
 	// seventy, four hundred datagrams arrive each second. A sum for each of them took 1.7% of a
 	// core (BenchmarkRecordLoad: 42 µs, 6 µs with the interval).
 	sumInterval = 15 * time.Millisecond
-	// maxDatagramBytes has space for about a hundred upstreams.
+	// maxDatagramBytes is the size of the receive buffer, enough for some hundred upstreams.
 	maxDatagramBytes = 8 << 10
 )
 
@@ -80,8 +80,9 @@
 	startedAt time.Time
 	// listeningSince is the time since which datagrams have been received without a pause.
 	listeningSince time.Time
-	// peerCount is the number of peers at the start of the last round. It is stored here so that
-	// callers of methods such as HeardOrUnknown may hold the lock that peers takes.
+	// peerCount is the number of peers at the start of the last round. It is stored here, instead
+	// of calling peers under mu, so that callers of the exchange's methods may hold the lock that
+	// peers takes.
 	peerCount int
 	// summedAt is the time of the last sum over the peers' loads. sumPending is true if a load
 	// arrived since then.
@@ -103,10 +104,10 @@
 	busy bool
 }
 
-// isSilentFor reports whether nothing was received for t, where t is the time for a fleet whose
-// rounds take one send. It is scaled to the instance's round length.
-func (l contact) isSilentFor(t time.Duration, now time.Time) bool {
-	return now.Sub(l.heardAt) >= t*time.Duration(max(1, l.sendsPerRound))
+// isSilentFor reports whether nothing was received for t times the number of sends per round. t is
+// thus the time that applies in a small fleet, whose rounds take one send.
+func (c contact) isSilentFor(t time.Duration, now time.Time) bool {
+	return now.Sub(c.heardAt) >= t*time.Duration(max(1, c.sendsPerRound))
 }
 
 // New returns an exchange that is not yet running. fanout is the maximum number of peers in one
@@ -224,7 +225,7 @@
 // isDue reports whether it is time to send again.
 func isDue(busy bool, sinceLast time.Duration) bool { return busy || sinceLast >= idleSendInterval }
 
-// sumPendingLoads adds up loads that arrived within sumInterval of the last sum.
+// sumPendingLoads sums the loads again if some arrived after the last sum, too early for another.
 func (x *Exchange) sumPendingLoads() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -233,9 +234,9 @@
 	}
 }
 
-// HeardOrUnknown reports whether the last contact with an instance is recent, or whether there was
-// none, so that nothing is known. within is scaled to the instance's round length, since an
-// instance with more peers than its fanout sends to each of them less often.
+// HeardOrUnknown reports whether the last contact with an instance is recent. It returns true if
+// there was none, since nothing is known of the instance then. within is scaled to the instance's
+// round length, since an instance with more peers than its fanout sends to each of them less often.
 func (x *Exchange) HeardOrUnknown(instance string, within time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -243,8 +244,8 @@
 	return !ok || !l.isSilentFor(within, time.Now())
 }
 
-// Silent reports whether there was no recent contact with an instance. The result is known only if
-// this instance has listened for that long.
+// Silent reports whether there was no recent contact with an instance. known is false if this
+// instance has not listened long enough to tell.
 func (x *Exchange) Silent(instance string, within time.Duration) (silent, known bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/peerload/reach_test.go
+++ b/internal/peerload/reach_test.go
@@ -35,15 +35,15 @@
 			is := is.New(t)
 			x := newTestExchangeAmong("me", peers, fanout)
 			last := map[string]int{}
-			most := int(sendsPerRound(peers, fanout))
-			for sending := range 10 * most {
+			maxSends := int(sendsPerRound(peers, fanout))
+			for send := range 10 * maxSends {
 				next := x.nextPeers()
 				is.True(len(next) <= fanout)
 				for _, p := range next {
-					if before, heard := last[p.String()]; heard && sending-before > most {
-						t.Fatalf("%d peers, fanout %d: %s is sent a datagram after %d sends", peers, fanout, p, sending-before)
+					if before, heard := last[p.String()]; heard && send-before > maxSends {
+						t.Fatalf("%d peers, fanout %d: %s is sent a datagram after %d sends", peers, fanout, p, send-before)
 					}
-					last[p.String()] = sending
+					last[p.String()] = send
 				}
 			}
 			is.Equal(len(last), peers)
