--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -16,36 +16,36 @@
 	_ "foxhall/internal/fuzzing" // one processor under the race detector
 )
 
-// A caller's call hangs since the reader of standard output has stalled. Lines
-// beyond the queue must be dropped at once, and told when it reads again.
-func TestStalledOutputHoldsUpNobody(t *testing.T) {
+// Guards against calls that hang because the reader of standard output has stalled. Lines beyond
+// the queue must be dropped at once, and their number logged when the reader continues.
+func TestStalledOutputDoesNotBlockLogging(t *testing.T) {
 	var out bytes.Buffer
-	var took time.Duration
+	var elapsed time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		w := New()
 		logger := &log.Logger{Handler: w, Level: log.InfoLevel}
 		began := time.Now()
-		for range 3 * queued {
+		for range 3 * queueCapacity {
 			logger.WithField("request", "r").Warn("call")
 		}
-		took = time.Since(began)
+		elapsed = time.Since(began)
 		ctx, cancel := context.WithCancel(context.Background())
 		go w.Run(ctx, &out)
-		time.Sleep(2 * dropsEvery)
+		time.Sleep(2 * dropReportInterval)
 		cancel()
 		synctest.Wait()
 	})
 	is := is.New(t)
-	is.Equal(took, time.Duration(0))
+	is.Equal(elapsed, time.Duration(0))
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	is.Equal(len(lines), queued+1)
+	is.Equal(len(lines), queueCapacity+1)
 	var last line
-	is.NoErr(json.Unmarshal([]byte(lines[queued]), &last))
+	is.NoErr(json.Unmarshal([]byte(lines[queueCapacity]), &last))
 	is.Equal(last.Message, "log lines dropped")
-	is.Equal(last.Fields["lines"], float64(2*queued))
+	is.Equal(last.Fields["lines"], float64(2*queueCapacity))
 }
 
-// An operator looks for a cause and finds "{}": errors have no exported fields.
+// Guards against errors that are logged as "{}", since they have no exported fields.
 func TestErrorsAreWrittenAsText(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -15,87 +15,86 @@
 )
 
 const (
-	// pollWait is how long a question for changes waits at the store. A silent
-	// connection is found by keep-alive probes, so it may be long; each
-	// question is paid for.
-	pollWait = 25 * time.Second
-	// checkEvery is how often what must be in force soon is read anew beside the
-	// questions for changes, which the store may leave unanswered for seconds
-	// while it drops its history. It is below the 2 s within which a change has
-	// to be in force, with a margin for passing it on.
-	checkEvery = 1100 * time.Millisecond
-	// checkSpread keeps followers from asking all at the same moment, so that
-	// those that ask later hear of the answer first.
-	checkSpread = 350 * time.Millisecond
-	// standbyDelay is how much later a follower checks that stands by: the answers to
-	// others reach it by the rounds in which it asks them.
+	// pollTimeout is how long a poll for changes waits at the store. It may be long, since
+	// keep-alive probes detect an unresponsive connection, and each poll is charged for.
+	pollTimeout = 25 * time.Second
+	// checkInterval is how often the configuration and the replicas are read in addition to polls,
+	// which the store may leave unanswered for seconds while it drops its history. It is below the
+	// 2 s within which a change has to be in force, with a margin for relaying it.
+	checkInterval = 1100 * time.Millisecond
+	// checkJitter spreads the checks of followers, so that the later ones learn of the first
+	// response through the relay and need no check.
+	checkJitter = 350 * time.Millisecond
+	// standbyDelay is the extra delay of a standby follower's checks. Store responses to other
+	// followers reach it through the relay, in its exchange rounds.
 	standbyDelay = 300 * time.Millisecond
-	// checkTick is how often it is looked at whether a check is due.
-	checkTick = 60 * time.Millisecond
-	// mergePause is the pause after an answer with changes: a burst of changes,
-	// as at the start of all replicas, costs a few questions and not one each.
-	mergePause = 250 * time.Millisecond
-	// retryFirst and retryMost are the waits between failed calls.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 700 * time.Millisecond
-	// returnTime is how long living replicas need to enter themselves again
-	// after the store was away.
-	returnTime = 2500 * time.Millisecond
-	// outageAfter is how long the store must have said nothing for entries to
-	// have lapsed: three heartbeats of a replica take over 3 s, and checks keep
-	// its last word below 1.5 s.
-	outageAfter = 2500 * time.Millisecond
+	// checkDueInterval is how often a follower determines whether a check is due.
+	checkDueInterval = 60 * time.Millisecond
+	// debounceDelay is the delay after a response with changes. A burst of changes, such as the
+	// start of all replicas, then costs a few polls rather than one for each.
+	debounceDelay = 250 * time.Millisecond
+	// retryInitialDelay and retryMaxDelay bound the backoff between failed calls.
+	retryInitialDelay = 100 * time.Millisecond
+	retryMaxDelay     = 700 * time.Millisecond
+	// registrationTime is how long live replicas need to register again after a store outage.
+	registrationTime = 2500 * time.Millisecond
+	// outageThreshold is how long the store must have sent no response before entries may have
+	// expired. Three heartbeats of a replica take over 3 s, and checks keep the last response less
+	// than 1.5 s old while the store is available.
+	outageThreshold = 2500 * time.Millisecond
 )
 
-// Follower keeps a mirror up to date from the store itself while it is active.
+// Follower updates a mirror directly from the store while it is active.
 type Follower struct {
 	mirror *Mirror
 	store  store.Poller
 	logger log.Interface
-	// lost is, for each kind, since when the store has not answered, in Unix
-	// nanoseconds; 0 while it does.
-	lost   []atomic.Int64
-	active atomic.Bool
-	// standby says that others ask for changes, which this one is told of.
+	// unavailableSince is, for each kind, the time in Unix nanoseconds since which the store has
+	// not responded, or 0 while it does.
+	unavailableSince []atomic.Int64
+	active           atomic.Bool
+	// standby is true while other followers poll for changes and relay them to this one.
 	standby atomic.Bool
 }
 
 // NewFollower returns a follower that is not yet active.
 func NewFollower(m *Mirror, s store.Poller, logger log.Interface) *Follower {
-	return &Follower{mirror: m, store: s, logger: logger, lost: make([]atomic.Int64, len(Kinds))}
+	return &Follower{mirror: m, store: s, logger: logger, unavailableSince: make([]atomic.Int64, len(Kinds))}
 }
 
 // Active reports whether the follower is running.
 func (f *Follower) Active() bool { return f.active.Load() }
 
-// StandBy has the follower leave the questions for changes to others, or ask them again.
-// Standing by it still checks what must be in force soon when it has heard nothing.
+// SetStandby makes the follower leave polls for changes to others, or resume them. A standby
+// follower still checks the configuration and the replicas when it has received no confirmation of
+// them.
 func (f *Follower) SetStandby(standby bool) {
 	if f.standby.Swap(standby) == standby {
 		return
 	}
-	f.logger.WithField("standby", standby).Info("questions for changes")
+	f.logger.WithField("standby", standby).Info("follower changed between standby and polling for changes")
 	if standby {
-		// Whether the store answers this instance is not known any more.
-		f.forgetLosses()
+		// Without polls it is unknown whether the store responds to this instance.
+		f.clearUnavailable()
 	}
 }
 
-func (f *Follower) forgetLosses() {
-	for i := range f.lost {
-		f.lost[i].Store(0)
+func (f *Follower) clearUnavailable() {
+	for i := range f.unavailableSince {
+		f.unavailableSince[i].Store(0)
 	}
 }
 
-// LostFor returns how long the store has not answered; 0 while it does.
+// UnavailableFor returns how long the store has not responded, or 0 while it does. Of the kinds,
+// the longest time counts.
 func (f *Follower) UnavailableFor(now time.Time) time.Duration {
-	worst := time.Duration(0)
-	for i := range f.lost {
-		if at := f.lost[i].Load(); at != 0 {
-			worst = max(worst, now.Sub(time.Unix(0, at)))
+	longest := time.Duration(0)
+	for i := range f.unavailableSince {
+		if at := f.unavailableSince[i].Load(); at != 0 {
+			longest = max(longest, now.Sub(time.Unix(0, at)))
 		}
 	}
-	return worst
+	return longest
 }
 
 // Run follows the store until ctx ends.
@@ -104,64 +103,64 @@
 	defer f.active.Store(false)
 	var group sync.WaitGroup
 	for i, k := range Kinds {
-		group.Go(func() { f.follow(ctx, i, k) })
+		group.Go(func() { f.followKind(ctx, i, k) })
 	}
-	group.Go(func() { f.check(ctx) })
+	group.Go(func() { f.runChecks(ctx) })
 	group.Wait()
-	f.forgetLosses()
+	f.clearUnavailable()
 	f.standby.Store(false)
 }
 
-// Look reads all kinds once.
+// Refresh reads all kinds once.
 func (f *Follower) Refresh(ctx context.Context) {
 	for _, k := range Kinds {
 		if err := f.snapshot(ctx, k); err != nil {
-			f.logger.WithError(err).WithField("kind", string(k)).Info("store not read at the start")
+			f.logger.WithError(err).WithField("kind", string(k)).Info("store read failed; present state stays until the next exchange or poll")
 		}
 	}
 }
 
-// check reads the configuration and the replicas anew where the store has told
-// no instance about them for a while.
-func (f *Follower) check(ctx context.Context) {
-	spread := rand.N(checkSpread)
-	for sleep(ctx, checkTick); ctx.Err() == nil; sleep(ctx, checkTick) {
-		due := checkEvery + spread
+// runChecks reads the configuration and the replicas whenever the store's last known response to
+// any instance about them is too old.
+func (f *Follower) runChecks(ctx context.Context) {
+	jitter := rand.N(checkJitter)
+	for sleep(ctx, checkDueInterval); ctx.Err() == nil; sleep(ctx, checkDueInterval) {
+		due := checkInterval + jitter
 		if f.standby.Load() {
 			due += standbyDelay
 		}
 		if f.mirror.Age(Config, time.Now()) > due {
-			f.checked(ctx, Config, f.checkConfig(ctx))
-			spread = rand.N(checkSpread)
+			f.handleCheckResult(ctx, Config, f.checkConfig(ctx))
+			jitter = rand.N(checkJitter)
 		}
 		if f.mirror.Age(Replicas, time.Now()) > due {
-			f.checked(ctx, Replicas, f.snapshot(ctx, Replicas))
-			spread = rand.N(checkSpread)
+			f.handleCheckResult(ctx, Replicas, f.snapshot(ctx, Replicas))
+			jitter = rand.N(checkJitter)
 		}
 	}
 }
 
-func (f *Follower) checked(ctx context.Context, k Kind, err error) {
+func (f *Follower) handleCheckResult(ctx context.Context, k Kind, err error) {
 	if err == nil {
 		return
 	}
-	// The question for changes that waits beside it says that the store is lost.
-	f.logger.WithError(err).WithField("kind", string(k)).Debug("not checked")
-	sleep(ctx, retryMost)
+	// Store outages are logged by the concurrent poll.
+	f.logger.WithError(err).WithField("kind", string(k)).Debug("store check failed; will retry")
+	sleep(ctx, retryMaxDelay)
 }
 
-// checkConfig reads the one object of its kind, which is cheaper than a listing.
+// checkConfig reads the only object of the kind, which is cheaper than a listing.
 func (f *Follower) checkConfig(ctx context.Context) error {
 	asOf, known := f.mirror.AsOf(Config)
 	if !known {
 		return nil
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	object, err := f.store.Get(ctx, store.Key{Kind: string(Config), Name: ConfigName})
 	if err != nil {
 		return err
 	}
-	f.mirror.Confirm(Config, asked)
+	f.mirror.Confirm(Config, requestedAt)
 	if object.Version <= asOf {
 		return nil
 	}
@@ -170,50 +169,51 @@
 	return nil
 }
 
-func (f *Follower) follow(ctx context.Context, i int, k Kind) {
-	waits := newBackOff()
+func (f *Follower) followKind(ctx context.Context, i int, k Kind) {
+	delays := newBackOff()
 	for ctx.Err() == nil {
-		if f.standby.Load() || f.probedByFirst(i) {
-			sleep(ctx, retryFirst)
+		if f.standby.Load() || f.isProbedByFirstKind(i) {
+			sleep(ctx, retryInitialDelay)
 			continue
 		}
-		wait := pollWait
-		if f.lost[i].Load() != 0 {
-			// The first answer after a loss tells at once that the store is back.
+		wait := pollTimeout
+		if f.unavailableSince[i].Load() != 0 {
+			// A poll without waiting shows at once when the store is available again.
 			wait = 0
 		}
-		err := f.step(ctx, k, wait)
+		err := f.poll(ctx, k, wait)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil || errors.Is(err, store.ErrGone) {
-			f.regained(i, k)
-			waits.Reset()
+			f.markAvailable(i, k)
+			delays.Reset()
 			if err == nil {
 				continue
 			}
-			f.list(ctx, i, k)
+			f.relist(ctx, i, k)
 			continue
 		}
-		f.noteLost(i, k, err)
-		sleep(ctx, waits.NextBackOff())
+		f.markUnavailable(i, k, err)
+		sleep(ctx, delays.NextBackOff())
 	}
 }
 
-// probedByFirst reports that the store is lost to this kind and to the first. One
-// kind's calls show when it is back; those of the others would be paid for too.
-func (f *Follower) probedByFirst(i int) bool {
-	return i > 0 && f.lost[i].Load() != 0 && f.lost[0].Load() != 0
+// isProbedByFirstKind reports whether the store is unavailable for this kind and for the first. The
+// first kind's calls suffice to detect its return; calls for the others would be charged for as
+// well.
+func (f *Follower) isProbedByFirstKind(i int) bool {
+	return i > 0 && f.unavailableSince[i].Load() != 0 && f.unavailableSince[0].Load() != 0
 }
 
 func newBackOff() *backoff.ExponentialBackOff {
-	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval = retryFirst
-	waits.MaxInterval = retryMost
-	return waits
+	backOff := backoff.NewExponentialBackOff()
+	backOff.InitialInterval = retryInitialDelay
+	backOff.MaxInterval = retryMaxDelay
+	return backOff
 }
 
-func (f *Follower) step(ctx context.Context, k Kind, wait time.Duration) error {
+func (f *Follower) poll(ctx context.Context, k Kind, wait time.Duration) error {
 	from, known := f.mirror.AsOf(k)
 	if !known {
 		return f.snapshot(ctx, k)
@@ -222,19 +222,19 @@
 	if err != nil {
 		return err
 	}
-	f.noteReturn(k)
-	f.mirror.Apply(settle(k, from, changes))
+	f.detectOutageEnd(k)
+	f.mirror.Apply(compactChanges(k, from, changes))
 	f.mirror.Confirm(k, time.Now())
 	if len(changes.Events) > 0 {
-		sleep(ctx, mergePause)
+		sleep(ctx, debounceDelay)
 	}
 	return nil
 }
 
-// settle keeps only the last event of each name: an object may be removed and
-// written again within one answer. A removal may carry the revision of the
-// object's last write, so it counts as of the whole answer.
-func settle(k Kind, from store.Version, changes store.Changes) Delta {
+// compactChanges keeps only the last event of each name, since an object may be removed and written
+// again within one response. A removal may carry the revision of the object's last write, so it
+// gets the revision of the whole response.
+func compactChanges(k Kind, from store.Version, changes store.Changes) Delta {
 	last := map[string]store.Event{}
 	for _, e := range changes.Events {
 		last[e.Object.Key.Name] = e
@@ -251,13 +251,13 @@
 }
 
 func (f *Follower) snapshot(ctx context.Context, k Kind) error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	listing, err := f.store.Snapshot(ctx, string(k))
 	if err != nil {
 		return err
 	}
-	f.noteReturn(k)
-	f.mirror.Confirm(k, asked)
+	f.detectOutageEnd(k)
+	f.mirror.Confirm(k, requestedAt)
 	d := Delta{Kind: k, Full: true, AsOf: listing.AsOf}
 	for _, o := range listing.Objects {
 		d.Entries = append(d.Entries, Entry{Name: o.Key.Name, Revision: o.Version, Value: o.Value})
@@ -266,43 +266,43 @@
 	return nil
 }
 
-// list reads the whole kind again after its history was lost.
-func (f *Follower) list(ctx context.Context, i int, k Kind) {
-	waits := newBackOff()
+// relist reads all entries of a kind after the store has dropped its history, and retries until it
+// succeeds.
+func (f *Follower) relist(ctx context.Context, i int, k Kind) {
+	delays := newBackOff()
 	for ctx.Err() == nil {
 		err := f.snapshot(ctx, k)
 		if err == nil {
-			f.regained(i, k)
+			f.markAvailable(i, k)
 			return
 		}
-		f.noteLost(i, k, err)
-		sleep(ctx, waits.NextBackOff())
+		f.markUnavailable(i, k, err)
+		sleep(ctx, delays.NextBackOff())
 	}
 }
 
-func (f *Follower) noteLost(i int, k Kind, err error) {
-	if f.lost[i].CompareAndSwap(0, time.Now().UnixNano()) {
-		f.logger.WithError(err).WithField("kind", string(k)).Warn("store lost")
+func (f *Follower) markUnavailable(i int, k Kind, err error) {
+	if f.unavailableSince[i].CompareAndSwap(0, time.Now().UnixNano()) {
+		f.logger.WithError(err).WithField("kind", string(k)).Warn("store unavailable; retrying")
 	}
 }
 
-func (f *Follower) regained(i int, k Kind) {
-	at := f.lost[i].Swap(0)
+func (f *Follower) markAvailable(i int, k Kind) {
+	at := f.unavailableSince[i].Swap(0)
 	if at == 0 {
 		return
 	}
-	away := time.Since(time.Unix(0, at))
-	f.logger.WithField("kind", string(k)).WithField("away_ms", away.Milliseconds()).Info("store back")
+	outage := time.Since(time.Unix(0, at))
+	f.logger.WithField("kind", string(k)).WithField("away_ms", outage.Milliseconds()).Info("store available again")
 }
 
-// noteReturn is called before what the store says is taken in. After an outage
-// it may say that living replicas are gone, whose entries lapsed meanwhile;
-// those who hear of it have to know. The first word to a process says nothing of
-// an outage: with instances restarted one after the other, removed replicas would
-// be held for good.
-func (f *Follower) noteReturn(k Kind) {
-	if now := time.Now(); k == Replicas && f.mirror.AfterOutage(k, now) && f.mirror.Age(k, now) >= outageAfter {
-		f.mirror.SetRegistrationGrace(now.Add(returnTime))
+// detectOutageEnd is called before a store response is applied. After an outage the response may
+// lack live replicas whose entries expired meanwhile, so a registration grace is set first, which
+// listeners see with the change. The first response to a process is not the end of an outage;
+// otherwise a rolling restart of instances would retain removed replicas indefinitely.
+func (f *Follower) detectOutageEnd(k Kind) {
+	if now := time.Now(); k == Replicas && f.mirror.AfterOutage(k, now) && f.mirror.Age(k, now) >= outageThreshold {
+		f.mirror.SetRegistrationGrace(now.Add(registrationTime))
 	}
 }
 
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,7 +1,6 @@
-// Package mirror holds an instance's copy of the store's kinds. A few
-// instances follow the store itself; the others take what changed from them,
-// in the same form, so that calls to the store grow with changes and data
-// centres and not with instances.
+// Package mirror holds an instance's local copy of the store's contents. A few instances follow the
+// store itself, and the others receive the changes from them in the same form. The number of store
+// calls thus grows with changes and data centres, not with instances.
 package mirror
 
 import (
@@ -12,82 +11,83 @@
 	"foxhall/internal/store"
 )
 
-// Kind names a kind of object that is mirrored.
+// Kind is a kind of mirrored object.
 type Kind string
 
 // The mirrored kinds.
 const (
-	// Config holds the operators' configuration, as one object.
+	// Config holds the operators' configuration as one object.
 	Config Kind = "config"
-	// Replicas holds one entry for each replica that is alive or leaving.
+	// Replicas holds one entry for each replica that is live or draining.
 	Replicas Kind = "replicas"
-	// Retirements holds the operators' orders to empty an instance.
+	// Retirements holds the operators' orders to drain an instance.
 	Retirements Kind = "retirements"
-	// Fleet holds what instances agree on among themselves.
+	// Fleet holds what instances agree on: their registrations and the assignment of shards.
 	Fleet Kind = "fleet"
 )
 
 // Kinds lists all mirrored kinds.
 var Kinds = []Kind{Config, Replicas, Retirements, Fleet}
 
-// ConfigName is the one object of the kind Config.
+// ConfigName is the name of the only object of the kind Config.
 const ConfigName = "main"
 
-// keptRemovals bounds the removals that are remembered for peers that lag. One
-// that lags further is sent the whole kind.
-const keptRemovals = 512
+// maxTombstones bounds the tombstones of a kind that are retained for outdated peers. A peer that
+// is further behind receives all entries of the kind.
+const maxTombstones = 512
 
-// Entry is one object at its last change.
+// Entry is one object as of its last change.
 type Entry struct {
 	Name     string
 	Revision store.Version
 	Value    []byte
 }
 
-// Delta is what changed in a kind after From and up to AsOf.
+// Delta holds the changes of a kind after From and up to AsOf.
 type Delta struct {
 	Kind Kind
-	// Full says that Entries are all of the kind, whatever From is.
+	// Full is true if Entries are all entries of the kind, whatever From is.
 	Full       bool
 	From, AsOf store.Version
 	Entries    []Entry
 	Removed    []Entry
 }
 
-// copyOf is the mirrored state of one kind.
-type copyOf struct {
-	known   bool
-	asOf    store.Version
-	entries map[string]Entry
-	removed []Entry
-	// since is the version from which on removed is complete.
-	since store.Version
-	// confirmed is when the store last said what the kind holds, returned when it
-	// last did so after an outage.
-	confirmed, returned time.Time
+// kindCopy is the mirrored state of one kind.
+type kindCopy struct {
+	known      bool
+	asOf       store.Version
+	entries    map[string]Entry
+	tombstones []Entry
+	// tombstonesSince is the version after which tombstones are complete.
+	tombstonesSince store.Version
+	// confirmedAt is the time of the store's last known response about the kind. returnedAt is the
+	// time of the first response after the latest outage.
+	confirmedAt, returnedAt time.Time
 }
 
-// Mirror is the copy of all kinds. It is safe for concurrent use.
+// Mirror is the local copy of all kinds. It is safe for concurrent use.
 type Mirror struct {
-	mu     sync.Mutex
-	kinds  map[Kind]*copyOf
-	notify []func(Kind)
-	// unsettledUntil is until when a removed replica may only be unheard of.
-	unsettledUntil time.Time
+	mu        sync.Mutex
+	kinds     map[Kind]*kindCopy
+	listeners []func(Kind)
+	// graceUntil is the time until which a removed replica may still be alive and about to register
+	// again.
+	graceUntil time.Time
 }
 
 // New returns an empty mirror.
 func New() *Mirror {
-	m := &Mirror{kinds: map[Kind]*copyOf{}}
+	m := &Mirror{kinds: map[Kind]*kindCopy{}}
 	for _, k := range Kinds {
-		m.kinds[k] = &copyOf{entries: map[string]Entry{}}
+		m.kinds[k] = &kindCopy{entries: map[string]Entry{}}
 	}
 	return m
 }
 
-// OnChange adds a function that is called, without a lock held, after a kind
-// has changed. It must be called before the mirror is shared.
-func (m *Mirror) OnChange(f func(Kind)) { m.notify = append(m.notify, f) }
+// OnChange adds a function that is called, without the lock held, after a kind has changed.
+// OnChange must be called before the mirror is shared.
+func (m *Mirror) OnChange(f func(Kind)) { m.listeners = append(m.listeners, f) }
 
 // AsOf returns the version up to which the kind is known, and whether it is known at all.
 func (m *Mirror) AsOf(k Kind) (store.Version, bool) {
@@ -97,53 +97,53 @@
 	return c.asOf, c.known
 }
 
-// Age returns how long ago the store last said what the kind holds, to this
-// instance or to one that told it.
+// Age returns the time since the store's last response about the kind, to this instance or to
+// another that relayed it.
 func (m *Mirror) Age(k Kind, now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now.Sub(m.kinds[k].confirmed)
+	return now.Sub(m.kinds[k].confirmedAt)
 }
 
-// Confirm notes that the store said so at the time.
+// Confirm records that the store confirmed the mirrored state of the kind at a time.
 func (m *Mirror) Confirm(k Kind, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.kinds[k]
-	if !at.After(c.confirmed) {
+	if !at.After(c.confirmedAt) {
 		return
 	}
-	if !c.confirmed.IsZero() && at.Sub(c.confirmed) >= outageAfter {
-		c.returned = at
+	if !c.confirmedAt.IsZero() && at.Sub(c.confirmedAt) >= outageThreshold {
+		c.returnedAt = at
 	}
-	c.confirmed = at
+	c.confirmedAt = at
 }
 
-// AfterOutage reports whether the store is silent for so long, or was until a
-// moment ago, that entries may have lapsed meanwhile.
+// AfterOutage reports whether entries may have expired because the store is unresponsive, or was
+// until less than registrationTime ago.
 func (m *Mirror) AfterOutage(k Kind, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.kinds[k]
-	silent := !c.confirmed.IsZero() && now.Sub(c.confirmed) >= outageAfter
-	return silent || now.Sub(c.returned) < returnTime
+	silent := !c.confirmedAt.IsZero() && now.Sub(c.confirmedAt) >= outageThreshold
+	return silent || now.Sub(c.returnedAt) < registrationTime
 }
 
-// Doubt takes back when the store last confirmed what is mirrored: this process
-// did not run for a while, and what it holds may have changed unseen.
+// MarkStale marks all kinds as unconfirmed. It is called after a pause of this process, in which
+// the store may have changed unnoticed.
 func (m *Mirror) MarkStale() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.kinds {
-		c.confirmed = time.Time{}
+		c.confirmedAt = time.Time{}
 	}
 }
 
-// Entries returns the kind's entries in the order of their names.
+// Entries returns the kind's entries sorted by name.
 func (m *Mirror) Entries(k Kind) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.kinds[k].sorted()
+	return m.kinds[k].sortedEntries()
 }
 
 // Get returns one entry.
@@ -154,7 +154,7 @@
 	return e, ok
 }
 
-// Since returns what changed in the kind after a version; false if nothing did.
+// Since returns the changes of the kind after a version, and false if there are none.
 func (m *Mirror) Since(k Kind, from store.Version, known bool) (Delta, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -163,17 +163,17 @@
 		return Delta{}, false
 	}
 	d := Delta{Kind: k, From: from, AsOf: c.asOf}
-	if !known || from < c.since {
+	if !known || from < c.tombstonesSince {
 		d.Full = true
-		d.Entries = c.sorted()
+		d.Entries = c.sortedEntries()
 		return d, true
 	}
-	for _, e := range c.sorted() {
+	for _, e := range c.sortedEntries() {
 		if e.Revision > from {
 			d.Entries = append(d.Entries, e)
 		}
 	}
-	for _, e := range c.removed {
+	for _, e := range c.tombstones {
 		if e.Revision > from {
 			d.Removed = append(d.Removed, e)
 		}
@@ -181,14 +181,14 @@
 	return d, true
 }
 
-// Apply takes in a delta, and reports whether anything changed. What is older
-// than the copy changes nothing, so that a late answer never takes it back.
+// Apply applies a delta and reports whether an entry changed. A delta older than the mirrored state
+// has no effect, so that a delayed response never reverts that state.
 func (m *Mirror) Apply(d Delta) bool {
 	m.mu.Lock()
-	changed, renewed := m.kinds[d.Kind].apply(d)
+	changed, becameKnown := m.kinds[d.Kind].apply(d)
 	m.mu.Unlock()
-	if changed || renewed {
-		for _, f := range m.notify {
+	if changed || becameKnown {
+		for _, f := range m.listeners {
 			f(d.Kind)
 		}
 	}
@@ -196,30 +196,30 @@
 }
 
 // apply reports whether entries changed, and whether the kind became known.
-func (c *copyOf) apply(d Delta) (changed, renewed bool) {
+func (c *kindCopy) apply(d Delta) (changed, becameKnown bool) {
 	switch {
 	case c.known && (d.AsOf < c.asOf || d.AsOf == c.asOf && !d.Full):
 		return false, false
 	case d.Full:
-		changed = c.replace(d)
+		changed = c.applyListing(d)
 	case !c.known || d.From > c.asOf:
 		return false, false
 	default:
-		changed = c.merge(d)
+		changed = c.applyChanges(d)
 	}
-	renewed = !c.known
+	becameKnown = !c.known
 	c.known, c.asOf = true, d.AsOf
-	return changed, renewed
+	return changed, becameKnown
 }
 
-// replace takes in a whole listing. What it lacks was removed at some revision
-// up to its own; told so, peers need not be sent the whole kind again.
-func (c *copyOf) replace(d Delta) bool {
+// applyListing applies a complete listing. Entries that it lacks were removed at some revision up
+// to its own. With tombstones for them, peers need not be sent all entries of the kind again.
+func (c *kindCopy) applyListing(d Delta) bool {
 	if !c.known {
 		for _, e := range d.Entries {
 			c.entries[e.Name] = e
 		}
-		c.since = d.AsOf
+		c.tombstonesSince = d.AsOf
 		return len(d.Entries) > 0
 	}
 	listed := map[string]bool{}
@@ -231,10 +231,10 @@
 			d.Removed = append(d.Removed, Entry{Name: name, Revision: d.AsOf})
 		}
 	}
-	return c.merge(d)
+	return c.applyChanges(d)
 }
 
-func (c *copyOf) merge(d Delta) bool {
+func (c *kindCopy) applyChanges(d Delta) bool {
 	changed := false
 	for _, e := range d.Entries {
 		if e.Revision > c.entries[e.Name].Revision {
@@ -250,16 +250,16 @@
 			delete(c.entries, e.Name)
 			changed = true
 		}
-		c.removed = append(c.removed, Entry{Name: e.Name, Revision: e.Revision})
+		c.tombstones = append(c.tombstones, Entry{Name: e.Name, Revision: e.Revision})
 	}
-	if over := len(c.removed) - keptRemovals; over > 0 {
-		c.since = c.removed[over-1].Revision
-		c.removed = slices.Clone(c.removed[over:])
+	if over := len(c.tombstones) - maxTombstones; over > 0 {
+		c.tombstonesSince = c.tombstones[over-1].Revision
+		c.tombstones = slices.Clone(c.tombstones[over:])
 	}
 	return changed
 }
 
-func (c *copyOf) sorted() []Entry {
+func (c *kindCopy) sortedEntries() []Entry {
 	entries := make([]Entry, 0, len(c.entries))
 	for _, e := range c.entries {
 		entries = append(entries, e)
@@ -277,20 +277,20 @@
 	return entries
 }
 
-// Unsettled returns how much longer a removed replica may only be unheard of:
-// entries lapse while the store is away, and those of living replicas are back
-// a moment after its return.
+// RegistrationGrace returns how much longer a removed replica may still be alive. Entries expire
+// during a store outage, and live replicas register again soon after it.
 func (m *Mirror) RegistrationGrace(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return max(0, m.unsettledUntil.Sub(now))
+	return max(0, m.graceUntil.Sub(now))
 }
 
-// SetUnsettled notes that entries may be missing until then.
+// SetRegistrationGrace records that entries of live replicas may be missing until a time. It never
+// shortens the grace.
 func (m *Mirror) SetRegistrationGrace(until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if until.After(m.unsettledUntil) {
-		m.unsettledUntil = until
+	if until.After(m.graceUntil) {
+		m.graceUntil = until
 	}
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -11,32 +11,32 @@
 	"foxhall/internal/store"
 )
 
-// TestCopiesAgree changes a kind at random at one copy, which follows the store,
-// and lets other copies take deltas from each other at random. After each
-// exchange a copy that says it knows a version holds what the store held then.
+// TestCopiesAgree makes random changes at one copy, which follows the store, and exchanges deltas
+// between random copies. After each exchange, a copy that knows a version must hold exactly what
+// the store held at that version.
 func TestCopiesAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		copies := []*Mirror{New(), New(), New()}
 		history := map[store.Version]string{}
-		truth := map[string]store.Version{}
+		stored := map[string]store.Version{}
 		version := store.Version(1)
 		copies[0].Apply(Delta{Kind: Replicas, Full: true, AsOf: version})
-		history[version] = show(truth)
+		history[version] = format(stored)
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			name := fmt.Sprint(rapid.IntRange(0, 4).Draw(rt, "name"))
 			switch rapid.SampledFrom([]string{"put", "remove", "list", "exchange", "exchange"}).Draw(rt, "step") {
 			case "put":
 				version++
-				truth[name] = version
+				stored[name] = version
 				copies[0].Apply(Delta{Kind: Replicas, From: version - 1, AsOf: version, Entries: []Entry{{Name: name, Revision: version}}})
 			case "remove":
 				version++
-				delete(truth, name)
+				delete(stored, name)
 				copies[0].Apply(Delta{Kind: Replicas, From: version - 1, AsOf: version, Removed: []Entry{{Name: name, Revision: version}}})
 			case "list":
 				version++
 				d := Delta{Kind: Replicas, Full: true, AsOf: version}
-				for n, r := range truth {
+				for n, r := range stored {
 					d.Entries = append(d.Entries, Entry{Name: n, Revision: r})
 				}
 				copies[0].Apply(d)
@@ -48,10 +48,10 @@
 					to.Apply(d)
 				}
 			}
-			history[version] = show(truth)
+			history[version] = format(stored)
 			for i, m := range copies {
 				asOf, known := m.AsOf(Replicas)
-				if held := show(versions(m)); known && held != history[asOf] {
+				if held := format(versions(m)); known && held != history[asOf] {
 					rt.Fatalf("copy %d holds %s as of %d, where the store held %s", i, held, asOf, history[asOf])
 				}
 			}
@@ -67,10 +67,10 @@
 	return held
 }
 
-func show(held map[string]store.Version) string { return fmt.Sprint(held) }
+func format(held map[string]store.Version) string { return fmt.Sprint(held) }
 
-// An instance goes back to an older configuration: a delayed answer of a peer
-// comes after a newer one. It must change nothing.
+// Guards against a return to an older configuration: a delayed response of a peer that arrives
+// after a newer one must have no effect.
 func TestOlderDeltaChangesNothing(t *testing.T) {
 	is := is.New(t)
 	m := New()
@@ -82,10 +82,9 @@
 	is.Equal(e.Revision, store.Version(9))
 }
 
-// A leaving replica gets calls: the store answered a question for changes
-// without it, and the listing that has it bears the same version. The listing
-// must count.
-func TestListingOfTheSameVersionCounts(t *testing.T) {
+// Guards against calls to a draining replica: the store's response to a poll lacks the change, and
+// the listing that has it bears the same version. The listing must be applied.
+func TestListingOfTheSameVersionIsApplied(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	m.Apply(Delta{Kind: Replicas, Full: true, AsOf: 4, Entries: []Entry{{Name: "r", Revision: 3}}})
@@ -95,9 +94,9 @@
 	is.Equal(e.Revision, store.Version(5))
 }
 
-// An instance goes on by a replaced configuration after a suspension: the store's
-// last word seems fresh to it. Doubted, it must count as unheard of.
-func TestDoubtedStateIsUnconfirmed(t *testing.T) {
+// Guards against use of a replaced configuration after a suspension, when the store's last response
+// seems recent. State marked as stale must count as never confirmed.
+func TestStaleStateIsUnconfirmed(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	now := time.Now()
--- a/internal/mirror/relay_test.go
+++ b/internal/mirror/relay_test.go
@@ -18,39 +18,39 @@
 	"foxhall/internal/store"
 )
 
-// fakeStore holds one object, which each kind shows; watches may be deaf.
+// fakeStore holds one object, which it returns for each kind. It may leave polls unanswered.
 type fakeStore struct {
 	mu      sync.Mutex
 	version store.Version
 	changed chan struct{}
-	// deaf says that questions for changes are left unanswered, refused names
-	// instances that are refused.
-	deaf    bool
-	refused map[string]bool
-	calls   map[string]int
+	// ignorePolls leaves polls for changes unanswered. refused holds the names of instances whose
+	// calls fail.
+	ignorePolls bool
+	refused     map[string]bool
+	calls       map[string]int
 }
 
-type storeOf struct {
+type storeClient struct {
 	*fakeStore
 	instance string
 }
 
-func (s storeOf) begin(what string) error {
+func (s storeClient) beginCall(call string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls[what]++
+	s.calls[call]++
 	if s.refused[s.instance] {
 		return store.ErrUnavailable
 	}
 	return nil
 }
 
-func (s storeOf) object() store.Object {
+func (s storeClient) object() store.Object {
 	return store.Object{Key: store.Key{Kind: string(Config), Name: ConfigName}, Version: s.version}
 }
 
-func (s storeOf) Get(context.Context, store.Key) (store.Object, error) {
-	if err := s.begin("get"); err != nil {
+func (s storeClient) Get(context.Context, store.Key) (store.Object, error) {
+	if err := s.beginCall("get"); err != nil {
 		return store.Object{}, err
 	}
 	s.mu.Lock()
@@ -58,8 +58,8 @@
 	return s.object(), nil
 }
 
-func (s storeOf) Snapshot(context.Context, string) (store.Listing, error) {
-	if err := s.begin("list"); err != nil {
+func (s storeClient) Snapshot(context.Context, string) (store.Listing, error) {
+	if err := s.beginCall("list"); err != nil {
 		return store.Listing{}, err
 	}
 	s.mu.Lock()
@@ -67,15 +67,15 @@
 	return store.Listing{AsOf: s.version, Objects: []store.Object{s.object()}}, nil
 }
 
-func (s storeOf) Poll(ctx context.Context, _ string, from store.Version, wait time.Duration) (store.Changes, error) {
-	if err := s.begin("poll"); err != nil {
+func (s storeClient) Poll(ctx context.Context, _ string, from store.Version, wait time.Duration) (store.Changes, error) {
+	if err := s.beginCall("poll"); err != nil {
 		return store.Changes{}, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		version, changed, deaf, refused := s.version, s.changed, s.deaf, s.refused[s.instance]
+		version, changed, deaf, refused := s.version, s.changed, s.ignorePolls, s.refused[s.instance]
 		s.mu.Unlock()
 		if refused {
 			return store.Changes{}, store.ErrUnavailable
@@ -101,7 +101,7 @@
 	s.changed = make(chan struct{})
 }
 
-// checks counts the calls that read something anew.
+// checks returns the number of reads other than polls.
 func (s *fakeStore) checks() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,8 +120,8 @@
 	relay  *Relay
 }
 
-// fleetOf runs instances in two data centres over one store.
-func fleetOf(ctx context.Context, s *fakeStore, size int) []*instance {
+// startFleet runs instances in two data centres over one store.
+func startFleet(ctx context.Context, s *fakeStore, size int) []*instance {
 	var all []*instance
 	for i := range size {
 		name := fmt.Sprintf("i%02d", i)
@@ -136,7 +136,7 @@
 			return peers
 		}
 		quiet := &log.Logger{Handler: discard.Default}
-		follower := NewFollower(n.mirror, storeOf{s, name}, quiet)
+		follower := NewFollower(n.mirror, storeClient{s, name}, quiet)
 		n.relay = NewRelay(name, fmt.Sprint(i%2), n.mirror, follower, peers, quiet)
 		all = append(all, n)
 	}
@@ -150,7 +150,7 @@
 	return &fakeStore{version: 5, changed: make(chan struct{}), refused: map[string]bool{}, calls: map[string]int{}}
 }
 
-func following(all []*instance) int {
+func countFollowing(all []*instance) int {
 	n := 0
 	for _, i := range all {
 		if i.relay.Following() {
@@ -160,7 +160,7 @@
 	return n
 }
 
-func behind(all []*instance, version store.Version) (list []string) {
+func outdated(all []*instance, version store.Version) (list []string) {
 	for _, i := range all {
 		if e, _ := i.mirror.Get(Config, ConfigName); e.Revision != version {
 			list = append(list, i.name)
@@ -171,16 +171,16 @@
 
 var _ mirrorpb.Relay = (*Relay)(nil)
 
-func inFleet(t *testing.T, test func(s *fakeStore, all []*instance) error) {
-	inFleetOf(t, 6, test)
+func runInFleet(t *testing.T, test func(s *fakeStore, all []*instance) error) {
+	runInFleetOf(t, 6, test)
 }
 
-func inFleetOf(t *testing.T, size int, test func(s *fakeStore, all []*instance) error) {
+func runInFleetOf(t *testing.T, size int, test func(s *fakeStore, all []*instance) error) {
 	var failed error
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := newFakeStore()
-		all := fleetOf(ctx, s, size)
+		all := startFleet(ctx, s, size)
 		time.Sleep(5 * time.Second)
 		failed = test(s, all)
 		cancel()
@@ -189,42 +189,42 @@
 	is.New(t).NoErr(failed)
 }
 
-// One instance in each data centre asks the store, and all know what it holds.
+// One instance in each data centre follows the store, and all instances learn its contents.
 func TestOneFollowerInEachDataCentre(t *testing.T) {
-	inFleet(t, func(s *fakeStore, all []*instance) error {
+	runInFleet(t, func(s *fakeStore, all []*instance) error {
 		s.change()
 		time.Sleep(time.Second)
-		if n, late := following(all), behind(all, 6); n != 2 || late != nil {
-			return errors.Errorf("%d follow, behind: %v", n, late)
+		if n, late := countFollowing(all), outdated(all, 6); n != 2 || late != nil {
+			return errors.Errorf("%d instances follow, want 2; outdated: %v", n, late)
 		}
 		before := s.checks()
 		time.Sleep(20 * time.Second)
 		if n := s.checks() - before; n > 60 {
-			return errors.Errorf("%d checks in 20 s", n)
+			return errors.Errorf("%d checks in 20 s, want at most 60", n)
 		}
 		return nil
 	})
 }
 
-// Callers meet an old configuration: the store refuses the instances that
-// follow it and serves the others. They must take over, and pass on.
+// Guards against an outdated configuration when the store refuses the instances that follow it and
+// serves the others. Others must take over and relay changes.
 func TestRefusedFollowersAreReplaced(t *testing.T) {
-	inFleet(t, func(s *fakeStore, all []*instance) error {
+	runInFleet(t, func(s *fakeStore, all []*instance) error {
 		s.set(func() { s.refused["i00"], s.refused["i01"] = true, true })
 		s.change()
 		time.Sleep(2 * time.Second)
-		if late := behind(all, 6); late != nil {
-			return errors.Errorf("behind: %v", late)
+		if late := outdated(all, 6); late != nil {
+			return errors.Errorf("outdated: %v", late)
 		}
 		return nil
 	})
 }
 
-// The store is called to death in the moment of its return: while it was away all
-// instances took to following it. What a fleet calls then must not grow with it.
+// Guards against overload of a store on its return, after all instances started to follow it during
+// the outage. The number of calls during an outage must not grow with the fleet.
 func TestOutageCostsNoMoreCallsInALargeFleet(t *testing.T) {
 	outage := func(size int) (calls int) {
-		inFleetOf(t, size, func(s *fakeStore, all []*instance) error {
+		runInFleetOf(t, size, func(s *fakeStore, all []*instance) error {
 			before := 0
 			s.set(func() {
 				for _, i := range all {
@@ -241,8 +241,8 @@
 			})
 			s.change()
 			time.Sleep(time.Second)
-			if late := behind(all, 6); late != nil {
-				return errors.Errorf("behind after the outage: %v", late)
+			if late := outdated(all, 6); late != nil {
+				return errors.Errorf("outdated after the outage: %v", late)
 			}
 			return nil
 		})
@@ -253,42 +253,42 @@
 	is.New(t).True(large <= 2*small)
 }
 
-// Callers meet an old configuration: the store leaves questions for changes
-// unanswered while it drops its history. A check must find the change.
-func TestDeafWatchesAreChecked(t *testing.T) {
-	inFleet(t, func(s *fakeStore, all []*instance) error {
-		s.set(func() { s.deaf = true })
+// Guards against an outdated configuration when the store leaves polls for changes unanswered while
+// it drops its history. A check must find the change.
+func TestUnansweredPollsAreMadeUpForByChecks(t *testing.T) {
+	runInFleet(t, func(s *fakeStore, all []*instance) error {
+		s.set(func() { s.ignorePolls = true })
 		s.change()
 		time.Sleep(2 * time.Second)
-		if late := behind(all, 6); late != nil {
-			return errors.Errorf("behind: %v", late)
+		if late := outdated(all, 6); late != nil {
+			return errors.Errorf("outdated: %v", late)
 		}
 		return nil
 	})
 }
 
-// All calls are refused for seconds after the store was away: its first word
-// says that replicas are gone, whose entries lapsed. An instance must know, when
-// it hears of that, that they may only be unheard of.
-func TestFirstWordAfterAnOutageIsUnsettled(t *testing.T) {
-	var unsettled, before time.Duration
+// Guards against refusing all calls for seconds after a store outage: the first response lacks live
+// replicas whose entries expired. The registration grace must be set by the time listeners learn of
+// the removals.
+func TestFirstResponseAfterAnOutageSetsTheGraceTime(t *testing.T) {
+	var grace, graceBefore time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := newFakeStore()
 		m := New()
-		var away atomic.Bool
+		var unavailable atomic.Bool
 		m.OnChange(func(k Kind) {
-			if k == Replicas && away.Load() {
-				unsettled = m.RegistrationGrace(time.Now())
+			if k == Replicas && unavailable.Load() {
+				grace = m.RegistrationGrace(time.Now())
 			}
 		})
-		f := NewFollower(m, storeOf{s, "i"}, &log.Logger{Handler: discard.Default})
+		f := NewFollower(m, storeClient{s, "i"}, &log.Logger{Handler: discard.Default})
 		go f.Run(ctx)
 		time.Sleep(10 * time.Second)
-		before = m.RegistrationGrace(time.Now())
+		graceBefore = m.RegistrationGrace(time.Now())
 		s.set(func() { s.refused["i"] = true })
 		time.Sleep(4 * time.Second)
-		away.Store(true)
+		unavailable.Store(true)
 		s.set(func() { s.refused["i"] = false })
 		s.change()
 		time.Sleep(time.Second)
@@ -296,20 +296,19 @@
 		time.Sleep(time.Minute)
 	})
 	is := is.New(t)
-	is.Equal(before, time.Duration(0))
-	is.Equal(unsettled, returnTime)
+	is.Equal(graceBefore, time.Duration(0))
+	is.Equal(grace, registrationTime)
 }
 
-// A replica whose entry was removed goes on getting calls: instances that are
-// restarted one after the other each take the store's first word to them for its
-// return from an outage, and tell all others that removed replicas may be back.
-// One that never heard the store, or doubts what it heard, knows of no outage.
-func TestFirstWordToARestartedInstanceUnsettlesNothing(t *testing.T) {
+// Guards against calls to a removed replica during a rolling restart of instances: if each took its
+// first response from the store for the end of an outage, it would announce a registration grace to
+// all others. An instance without any response so far, or with stale state, must assume no outage.
+func TestFirstResponseToARestartedInstanceSetsNoGraceTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newFakeStore()
 		m := New()
-		f := NewFollower(m, storeOf{s, "i"}, &log.Logger{Handler: discard.Default})
+		f := NewFollower(m, storeClient{s, "i"}, &log.Logger{Handler: discard.Default})
 		f.Refresh(context.Background())
 		is.Equal(m.RegistrationGrace(time.Now()), time.Duration(0))
 		time.Sleep(time.Minute)
@@ -319,34 +318,33 @@
 	})
 }
 
-// A replica whose entry was removed goes on getting calls: an instance that was cut
-// off alone takes its return for the store's, and tells all others that removed
-// replicas may be back. Those that heard the store meanwhile must not believe it,
-// and those that did not must.
-func TestReturnOfACutOffInstanceUnsettlesNobodyElse(t *testing.T) {
+// Guards against calls to a removed replica: an instance that was isolated mistakes its own return
+// for the end of a store outage, and announces a registration grace to all others. Instances with
+// recent contact to the store must ignore it, and those without must accept it.
+func TestReturnOfAnIsolatedInstanceSetsNoGraceTimeElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := New()
 		r := NewRelay("i", "a", m, nil, nil, &log.Logger{Handler: discard.Default})
 		r.follower = NewFollower(m, nil, r.logger)
-		word := &mirrorpb.ExchangeRequest{From: "j", UnsettledMs: returnTime.Milliseconds()}
+		announcement := &mirrorpb.ExchangeRequest{From: "j", UnsettledMs: registrationTime.Milliseconds()}
 		m.Confirm(Replicas, time.Now())
-		time.Sleep(outageAfter / 2)
-		_, err := r.Exchange(context.Background(), word)
+		time.Sleep(outageThreshold / 2)
+		_, err := r.Exchange(context.Background(), announcement)
 		is.NoErr(err)
 		is.Equal(m.RegistrationGrace(time.Now()), time.Duration(0))
-		time.Sleep(outageAfter)
-		_, err = r.Exchange(context.Background(), word)
+		time.Sleep(outageThreshold)
+		_, err = r.Exchange(context.Background(), announcement)
 		is.NoErr(err)
-		is.Equal(m.RegistrationGrace(time.Now()), returnTime)
+		is.Equal(m.RegistrationGrace(time.Now()), registrationTime)
 	})
 }
 
-// A store that refuses the first instances of a large data centre is called by all
-// the others: each asks the first ones whether they follow, and never hears of the
-// one that took over; or several that took over hear of each other only by chance.
-func TestOneTakesOverForManyRefused(t *testing.T) {
-	inFleetOf(t, 40, func(s *fakeStore, all []*instance) error {
+// Guards against calls from all instances of a large data centre to a store that refuses the first
+// ones. This happens if each instance queries only the first ones and never learns of the one that
+// took over, or if several that took over discover each other only by chance.
+func TestOneFollowerTakesOverForManyRefused(t *testing.T) {
+	runInFleetOf(t, 40, func(s *fakeStore, all []*instance) error {
 		s.set(func() {
 			for _, i := range all[:10] {
 				s.refused[i.name] = true
@@ -357,8 +355,8 @@
 		time.Sleep(40 * time.Second)
 		s.change()
 		time.Sleep(2 * time.Second)
-		if n, late := following(all), behind(all, 6); n != 2 || late != nil {
-			return errors.Errorf("%d follow, behind: %v", n, late)
+		if n, late := countFollowing(all), outdated(all, 6); n != 2 || late != nil {
+			return errors.Errorf("%d instances follow, want 2; outdated: %v", n, late)
 		}
 		return nil
 	})
--- a/internal/node/decoded_test.go
+++ b/internal/node/decoded_test.go
@@ -10,14 +10,13 @@
 	"foxhall/internal/store"
 )
 
-// Each instance of a large fleet decodes the entries of all others at every change of
-// one: its processor time grows with the square of the fleet. A change must cost one
-// reading, however many entries there are.
+// If each instance decoded all entries at every change of one, processor time would grow with the
+// square of the fleet's size. A change must cost one decoding, however many entries there are.
 func TestChangeOfOneEntryDecodesOne(t *testing.T) {
 	is := is.New(t)
 	const entries = 200
 	decodes := 0
-	d := newDecoded(func(e mirror.Entry) (string, bool) {
+	d := newDecodeCache(func(e mirror.Entry) (string, bool) {
 		decodes++
 		return string(e.Value), len(e.Value) > 0
 	})
@@ -33,11 +32,11 @@
 	is.Equal(values[7], "two")
 }
 
-// An entry that can't be read hides the others, or one that was removed comes back. Both
-// are judged by what the mirror holds now.
+// An entry that can't be decoded must not hide the others, and a removed one must not come back.
+// The result must follow from the mirror's present entries.
 func TestDecodedFollowsTheMirror(t *testing.T) {
 	is := is.New(t)
-	d := newDecoded(func(e mirror.Entry) (string, bool) { return string(e.Value), string(e.Value) != "bad" })
+	d := newDecodeCache(func(e mirror.Entry) (string, bool) { return string(e.Value), string(e.Value) != "bad" })
 	entry := func(name string, revision store.Version, value string) mirror.Entry {
 		return mirror.Entry{Name: name, Revision: revision, Value: []byte(value)}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,7 +31,7 @@
 	"foxhall/internal/wake"
 )
 
-// Objects is what a node uses of the platform's store.
+// Objects is the part of the platform's store that a node uses.
 type Objects interface {
 	store.Poller
 	store.StatusWriter
@@ -39,69 +39,70 @@
 	Delete(ctx context.Context, key store.Key, base store.Version) error
 }
 
-// Replicas sends calls and keeps connections to the replicas that are there.
+// Replicas sends calls to the present replicas and keeps connections to them.
 type Replicas interface {
 	gateway.Replicas
 	RetainTargets(targets map[gateway.Target]bool)
 	Idle(name, address string) bool
 }
 
-// Dialect is how the platform's parties are spoken to.
+// Adapter holds what depends on the platform's protocols: the store, the replicas, the formats of
+// stored objects and the callers' API.
 type Adapter struct {
 	Objects  Objects
 	Replicas Replicas
-	// Table and Replica decode what operators and replicas write into the store.
+	// Table and Replica decode the objects that operators and replicas write to the store.
 	Table   func(data []byte) (*routing.Table, error)
 	Replica func(id string, data []byte) (routing.Replica, bool)
-	// RetirementStatus encodes what is said of an order to empty an instance.
+	// RetirementStatus encodes the status of an operators' order to drain an instance.
 	RetirementStatus func(done bool) []byte
-	// Callers serves callers through the gateway.
-	Callers func(g *gateway.Gateway, sendsAway func() bool) http.Handler
+	// Callers returns the handler that serves callers through the gateway. While divert returns
+	// true, callers are to use other instances.
+	Callers func(g *gateway.Gateway, divert func() bool) http.Handler
 }
 
 const (
-	// memoryShare is the part of the allowed memory at which the collector
-	// works harder; the rest is for the kernel's buffers, which count too.
-	memoryShare = 0.7
-	// outOfRotation is how long an entry that is to stop still takes new
-	// connections: the balancer asks each second and leaves out after two misses.
-	outOfRotation = 2600 * time.Millisecond
-	// stopMargin is left of the grace for the process to end.
-	stopMargin = 400 * time.Millisecond
-	// viewBlocks bounds the entry's view of the engines' caches: 24 MB.
-	viewBlocks = 1 << 17
-	// cutAfter is how long nothing may be heard from another data centre before
-	// no more calls go there: three datagrams in a row from each of its
-	// instances are lost then.
-	cutAfter = 450 * time.Millisecond
-	// missedAfter is how long an instance is not heard before that is told to a
-	// keeper which asks: two datagrams in a row are lost then, and the keeper
-	// has missed it by itself.
-	missedAfter = 350 * time.Millisecond
-	// isolatedAfter is how long nothing may be heard from all other data centres
-	// before this entry asks the balancer to send callers elsewhere. Above
-	// cutAfter, since it moves all callers at once.
-	isolatedAfter = 600 * time.Millisecond
-	// connectCost is what a new connection to a replica is taken to cost: the
-	// way, the replica's handshake, and a place among those that it allows. It
-	// lies above the margin within which candidates count as equal.
+	// memoryLimitShare is the part of the allowed memory that is set as the Go runtime's soft
+	// limit. The rest is for the kernel's buffers, which count as well.
+	memoryLimitShare = 0.7
+	// balancerDelay is how long a stopping entry still accepts connections: the load balancer
+	// probes every second and removes an instance after two failed probes.
+	balancerDelay = 2600 * time.Millisecond
+	// shutdownMargin is the part of the grace period left for the process to exit.
+	shutdownMargin = 400 * time.Millisecond
+	// cacheViewBlocks bounds the entry's view of the engines' caches, which takes up to 24 MB.
+	cacheViewBlocks = 1 << 17
+	// partitionTimeout is how long another data centre may send nothing before calls to it stop. By
+	// then three datagrams in a row from each of its instances are lost.
+	partitionTimeout = 450 * time.Millisecond
+	// keeperSilenceTimeout is how long a keeper may send nothing before this entry, asked as a
+	// witness, reports it as unresponsive. By then two datagrams in a row are lost, and the asking
+	// keeper has had no contact either.
+	keeperSilenceTimeout = 350 * time.Millisecond
+	// isolationTimeout is how long all other data centres may send nothing before this entry asks
+	// the load balancer to divert its callers. It exceeds partitionTimeout, since it moves all
+	// callers at once.
+	isolationTimeout = 600 * time.Millisecond
+	// connectCost is the assumed cost of a new connection to a replica: the round trip, the
+	// handshake, and one of the connections that the replica allows. It exceeds the margin within
+	// which candidates count as equal.
 	connectCost = 15 * time.Millisecond
-	// remoteCost is what a call to another data centre is taken to cost beside
-	// its load: a cut between them breaks it off, and its bytes are paid for.
+	// remoteCost is the assumed cost of a call to another data centre, apart from load: a network
+	// partition would truncate it, and its bytes are charged for.
 	remoteCost = 30 * time.Millisecond
-	// pauseLook is how often this process looks whether it was paused, and
-	// pauseLongest the longest pause in which nothing it holds can go out of
-	// date: a change has 2 s to come into force.
-	pauseLook    = 500 * time.Millisecond
-	pauseLongest = 500 * time.Millisecond
-	// refreshEvery is how often held-back removals are looked at again.
-	refreshEvery = 250 * time.Millisecond
+	// pauseCheckInterval is how often the process checks whether it was paused. maxHarmlessPause is
+	// the longest pause in which its state cannot become outdated: a change has 2 s to come into
+	// force.
+	pauseCheckInterval = 500 * time.Millisecond
+	maxHarmlessPause   = 500 * time.Millisecond
+	// removalCheckInterval is how often delayed removals of replicas are reconsidered.
+	removalCheckInterval = 250 * time.Millisecond
 )
 
 // Node is one running instance.
 type Node struct {
 	settings Settings
-	dialect  Adapter
+	adapter  Adapter
 	logger   log.Interface
 	registry metrics.Registry
 
@@ -114,40 +115,41 @@
 	upstream *upstream.Table
 	quotas   *limit.Quotas
 	gateway  *gateway.Gateway
-	// dataCentres and keepers tell when nothing comes from them any more.
-	dataCentres, keepers *silences
-	stopping             atomic.Bool
-
-	changed chan struct{}
-	// configRevision is the store's of the configuration that was read last, so
-	// that a large one is not read again with each change of a replica.
+	// dataCentreSilence and keeperSilence notify waiting calls of an unresponsive data centre or
+	// keeper.
+	dataCentreSilence, keeperSilence *silenceMonitor
+	stopping                         atomic.Bool
+
+	refreshRequested chan struct{}
+	// configRevision is the store revision of the configuration decoded last, so that a large one
+	// is not decoded again at each change of a replica.
 	configRevision store.Version
-	// assigned is the newest assignment of slices, assignedRevision the store's of it.
+	// assigned is the newest assignment of shards, assignedRevision its store revision.
 	assigned         atomic.Pointer[history.Assignment]
 	assignedRevision store.Version
-	listed           *decoded[routing.Replica]
+	decodedReplicas  *decodeCache[routing.Replica]
 	replicas         []routing.Replica
-	lapse            lapse
+	removals         removalHold
 }
 
 // New returns a node that is not yet running.
 func New(s Settings, d Adapter, logger log.Interface, registry metrics.Registry) (*Node, error) {
 	n := &Node{
-		settings: s,
-		dialect:  d,
-		logger:   logger.WithField("instance", s.Instance),
-		registry: registry,
-		mirror:   mirror.New(),
-		upstream: upstream.NewTable(),
-		quotas:   limit.NewQuotas(s.Instance, rand.Uint64(), s.Tolerance),
-		changed:  make(chan struct{}, 1),
-
-		dataCentres: newSilences(),
-		keepers:     newSilences(),
+		settings:         s,
+		adapter:          d,
+		logger:           logger.WithField("instance", s.Instance),
+		registry:         registry,
+		mirror:           mirror.New(),
+		upstream:         upstream.NewTable(),
+		quotas:           limit.NewQuotas(s.Instance, rand.Uint64(), s.Tolerance),
+		refreshRequested: make(chan struct{}, 1),
+
+		dataCentreSilence: newSilenceMonitor(),
+		keeperSilence:     newSilenceMonitor(),
 	}
-	n.listed = newDecoded(func(e mirror.Entry) (routing.Replica, bool) { return d.Replica(e.Name, e.Value) })
+	n.decodedReplicas = newDecodeCache(func(e mirror.Entry) (routing.Replica, bool) { return d.Replica(e.Name, e.Value) })
 	n.fleet = newFleet(&n.settings, n.mirror, d.Objects, n.logger)
-	n.mirror.OnChange(func(mirror.Kind) { n.wake() })
+	n.mirror.OnChange(func(mirror.Kind) { n.requestRefresh() })
 	follower := mirror.NewFollower(n.mirror, d.Objects, n.logger)
 	n.relay = mirror.NewRelay(s.Instance, s.DataCentre, n.mirror, follower, n.fleet.peers, n.logger)
 	if s.DataFolder != "" {
@@ -155,21 +157,21 @@
 			return nil, err
 		}
 	}
-	reach := peerload.EntryFanout
+	fanout := peerload.EntryFanout
 	if n.keeper != nil {
-		reach = peerload.KeeperFanout
+		fanout = peerload.KeeperFanout
 	}
-	n.load = peerload.New(s.Instance, s.DataCentre, reach, n.upstream, n.fleet.datagramAddresses, n.logger)
-	n.fleet.tell = n.load.BroadcastKeeperStatus
+	n.load = peerload.New(s.Instance, s.DataCentre, fanout, n.upstream, n.fleet.entryAddresses, n.logger)
+	n.fleet.broadcast = n.load.BroadcastKeeperStatus
 	if n.keeper != nil {
-		n.load.OnKeeperStatus(n.takeStanding)
+		n.load.OnKeeperStatus(n.receiveKeeperStatus)
 	}
 	if s.Callers != "" {
 		n.load.SetQuotas(n.quotas)
 	}
-	n.fleet.hears = func(name string) bool { return n.load.HeardOrUnknown(name, cutAfter) }
-	n.fleet.misses = func(name string) (bool, bool) { return n.load.Silent(name, missedAfter) }
-	n.fleet.cutOff = n.isolated
+	n.fleet.isReachable = func(name string) bool { return n.load.HeardOrUnknown(name, partitionTimeout) }
+	n.fleet.isSilent = func(name string) (bool, bool) { return n.load.Silent(name, keeperSilenceTimeout) }
+	n.fleet.isIsolated = n.isIsolated
 	n.openGateway()
 	return n, nil
 }
@@ -177,25 +179,25 @@
 func (n *Node) openGateway() {
 	sched := scheduler.New(scheduler.Settings{
 		DataCentre:        n.settings.DataCentre,
-		DataCentreRTT:     n.settings.ways(),
+		DataCentreRTT:     n.settings.dataCentreRTT(),
 		Logger:            n.logger,
 		Random:            rand.Uint64,
-		HasIdleConnection: n.dialect.Replicas.Idle,
+		HasIdleConnection: n.adapter.Replicas.Idle,
 		ConnectCost:       connectCost,
 		RemoteViewAge:     n.load.DataCentreSilentFor,
-		MaxViewAge:        cutAfter,
-	}, n.upstream, cache.New(cache.Options{MaxBlocks: viewBlocks}))
-	n.fleet.whenSilent = n.keepers.when
+		MaxViewAge:        partitionTimeout,
+	}, n.upstream, cache.New(cache.Options{MaxBlocks: cacheViewBlocks}))
+	n.fleet.onSilence = n.keeperSilence.onSilence
 	turns := history.NewClient(n.fleet, n.assignment, n.logger)
 	n.gateway = gateway.New(gateway.Settings{
 		Table:       n.table.Load,
-		Instances:   n.fleet.entries,
-		IsolatedFor: n.cutOffFor,
+		Instances:   n.fleet.entryCount,
+		IsolatedFor: n.isolatedFor,
 		Quotas:      n.quotas,
 
 		SilentFor: n.load.DataCentreSilentFor,
-		OnSilence: n.dataCentres.when,
-	}, sched, n.dialect.Replicas, turns, n.logger, n.registry)
+		OnSilence: n.dataCentreSilence.onSilence,
+	}, sched, n.adapter.Replicas, turns, n.logger, n.registry)
 }
 
 func (n *Node) openKeeper() error {
@@ -206,7 +208,7 @@
 		Folder:          n.settings.DataFolder,
 		MaxDiskFailures: n.settings.MaxDiskFailures,
 		Keepers:         n.fleet.candidates,
-		Retiring:        n.retiring,
+		Retiring:        n.isRetiring,
 		Logger:          n.logger,
 	}, n.fleet, n.fleet)
 	n.keeper = k
@@ -220,54 +222,57 @@
 	return history.Assignment{}, false
 }
 
-func (n *Node) wake() {
+func (n *Node) requestRefresh() {
 	select {
-	case n.changed <- struct{}{}:
+	case n.refreshRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Run serves until ctx ends, then stops without cutting a call off.
+// Run serves until ctx ends, then completes calls in flight and stops.
 func (n *Node) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(memoryShare * float64(n.settings.Memory)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(n.settings.Memory)))
 	n.logger.WithField("keeper", n.keeper != nil).WithField("data_centre", n.settings.DataCentre).Info("start")
-	// Serving outlasts ctx: a planned stop first ends what is under way.
+	// Serving outlasts ctx: a planned stop first completes calls in flight.
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	n.fleet.refresh()
 	var group errgroup.Group
 	group.Go(func() error { n.relay.Run(serving, n.settings.isSeed(), !n.settings.FirstStart); return nil })
-	group.Go(func() error { n.control(serving); return nil })
-	group.Go(func() error { wake.Watch(serving, wake.Boot, pauseLook, pauseLongest, n.woke(serving)); return nil })
+	group.Go(func() error { n.runRefresh(serving); return nil })
+	group.Go(func() error {
+		wake.Watch(serving, wake.Boot, pauseCheckInterval, maxHarmlessPause, n.afterPause(serving))
+		return nil
+	})
 	group.Go(func() error { return n.fleet.register(serving) })
 	if n.settings.Callers != "" {
-		// Keepers are sent no datagrams and can't tell who is silent.
-		group.Go(func() error { n.fleet.forget(serving, n.relay.Following, n.load.HeardWithin); return nil })
+		// Keepers receive no load datagrams and can't detect unresponsive instances.
+		group.Go(func() error { n.fleet.removeStale(serving, n.relay.Following, n.load.HeardWithin); return nil })
 	}
 	group.Go(func() error { return n.servePeers(serving) })
 	group.Go(func() error { return n.serveMetrics(serving) })
 	if n.keeper != nil {
 		group.Go(func() error { return n.keeper.Run(serving) })
-		group.Go(func() error { n.retire(serving); return nil })
+		group.Go(func() error { n.runRetirement(serving); return nil })
 	}
 	group.Go(func() error {
 		defer stop()
 		if n.settings.Callers == "" {
-			return n.leave(ctx)
+			return n.handOff(ctx)
 		}
 		return n.serveEntry(ctx, serving)
 	})
 	group.Go(func() error { return n.exchangeLoad(serving) })
 	if n.settings.Callers != "" {
-		group.Go(func() error { n.followFleet(serving); return nil })
+		group.Go(func() error { n.reportFleetSize(serving); return nil })
 	}
 	group.Go(func() error {
-		n.dataCentres.run(serving, func(dc string) bool { return n.load.DataCentreSilentFor(dc) > cutAfter })
+		n.dataCentreSilence.run(serving, func(dc string) bool { return n.load.DataCentreSilentFor(dc) > partitionTimeout })
 		return nil
 	})
-	group.Go(func() error { n.logSilences(serving); return nil })
+	group.Go(func() error { n.logSilence(serving); return nil })
 	group.Go(func() error {
-		n.keepers.run(serving, func(name string) bool { return !n.fleet.hears(name) })
+		n.keeperSilence.run(serving, func(name string) bool { return !n.fleet.isReachable(name) })
 		return nil
 	})
 	err := group.Wait()
@@ -275,10 +280,10 @@
 	return err
 }
 
-// woke returns what is done after a pause of this process.
-func (n *Node) woke(ctx context.Context) func(time.Duration) {
+// afterPause returns the function to call after a pause of this process.
+func (n *Node) afterPause(ctx context.Context) func(time.Duration) {
 	return func(paused time.Duration) {
-		n.logger.WithField("paused_ms", paused.Milliseconds()).Warn("did not run for a while")
+		n.logger.WithField("paused_ms", paused.Milliseconds()).Warn("process was paused; reading the store again")
 		n.load.ResetAfterPause()
 		if n.keeper != nil {
 			n.keeper.ResetAfterPause()
@@ -287,8 +292,8 @@
 	}
 }
 
-// exchangeLoad tells the entries what this instance has under way, and that it
-// lives: from a data centre that is cut off they hear nothing.
+// exchangeLoad sends this instance's load to the entries, which also serves as its heartbeat: an
+// entry detects a network partition by missing datagrams.
 func (n *Node) exchangeLoad(ctx context.Context) error {
 	address, err := net.ResolveUDPAddr("udp", n.settings.peerAddress(n.settings.IP))
 	if err != nil {
@@ -302,31 +307,31 @@
 	return nil
 }
 
-// takeStanding takes in how another keeper stands.
-func (n *Node) takeStanding(data []byte) {
+// receiveKeeperStatus handles the broadcast status of another keeper.
+func (n *Node) receiveKeeperStatus(data []byte) {
 	status := &historypb.StatusResponse{}
 	if err := proto.Unmarshal(data, status); err != nil {
-		n.logger.WithError(err).Debug("standing of a keeper not readable")
+		n.logger.WithError(err).Debug("status of a keeper can't be decoded; ignored")
 		return
 	}
 	n.keeper.ObserveStatus(status)
 }
 
-// leave waits for the order to stop and hands over what this instance keeps.
-func (n *Node) leave(ctx context.Context) error {
+// handOff waits until ctx ends, then hands this keeper's shards off to other keepers.
+func (n *Node) handOff(ctx context.Context) error {
 	<-ctx.Done()
 	n.logger.Info("stopping")
 	if n.keeper == nil {
 		return nil
 	}
-	limit, cancel := context.WithTimeout(context.Background(), n.settings.Grace-handOverMargin)
+	limit, cancel := context.WithTimeout(context.Background(), n.settings.Grace-handoffMargin)
 	defer cancel()
 	n.keeper.HandOff(limit)
 	return nil
 }
 
-// handOverMargin is left of the grace after a hand-over.
-const handOverMargin = 1500 * time.Millisecond
+// handoffMargin is the part of the grace period left after a handoff.
+const handoffMargin = 1500 * time.Millisecond
 
 // servePeers serves other instances.
 func (n *Node) servePeers(ctx context.Context) error {
@@ -334,7 +339,7 @@
 	relay := mirrorpb.NewRelayServer(n.relay)
 	mux.Handle(relay.PathPrefix(), relay)
 	if n.settings.Callers != "" {
-		mux.HandleFunc(viaPath, n.fleet.serveVia)
+		mux.HandleFunc(viaPath, n.fleet.forwardToKeeper)
 		witness := historypb.NewWitnessServer(n.fleet)
 		mux.Handle(witness.PathPrefix(), witness)
 	}
@@ -348,16 +353,17 @@
 	return n.listen(ctx, server, n.settings.peerAddress(n.settings.IP))
 }
 
-// control is the goroutine that owns what this instance believes.
-func (n *Node) control(ctx context.Context) {
-	ticker := time.NewTicker(refreshEvery)
+// runRefresh updates this instance's state after each change of the mirror until ctx ends. It is
+// the only goroutine that does.
+func (n *Node) runRefresh(ctx context.Context) {
+	ticker := time.NewTicker(removalCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-n.changed:
+		case <-n.refreshRequested:
 			n.refresh()
 		case <-ticker.C:
-			if len(n.lapse.held) > 0 {
+			if len(n.removals.held) > 0 {
 				n.refresh()
 			}
 		case <-ctx.Done():
@@ -366,7 +372,7 @@
 	}
 }
 
-// refresh puts the mirror's state in force.
+// refresh brings the mirror's contents into force.
 func (n *Node) refresh() {
 	n.fleet.refresh()
 	n.refreshAssignment()
@@ -375,13 +381,13 @@
 	if table == nil {
 		return
 	}
-	listed := n.listed.all(n.mirror.Entries(mirror.Replicas))
-	before := n.replicas
-	n.replicas = n.lapse.merge(before, listed, n.mirror.RegistrationGrace(time.Now()))
+	listed := n.decodedReplicas.all(n.mirror.Entries(mirror.Replicas))
+	previous := n.replicas
+	n.replicas = n.removals.merge(previous, listed, n.mirror.RegistrationGrace(time.Now()))
 	asOf, _ := n.mirror.AsOf(mirror.Replicas)
-	n.logReplicas(before, n.replicas, uint64(asOf))
+	n.logReplicas(previous, n.replicas, uint64(asOf))
 	n.upstream.Apply(upstreamsOf(table, n.replicas), time.Now())
-	n.dialect.Replicas.RetainTargets(targetsOf(n.replicas))
+	n.adapter.Replicas.RetainTargets(targetsOf(n.replicas))
 }
 
 func (n *Node) refreshAssignment() {
@@ -402,9 +408,9 @@
 		return
 	}
 	n.configRevision = e.Revision
-	table, err := n.dialect.Table(e.Value)
+	table, err := n.adapter.Table(e.Value)
 	if err != nil {
-		n.logger.WithError(err).WithField("revision", uint64(e.Revision)).Warn("configuration not readable")
+		n.logger.WithError(err).WithField("revision", uint64(e.Revision)).Warn("configuration can't be decoded; the previous one stays in force")
 		return
 	}
 	if old := n.table.Load(); old != nil && table.Version <= old.Version {
@@ -415,20 +421,20 @@
 	n.logger.WithField("config", table.Version).WithField("revision", uint64(e.Revision)).Info("configuration in force")
 }
 
-// serveEntry serves callers until ctx ends, then ends what is under way.
+// serveEntry serves callers until ctx ends, then completes calls in flight.
 func (n *Node) serveEntry(ctx, serving context.Context) error {
 	callers := &http.Server{
-		Handler:           n.dialect.Callers(n.gateway, n.sendsAway),
+		Handler:           n.adapter.Callers(n.gateway, n.divertsCallers),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
-		ConnState:         noteState,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         trackConnState,
 	}
 	ready := &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: headerTimeout}
 	var group errgroup.Group
 	group.Go(func() error { return n.listen(serving, ready, n.settings.Ready) })
 	group.Go(func() error {
-		return n.listenThrough(serving, callers, n.settings.Callers, func(l net.Listener) net.Listener {
+		return n.listenWrapped(serving, callers, n.settings.Callers, func(l net.Listener) net.Listener {
 			return &callerListener{Listener: l, limits: n.limits}
 		})
 	})
@@ -437,27 +443,26 @@
 		began := time.Now()
 		n.stopping.Store(true)
 		n.logger.Info("stopping")
-		time.Sleep(outOfRotation)
-		limit, cancel := context.WithDeadline(context.Background(), began.Add(n.settings.Grace-stopMargin))
+		time.Sleep(balancerDelay)
+		limit, cancel := context.WithDeadline(context.Background(), began.Add(n.settings.Grace-shutdownMargin))
 		defer cancel()
 		err := callers.Shutdown(limit)
 		n.gateway.Drain(limit)
 		_ = ready.Close()
-		return errors.Wrap(err, "calls cut off by the end of the grace")
+		return errors.Wrap(err, "calls still in flight at the end of the grace period")
 	})
 	return group.Wait()
 }
 
-// Bounds beyond which no operator's limit goes, in force before theirs are known.
+// Upper bounds of the operators' limits, in force before those are known.
 const (
 	headerTimeout = 10 * time.Second
-	// idleTimeout is long, since a caller may use its connection up to the
-	// operators' limit.
-	idleTimeout = 5 * time.Minute
-	maxHeader   = 64 << 10
+	// idleTimeout is long, since a caller may keep its connection idle up to the operators' limit.
+	idleTimeout    = 5 * time.Minute
+	maxHeaderBytes = 64 << 10
 )
 
-// limits returns the operators' limits in force; none before the first.
+// limits returns the operators' limits in force, or the zero value before the first configuration.
 func (n *Node) limits() routing.Limits {
 	if table := n.table.Load(); table != nil {
 		return table.Limits
@@ -466,11 +471,12 @@
 }
 
 func (n *Node) listen(ctx context.Context, server *http.Server, address string) error {
-	return n.listenThrough(ctx, server, address, func(l net.Listener) net.Listener { return l })
+	return n.listenWrapped(ctx, server, address, func(l net.Listener) net.Listener { return l })
 }
 
-// listenThrough serves what the wrapped listener accepts.
-func (n *Node) listenThrough(ctx context.Context, server *http.Server, address string, wrap func(net.Listener) net.Listener) error {
+// listenWrapped listens on the address and serves the connections that the wrapped listener
+// accepts.
+func (n *Node) listenWrapped(ctx context.Context, server *http.Server, address string, wrap func(net.Listener) net.Listener) error {
 	listener, err := netdial.Listen(ctx, address)
 	if err != nil {
 		return errors.Wrap(err, "listen")
--- a/internal/node/retire.go
+++ b/internal/node/retire.go
@@ -8,22 +8,22 @@
 	"foxhall/internal/store"
 )
 
-// retireEvery is how often an order to empty this instance is looked at.
-const retireEvery = 200 * time.Millisecond
+// retirementInterval is how often this instance checks for an order to drain it.
+const retirementInterval = 200 * time.Millisecond
 
-// retiring reports that operators want an instance emptied.
-func (n *Node) retiring(instance string) bool {
+// isRetiring reports whether operators have ordered an instance drained.
+func (n *Node) isRetiring(instance string) bool {
 	_, ordered := n.mirror.Get(mirror.Retirements, instance)
 	return ordered
 }
 
-// retire follows an order to empty this instance: it says that it has begun,
-// and that it is done once each slice is whole on two others. The machine is
-// taken away with its disk then, so that saying it sooner would lose turns.
-func (n *Node) retire(ctx context.Context) {
+// runRetirement carries out an order to drain this instance. It reports the start, and completion
+// once two other keepers hold each shard completely. The machine is then removed with its disk, so
+// an earlier report would lose turns.
+func (n *Node) runRetirement(ctx context.Context) {
 	begun, done := false, false
-	for pause(ctx, retireEvery); ctx.Err() == nil; pause(ctx, retireEvery) {
-		if !n.retiring(n.settings.Instance) {
+	for sleep(ctx, retirementInterval); ctx.Err() == nil; sleep(ctx, retirementInterval) {
+		if !n.isRetiring(n.settings.Instance) {
 			begun, done = false, false
 			continue
 		}
@@ -39,12 +39,12 @@
 
 func (n *Node) reportRetirement(ctx context.Context, done bool) bool {
 	key := store.Key{Kind: string(mirror.Retirements), Name: n.settings.Instance}
-	err := n.dialect.Objects.PutStatus(ctx, key, n.dialect.RetirementStatus(done))
+	err := n.adapter.Objects.PutStatus(ctx, key, n.adapter.RetirementStatus(done))
 	line := n.logger.WithField("done", done)
 	if err != nil {
-		line.WithError(err).Warn("retirement not reported")
+		line.WithError(err).Warn("retirement status not written to the store; will retry")
 		return false
 	}
-	line.Info("retirement reported")
+	line.Info("retirement status written to the store")
 	return true
 }
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -8,8 +8,8 @@
 	"foxhall/internal/usage"
 )
 
-// upstreamsOf turns the replicas into the scheduler's upstreams. A draining
-// replica is left out, which marks it as leaving for calls that wait.
+// upstreamsOf converts replicas to the scheduler's upstreams. Draining replicas are omitted, which
+// marks them as draining for waiting calls.
 func upstreamsOf(table *routing.Table, replicas []routing.Replica) []usage.Upstream {
 	var list []usage.Upstream
 	for i := range replicas {
@@ -30,34 +30,34 @@
 	return list
 }
 
-// logReplicas writes a line for each replica that came, changed or went.
-func (n *Node) logReplicas(before, now []routing.Replica, revision uint64) {
+// logReplicas logs each replica that was added, changed its draining state or was removed.
+func (n *Node) logReplicas(previous, current []routing.Replica, revision uint64) {
 	old := map[string]routing.Replica{}
-	for _, r := range before {
+	for _, r := range previous {
 		old[r.Name()] = r
 	}
-	say := func(r *routing.Replica, what string) {
+	logChange := func(r *routing.Replica, message string) {
 		n.logger.WithField("replica", r.Name()).WithField("service", r.Service).WithField("address", r.Address).
-			WithField("revision", revision).Info(what)
+			WithField("revision", revision).Info(message)
 	}
-	for i := range now {
-		r := &now[i]
-		was, known := old[r.Name()]
+	for i := range current {
+		r := &current[i]
+		before, known := old[r.Name()]
 		delete(old, r.Name())
 		switch {
 		case !known:
-			say(r, "replica added")
-		case was.Draining != r.Draining:
-			say(r, "replica draining")
+			logChange(r, "replica added")
+		case before.Draining != r.Draining:
+			logChange(r, "replica draining")
 		}
 	}
 	for _, r := range old {
-		say(&r, "replica removed")
+		logChange(&r, "replica removed")
 	}
 }
 
-// targetsOf returns the connections worth keeping: also those to draining
-// replicas, which still answer.
+// targetsOf returns the targets whose connections are retained, including draining replicas, which
+// still complete calls.
 func targetsOf(replicas []routing.Replica) map[gateway.Target]bool {
 	targets := map[gateway.Target]bool{}
 	for i := range replicas {
@@ -66,35 +66,35 @@
 	return targets
 }
 
-// lapse holds back removals of replicas while they may only be unheard of:
-// their entries lapse while the store is away.
-type lapse struct {
+// removalHold delays removals of replicas that may still be alive: entries expire while the store
+// is unavailable.
+type removalHold struct {
 	held map[string]routing.Replica
 }
 
-// merge returns the replicas to use: those listed, and those that were listed
-// before and may come back within the unsettled time.
-func (l *lapse) merge(before, now []routing.Replica, unsettled time.Duration) []routing.Replica {
+// merge returns the replicas to use: those listed now, and those listed before that may register
+// again within the remaining grace period.
+func (h *removalHold) merge(previous, current []routing.Replica, grace time.Duration) []routing.Replica {
 	listed := map[string]bool{}
-	for i := range now {
-		listed[now[i].ID] = true
+	for i := range current {
+		listed[current[i].ID] = true
 	}
-	if unsettled <= 0 {
-		l.held = nil
-		return now
+	if grace <= 0 {
+		h.held = nil
+		return current
 	}
-	if l.held == nil {
-		l.held = map[string]routing.Replica{}
+	if h.held == nil {
+		h.held = map[string]routing.Replica{}
 	}
-	for _, r := range before {
+	for _, r := range previous {
 		if !listed[r.ID] && !r.Draining {
-			l.held[r.ID] = r
+			h.held[r.ID] = r
 		}
 	}
-	all := now
-	for id, r := range l.held {
+	all := current
+	for id, r := range h.held {
 		if listed[id] {
-			delete(l.held, id)
+			delete(h.held, id)
 			continue
 		}
 		all = append(all, r)
--- a/internal/peerload/quota.go
+++ b/internal/peerload/quota.go
@@ -9,24 +9,25 @@
 	"foxhall/internal/peerload/peerloadpb"
 )
 
-// countedMost is the number of customers in one datagram, which maxDatagram holds.
-const countedMost = 400
+// maxCountsPerDatagram is the number of customers in one datagram, which fits in maxDatagramBytes.
+const maxCountsPerDatagram = 400
 
-// Quotas tells and takes in calls of customers.
+// Quotas exchanges customers' usage with other instances.
 type Quotas interface {
-	// Tell returns what to tell, and which instances are to hear it beside those whose turn
-	// it is.
+	// Report returns the usage to report, and the names of instances to which it is sent at once,
+	// in addition to the next peers of the round.
 	Report(now time.Time) (t limit.QuotaReport, atOnce []string)
-	// Started returns the instances that have started, and what to tell them.
+	// NewInstances returns the names of instances that have started, and the report for them.
 	NewInstances(now time.Time) (instances []string, t limit.QuotaReport)
 	Merge(t limit.QuotaReport, now time.Time)
 }
 
-// OnUses has the quotas tell and take in calls of customers. It is called before Run.
+// SetQuotas sets the quotas that exchange customers' usage. It must be called before Run.
 func (x *Exchange) SetQuotas(q Quotas) { x.quotas = q }
 
-// addUses adds what is to be told of customers, and returns who is to hear it at once.
-func (x *Exchange) addUses(load *peerloadpb.Load, now time.Time) (atOnce []string) {
+// addUsage adds the customers' usage to a load, and returns the names of instances to which it is
+// sent at once.
+func (x *Exchange) addUsage(load *peerloadpb.Load, now time.Time) (atOnce []string) {
 	if x.quotas == nil {
 		return nil
 	}
@@ -40,8 +41,8 @@
 	return atOnce
 }
 
-// tellStarted tells instances that have started what they don't know.
-func (x *Exchange) tellStarted(conn *net.UDPConn) {
+// reportToNewInstances sends the window's counts to instances that have started.
+func (x *Exchange) reportToNewInstances(conn *net.UDPConn) {
 	if x.quotas == nil {
 		return
 	}
@@ -50,9 +51,9 @@
 		return
 	}
 	x.mu.Lock()
-	peers := x.with(nil, instances)
+	peers := x.addPeers(nil, instances)
 	x.mu.Unlock()
-	for part := range slices.Chunk(t.WindowCounts, countedMost) {
+	for part := range slices.Chunk(t.WindowCounts, maxCountsPerDatagram) {
 		load := &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre, Run: t.Incarnation, KnownMs: uint32(t.ObservedFor.Milliseconds())}
 		for _, c := range part {
 			load.CountedCustomers = append(load.CountedCustomers, c.Customer)
@@ -62,21 +63,21 @@
 	}
 }
 
-// hearCounted takes in what an instance tells to one that has started.
-func (x *Exchange) hearCounted(load *peerloadpb.Load, now time.Time) {
+// mergeCounts merges the counts that another instance sends to this one after its start.
+func (x *Exchange) mergeCounts(load *peerloadpb.Load, now time.Time) {
 	if x.quotas != nil {
-		x.quotas.Merge(tellingOf(load), now)
+		x.quotas.Merge(decodeQuotaReport(load), now)
 	}
 }
 
-// even reports that lists which go together are of one length.
-func even(l *peerloadpb.Load) bool {
+// isConsistent reports whether parallel lists have equal lengths.
+func isConsistent(l *peerloadpb.Load) bool {
 	return len(l.Calls) == len(l.Upstreams) && len(l.Backlog) == len(l.Upstreams) &&
 		len(l.Made) == len(l.Customers) && len(l.Recent) == len(l.Customers) &&
 		len(l.Counted) == len(l.CountedCustomers)
 }
 
-func tellingOf(l *peerloadpb.Load) limit.QuotaReport {
+func decodeQuotaReport(l *peerloadpb.Load) limit.QuotaReport {
 	t := limit.QuotaReport{From: l.From, Incarnation: l.Run, ObservedFor: time.Duration(l.KnownMs) * time.Millisecond}
 	for i, customer := range l.Customers {
 		t.Usage = append(t.Usage, limit.CallUsage{Customer: customer, Admitted: l.Made[i], Recent: l.Recent[i]})
