--- a/internal/history/alone_test.go
+++ b/internal/history/alone_test.go
@@ -18,7 +18,7 @@
 	east, west, north = "east", "west", "north"
 	// aloneIn is how long a last keeper may take until it serves: the silence, the
 	// witnesses, the store, and a turn's caller that comes again.
-	aloneIn = 2 * suspectAfter
+	aloneIn = 2 * suspectTimeout
 )
 
 // newLoneWorld returns three keepers, a and b in the east and c in the west, with
@@ -51,7 +51,7 @@
 			t.Log(strings.Join(w.trace.lines, "\n"))
 		}
 		w.stopAll()
-		time.Sleep(releaseTime)
+		time.Sleep(releaseTimeout)
 	})
 	is.New(t).NoErr(failed)
 }
@@ -83,11 +83,11 @@
 		time.Sleep(aloneIn)
 		began := time.Now()
 		fail(keep(w.client(entryIn(west)), "p", "second", "first"))
-		if took := time.Since(began); took > suspectAfter {
+		if took := time.Since(began); took > suspectTimeout {
 			fail(errors.Errorf("served after %v", took))
 		}
 		w.powerAll()
-		time.Sleep(bootTime + aloneIn)
+		time.Sleep(startupGrace + aloneIn)
 		fail(keep(w.client(entryIn(north)), "p", "third", "second"))
 		w.cutDataCentre(east, false)
 		time.Sleep(settledIn)
@@ -159,13 +159,13 @@
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		s := k.shards[ShardOf("p")]
-		if v := k.serves(s, time.Now()); v != historypb.Verdict_DONE {
+		if v := k.servingVerdict(s, time.Now()); v != historypb.Verdict_DONE {
 			fail(errors.Errorf("alone: %v", v))
 		}
 		k.mu.Unlock()
 		k.ResetAfterPause()
 		k.mu.Lock()
-		if v := k.serves(s, time.Now()); v == historypb.Verdict_DONE {
+		if v := k.servingVerdict(s, time.Now()); v == historypb.Verdict_DONE {
 			fail(errors.New("serves by an old word"))
 		}
 	})
@@ -181,7 +181,7 @@
 		fail(keep(w.client(entryIn(north)), "p", "first", ""))
 		w.setStore(true)
 		w.cutDataCentre(east, false)
-		time.Sleep(returnTime + suspectAfter)
+		time.Sleep(rejoinGrace + suspectTimeout)
 		if keep(w.client(entryIn(north)), "p", "on-one-disk", "first") == nil {
 			fail(errors.New("a turn is on one disk, though no other is lost"))
 		}
--- a/internal/history/assignment.go
+++ b/internal/history/assignment.go
@@ -32,7 +32,7 @@
 
 // assignmentForm is the form in which assignments are written. Form 1, which has no
 // number, names no disks and has decisions on all disks of a slice.
-const assignmentForm = 2
+const assignmentFormatVersion = 2
 
 // Assignment tells who holds which slice.
 type Assignment struct {
@@ -50,15 +50,15 @@
 	if err := json.Unmarshal(data, &a); err != nil {
 		return Assignment{}, errors.Wrap(err, "assignment")
 	}
-	if a.FormatVersion > assignmentForm {
-		return Assignment{}, errors.Wrapf(ErrUnknownFormat, "form %d, known up to %d", a.FormatVersion, assignmentForm)
+	if a.FormatVersion > assignmentFormatVersion {
+		return Assignment{}, errors.Wrapf(ErrUnknownFormat, "form %d, known up to %d", a.FormatVersion, assignmentFormatVersion)
 	}
 	return a, nil
 }
 
 // Encode returns the assignment as the store holds it.
 func (a *Assignment) Encode() ([]byte, error) {
-	a.FormatVersion = assignmentForm
+	a.FormatVersion = assignmentFormatVersion
 	return json.Marshal(a)
 }
 
@@ -72,26 +72,26 @@
 
 // First returns the assignment of a system that has never run: slices go round
 // the keepers. Of each slice, disksLost holders may be lost at once.
-func InitialAssignment(keepers []Candidate, disksLost int) (Assignment, bool) {
+func InitialAssignment(keepers []Candidate, maxDiskFailures int) (Assignment, bool) {
 	var a Assignment
 	if len(keepers) < 2 {
 		return a, false
 	}
-	c := chooser{assignment: &a, keepers: keepers, disksLost: disksLost, held: map[string]int{}}
+	c := backupSelector{assignment: &a, keepers: keepers, maxDiskFailures: maxDiskFailures, shardsHeld: map[string]int{}}
 	for s := range a.Shards {
 		primary := keepers[s%len(keepers)]
-		partners := c.partnersFor(s, primary)
-		a.Shards[s] = ShardAssignment{Ensemble: ensembleOf(1, primary, partners, disksLost)}
-		c.count(&a.Shards[s])
+		backups := c.selectBackups(s, primary)
+		a.Shards[s] = ShardAssignment{Ensemble: newEnsemble(1, primary, backups, maxDiskFailures)}
+		c.countHolders(&a.Shards[s])
 	}
 	return a, true
 }
 
 // held counts the slices that a keeper holds in either role.
-func (a *Assignment) held(name string) int {
+func (a *Assignment) countHeldBy(name string) int {
 	n := 0
 	for i := range a.Shards {
-		if r := &a.Shards[i]; r.Epoch > 0 && r.holds(name) {
+		if r := &a.Shards[i]; r.Epoch > 0 && r.hasHolder(name) {
 			n++
 		}
 	}
@@ -99,14 +99,14 @@
 }
 
 // ensembleOf returns an ensemble of the primary and its partners.
-func ensembleOf(epoch uint64, primary Candidate, partners []Candidate, disksLost int) Ensemble {
+func newEnsemble(epoch uint64, primary Candidate, backups []Candidate, maxDiskFailures int) Ensemble {
 	e := Ensemble{Epoch: epoch, Primary: primary.Name, Disks: []string{primary.Disk}}
-	for _, p := range partners {
+	for _, p := range backups {
 		e.Backups = append(e.Backups, p.Name)
 		e.Disks = append(e.Disks, p.Disk)
 	}
-	if len(partners) > disksLost && sparesOne(append([]Candidate{primary}, partners...)) {
-		e.OptionalBackups = spareMost
+	if len(backups) > maxDiskFailures && allowsOptionalBackup(append([]Candidate{primary}, backups...)) {
+		e.OptionalBackups = maxOptionalBackups
 	}
 	return e
 }
@@ -114,9 +114,9 @@
 // sparesOne reports that a decision need not be on all disks of the holders: all disks
 // are known by name, and whichever data centre is lost, more holders than the spare one
 // are left.
-func sparesOne(holders []Candidate) bool {
+func allowsOptionalBackup(holders []Candidate) bool {
 	for _, h := range holders {
-		if h.Disk == "" || len(holders)-sharing(holders, h.DataCentre) <= spareMost {
+		if h.Disk == "" || len(holders)-countInDataCentre(holders, h.DataCentre) <= maxOptionalBackups {
 			return false
 		}
 	}
@@ -124,7 +124,7 @@
 }
 
 // sharing counts those in the data centre.
-func sharing(taken []Candidate, dataCentre string) int {
+func countInDataCentre(taken []Candidate, dataCentre string) int {
 	n := 0
 	for _, c := range taken {
 		if c.DataCentre == dataCentre {
@@ -134,6 +134,6 @@
 	return n
 }
 
-func contains(list []Candidate, name string) bool {
+func containsKeeper(list []Candidate, name string) bool {
 	return slices.ContainsFunc(list, func(c Candidate) bool { return c.Name == name })
 }
--- a/internal/history/reads.go
+++ b/internal/history/assignment_reader.go
@@ -8,44 +8,44 @@
 )
 
 // runReads reads the assignment from the store when it is asked for.
-func (k *Keeper) runReads(ctx context.Context) {
+func (k *Keeper) runAssignmentReader(ctx context.Context) {
 	for {
 		select {
-		case <-k.wakeRead:
+		case <-k.wakeReader:
 		case <-ctx.Done():
 			return
 		}
 		a, version, err := k.assignments.Read(ctx)
 		if err != nil {
 			k.settings.Logger.WithError(err).Warn("assignment not read")
-			sleep(ctx, k.storeLost())
+			sleep(ctx, k.backOffStore())
 			continue
 		}
 		k.mu.Lock()
-		k.storeBack()
+		k.resetStoreBackoff()
 		k.verified = true
 		k.mu.Unlock()
 		k.ApplyAssignment(a, version)
 		// A burst of refusals asks for one read.
-		time.Sleep(readPause)
+		time.Sleep(minReadInterval)
 	}
 }
 
 // readPause is the least time between two reads of the assignment. It is short,
 // since keepers that change it at the same time take turns by reading it again.
-const readPause = 25 * time.Millisecond
+const minReadInterval = 25 * time.Millisecond
 
 // tellTime is how long the other instances take to tell of a new assignment.
-const tellTime = 300 * time.Millisecond
+const assignmentGossipTimeout = 300 * time.Millisecond
 
 // readUnlessTold has the assignment read if a later epoch of the slice than the known one
 // is followed and no instance tells of it soon; the lock is held.
-func (k *Keeper) readUnlessTold(s *shard) {
-	time.AfterFunc(tellTime, func() {
+func (k *Keeper) readIfNotNotified(s *shard) {
+	time.AfterFunc(assignmentGossipTimeout, func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		if s.mark.Epoch > s.role.Epoch {
-			notify(k.wakeRead)
+		if s.epochState.promised > s.role.Epoch {
+			notify(k.wakeReader)
 		}
 	})
 }
@@ -53,28 +53,28 @@
 const (
 	// While the store does not answer, calls to it wait from storeFirst to
 	// storeMost: each is paid for, and there are many keepers.
-	storeFirst = 100 * time.Millisecond
-	storeMost  = 400 * time.Millisecond
+	minStoreBackoff = 100 * time.Millisecond
+	maxStoreBackoff = 400 * time.Millisecond
 )
 
 // storeLost notes that the store did not answer, and returns for how long it is
 // not called.
-func (k *Keeper) storeLost() time.Duration {
+func (k *Keeper) backOffStore() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	pause := k.storeWaits.NextBackOff()
-	k.storeAfter = time.Now().Add(pause)
+	pause := k.storeBackoff.NextBackOff()
+	k.storeRetryAt = time.Now().Add(pause)
 	return pause
 }
 
 // storeBack notes that the store answers; the lock is held.
-func (k *Keeper) storeBack() {
-	k.storeWaits.Reset()
-	k.storeAfter = time.Time{}
+func (k *Keeper) resetStoreBackoff() {
+	k.storeBackoff.Reset()
+	k.storeRetryAt = time.Time{}
 }
 
-func newStoreWaits() *backoff.ExponentialBackOff {
-	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval, waits.MaxInterval = storeFirst, storeMost
-	return waits
+func newStoreBackoff() *backoff.ExponentialBackOff {
+	policy := backoff.NewExponentialBackOff()
+	policy.InitialInterval, policy.MaxInterval = minStoreBackoff, maxStoreBackoff
+	return policy
 }
--- a/internal/history/client.go
+++ b/internal/history/client.go
@@ -15,15 +15,15 @@
 
 const (
 	// callTime bounds one call to a keeper, which waits for all disks of a slice.
-	callTime = 900 * time.Millisecond
+	callTimeout = 900 * time.Millisecond
 	// reserveTime bounds all tries of a reservation: a change of keepers takes
 	// about a second, and a caller that is refused sooner would come back into it.
-	reserveTime = 1800 * time.Millisecond
+	reserveTimeout = 1800 * time.Millisecond
 	// retryPause is the pause between two tries.
-	retryPause = 60 * time.Millisecond
+	retryInterval = 60 * time.Millisecond
 	// releaseTime is how long a reservation that may have been made in vain is
 	// given back; then it counts as spent.
-	releaseTime = 20 * time.Second
+	releaseTimeout = 20 * time.Second
 )
 
 // ErrUnreached says that no keeper of the slice could be asked in time.
@@ -50,7 +50,7 @@
 
 	mu sync.Mutex
 	// newer holds roles that keepers told before the assignment came.
-	newer [ShardCount]ShardAssignment
+	observedRoles [ShardCount]ShardAssignment
 }
 
 var _ gateway.Turns = (*Client)(nil)
@@ -60,74 +60,74 @@
 	return &Client{keepers: keepers, assignment: assignment, allowances: newAllowances(), logger: logger}
 }
 
-func (c *Client) role(slice uint32) ShardAssignment {
+func (c *Client) roleOf(shardID uint32) ShardAssignment {
 	a, _ := c.assignment()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.newer[slice].Epoch > a.Shards[slice].Epoch {
-		return c.newer[slice]
+	if c.observedRoles[shardID].Epoch > a.Shards[shardID].Epoch {
+		return c.observedRoles[shardID]
 	}
-	return a.Shards[slice]
+	return a.Shards[shardID]
 }
 
 // learn takes in a keeper's word on a slice's role.
-func (c *Client) learn(slice uint32, r *historypb.Role) {
+func (c *Client) observeRole(shardID uint32, r *historypb.Role) {
 	if r == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r.Epoch > c.newer[slice].Epoch {
-		c.newer[slice] = ShardAssignment{Ensemble: Ensemble{Epoch: r.Epoch, Primary: r.Primary, Backups: r.Partners}}
+	if r.Epoch > c.observedRoles[shardID].Epoch {
+		c.observedRoles[shardID] = ShardAssignment{Ensemble: Ensemble{Epoch: r.Epoch, Primary: r.Primary, Backups: r.Partners}}
 	}
 }
 
 // reply is what came of one call to a keeper.
-type reply uint8
+type callOutcome uint8
 
 const (
 	// again says that another keeper, or this one later, may settle the matter.
-	again reply = iota
-	settled
+	outcomeRetry callOutcome = iota
+	outcomeDone
 	// isolated says that the keeper reaches no other.
-	isolated
+	outcomeIsolated
 )
 
 // ask calls the slice's primary, and its partners where that one does not settle
 // the matter, until one does or the time is over. With giveUp it ends at once
 // where each of them is out of reach or isolated: a keeper that is cut off alone
 // is replaced by its partner, but one that is cut off with the caller is not.
-func (c *Client) ask(ctx context.Context, slice uint32, limit time.Duration, giveUp bool, call func(context.Context, historypb.Keeper) reply) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (c *Client) callShard(ctx context.Context, shardID uint32, timeout time.Duration, failFast bool, call func(context.Context, historypb.Keeper) callOutcome) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		role := c.role(slice)
-		hope := false
+		role := c.roleOf(shardID)
+		retryable := false
 		for _, name := range role.holders() {
 			keeper, ok := c.keepers.Keeper(name)
 			if !ok {
 				continue
 			}
-			switch c.askOne(ctx, name, keeper, call) {
-			case settled:
+			switch c.callKeeper(ctx, name, keeper, call) {
+			case outcomeDone:
 				return nil
-			case again:
-				hope = true
+			case outcomeRetry:
+				retryable = true
 			}
 		}
-		if giveUp && (!hope || c.keepers.Isolated()) {
+		if failFast && (!retryable || c.keepers.Isolated()) {
 			return gateway.ErrIsolated
 		}
-		sleep(ctx, retryPause)
+		sleep(ctx, retryInterval)
 	}
-	role := c.role(slice)
-	return errors.Wrapf(ErrKeepersUnreachable, "slice %d in epoch %d of %s with %v", slice, role.Epoch, role.Primary, role.Backups)
+	role := c.roleOf(shardID)
+	return errors.Wrapf(ErrKeepersUnreachable, "slice %d in epoch %d of %s with %v", shardID, role.Epoch, role.Primary, role.Backups)
 }
 
 // askOne asks one keeper. One that falls silent meanwhile is given up at once: the
 // next holder knows sooner who took its place.
-func (c *Client) askOne(ctx context.Context, name string, k historypb.Keeper, call func(context.Context, historypb.Keeper) reply) reply {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+func (c *Client) callKeeper(ctx context.Context, name string, k historypb.Keeper, call func(context.Context, historypb.Keeper) callOutcome) callOutcome {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	defer c.keepers.OnSilence(name, cancel)()
 	return call(ctx, k)
@@ -144,19 +144,19 @@
 
 // Reserve implements gateway.Turns.
 func (c *Client) Reserve(ctx context.Context, r gateway.Reservation) (gateway.Reserved, error) {
-	if c.allowances.take(r, time.Now()) {
+	if c.allowances.beginTurn(r, time.Now()) {
 		return gateway.Reserved{}, nil
 	}
 	reserved, err := c.reserveAtKeepers(ctx, r)
-	if err == nil && !r.Retain && r.Budget >= allowanceLeast*r.MaxOutputTokens {
-		c.refill(c.allowances.open(r, time.Now()))
+	if err == nil && !r.Retain && r.Budget >= minBudgetTurns*r.MaxOutputTokens {
+		c.refill(c.allowances.getOrCreate(r, time.Now()))
 	}
 	return reserved, err
 }
 
 // allowanceLeast is the number of turns at their most that a budget must hold
 // for an allowance to be drawn of it; the keepers give at most half of it.
-const allowanceLeast = 4 * allowanceTurns
+const minBudgetTurns = 4 * targetAllowanceTurns
 
 func (c *Client) reserveAtKeepers(ctx context.Context, r gateway.Reservation) (gateway.Reserved, error) {
 	request := &historypb.ReserveRequest{
@@ -173,14 +173,14 @@
 	if err != nil {
 		return gateway.Reserved{}, err
 	}
-	if !ownChain(response.Chain, &r.Customer) {
-		c.giveBack(request)
+	if !ownsChain(response.Chain, &r.Customer) {
+		c.releaseReservation(request)
 		return gateway.Reserved{}, gateway.ErrNoSuchTurn
 	}
 	if response.Verdict != historypb.Verdict_NO_TURN {
-		return gateway.Reserved{Chain: turns(response.Chain), Replica: response.Replica}, verdictError(response.Verdict)
+		return gateway.Reserved{Chain: decodeTurns(response.Chain), Replica: response.Replica}, verdictError(response.Verdict)
 	}
-	chain, err := c.find(ctx, r.Customer, r.Previous)
+	chain, err := c.findChain(ctx, r.Customer, r.Previous)
 	if err != nil {
 		return gateway.Reserved{}, err
 	}
@@ -189,7 +189,7 @@
 	if err != nil {
 		return gateway.Reserved{}, err
 	}
-	reserved := gateway.Reserved{Chain: turns(chain), ForeignChain: true, Replica: response.Replica}
+	reserved := gateway.Reserved{Chain: decodeTurns(chain), ForeignChain: true, Replica: response.Replica}
 	if last := chain[len(chain)-1]; last.Replica != "" {
 		reserved.Replica = last.Replica
 	}
@@ -198,7 +198,7 @@
 
 // ownChain reports whether all turns may be continued by the customer. Keepers of an older
 // version do not look at that.
-func ownChain(chain []*historypb.Turn, customer *string) bool {
+func ownsChain(chain []*historypb.Turn, customer *string) bool {
 	return !slices.ContainsFunc(chain, func(t *historypb.Turn) bool { return !ownedBy(t, customer) })
 }
 
@@ -216,36 +216,36 @@
 }
 
 func (c *Client) reserve(ctx context.Context, r *historypb.ReserveRequest) (*historypb.ReserveResponse, error) {
-	var answer *historypb.ReserveResponse
-	err := c.ask(ctx, r.Slice, reserveTime, true, func(ctx context.Context, k historypb.Keeper) reply {
+	var result *historypb.ReserveResponse
+	err := c.callShard(ctx, r.Slice, reserveTimeout, true, func(ctx context.Context, k historypb.Keeper) callOutcome {
 		response, err := k.Reserve(ctx, r)
 		if err != nil {
-			return again
+			return outcomeRetry
 		}
-		c.learn(r.Slice, response.Role)
-		answer = response
+		c.observeRole(r.Slice, response.Role)
+		result = response
 		switch response.Verdict {
 		case historypb.Verdict_MOVED, historypb.Verdict_NOT_NOW:
-			return again
+			return outcomeRetry
 		case historypb.Verdict_ISOLATED:
-			return isolated
+			return outcomeIsolated
 		default:
-			return settled
+			return outcomeDone
 		}
 	})
 	if err != nil {
-		c.giveBack(r)
+		c.releaseReservation(r)
 		return nil, err
 	}
-	return answer, nil
+	return result, nil
 }
 
 // giveBack ends a reservation that may have been made without our hearing of
 // it. The turn was not sent to any replica.
-func (c *Client) giveBack(r *historypb.ReserveRequest) {
+func (c *Client) releaseReservation(r *historypb.ReserveRequest) {
 	settle := &historypb.SettleRequest{Slice: r.Slice, Program: r.Program, Customer: r.Customer, Turn: r.Turn}
 	go func() {
-		if err := c.settle(context.Background(), settle, releaseTime); err != nil {
+		if err := c.settle(context.Background(), settle, releaseTimeout); err != nil {
 			// The tokens stay counted as spent, which harms the program alone.
 			c.logger.WithError(err).WithField("request", r.Turn).WithField("program", r.Program).Warn("reservation not given back")
 		}
@@ -254,7 +254,7 @@
 
 // Settle implements gateway.Turns.
 func (c *Client) Settle(ctx context.Context, e gateway.Settlement) error {
-	if a, ok := c.allowances.settle(e); ok {
+	if a, ok := c.allowances.settleTurn(e); ok {
 		c.refill(a)
 		return nil
 	}
@@ -268,39 +268,39 @@
 		Replica:     e.Replica,
 	}
 	if e.RetainedTurn != nil {
-		request.Kept = wireTurn(e.RetainedTurn, &e)
+		request.Kept = encodeTurn(e.RetainedTurn, &e)
 	}
 	for i := range e.Chain {
-		request.Chain = append(request.Chain, wireTurn(&e.Chain[i], &e))
+		request.Chain = append(request.Chain, encodeTurn(&e.Chain[i], &e))
 	}
-	return c.settle(ctx, request, releaseTime)
+	return c.settle(ctx, request, releaseTimeout)
 }
 
-func (c *Client) settle(ctx context.Context, r *historypb.SettleRequest, limit time.Duration) error {
-	return c.ask(ctx, r.Slice, limit, false, func(ctx context.Context, k historypb.Keeper) reply {
+func (c *Client) settle(ctx context.Context, r *historypb.SettleRequest, timeout time.Duration) error {
+	return c.callShard(ctx, r.Slice, timeout, false, func(ctx context.Context, k historypb.Keeper) callOutcome {
 		response, err := k.Settle(ctx, r)
 		if err != nil {
-			return again
+			return outcomeRetry
 		}
-		c.learn(r.Slice, response.Role)
+		c.observeRole(r.Slice, response.Role)
 		if response.Verdict != historypb.Verdict_DONE {
-			return again
+			return outcomeRetry
 		}
-		return settled
+		return outcomeDone
 	})
 }
 
 // find looks a turn up in all slices: a program may continue another's turn.
 // Only when each slice's primary has said so is the turn certainly not there.
-func (c *Client) find(ctx context.Context, customer, turn string) ([]*historypb.Turn, error) {
-	ctx, cancel := context.WithTimeout(ctx, reserveTime)
+func (c *Client) findChain(ctx context.Context, customer, turn string) ([]*historypb.Turn, error) {
+	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	absent := map[uint32]bool{}
 	for ctx.Err() == nil {
 		if c.keepers.Isolated() {
 			return nil, gateway.ErrIsolated
 		}
-		for _, name := range c.holders(absent) {
+		for _, name := range c.holdersToAsk(absent) {
 			keeper, ok := c.keepers.Keeper(name)
 			if !ok {
 				continue
@@ -310,7 +310,7 @@
 				c.logger.WithError(err).WithField("keeper", name).WithField("request", turn).Debug("turn not asked for here")
 				continue
 			}
-			if len(response.Chain) > 0 && ownChain(response.Chain, &customer) {
+			if len(response.Chain) > 0 && ownsChain(response.Chain, &customer) {
 				return response.Chain, nil
 			}
 			for _, s := range response.Absent {
@@ -320,17 +320,17 @@
 		if len(absent) == ShardCount {
 			return nil, gateway.ErrNoSuchTurn
 		}
-		sleep(ctx, retryPause)
+		sleep(ctx, retryInterval)
 	}
 	return nil, ErrKeepersUnreachable
 }
 
 // holders returns the keepers of the slices that have not said yet.
-func (c *Client) holders(absent map[uint32]bool) []string {
+func (c *Client) holdersToAsk(absent map[uint32]bool) []string {
 	var names []string
 	seen := map[string]bool{}
 	for s := range uint32(ShardCount) {
-		role := c.role(s)
+		role := c.roleOf(s)
 		if absent[s] {
 			continue
 		}
@@ -344,15 +344,15 @@
 	return names
 }
 
-func turns(wire []*historypb.Turn) []gateway.Turn {
-	out := make([]gateway.Turn, 0, len(wire))
+func decodeTurns(wire []*historypb.Turn) []gateway.Turn {
+	decoded := make([]gateway.Turn, 0, len(wire))
 	for _, t := range wire {
-		out = append(out, gateway.Turn{ID: t.Id, Previous: t.Previous, Input: t.Input, Events: t.Events, Ended: time.UnixMilli(t.EndedUnixMs), Replica: t.Replica})
+		decoded = append(decoded, gateway.Turn{ID: t.Id, Previous: t.Previous, Input: t.Input, Events: t.Events, Ended: time.UnixMilli(t.EndedUnixMs), Replica: t.Replica})
 	}
-	return out
+	return decoded
 }
 
-func wireTurn(t *gateway.Turn, e *gateway.Settlement) *historypb.Turn {
+func encodeTurn(t *gateway.Turn, e *gateway.Settlement) *historypb.Turn {
 	return &historypb.Turn{
 		Id:          t.ID,
 		Previous:    t.Previous,
--- a/internal/history/cost_test.go
+++ b/internal/history/cost_test.go
@@ -24,7 +24,7 @@
 		time.Sleep(settledIn)
 		count := func() (n int64) {
 			for _, m := range w.machines {
-				n += m.process.keeper.looks.Load()
+				n += m.process.keeper.reconciliations.Load()
 			}
 			return n
 		}
@@ -32,7 +32,7 @@
 		time.Sleep(30 * time.Second)
 		looks = (count() - before) / int64(keepers)
 		w.stopAll()
-		time.Sleep(releaseTime)
+		time.Sleep(releaseTimeout)
 	})
 	return looks
 }
@@ -63,7 +63,7 @@
 		w.mu.Unlock()
 		lost := w.machines[0].dataCentre
 		w.cutDataCentre(lost, true)
-		time.Sleep(suspectAfter + rolesEvery + aloneIn/2)
+		time.Sleep(suspectTimeout + reconcileInterval + aloneIn/2)
 		a := w.assigned()
 		for s := range a.Shards {
 			for _, name := range a.Shards[s].holders() {
--- a/internal/history/customer.go
+++ b/internal/history/customer.go
@@ -3,15 +3,15 @@
 import "foxhall/internal/history/historypb"
 
 // customerMark ends a customer's name in a key. No id contains it: ids come from headers.
-const customerMark = "\x00"
+const customerSeparator = "\x00"
 
 // keyOf returns the key of a program or turn of the customer. Without a customer it is the
 // bare id, as in what older versions kept.
-func keyOf(customer *string, id string) string {
+func recordKey(customer *string, id string) string {
 	if customer == nil || *customer == "" {
 		return id
 	}
-	return *customer + customerMark + id
+	return *customer + customerSeparator + id
 }
 
 // ownedBy reports whether a turn may be continued by the customer. Turns that older versions
@@ -21,15 +21,15 @@
 }
 
 // turn returns the customer's kept turn, or nil.
-func (s *state) turn(customer *string, id string) *keptTurn {
+func (s *state) turn(customer *string, id string) *retainedTurn {
 	if id == "" {
 		return nil
 	}
-	if k := s.turns[keyOf(customer, id)]; k != nil && ownedBy(k.turn, customer) {
+	if k := s.turns[recordKey(customer, id)]; k != nil && ownedBy(k.turn, customer) {
 		return k
 	}
 	if customer == nil {
-		return s.anyTurn(id)
+		return s.turnByID(id)
 	}
 	if k := s.turns[id]; k != nil && k.turn.Customer == nil {
 		return k
@@ -38,7 +38,7 @@
 }
 
 // anyTurn finds a turn for an entry of an older version, which names no customer.
-func (s *state) anyTurn(id string) *keptTurn {
+func (s *state) turnByID(id string) *retainedTurn {
 	for _, k := range s.turns {
 		if k.turn.Id == id {
 			return k
@@ -53,7 +53,7 @@
 	if customer == nil {
 		return s.newestAccount(program)
 	}
-	if a := s.accounts[keyOf(customer, program)]; a != nil {
+	if a := s.accounts[recordKey(customer, program)]; a != nil {
 		return a
 	}
 	if a := s.accounts[program]; a != nil && a.Customer == nil {
@@ -73,4 +73,4 @@
 	return newest
 }
 
-func (s *state) put(a *historypb.Account) { s.accounts[keyOf(a.Customer, a.Program)] = a }
+func (s *state) putAccount(a *historypb.Account) { s.accounts[recordKey(a.Customer, a.Program)] = a }
--- a/internal/history/customer_test.go
+++ b/internal/history/customer_test.go
@@ -99,7 +99,7 @@
 // alone.
 func TestChainsOfAnOlderKeeperAreChecked(t *testing.T) {
 	is := is.New(t)
-	is.True(ownChain([]*historypb.Turn{{Id: "a"}, {Id: "b", Customer: customer("one")}}, customer("one")))
-	is.True(!ownChain([]*historypb.Turn{{Id: "a", Customer: customer("one")}}, customer("two")))
-	is.True(!ownChain([]*historypb.Turn{{Id: "a", Customer: customer("one")}}, customer("")))
+	is.True(ownsChain([]*historypb.Turn{{Id: "a"}, {Id: "b", Customer: customer("one")}}, customer("one")))
+	is.True(!ownsChain([]*historypb.Turn{{Id: "a", Customer: customer("one")}}, customer("two")))
+	is.True(!ownsChain([]*historypb.Turn{{Id: "a", Customer: customer("one")}}, customer("")))
 }
--- a/internal/history/disk.go
+++ b/internal/history/disk_log.go
@@ -17,24 +17,24 @@
 
 const (
 	// frameHead is the length of a record's frame: its size and its checksum.
-	frameHead = 12
+	frameHeaderSize = 12
 	// maxRecord bounds a record; a turn's input is at most a caller's body.
-	maxRecord = 64 << 20
+	maxRecordSize = 64 << 20
 	// segmentBytes is the size at which a segment is replaced by a new one that
 	// begins with all that is still kept. Two of them and what is kept fit the
 	// smallest disk, of 340 MB, several times.
-	segmentBytes = 48 << 20
-	segmentName  = "history-%08d.log"
+	maxSegmentSize    = 48 << 20
+	segmentNameFormat = "history-%08d.log"
 	// compactBytes is how much of a compaction is framed before it is written.
-	compactBytes = 1 << 20
+	compactionBufferSize = 1 << 20
 )
 
 // diskLog is the log of records on this instance's disk. It is used by one
 // goroutine.
 type diskLog struct {
-	folder string
-	file   *os.File
-	number int
+	dir     string
+	file    *os.File
+	segment int
 	// size is the segment's length, and synced how much of it is durable.
 	size, synced int64
 }
@@ -42,33 +42,33 @@
 // openLog reads all segments, calling each for every record, and opens a new
 // one for writing. A record that was not wholly written ends its segment:
 // nothing behind it was ever acknowledged.
-func openLog(folder string, each func(*historypb.Record)) (*diskLog, error) {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+func openLog(dir string, visit func(*historypb.Record)) (*diskLog, error) {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, errors.Wrap(err, "history")
 	}
-	numbers, err := segments(folder)
+	numbers, err := listSegments(dir)
 	if err != nil {
 		return nil, err
 	}
-	l := &diskLog{folder: folder}
+	l := &diskLog{dir: dir}
 	for _, n := range numbers {
-		if err := readSegment(l.path(n), each); err != nil {
+		if err := readSegment(l.segmentPath(n), visit); err != nil {
 			return nil, err
 		}
-		l.number = n
+		l.segment = n
 	}
-	return l, l.next()
+	return l, l.startSegment()
 }
 
-func segments(folder string) ([]int, error) {
-	entries, err := os.ReadDir(folder)
+func listSegments(dir string) ([]int, error) {
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, errors.Wrap(err, "history")
 	}
 	var numbers []int
 	for _, e := range entries {
 		n := 0
-		if _, err := fmt.Sscanf(e.Name(), segmentName, &n); err == nil {
+		if _, err := fmt.Sscanf(e.Name(), segmentNameFormat, &n); err == nil {
 			numbers = append(numbers, n)
 		}
 	}
@@ -76,11 +76,13 @@
 	return numbers, nil
 }
 
-func (l *diskLog) path(n int) string { return filepath.Join(l.folder, fmt.Sprintf(segmentName, n)) }
+func (l *diskLog) segmentPath(n int) string {
+	return filepath.Join(l.dir, fmt.Sprintf(segmentNameFormat, n))
+}
 
 // next begins a new segment.
-func (l *diskLog) next() error {
-	file, err := os.OpenFile(l.path(l.number+1), os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o644)
+func (l *diskLog) startSegment() error {
+	file, err := os.OpenFile(l.segmentPath(l.segment+1), os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o644)
 	if err != nil {
 		return errors.Wrap(err, "history")
 	}
@@ -88,41 +90,41 @@
 		l.file.Close()
 	}
 	l.file, l.size, l.synced = file, 0, 0
-	l.number++
+	l.segment++
 	return nil
 }
 
-func readSegment(path string, each func(*historypb.Record)) error {
+func readSegment(path string, visit func(*historypb.Record)) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return errors.Wrap(err, "history")
 	}
-	for len(data) >= frameHead {
+	for len(data) >= frameHeaderSize {
 		size := int(binary.LittleEndian.Uint32(data))
-		sum := binary.LittleEndian.Uint64(data[4:])
-		if size > maxRecord || len(data) < frameHead+size {
+		checksum := binary.LittleEndian.Uint64(data[4:])
+		if size > maxRecordSize || len(data) < frameHeaderSize+size {
 			return nil
 		}
-		body := data[frameHead : frameHead+size]
+		body := data[frameHeaderSize : frameHeaderSize+size]
 		r := &historypb.Record{}
-		if xxhash.Sum64(body) != sum || proto.Unmarshal(body, r) != nil {
+		if xxhash.Sum64(body) != checksum || proto.Unmarshal(body, r) != nil {
 			return nil
 		}
-		each(r)
-		data = data[frameHead+size:]
+		visit(r)
+		data = data[frameHeaderSize+size:]
 	}
 	return nil
 }
 
 // frame appends a record's frame to b.
-func frame(b []byte, r *historypb.Record) ([]byte, error) {
+func appendFrame(b []byte, r *historypb.Record) ([]byte, error) {
 	start := len(b)
-	b = append(b, make([]byte, frameHead)...)
+	b = append(b, make([]byte, frameHeaderSize)...)
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, r)
 	if err != nil {
 		return nil, errors.Wrap(err, "history")
 	}
-	body := b[start+frameHead:]
+	body := b[start+frameHeaderSize:]
 	binary.LittleEndian.PutUint32(b[start:], uint32(len(body)))
 	binary.LittleEndian.PutUint64(b[start+4:], xxhash.Sum64(body))
 	return b, nil
@@ -152,19 +154,19 @@
 // compact begins a new segment with all that is kept and removes the older
 // ones once it is durable.
 func (l *diskLog) compact(all []*historypb.Record) error {
-	older, err := segments(l.folder)
+	older, err := listSegments(l.dir)
 	if err != nil {
 		return err
 	}
-	if err := l.next(); err != nil {
+	if err := l.startSegment(); err != nil {
 		return err
 	}
 	var framed []byte
 	for _, r := range all {
-		if framed, err = frame(framed, r); err != nil {
+		if framed, err = appendFrame(framed, r); err != nil {
 			return err
 		}
-		if len(framed) >= compactBytes {
+		if len(framed) >= compactionBufferSize {
 			if err := l.append(framed); err != nil {
 				return err
 			}
@@ -175,7 +177,7 @@
 		return err
 	}
 	for _, n := range older {
-		if err := os.Remove(l.path(n)); err != nil {
+		if err := os.Remove(l.segmentPath(n)); err != nil {
 			return errors.Wrap(err, "history")
 		}
 	}
--- a/internal/history/ensemble.go
+++ b/internal/history/ensemble.go
@@ -21,24 +21,24 @@
 	Ensemble
 	// Before lists earlier ensembles, the oldest first, that may hold decisions
 	// which the primary has to fetch before it decides.
-	Before []Ensemble `json:"before,omitempty"`
+	Previous []Ensemble `json:"before,omitempty"`
 }
 
 // spareMost is the largest Spare. Any two holders of an ensemble then have all of its
 // decisions between them.
-const spareMost = 1
+const maxOptionalBackups = 1
 
 // holders returns the primary and its partners.
 func (e *Ensemble) holders() []string { return append([]string{e.Primary}, e.Backups...) }
 
 // partner reports whether a keeper is a partner.
-func (e *Ensemble) partner(name string) bool { return slices.Contains(e.Backups, name) }
+func (e *Ensemble) hasBackup(name string) bool { return slices.Contains(e.Backups, name) }
 
 // holds reports whether a keeper is a holder.
-func (e *Ensemble) holds(name string) bool { return e.Primary == name || e.partner(name) }
+func (e *Ensemble) hasHolder(name string) bool { return e.Primary == name || e.hasBackup(name) }
 
 // disk returns the name of a holder's disk, or nothing where it is not known.
-func (e *Ensemble) disk(name string) string {
+func (e *Ensemble) diskOf(name string) string {
 	i := slices.Index(e.holders(), name)
 	if i < 0 || i >= len(e.Disks) {
 		return ""
@@ -47,16 +47,16 @@
 }
 
 // acks returns on how many partners' disks a decision must be.
-func (e *Ensemble) acks() int { return len(e.Backups) - e.OptionalBackups }
+func (e *Ensemble) requiredAcks() int { return len(e.Backups) - e.OptionalBackups }
 
 // sameHolders reports that the other ensemble has the same primary and partners, in any
 // order, on the same disks, and the same spare.
-func (e *Ensemble) sameHolders(other *Ensemble) bool {
+func (e *Ensemble) sameReplicaSet(other *Ensemble) bool {
 	if e.Primary != other.Primary || e.OptionalBackups != other.OptionalBackups || len(e.Backups) != len(other.Backups) {
 		return false
 	}
 	for _, name := range e.holders() {
-		if !other.holds(name) || e.disk(name) != other.disk(name) {
+		if !other.hasHolder(name) || e.diskOf(name) != other.diskOf(name) {
 			return false
 		}
 	}
@@ -65,11 +65,11 @@
 
 // keeps reports whether a keeper with the disk and the base still has all that it
 // acknowledged in the ensemble.
-func (e *Ensemble) keeps(name, disk string, base uint64) bool {
-	if !e.holds(name) {
+func (e *Ensemble) isIntact(name, disk string, base uint64) bool {
+	if !e.hasHolder(name) {
 		return false
 	}
-	if recorded := e.disk(name); recorded != "" {
+	if recorded := e.diskOf(name); recorded != "" {
 		return recorded == disk
 	}
 	// Without the disk's name, a base of the epoch before shows that the disk was
@@ -80,17 +80,17 @@
 // complete reports whether the keepers, which have all that they acknowledged in the
 // ensemble, have all of its decisions between them: each is on the primary's disk, and
 // on those of all partners but the spare ones.
-func (e *Ensemble) complete(names []string) bool {
+func (e *Ensemble) isRecoveryQuorum(names []string) bool {
 	return slices.Contains(names, e.Primary) || len(names) > e.OptionalBackups
 }
 
 // chain returns the ensembles that may hold decisions, the oldest first.
-func (r *ShardAssignment) chain() []Ensemble { return append(slices.Clone(r.Before), r.Ensemble) }
+func (r *ShardAssignment) ensembles() []Ensemble { return append(slices.Clone(r.Previous), r.Ensemble) }
 
 // everHeld returns the holders of all these ensembles.
-func (r *ShardAssignment) everHeld() map[string]bool {
+func (r *ShardAssignment) allHolders() map[string]bool {
 	names := map[string]bool{}
-	for _, e := range r.chain() {
+	for _, e := range r.ensembles() {
 		for _, name := range e.holders() {
 			names[name] = true
 		}
@@ -99,9 +99,9 @@
 }
 
 // oldest returns the lowest base with which a keeper may take the slice over.
-func (r *ShardAssignment) oldest() uint64 {
-	if len(r.Before) > 0 {
-		return r.Before[0].Epoch
+func (r *ShardAssignment) minBase() uint64 {
+	if len(r.Previous) > 0 {
+		return r.Previous[0].Epoch
 	}
 	return r.Epoch
 }
--- a/internal/history/failure_test.go
+++ b/internal/history/failure_test.go
@@ -49,10 +49,10 @@
 		role := w.role("p")
 		w.machine(role.Primary).wipe()
 		w.mu.Lock()
-		late := ShardAssignment{Before: []Ensemble{role.Ensemble}}
-		late.Epoch, late.Primary, late.Disks = role.Epoch+1, role.Primary, []string{role.disk(role.Primary)}
+		late := ShardAssignment{Previous: []Ensemble{role.Ensemble}}
+		late.Epoch, late.Primary, late.Disks = role.Epoch+1, role.Primary, []string{role.diskOf(role.Primary)}
 		for _, m := range w.machines {
-			if !role.holds(m.name) {
+			if !role.hasHolder(m.name) {
 				late.Backups = append(late.Backups, m.name)
 				late.Disks = append(late.Disks, m.process.keeper.disk)
 			}
@@ -61,7 +61,7 @@
 		w.version++
 		w.mu.Unlock()
 		w.machine(role.Primary).start()
-		time.Sleep(2 * abandonAfter)
+		time.Sleep(2 * forceRecoveryAfter)
 		fail(keep(c, "p", "second", "first"))
 	})
 }
@@ -94,7 +94,7 @@
 			time.Sleep(mirrorTime)
 		}
 		after, err := k.Status(ctx, &historypb.StatusRequest{})
-		if err != nil || markOf(after.Slices[ShardOf("p")]).Base > 0 {
+		if err != nil || decodeEpochState(after.Slices[ShardOf("p")]).base > 0 {
 			fail(errors.New("an empty disk counts as whole"))
 		}
 	})
@@ -114,7 +114,7 @@
 		}
 		old := w.machine(role.Primary)
 		old.freeze()
-		time.Sleep(3 * suspectAfter)
+		time.Sleep(3 * suspectTimeout)
 		if _, err := c.Reserve(ctx, gateway.Reservation{Program: "p", Turn: "two", MaxOutputTokens: 40, Budget: 100}); err != nil {
 			fail(err)
 			return
@@ -136,7 +136,7 @@
 	inWorld(t, func(w *world, fail func(error)) {
 		role := w.role("p")
 		w.isolate(role.Primary)
-		time.Sleep(2 * suspectAfter)
+		time.Sleep(2 * suspectTimeout)
 		// The entry, too, has not heard of the change yet.
 		c := NewClient(&entryPoint{world: w, name: "entry"}, role.alone, w.logger("entry"))
 		fail(keep(c, "p", "first", ""))
@@ -170,7 +170,7 @@
 	inWorld(t, func(w *world, fail func(error)) {
 		role := w.role("p")
 		w.isolate(role.Primary)
-		time.Sleep(2 * suspectAfter)
+		time.Sleep(2 * suspectTimeout)
 		c := NewClient(&entryPoint{world: w, name: "entry", only: role.Primary}, role.alone, w.logger("entry"))
 		began := time.Now()
 		_, err := c.Reserve(context.Background(), gateway.Reservation{Program: "p", Turn: "t", MaxOutputTokens: 1})
@@ -188,14 +188,14 @@
 	inWorld(t, func(w *world, fail func(error)) {
 		role := w.role("p")
 		w.isolate(role.Backups[0])
-		time.Sleep(2 * suspectAfter)
+		time.Sleep(2 * suspectTimeout)
 		c := NewClient(&entryPoint{world: w, name: "entry", only: role.Backups[0], cutOff: true}, role.alone, w.logger("entry"))
 		began := time.Now()
 		_, err := c.Reserve(context.Background(), gateway.Reservation{Program: "p", Turn: "t", MaxOutputTokens: 1})
 		if !errors.Is(err, gateway.ErrIsolated) {
 			fail(errors.Errorf("reserve: %v", err))
 		}
-		if _, err = c.find(context.Background(), "", "elsewhere"); !errors.Is(err, gateway.ErrIsolated) {
+		if _, err = c.findChain(context.Background(), "", "elsewhere"); !errors.Is(err, gateway.ErrIsolated) {
 			fail(errors.Errorf("find: %v", err))
 		}
 		if took := time.Since(began); took > 10*wayTime {
@@ -246,13 +246,13 @@
 		k := w.machines[0].process.keeper
 		k.mu.Lock()
 		for _, v := range k.views {
-			v.heard = v.heard.Add(-2 * time.Second)
+			v.lastContact = v.lastContact.Add(-2 * time.Second)
 		}
 		// Entries have answered all the while.
-		k.reach = reach{since: time.Now().Add(-2 * time.Second), last: time.Now()}
+		k.quorumContact = contactPeriod{since: time.Now().Add(-2 * time.Second), last: time.Now()}
 		silent := len(k.views) > 0
-		for _, o := range k.opinions(time.Now()) {
-			silent = silent && o.out
+		for _, o := range k.assessPeers(time.Now()) {
+			silent = silent && o.ineligible
 		}
 		k.mu.Unlock()
 		if !silent {
@@ -261,8 +261,8 @@
 		k.ResetAfterPause()
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		for name, o := range k.opinions(time.Now()) {
-			if o.out {
+		for name, o := range k.assessPeers(time.Now()) {
+			if o.ineligible {
 				fail(errors.Errorf("%s is judged silent", name))
 			}
 		}
@@ -313,7 +313,7 @@
 		for _, name := range role.holders() {
 			k := w.machine(name).process.keeper
 			k.mu.Lock()
-			has := k.shards[s].mark.whole(role.Epoch)
+			has := k.shards[s].epochState.isComplete(role.Epoch)
 			k.mu.Unlock()
 			if !has {
 				return false
@@ -346,7 +346,7 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for s, role := range w.assignment.Shards {
-			if role.Primary == w.machines[0].name || role.partner(w.machines[0].name) {
+			if role.Primary == w.machines[0].name || role.hasBackup(w.machines[0].name) {
 				fail(errors.Errorf("slice %d is still held by the lost keeper", s))
 				return
 			}
@@ -359,15 +359,15 @@
 // then it was cut off, and took the old word for a lost disk again and again.
 func TestOldWordOfAPrimaryIsNoLoss(t *testing.T) {
 	is := is.New(t)
-	s := &shard{number: 1, role: ShardAssignment{Ensemble: Ensemble{Epoch: 3}}}
-	word := opinion{heard: true, at: time.Now()}
-	word.marks[1] = mark{Epoch: 2, Base: 2}
-	is.True(!s.primaryLost(word))
-	is.True(!s.primaryLost(word))
-	word.at = word.at.Add(lostRounds * statusEvery)
-	is.True(!s.primaryLost(word))
-	word.at = word.at.Add(statusEvery)
-	is.True(s.primaryLost(word))
+	s := &shard{id: 1, role: ShardAssignment{Ensemble: Ensemble{Epoch: 3}}}
+	word := assessment{live: true, lastContact: time.Now()}
+	word.epochStates[1] = epochState{promised: 2, base: 2}
+	is.True(!s.primaryIncomplete(word))
+	is.True(!s.primaryIncomplete(word))
+	word.lastContact = word.lastContact.Add(incompleteRounds * statusPollInterval)
+	is.True(!s.primaryIncomplete(word))
+	word.lastContact = word.lastContact.Add(statusPollInterval)
+	is.True(s.primaryIncomplete(word))
 }
 
 // A program's tokens are handed out twice. A primary had written a change that its
@@ -377,7 +377,7 @@
 	is := is.New(t)
 	now := time.Now()
 	old, next := newState(), newState()
-	old.epoch, next.epoch = 1, 2
+	old.primaryEpoch, next.primaryEpoch = 1, 2
 	reserve := func(s *state, turn string) *historypb.Account {
 		_, account := s.reserve(&historypb.ReserveRequest{Program: "p", Turn: turn, Most: 10, Budget: 100}, now)
 		return account
@@ -414,7 +414,7 @@
 		w.machine("c").start()
 		time.Sleep(settledIn)
 		for s, role := range w.assigned().Shards {
-			if role.Primary != "c" && !role.partner("c") || len(role.Backups) != 1 {
+			if role.Primary != "c" && !role.hasBackup("c") || len(role.Backups) != 1 {
 				fail(errors.Errorf("slice %d is on %v", s, role.holders()))
 				return
 			}
--- a/internal/history/leave.go
+++ b/internal/history/handoff.go
@@ -8,9 +8,9 @@
 // Leave hands over what this keeper holds, until it holds nothing or ctx ends.
 func (k *Keeper) HandOff(ctx context.Context) {
 	k.mu.Lock()
-	k.leaving = true
+	k.draining = true
 	k.mu.Unlock()
-	ticker := time.NewTicker(rolesEvery)
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for !k.Drained() {
 		select {
@@ -28,13 +28,13 @@
 	if k.version == 0 {
 		return false
 	}
-	opinions := k.opinions(time.Now())
-	for number, r := range k.known.Shards {
-		if r.Epoch == 0 || r.Primary == k.settings.Name || r.partner(k.settings.Name) {
+	assessments := k.assessPeers(time.Now())
+	for id, r := range k.known.Shards {
+		if r.Epoch == 0 || r.Primary == k.settings.Name || r.hasBackup(k.settings.Name) {
 			return false
 		}
 		for _, name := range r.holders() {
-			if !opinions[name].has(number, r.Epoch) {
+			if !assessments[name].isComplete(id, r.Epoch) {
 				return false
 			}
 		}
--- a/internal/history/holders.go
+++ b/internal/history/holders.go
@@ -7,42 +7,42 @@
 
 // propose returns the assignment that this keeper wants, where it differs; the
 // lock is held. Only a keeper that has all of a slice may change its holders.
-func (k *Keeper) propose(opinions map[string]opinion, now time.Time) (Assignment, bool) {
-	next, changed, stuck := k.known, false, 0
-	if k.stalled() > stalledAfter {
+func (k *Keeper) proposeAssignment(assessments map[string]assessment, now time.Time) (Assignment, bool) {
+	next, changed, unplaceable := k.known, false, 0
+	if k.stalledFor() > diskStallTimeout {
 		return next, false
 	}
-	leaving := k.leavingNow()
-	choose := k.newChooser(&next, opinions)
+	leaving := k.isDraining()
+	selector := k.newBackupSelector(&next, assessments)
 	for _, s := range k.shards {
 		// One that leaves hands its slices to others that have them, and what only
 		// it has is its to share first.
-		if leaving && k.othersHave(s, opinions) || !k.mustChange(s, opinions, now) {
+		if leaving && k.otherHolderComplete(s, assessments) || !k.mustReassign(s, assessments, now) {
 			continue
 		}
-		role, found := k.nextRole(choose, s, opinions, now)
+		role, found := k.nextAssignment(selector, s, assessments, now)
 		switch {
 		case !found:
-			stuck++
-		case s.forced == role.Epoch || !role.sameHolders(&s.role.Ensemble):
-			next.Shards[s.number] = role
+			unplaceable++
+		case s.forcedEpoch == role.Epoch || !role.sameReplicaSet(&s.role.Ensemble):
+			next.Shards[s.id] = role
 			changed = true
 		}
 	}
-	k.tellStuck(stuck, opinions, now)
+	k.logUnplaceable(unplaceable, assessments, now)
 	return next, changed
 }
 
 // newChooser returns a chooser among the keepers that are heard; the lock is held.
-func (k *Keeper) newChooser(next *Assignment, opinions map[string]opinion) *chooser {
-	c := &chooser{assignment: next, keepers: k.candidates(opinions), disksLost: k.disksLost(), held: map[string]int{}}
-	c.out = func(name string) bool {
-		o, known := opinions[name]
-		return !known || !o.heard || o.out
+func (k *Keeper) newBackupSelector(next *Assignment, assessments map[string]assessment) *backupSelector {
+	c := &backupSelector{assignment: next, keepers: k.candidates(assessments), maxDiskFailures: k.maxDiskFailures(), shardsHeld: map[string]int{}}
+	c.excluded = func(name string) bool {
+		o, known := assessments[name]
+		return !known || !o.live || o.ineligible
 	}
 	for i := range next.Shards {
 		if next.Shards[i].Epoch > 0 {
-			c.count(&next.Shards[i])
+			c.countHolders(&next.Shards[i])
 		}
 	}
 	return c
@@ -50,75 +50,75 @@
 
 // nextRole returns a slice's next role with this keeper as the primary: alone where it
 // is the last one. It returns false where no partner is to be had now.
-func (k *Keeper) nextRole(choose *chooser, s *shard, opinions map[string]opinion, now time.Time) (ShardAssignment, bool) {
-	me := Candidate{Name: k.settings.Name, DataCentre: k.settings.DataCentre, Disk: k.disk}
-	partners := choose.partnersFor(int(s.number), me)
-	if len(partners) == 0 && !k.lastKeeper(now) {
+func (k *Keeper) nextAssignment(selector *backupSelector, s *shard, assessments map[string]assessment, now time.Time) (ShardAssignment, bool) {
+	self := Candidate{Name: k.settings.Name, DataCentre: k.settings.DataCentre, Disk: k.disk}
+	backups := selector.selectBackups(int(s.id), self)
+	if len(backups) == 0 && !k.isLastKeeper(now) {
 		return ShardAssignment{}, false
 	}
-	partners = k.withHolders(s, partners, choose.keepers, opinions)
-	role := ShardAssignment{Ensemble: ensembleOf(s.role.Epoch+1, me, partners, k.disksLost()), Before: s.role.chain()}
+	backups = k.withCurrentBackups(s, backups, selector.keepers, assessments)
+	role := ShardAssignment{Ensemble: newEnsemble(s.role.Epoch+1, self, backups, k.maxDiskFailures()), Previous: s.role.ensembles()}
 	switch {
-	case k.settled(s, opinions):
-		role.Before = []Ensemble{s.role.Ensemble}
-	case len(role.Before) > chainMost:
-		role.Before = slices.DeleteFunc(role.Before, func(e Ensemble) bool { return e.Epoch < s.mark.Base })
+	case k.earlierEpochsReplicated(s, assessments):
+		role.Previous = []Ensemble{s.role.Ensemble}
+	case len(role.Previous) > maxPreviousEnsembles:
+		role.Previous = slices.DeleteFunc(role.Previous, func(e Ensemble) bool { return e.Epoch < s.epochState.base })
 	}
 	return role, true
 }
 
 // chainMost is the number of earlier ensembles beyond which those that this keeper does
 // not need itself are left out.
-const chainMost = 8
+const maxPreviousEnsembles = 8
 
 // settled reports that this keeper decides for the slice, and that as many partners as
 // may be lost at once have all that was decided before its epoch: whoever takes the slice
 // over needs none of the earlier ensembles.
-func (k *Keeper) settled(s *shard, opinions map[string]opinion) bool {
-	if !k.primary(s) {
+func (k *Keeper) earlierEpochsReplicated(s *shard, assessments map[string]assessment) bool {
+	if !k.isPrimary(s) {
 		return false
 	}
 	have := 0
 	for _, name := range s.role.Backups {
-		if opinions[name].has(int(s.number), s.role.Epoch) {
+		if assessments[name].isComplete(int(s.id), s.role.Epoch) {
 			have++
 		}
 	}
-	return have >= min(k.disksLost(), len(s.role.Backups))
+	return have >= min(k.maxDiskFailures(), len(s.role.Backups))
 }
 
 // tellStuck says why slices that should be held by others are not: no keeper is
 // to be had, and it is not certain that this one is the last.
-func (k *Keeper) tellStuck(slices int, opinions map[string]opinion, now time.Time) {
-	if slices == 0 || now.Sub(k.stuckTold) < stuckEvery {
+func (k *Keeper) logUnplaceable(shards int, assessments map[string]assessment, now time.Time) {
+	if shards == 0 || now.Sub(k.unplaceableLoggedAt) < unplaceableLogInterval {
 		return
 	}
-	k.stuckTold = now
-	for _, name := range k.others() {
-		o, v := opinions[name], k.views[name]
-		entry := k.settings.Logger.WithField("slices", slices).WithField("keeper", name).
-			WithField("heard", o.heard).WithField("out", o.out).WithField("reach", k.reach.holds(now))
+	k.unplaceableLoggedAt = now
+	for _, name := range k.otherKeepers() {
+		o, v := assessments[name], k.views[name]
+		entry := k.settings.Logger.WithField("slices", shards).WithField("keeper", name).
+			WithField("heard", o.live).WithField("out", o.ineligible).WithField("reach", k.quorumContact.isEstablished(now))
 		if v != nil {
-			entry = entry.WithField("silent_ms", now.Sub(v.heard).Milliseconds()).WithField("lost", v.loss.holds(now))
+			entry = entry.WithField("silent_ms", now.Sub(v.lastContact).Milliseconds()).WithField("lost", v.loss.isCurrent(now))
 		}
 		entry.Info("no holder to be had")
 	}
 }
 
 // stuckEvery is the least time between two such words.
-const stuckEvery = time.Second
+const unplaceableLogInterval = time.Second
 
 // disksLost is the number of disks that may be lost at once.
-func (k *Keeper) disksLost() int { return max(1, k.settings.MaxDiskFailures) }
+func (k *Keeper) maxDiskFailures() int { return max(1, k.settings.MaxDiskFailures) }
 
 // tooFew reports that a slice could have more partners than it has.
-func (k *Keeper) tooFew(s *shard, opinions map[string]opinion) bool {
-	if len(s.role.Backups) > k.disksLost() {
+func (k *Keeper) underReplicated(s *shard, assessments map[string]assessment) bool {
+	if len(s.role.Backups) > k.maxDiskFailures() {
 		return false
 	}
 	usable := 0
-	for _, o := range opinions {
-		if o.heard && !o.out {
+	for _, o := range assessments {
+		if o.live && !o.ineligible {
 			usable++
 		}
 	}
@@ -126,9 +126,9 @@
 }
 
 // othersHave reports that another holder is there and has all of the slice.
-func (k *Keeper) othersHave(s *shard, opinions map[string]opinion) bool {
+func (k *Keeper) otherHolderComplete(s *shard, assessments map[string]assessment) bool {
 	for _, name := range s.role.holders() {
-		if name != k.settings.Name && opinions[name].has(int(s.number), s.role.Epoch) {
+		if name != k.settings.Name && assessments[name].isComplete(int(s.id), s.role.Epoch) {
 			return true
 		}
 	}
@@ -138,71 +138,71 @@
 // withHolders returns the partners chosen for a slice, and beside them its present
 // ones until the chosen have all of it: else the primary would have it alone while
 // they are filled, and its loss would leave nobody who knows all.
-func (k *Keeper) withHolders(s *shard, chosen, keepers []Candidate, opinions map[string]opinion) []Candidate {
-	number, epoch := int(s.number), s.role.Epoch
-	if !k.primary(s) || allHave(chosen, opinions, number, epoch) {
+func (k *Keeper) withCurrentBackups(s *shard, chosen, keepers []Candidate, assessments map[string]assessment) []Candidate {
+	id, epoch := int(s.id), s.role.Epoch
+	if !k.isPrimary(s) || allComplete(chosen, assessments, id, epoch) {
 		return chosen
 	}
-	partners := slices.Clone(chosen)
+	backups := slices.Clone(chosen)
 	for _, c := range keepers {
-		if s.role.partner(c.Name) && !contains(chosen, c.Name) && opinions[c.Name].has(number, epoch) {
-			partners = append(partners, c)
+		if s.role.hasBackup(c.Name) && !containsKeeper(chosen, c.Name) && assessments[c.Name].isComplete(id, epoch) {
+			backups = append(backups, c)
 		}
 	}
-	return partners
+	return backups
 }
 
-func allHave(keepers []Candidate, opinions map[string]opinion, slice int, epoch uint64) bool {
-	return !slices.ContainsFunc(keepers, func(c Candidate) bool { return !opinions[c.Name].has(slice, epoch) })
+func allComplete(keepers []Candidate, assessments map[string]assessment, shardID int, epoch uint64) bool {
+	return !slices.ContainsFunc(keepers, func(c Candidate) bool { return !assessments[c.Name].isComplete(shardID, epoch) })
 }
 
 // spreadAfter is how long a keeper must be heard before slices are given to it for
 // the sake of its data centre alone.
-const spreadAfter = time.Second
+const spreadDelay = time.Second
 
 // couldSpread reports that two holders of a slice share a data centre while a keeper
 // of another one is to be had: it was lost, and the slice went to what was left. A
 // cut would take the slice whole.
-func (k *Keeper) couldSpread(s *shard, opinions map[string]opinion, now time.Time) bool {
-	centres := map[string]string{}
+func (k *Keeper) shouldSpread(s *shard, assessments map[string]assessment, now time.Time) bool {
+	dataCentres := map[string]string{}
 	for _, c := range k.settings.Keepers() {
-		centres[c.Name] = c.DataCentre
+		dataCentres[c.Name] = c.DataCentre
 	}
-	held := map[string]int{}
+	holdersIn := map[string]int{}
 	for _, name := range s.role.holders() {
-		held[centres[name]]++
+		holdersIn[dataCentres[name]]++
 	}
-	if len(held) > min(k.disksLost(), len(s.role.Backups)) {
+	if len(holdersIn) > min(k.maxDiskFailures(), len(s.role.Backups)) {
 		return false
 	}
-	for name, o := range opinions {
-		if held[centres[name]] == 0 && o.heard && !o.out && now.Sub(k.views[name].loss.heardSince) > spreadAfter {
+	for name, o := range assessments {
+		if holdersIn[dataCentres[name]] == 0 && o.live && !o.ineligible && now.Sub(k.views[name].loss.contactSince) > spreadDelay {
 			return true
 		}
 	}
 	return false
 }
 
-func (k *Keeper) leavingNow() bool { return k.leaving || k.settings.Retiring(k.settings.Name) }
+func (k *Keeper) isDraining() bool { return k.draining || k.settings.Retiring(k.settings.Name) }
 
 // mustChange reports that this keeper should give a slice other holders: as its primary,
 // or because it can take the place of one that is gone. The lock is held.
-func (k *Keeper) mustChange(s *shard, opinions map[string]opinion, now time.Time) bool {
+func (k *Keeper) mustReassign(s *shard, assessments map[string]assessment, now time.Time) bool {
 	switch {
-	case k.primary(s):
-		return k.partnersMustChange(s, opinions, now)
-	case s.role.Epoch == 0 || s.mark.Epoch > s.role.Epoch && s.role.Primary == k.settings.Name:
+	case k.isPrimary(s):
+		return k.backupsMustChange(s, assessments, now)
+	case s.role.Epoch == 0 || s.epochState.promised > s.role.Epoch && s.role.Primary == k.settings.Name:
 		return false
-	case s.role.Primary != k.settings.Name && !k.primaryGone(s, opinions, now):
+	case s.role.Primary != k.settings.Name && !k.primaryFailed(s, assessments, now):
 		return false
-	case k.collectable(s, opinions):
+	case k.canRecover(s, assessments):
 		// The primary fetches what it lacks by itself, unless it has another disk.
-		s.lostSince = time.Time{}
-		return s.role.Primary != k.settings.Name && !k.behind(s, opinions)
-	case !k.abandoned(s, opinions, now):
+		s.unrecoverableSince = time.Time{}
+		return s.role.Primary != k.settings.Name && !k.isBehind(s, assessments)
+	case !k.mustForceRecovery(s, assessments, now):
 		return false
-	case s.role.Primary == k.settings.Name && s.role.disk(k.settings.Name) == k.disk:
-		s.forced = s.role.Epoch
+	case s.role.Primary == k.settings.Name && s.role.diskOf(k.settings.Name) == k.disk:
+		s.forcedEpoch = s.role.Epoch
 		return false
 	default:
 		return true
@@ -211,13 +211,13 @@
 
 // partnersMustChange reports that a slice's partners are not those it should have, or
 // that others may be better.
-func (k *Keeper) partnersMustChange(s *shard, opinions map[string]opinion, now time.Time) bool {
+func (k *Keeper) backupsMustChange(s *shard, assessments map[string]assessment, now time.Time) bool {
 	for _, name := range s.role.Backups {
-		o, known := opinions[name]
-		if !known && now.Sub(k.started) > bootTime || o.out || o.heard && o.disk != "" && o.disk != s.role.disk(name) {
+		o, known := assessments[name]
+		if !known && now.Sub(k.started) > startupGrace || o.ineligible || o.live && o.disk != "" && o.disk != s.role.diskOf(name) {
 			return true
 		}
 	}
-	surplus := len(s.role.Backups) > k.disksLost()+1 || len(s.role.Backups) > k.disksLost() && s.role.OptionalBackups == 0
-	return surplus || k.tooFew(s, opinions) || k.couldSpread(s, opinions, now)
+	surplus := len(s.role.Backups) > k.maxDiskFailures()+1 || len(s.role.Backups) > k.maxDiskFailures() && s.role.OptionalBackups == 0
+	return surplus || k.underReplicated(s, assessments) || k.shouldSpread(s, assessments, now)
 }
--- a/internal/history/inventory.go
+++ b/internal/history/inventory.go
@@ -23,7 +23,7 @@
 }
 
 // lacking returns the records that one with the inventory does not have; all for none.
-func (s *state) lacking(slice uint32, have *historypb.Inventory) []*historypb.Record {
+func (s *state) recordsMissingFrom(shardID uint32, have *historypb.Inventory) []*historypb.Record {
 	turns, versions := map[uint64]bool{}, map[uint64]uint64{}
 	for _, hash := range have.GetTurns() {
 		turns[hash] = true
@@ -36,12 +36,12 @@
 	var records []*historypb.Record
 	for key, a := range s.accounts {
 		if versions[xxhash.Sum64String(key)] < a.Version {
-			records = append(records, accountRecord(slice, a))
+			records = append(records, accountRecord(shardID, a))
 		}
 	}
 	for key, kept := range s.turns {
 		if !turns[xxhash.Sum64String(key)] {
-			records = append(records, turnRecord(slice, kept.turn))
+			records = append(records, turnRecord(shardID, kept.turn))
 		}
 	}
 	return records
@@ -52,7 +52,7 @@
 func (k *Keeper) List(ctx context.Context, r *historypb.ListRequest) (*historypb.ListResponse, error) {
 	durable := make(chan struct{})
 	k.mu.Lock()
-	s := k.sliceFor(r.Slice)
+	s := k.shardByID(r.Slice)
 	if s == nil {
 		defer k.mu.Unlock()
 		return &historypb.ListResponse{}, nil
--- a/internal/history/keeper.go
+++ b/internal/history/keeper.go
@@ -19,16 +19,16 @@
 const (
 	// opTime bounds the wait for one operation to become durable: longer than a
 	// change of keepers takes, so that most callers do not notice one.
-	opTime = 1500 * time.Millisecond
+	commitTimeout = 1500 * time.Millisecond
 	// appendTime bounds one call to a partner: its disk takes 5 ms, and a
 	// partner that needs this long is replaced.
-	appendTime = 600 * time.Millisecond
+	appendTimeout = 600 * time.Millisecond
 	// appendPause is the pause after a failed call to a partner.
-	appendPause = 40 * time.Millisecond
+	appendRetryInterval = 40 * time.Millisecond
 	// fillBytes is about the size of one message that fills a partner.
-	fillBytes = 256 << 10
+	transferPartSize = 256 << 10
 	// expireEvery is how often what is no longer kept is forgotten.
-	expireEvery = 5 * time.Second
+	expireInterval = 5 * time.Second
 )
 
 // Peers calls other keepers by name.
@@ -79,13 +79,13 @@
 	log         *diskLog
 	// disk names the disk; a lost one is followed by one of another name. starts counts
 	// the starts on it.
-	disk   string
-	starts uint64
+	disk       string
+	diskStarts uint64
 	// edition is that of the marks that were told last. It begins at random, so that a
 	// keeper that was restarted is not taken for the one before.
-	edition   uint64
-	toldMarks [ShardCount]mark
-	started   time.Time
+	edition         uint64
+	broadcastStates [ShardCount]epochState
+	started         time.Time
 
 	mu     sync.Mutex
 	shards [ShardCount]*shard
@@ -94,70 +94,70 @@
 	version store.Version
 	// verified says that this instance may take records for epochs that it has
 	// not seen: it has its own marks on disk, or has read the assignment since.
-	verified bool
-	views    map[string]*view
-	reach    reach
+	verified      bool
+	views         map[string]*peerView
+	quorumContact contactPeriod
 	// stuckTold is when it was told last that slices find no holder.
-	stuckTold time.Time
-	leaving   bool
+	unplaceableLoggedAt time.Time
+	draining            bool
 	// writes wait for the disk.
-	writes       []write
-	writingSince time.Time
-	senders      map[string]chan struct{}
-	ctx          context.Context
+	pendingWrites []diskWrite
+	writingSince  time.Time
+	senders       map[string]chan struct{}
+	ctx           context.Context
 	// storeWaits gives for how long the store is not called after it did not
 	// answer, and storeAfter is until when.
-	storeWaits *backoff.ExponentialBackOff
-	storeAfter time.Time
+	storeBackoff *backoff.ExponentialBackOff
+	storeRetryAt time.Time
 
 	// looks counts how often the roles were looked at.
-	looks atomic.Int64
+	reconciliations atomic.Int64
 
-	wakeWriter chan struct{}
-	wakeRoles  chan struct{}
-	wakeRead   chan struct{}
+	wakeWriter     chan struct{}
+	wakeReconciler chan struct{}
+	wakeReader     chan struct{}
 }
 
 // slice is one slice as this keeper holds it. The keeper's lock guards it.
 type shard struct {
-	number uint32
-	state  *state
+	id    uint32
+	state *state
 	// mark is up to which epoch this keeper follows the slice; a primary of a
 	// lower epoch is refused.
-	mark mark
-	role ShardAssignment
+	epochState epochState
+	role       ShardAssignment
 	// links are the ways to the partners, by name.
-	links map[string]*link
+	streams map[string]*backupStream
 	// tenure counts how often this keeper ceased to decide for the slice.
-	tenure int
+	primaryTerm int
 	// collecting says that records of earlier ensembles are being fetched, and forced
 	// is the epoch that begins with what is left of them.
-	collecting bool
-	forced     uint64
+	recovering  bool
+	forcedEpoch uint64
 	// marking says that a mark is on its way to the disk.
-	marking bool
+	persistingState bool
 	// lostSince is since when the slice can't be had whole any more, and
 	// primaryLostSince since when the primary does not have it.
-	lostSince, primaryLostSince time.Time
+	unrecoverableSince, primaryIncompleteSince time.Time
 }
 
 // entry is one change on its way to the disks of a slice. The keeper's lock guards it
 // until done is closed.
-type entry struct {
+type pendingCommit struct {
 	records []*historypb.Record
 	// tenure is the slice's at the time of the change.
-	tenure int
+	primaryTerm int
 	// stored says that this keeper's disk has it, and acks names the partners whose
 	// disks have.
-	stored bool
-	acks   []string
-	ended  bool
+	durableLocally bool
+	ackedBy        []string
+	completed      bool
 	// dropped says that this keeper no longer decides.
-	dropped bool
+	aborted bool
 	done    chan struct{}
 }
 
-type write struct {
+type diskWrite struct {
 	records []*historypb.Record
 	done    func()
 }
@@ -165,20 +165,20 @@
 // Open reads the log and returns a keeper that is not yet running.
 func Open(s Settings, peers Peers, assignments Assignments) (*Keeper, error) {
 	k := &Keeper{
-		settings:    s,
-		peers:       peers,
-		assignments: assignments,
-		started:     time.Now(),
-		views:       map[string]*view{},
-		senders:     map[string]chan struct{}{},
-		wakeWriter:  make(chan struct{}, 1),
-		wakeRoles:   make(chan struct{}, 1),
-		wakeRead:    make(chan struct{}, 1),
-		storeWaits:  newStoreWaits(),
-		edition:     rand.Uint64(),
+		settings:       s,
+		peers:          peers,
+		assignments:    assignments,
+		started:        time.Now(),
+		views:          map[string]*peerView{},
+		senders:        map[string]chan struct{}{},
+		wakeWriter:     make(chan struct{}, 1),
+		wakeReconciler: make(chan struct{}, 1),
+		wakeReader:     make(chan struct{}, 1),
+		storeBackoff:   newStoreBackoff(),
+		edition:        rand.Uint64(),
 	}
 	for i := range k.shards {
-		k.shards[i] = &shard{number: uint32(i), state: newState(), links: map[string]*link{}}
+		k.shards[i] = &shard{id: uint32(i), state: newState(), streams: map[string]*backupStream{}}
 	}
 	l, err := openLog(s.Folder, k.replay)
 	if err != nil {
@@ -188,11 +188,11 @@
 	if k.disk == "" {
 		k.disk = strconv.FormatUint(rand.Uint64(), 36)
 	}
-	k.starts++
+	k.diskStarts++
 	for _, s := range k.shards {
-		s.state.starts = k.starts
+		s.state.diskStarts = k.diskStarts
 	}
-	if err := l.compact(k.everything()); err != nil {
+	if err := l.compact(k.snapshotRecords()); err != nil {
 		return nil, err
 	}
 	return k, nil
@@ -201,7 +201,7 @@
 // replay takes in a record from the disk.
 func (k *Keeper) replay(r *historypb.Record) {
 	if name := r.GetDisk(); name != "" {
-		k.disk, k.starts = name, max(k.starts, r.Starts)
+		k.disk, k.diskStarts = name, max(k.diskStarts, r.Starts)
 		return
 	}
 	if r.Slice >= ShardCount {
@@ -209,7 +209,7 @@
 	}
 	s := k.shards[r.Slice]
 	if m := r.GetMark(); m != nil {
-		s.mark.raise(markOf(m))
+		s.epochState.merge(decodeEpochState(m))
 		k.verified = true
 		return
 	}
@@ -217,15 +217,15 @@
 }
 
 // everything returns all records that are kept; the lock is held or not needed.
-func (k *Keeper) everything() []*historypb.Record {
+func (k *Keeper) snapshotRecords() []*historypb.Record {
 	now := time.Now()
-	all := []*historypb.Record{{Body: &historypb.Record_Disk{Disk: k.disk}, Starts: k.starts}}
+	all := []*historypb.Record{{Body: &historypb.Record_Disk{Disk: k.disk}, Starts: k.diskStarts}}
 	for _, s := range k.shards {
 		s.state.expire(now)
-		if s.mark.Epoch > 0 {
-			all = append(all, markRecord(s.number, s.mark))
+		if s.epochState.promised > 0 {
+			all = append(all, epochStateRecord(s.id, s.epochState))
 		}
-		all = append(all, s.state.records(s.number)...)
+		all = append(all, s.state.records(s.id)...)
 	}
 	return all
 }
@@ -236,7 +236,7 @@
 	k.ctx = ctx
 	k.mu.Unlock()
 	var group sync.WaitGroup
-	for _, f := range []func(context.Context){k.runWriter, k.runRoles, k.runTelling, k.runViews, k.runWitnesses, k.runReads} {
+	for _, f := range []func(context.Context){k.runWriter, k.runReconciler, k.runBroadcast, k.runStatusPolls, k.runWitnesses, k.runAssignmentReader} {
 		group.Go(func() { f(ctx) })
 	}
 	group.Wait()
@@ -250,72 +250,72 @@
 	defer k.mu.Unlock()
 	k.started = time.Now()
 	for _, v := range k.views {
-		v.refused, v.loss = 0, loss{}
+		v.refusedConnections, v.loss = 0, lossEvidence{}
 	}
-	k.reach = reach{}
+	k.quorumContact = contactPeriod{}
 }
 
 // primary reports that this keeper decides for the slice.
-func (k *Keeper) primary(s *shard) bool {
-	return s.role.Primary == k.settings.Name && s.mark.Epoch == s.role.Epoch && s.mark.whole(s.role.Epoch)
+func (k *Keeper) isPrimary(s *shard) bool {
+	return s.role.Primary == k.settings.Name && s.epochState.promised == s.role.Epoch && s.epochState.isComplete(s.role.Epoch)
 }
 
 // submit sends a change to the disks of the slice; the lock is held. Without
 // records it only asks the partners whether this keeper is still the primary.
-func (k *Keeper) submit(s *shard, records []*historypb.Record) *entry {
-	e := &entry{records: records, tenure: s.tenure, done: make(chan struct{})}
-	for _, partner := range s.role.Backups {
-		s.link(partner).queue(e)
-		k.wakeSender(partner)
+func (k *Keeper) replicate(s *shard, records []*historypb.Record) *pendingCommit {
+	e := &pendingCommit{records: records, primaryTerm: s.primaryTerm, done: make(chan struct{})}
+	for _, backup := range s.role.Backups {
+		s.streamTo(backup).enqueue(e)
+		k.wakeSender(backup)
 	}
 	if len(records) > 0 {
 		k.persist(records, func() {
-			e.stored = true
-			s.judge(e)
+			e.durableLocally = true
+			s.completeIfCommitted(e)
 		})
 		return e
 	}
-	e.stored = true
-	s.judge(e)
+	e.durableLocally = true
+	s.completeIfCommitted(e)
 	return e
 }
 
 // judge ends an entry that is on enough disks; the lock is held.
-func (s *shard) judge(e *entry) {
-	if e.ended || !e.stored || e.tenure != s.tenure {
+func (s *shard) completeIfCommitted(e *pendingCommit) {
+	if e.completed || !e.durableLocally || e.primaryTerm != s.primaryTerm {
 		return
 	}
 	acks := 0
-	for _, name := range e.acks {
-		if s.role.partner(name) {
+	for _, name := range e.ackedBy {
+		if s.role.hasBackup(name) {
 			acks++
 		}
 	}
-	if acks >= s.role.acks() {
-		e.ended = true
+	if acks >= s.role.requiredAcks() {
+		e.completed = true
 		close(e.done)
 	}
 }
 
 // drop ends what waits in a slice that this keeper no longer decides for. Its
 // callers hear that it may not last, and ask the new primary.
-func (s *shard) drop() {
-	for _, l := range s.links {
-		for _, e := range l.entries {
-			if !e.ended {
-				e.ended, e.dropped = true, true
+func (s *shard) abortPending() {
+	for _, l := range s.streams {
+		for _, e := range l.pending {
+			if !e.completed {
+				e.completed, e.aborted = true, true
 				close(e.done)
 			}
 		}
 	}
-	clear(s.links)
-	s.tenure++
+	clear(s.streams)
+	s.primaryTerm++
 }
 
 // persist queues records for this instance's disk; the lock is held, and done
 // is called with it held.
 func (k *Keeper) persist(records []*historypb.Record, done func()) {
-	k.writes = append(k.writes, write{records: records, done: done})
+	k.pendingWrites = append(k.pendingWrites, diskWrite{records: records, done: done})
 	notify(k.wakeWriter)
 }
 
@@ -327,12 +327,12 @@
 }
 
 // wait returns whether the change is durable on enough disks of its slice.
-func wait(ctx context.Context, e *entry) bool {
-	ctx, cancel := context.WithTimeout(ctx, opTime)
+func awaitCommit(ctx context.Context, e *pendingCommit) bool {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	select {
 	case <-e.done:
-		return !e.dropped
+		return !e.aborted
 	case <-ctx.Done():
 		return false
 	}
@@ -347,8 +347,8 @@
 			return
 		}
 		k.mu.Lock()
-		batch := k.writes
-		k.writes = nil
+		batch := k.pendingWrites
+		k.pendingWrites = nil
 		k.writingSince = time.Now()
 		k.mu.Unlock()
 		k.writeBatch(ctx, batch)
@@ -366,11 +366,11 @@
 
 // writeBatch writes until the disk has taken the batch. After a failed write
 // the segment's end is not known, so the batch goes to a new one.
-func (k *Keeper) writeBatch(ctx context.Context, batch []write) {
+func (k *Keeper) writeBatch(ctx context.Context, batch []diskWrite) {
 	var framed []byte
 	for _, w := range batch {
 		for _, r := range w.records {
-			next, err := frame(framed, r)
+			next, err := appendFrame(framed, r)
 			if err != nil {
 				panic(errors.Wrap(err, "a record that can't be encoded"))
 			}
@@ -383,19 +383,19 @@
 	err := k.log.write(framed)
 	for err != nil && ctx.Err() == nil {
 		k.settings.Logger.WithError(err).Error("disk refuses records")
-		time.Sleep(appendPause)
-		if err = k.log.next(); err == nil {
+		time.Sleep(appendRetryInterval)
+		if err = k.log.startSegment(); err == nil {
 			err = k.log.write(framed)
 		}
 	}
 }
 
 func (k *Keeper) compactIfLarge() {
-	if k.log.size < segmentBytes {
+	if k.log.size < maxSegmentSize {
 		return
 	}
 	k.mu.Lock()
-	all := k.everything()
+	all := k.snapshotRecords()
 	k.mu.Unlock()
 	if err := k.log.compact(all); err != nil {
 		k.settings.Logger.WithError(err).Error("log not compacted")
--- a/internal/history/machine_test.go
+++ b/internal/history/machine_test.go
@@ -185,7 +185,7 @@
 	time.Sleep(settledIn)
 	r.checkAll()
 	r.stopAll()
-	time.Sleep(releaseTime)
+	time.Sleep(releaseTimeout)
 	if len(r.failures) > 0 {
 		t.Log(strings.Join(r.trace.lines, "\n"))
 	}
@@ -528,9 +528,9 @@
 		k := m.process.keeper
 		k.mu.Lock()
 		for _, s := range k.shards {
-			if s.state.anyTurn(turn) != nil || s.number == ShardOf(programName(0)) {
+			if s.state.turnByID(turn) != nil || s.id == ShardOf(programName(0)) {
 				fmt.Fprintf(&b, "; %s slice %d: here %v, mark %v, role %v, primary %v",
-					m.name, s.number, s.state.anyTurn(turn) != nil, s.mark, s.role, k.primary(s))
+					m.name, s.id, s.state.turnByID(turn) != nil, s.epochState, s.role, k.isPrimary(s))
 			}
 		}
 		k.mu.Unlock()
--- a/internal/history/views.go
+++ b/internal/history/peer_status.go
@@ -12,30 +12,30 @@
 
 // questionsMost is the number of questions under way to one keeper: the last one
 // into a cut must not delay the first after it.
-const questionsMost = 2
+const maxStatusRequests = 2
 
 const (
 	// tellEvery is how often a keeper tells the others how it stands. Two such words in a
 	// row are lost before one of them asks.
-	tellEvery = 90 * time.Millisecond
+	broadcastInterval = 90 * time.Millisecond
 	// tellAllEvery is how many words pass until one lists all slices without a change.
-	tellAllEvery = 8
+	fullBroadcastEvery = 8
 )
 
 // runTelling tells the other keepers how this one stands. Each keeper hears of all others,
 // so that a call for each word would cost the square of their number.
-func (k *Keeper) runTelling(ctx context.Context) {
-	ticker := time.NewTicker(tellEvery)
+func (k *Keeper) runBroadcast(ctx context.Context) {
+	ticker := time.NewTicker(broadcastInterval)
 	defer ticker.Stop()
-	told := uint64(0)
+	lastEdition := uint64(0)
 	for n := 0; ; n++ {
 		k.mu.Lock()
 		status := k.status()
 		k.mu.Unlock()
-		if status.Edition == told && n%tellAllEvery != 0 {
+		if status.Edition == lastEdition && n%fullBroadcastEvery != 0 {
 			status.Slices = nil
 		}
-		told = status.Edition
+		lastEdition = status.Edition
 		k.peers.BroadcastStatus(status)
 		select {
 		case <-ticker.C:
@@ -61,18 +61,18 @@
 		}
 		status.Slices = v.status.Slices
 	}
-	k.hear(status.Name, status)
+	k.recordStatus(status.Name, status)
 }
 
 // runViews asks the other keepers how they stand, those that were not heard lately.
-func (k *Keeper) runViews(ctx context.Context) {
-	ticker := time.NewTicker(statusEvery)
+func (k *Keeper) runStatusPolls(ctx context.Context) {
+	ticker := time.NewTicker(statusPollInterval)
 	defer ticker.Stop()
-	asking := newFewEach(questionsMost)
+	polls := newKeyedLimiter(maxStatusRequests)
 	for {
 		for _, c := range k.settings.Keepers() {
-			if c.Name != k.settings.Name && !k.heardLately(c.Name) {
-				asking.start(c.Name, func() { k.ask(ctx, c.Name) })
+			if c.Name != k.settings.Name && !k.hasRecentContact(c.Name) {
+				polls.start(c.Name, func() { k.requestStatus(ctx, c.Name) })
 			}
 		}
 		select {
@@ -83,59 +83,59 @@
 	}
 }
 
-func (k *Keeper) ask(ctx context.Context, name string) {
+func (k *Keeper) requestStatus(ctx context.Context, name string) {
 	k.mu.Lock()
 	if k.views[name] == nil {
-		k.views[name] = &view{heard: time.Now()}
+		k.views[name] = &peerView{lastContact: time.Now()}
 	}
 	k.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, statusTime)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	status, err := k.peers.Status(ctx, name, &historypb.StatusRequest{From: k.settings.Name})
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			k.views[name].refused++
+			k.views[name].refusedConnections++
 		}
 		return
 	}
-	k.hear(name, status)
+	k.recordStatus(name, status)
 }
 
 // heardLately reports that a keeper told how it stands before any doubt.
-func (k *Keeper) heardLately(name string) bool {
+func (k *Keeper) hasRecentContact(name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	v := k.views[name]
-	return v != nil && v.status != nil && time.Since(v.heard) < doubtAfter
+	return v != nil && v.status != nil && time.Since(v.lastContact) < suspicionDelay
 }
 
 // hear takes in how another keeper stands; the lock is held.
-func (k *Keeper) hear(name string, status *historypb.StatusResponse) {
+func (k *Keeper) recordStatus(name string, status *historypb.StatusResponse) {
 	v := k.views[name]
 	if v == nil {
-		v = &view{}
+		v = &peerView{}
 		k.views[name] = v
 	}
-	news := v.silent(time.Now()) || v.refused > 0 || !sameStanding(v.status, status)
-	v.noteHeard(time.Now())
-	v.status, v.refused = status, 0
+	changed := v.unresponsive(time.Now()) || v.refusedConnections > 0 || !sameStatus(v.status, status)
+	v.recordContact(time.Now())
+	v.status, v.refusedConnections = status, 0
 	// Roles are looked at anew ten times a second anyway. To do it at each answer of each
 	// keeper would cost the square of their number.
-	if news {
-		notify(k.wakeRoles)
+	if changed {
+		notify(k.wakeReconciler)
 	}
 }
 
 // sameStanding reports that nothing changed by which roles are decided.
-func sameStanding(a, b *historypb.StatusResponse) bool {
+func sameStatus(a, b *historypb.StatusResponse) bool {
 	if a == nil || a.Leaving != b.Leaving || a.Disk != b.Disk || a.Spares != b.Spares || len(a.Slices) != len(b.Slices) {
 		return false
 	}
-	stalled := func(s *historypb.StatusResponse) bool { return s.StalledMs > stalledAfter.Milliseconds() }
+	stalled := func(s *historypb.StatusResponse) bool { return s.StalledMs > diskStallTimeout.Milliseconds() }
 	for i, m := range a.Slices {
-		if m.Slice != b.Slices[i].Slice || markOf(m) != markOf(b.Slices[i]) {
+		if m.Slice != b.Slices[i].Slice || decodeEpochState(m) != decodeEpochState(b.Slices[i]) {
 			return false
 		}
 	}
@@ -143,19 +143,19 @@
 }
 
 // fewEach runs a few functions at a time for each name. It is used by one goroutine.
-type fewEach struct {
-	most    int
+type keyedLimiter struct {
+	limit   int
 	running map[string]chan struct{}
 }
 
-func newFewEach(most int) *fewEach {
-	return &fewEach{most: most, running: map[string]chan struct{}{}}
+func newKeyedLimiter(limit int) *keyedLimiter {
+	return &keyedLimiter{limit: limit, running: map[string]chan struct{}{}}
 }
 
 // start runs f in the background, unless as many of that name run as may.
-func (e *fewEach) start(name string, f func()) {
+func (e *keyedLimiter) start(name string, f func()) {
 	if e.running[name] == nil {
-		e.running[name] = make(chan struct{}, e.most)
+		e.running[name] = make(chan struct{}, e.limit)
 	}
 	running := e.running[name]
 	select {
--- a/internal/history/quorum_test.go
+++ b/internal/history/quorum_test.go
@@ -64,7 +64,7 @@
 			fail(keepWithin(100*time.Millisecond, c, "p", "third", "second"))
 			w.setStore(false)
 			time.Sleep(settledIn)
-			if role := w.role("p"); role.OptionalBackups != spareMost {
+			if role := w.role("p"); role.OptionalBackups != maxOptionalBackups {
 				fail(errors.Errorf("no spare partner again: %v", role))
 			}
 			fail(keep(c, "p", "fourth", "third"))
@@ -86,13 +86,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := &w.assignment.Shards[ShardOf(program)]
-	next := ShardAssignment{Before: r.chain()}
+	next := ShardAssignment{Previous: r.ensembles()}
 	next.Epoch, next.Primary, next.OptionalBackups = r.Epoch+1, by, r.OptionalBackups
-	next.Disks = []string{r.disk(by)}
+	next.Disks = []string{r.diskOf(by)}
 	for _, name := range r.holders() {
 		if name != by {
 			next.Backups = append(next.Backups, name)
-			next.Disks = append(next.Disks, r.disk(name))
+			next.Disks = append(next.Disks, r.diskOf(name))
 		}
 	}
 	*r = next
@@ -140,16 +140,16 @@
 func TestHolderWithANewDiskIsNoSource(t *testing.T) {
 	is := is.New(t)
 	e := Ensemble{Epoch: 7, Primary: "a", Backups: []string{"b", "c"}, Disks: []string{"a1", "b1", "c1"}, OptionalBackups: 1}
-	is.True(e.keeps("b", "b1", 0))
-	is.True(!e.keeps("b", "b2", 7))
-	is.True(!e.keeps("d", "", 7))
-	is.True(!e.complete([]string{"b"}))
-	is.True(e.complete([]string{"b", "c"}))
-	is.True(e.complete([]string{"a"}))
+	is.True(e.isIntact("b", "b1", 0))
+	is.True(!e.isIntact("b", "b2", 7))
+	is.True(!e.isIntact("d", "", 7))
+	is.True(!e.isRecoveryQuorum([]string{"b"}))
+	is.True(e.isRecoveryQuorum([]string{"b", "c"}))
+	is.True(e.isRecoveryQuorum([]string{"a"}))
 	e.Disks, e.OptionalBackups = nil, 0
-	is.True(e.keeps("b", "b2", 6))
-	is.True(!e.keeps("b", "b2", 5))
-	is.True(!e.keeps("b", "b2", 0))
+	is.True(e.isIntact("b", "b2", 6))
+	is.True(!e.isIntact("b", "b2", 5))
+	is.True(!e.isIntact("b", "b2", 0))
 }
 
 // A turn is lost that its caller saw end. A disk was lost and its keeper is back with an
@@ -165,14 +165,14 @@
 		k := partner.process.keeper
 		k.verified = true
 		response, err := k.Append(context.Background(), &historypb.AppendRequest{Slices: []*historypb.SliceAppend{
-			{Slice: ShardOf("p"), Epoch: role.Epoch, Disk: role.disk(partner.name)},
+			{Slice: ShardOf("p"), Epoch: role.Epoch, Disk: role.diskOf(partner.name)},
 		}})
 		if err != nil || len(response.Refused) != 1 {
 			fail(errors.Errorf("taken: %v, %v", response, err))
 		}
 		w.setStore(false)
 		time.Sleep(settledIn)
-		if now := w.role("p"); now.disk(partner.name) == role.disk(partner.name) || !w.whole() {
+		if now := w.role("p"); now.diskOf(partner.name) == role.diskOf(partner.name) || !w.whole() {
 			fail(errors.Errorf("not made good: %v", now))
 		}
 	})
@@ -190,12 +190,12 @@
 		return list
 	}
 	is := is.New(t)
-	is.True(sparesOne(in(east, west, north)))
-	is.True(sparesOne(in(east, east, west, north)))
-	is.True(sparesOne(in(east, east, west, west)))
-	is.True(!sparesOne(in(east, east, west)))
-	is.True(!sparesOne(in(east, west)))
-	is.True(!sparesOne(append(in(east, west), Candidate{Name: "c", DataCentre: north})))
+	is.True(allowsOptionalBackup(in(east, west, north)))
+	is.True(allowsOptionalBackup(in(east, east, west, north)))
+	is.True(allowsOptionalBackup(in(east, east, west, west)))
+	is.True(!allowsOptionalBackup(in(east, east, west)))
+	is.True(!allowsOptionalBackup(in(east, west)))
+	is.True(!allowsOptionalBackup(append(in(east, west), Candidate{Name: "c", DataCentre: north})))
 }
 
 // Holders of slices change for nothing, each time a keeper looks. What was chosen once must
@@ -215,13 +215,13 @@
 		}
 		for s := range a.Shards {
 			r := &a.Shards[s]
-			c := chooser{assignment: &a, keepers: list, disksLost: disksLost, held: map[string]int{}}
+			c := backupSelector{assignment: &a, keepers: list, maxDiskFailures: disksLost, shardsHeld: map[string]int{}}
 			for i := range a.Shards {
-				c.count(&a.Shards[i])
+				c.countHolders(&a.Shards[i])
 			}
 			primary := list[slices.IndexFunc(list, func(k Candidate) bool { return k.Name == r.Primary })]
-			again := ensembleOf(r.Epoch, primary, c.partnersFor(s, primary), disksLost)
-			if !again.sameHolders(&r.Ensemble) {
+			again := newEnsemble(r.Epoch, primary, c.selectBackups(s, primary), disksLost)
+			if !again.sameReplicaSet(&r.Ensemble) {
 				rt.Fatalf("slice %d: %v, then %v", s, r.Ensemble, again)
 			}
 			if want := min(disksLost, len(list)-1); len(r.Backups) < want || len(r.Backups) > disksLost+1 {
@@ -285,7 +285,7 @@
 				turnRecord(ShardOf("p"), &historypb.Turn{Id: "first", EndedUnixMs: time.Now().UnixMilli(), RetentionMs: time.Hour.Milliseconds()}),
 				{Slice: ShardOf("p"), Body: &historypb.Record_Mark{Mark: &historypb.Mark{Epoch: 40, Synced: true}}},
 			} {
-				framed, err = frame(framed, r)
+				framed, err = appendFrame(framed, r)
 				fail(err)
 			}
 			fail(l.write(framed))
@@ -300,7 +300,7 @@
 		}
 		time.Sleep(settledIn)
 		fail(keep(c, "p", "second", "first"))
-		if now := w.role("p"); now.OptionalBackups != spareMost || len(now.Disks) != len(now.Backups)+1 {
+		if now := w.role("p"); now.OptionalBackups != maxOptionalBackups || len(now.Disks) != len(now.Backups)+1 {
 			fail(errors.Errorf("not of the new form: %v", now))
 		}
 	})
@@ -313,12 +313,12 @@
 	k := &Keeper{settings: Settings{Name: "a", DataCentre: east, Keepers: func() []Candidate {
 		return []Candidate{{Name: "a", DataCentre: east}, {Name: "b", DataCentre: west}, {Name: "c", DataCentre: north}}
 	}}, disk: "a1"}
-	opinions := map[string]opinion{"b": {heard: true, disk: "b1"}, "c": {heard: true, disk: "c1", spares: true}}
+	opinions := map[string]assessment{"b": {live: true, disk: "b1"}, "c": {live: true, disk: "c1", supportsOptionalBackups: true}}
 	list := k.candidates(opinions)
-	is.Equal(ensembleOf(2, list[0], list[1:], 1).OptionalBackups, 0)
-	opinions["b"] = opinion{heard: true, disk: "b1", spares: true}
+	is.Equal(newEnsemble(2, list[0], list[1:], 1).OptionalBackups, 0)
+	opinions["b"] = assessment{live: true, disk: "b1", supportsOptionalBackups: true}
 	list = k.candidates(opinions)
-	is.Equal(ensembleOf(2, list[0], list[1:], 1).OptionalBackups, 1)
+	is.Equal(newEnsemble(2, list[0], list[1:], 1).OptionalBackups, 1)
 }
 
 // An assignment of a later version is misread and written over. It must be refused, with
@@ -342,7 +342,7 @@
 			t.Errorf("written over: version %d", w.version)
 		}
 		w.stopAll()
-		time.Sleep(releaseTime)
+		time.Sleep(releaseTimeout)
 	})
 }
 
@@ -357,13 +357,13 @@
 		slice, holder := ShardOf("p"), w.machine(role.Backups[0])
 		w.cut(role.Primary, holder.name, true)
 		ctx := context.Background()
-		fetched, err := holder.process.keeper.Fetch(ctx, &historypb.FetchRequest{Slice: slice, Epoch: role.Epoch + 1, Disk: role.disk(holder.name)})
+		fetched, err := holder.process.keeper.Fetch(ctx, &historypb.FetchRequest{Slice: slice, Epoch: role.Epoch + 1, Disk: role.diskOf(holder.name)})
 		fail(err)
 		if fetched.Refused {
 			fail(errors.New("not fetched"))
 		}
 		refuses := func() {
-			late := &historypb.SliceAppend{Slice: slice, Epoch: role.Epoch, Disk: role.disk(holder.name)}
+			late := &historypb.SliceAppend{Slice: slice, Epoch: role.Epoch, Disk: role.diskOf(holder.name)}
 			response, err := holder.process.keeper.Append(ctx, &historypb.AppendRequest{Slices: []*historypb.SliceAppend{late}})
 			fail(err)
 			if len(response.Refused) != 1 {
--- a/internal/history/recover.go
+++ b/internal/history/recover.go
@@ -14,24 +14,24 @@
 const (
 	// stuckAfter is how long a primary that lives may take to have all of its slice,
 	// before another takes the slice over.
-	stuckAfter = 2 * time.Second
+	recoveryTimeout = 2 * time.Second
 	// lostRounds is the number of rounds in which a primary on a disk without a name
 	// must lack its slice: what is known of it lags.
-	lostRounds = 3
+	incompleteRounds = 3
 )
 
 // kept returns the keepers that still have what they acknowledged in an ensemble, this
 // one among them, as far as they are heard; the lock is held.
-func (k *Keeper) kept(s *shard, e *Ensemble, opinions map[string]opinion) []string {
+func (k *Keeper) intactHolders(s *shard, e *Ensemble, assessments map[string]assessment) []string {
 	var names []string
 	for _, name := range e.holders() {
-		o := opinions[name]
+		o := assessments[name]
 		switch {
 		case name == k.settings.Name:
-			if e.keeps(name, k.disk, s.mark.Base) {
+			if e.isIntact(name, k.disk, s.epochState.base) {
 				names = append(names, name)
 			}
-		case o.heard && e.keeps(name, o.disk, o.marks[s.number].Base):
+		case o.live && e.isIntact(name, o.disk, o.epochStates[s.id].base):
 			names = append(names, name)
 		}
 	}
@@ -40,12 +40,12 @@
 
 // collectable reports that this keeper has, or can fetch, all that was decided in the
 // slice; the lock is held.
-func (k *Keeper) collectable(s *shard, opinions map[string]opinion) bool {
-	if s.mark.Base == 0 || s.mark.Base < s.role.oldest() {
+func (k *Keeper) canRecover(s *shard, assessments map[string]assessment) bool {
+	if s.epochState.base == 0 || s.epochState.base < s.role.minBase() {
 		return false
 	}
-	for _, e := range s.role.chain() {
-		if e.Epoch >= s.mark.Base && !e.complete(k.kept(s, &e, opinions)) && !k.exhausted(s, &e, opinions) {
+	for _, e := range s.role.ensembles() {
+		if e.Epoch >= s.epochState.base && !e.isRecoveryQuorum(k.intactHolders(s, &e, assessments)) && !k.allIntactReachable(s, &e, assessments) {
 			return false
 		}
 	}
@@ -54,11 +54,11 @@
 
 // exhausted reports that no holder of an ensemble but those that are heard will ever have
 // what it acknowledged: the others have new disks. The lock is held.
-func (k *Keeper) exhausted(s *shard, e *Ensemble, opinions map[string]opinion) bool {
-	kept := k.kept(s, e, opinions)
+func (k *Keeper) allIntactReachable(s *shard, e *Ensemble, assessments map[string]assessment) bool {
+	kept := k.intactHolders(s, e, assessments)
 	for _, name := range e.holders() {
-		o := opinions[name]
-		replaced := o.heard && e.disk(name) != "" && o.disk != e.disk(name) || name == k.settings.Name
+		o := assessments[name]
+		replaced := o.live && e.diskOf(name) != "" && o.disk != e.diskOf(name) || name == k.settings.Name
 		if !slices.Contains(kept, name) && !replaced {
 			return false
 		}
@@ -68,30 +68,30 @@
 
 // sources returns the keepers to fetch from, so that with what this one has all decisions
 // of the earlier ensembles are there; false where they can't be had now. The lock is held.
-func (k *Keeper) sources(s *shard, opinions map[string]opinion) (map[string]string, bool) {
-	forced := s.forced == s.role.Epoch
-	if s.mark.Base < s.role.oldest() && !forced {
+func (k *Keeper) recoverySources(s *shard, assessments map[string]assessment) (map[string]string, bool) {
+	forced := s.forcedEpoch == s.role.Epoch
+	if s.epochState.base < s.role.minBase() && !forced {
 		return nil, false
 	}
 	from := map[string]string{}
-	for _, e := range s.role.Before {
-		if e.Epoch < s.mark.Base {
+	for _, e := range s.role.Previous {
+		if e.Epoch < s.epochState.base {
 			continue
 		}
 		var has []string
-		if e.keeps(k.settings.Name, k.disk, s.mark.Base) {
+		if e.isIntact(k.settings.Name, k.disk, s.epochState.base) {
 			has = append(has, k.settings.Name)
 		}
-		for _, name := range k.kept(s, &e, opinions) {
-			if e.complete(has) && !forced {
+		for _, name := range k.intactHolders(s, &e, assessments) {
+			if e.isRecoveryQuorum(has) && !forced {
 				break
 			}
 			if name != k.settings.Name {
 				has = append(has, name)
-				from[name] = e.disk(name)
+				from[name] = e.diskOf(name)
 			}
 		}
-		if !e.complete(has) && !forced && !k.exhausted(s, &e, opinions) {
+		if !e.isRecoveryQuorum(has) && !forced && !k.allIntactReachable(s, &e, assessments) {
 			return nil, false
 		}
 	}
@@ -100,41 +100,41 @@
 
 // collectIfNeeded has this keeper, which the store made a slice's primary, fetch what it
 // may lack of the decisions before; the lock is held.
-func (k *Keeper) collectIfNeeded(ctx context.Context, s *shard, opinions map[string]opinion) {
-	if s.role.Primary != k.settings.Name || s.role.Epoch == 0 || s.mark.Epoch > s.role.Epoch || s.marking || s.collecting {
+func (k *Keeper) recoverIfNeeded(ctx context.Context, s *shard, assessments map[string]assessment) {
+	if s.role.Primary != k.settings.Name || s.role.Epoch == 0 || s.epochState.promised > s.role.Epoch || s.persistingState || s.recovering {
 		return
 	}
-	if recorded := s.role.disk(k.settings.Name); recorded != "" && recorded != k.disk {
+	if recorded := s.role.diskOf(k.settings.Name); recorded != "" && recorded != k.disk {
 		return
 	}
-	from, found := k.sources(s, opinions)
+	from, found := k.recoverySources(s, assessments)
 	if !found {
 		return
 	}
-	k.tellLost(s, opinions)
+	k.logLostDecisions(s, assessments)
 	if len(from) == 0 {
-		k.makeWhole(s)
+		k.markComplete(s)
 		return
 	}
-	s.collecting = true
-	go k.collect(ctx, s, s.role.Epoch, from)
+	s.recovering = true
+	go k.recoverShard(ctx, s, s.role.Epoch, from)
 }
 
 // tellLost says which earlier ensembles lost more disks than may be lost at once: what
 // was on these alone is gone. The lock is held.
-func (k *Keeper) tellLost(s *shard, opinions map[string]opinion) {
-	for _, e := range s.role.Before {
-		if e.Epoch >= s.mark.Base && !e.complete(k.kept(s, &e, opinions)) {
-			k.settings.Logger.WithField("slice", s.number).WithField("epoch", e.Epoch).WithField("holders", e.holders()).
-				WithField("kept", k.kept(s, &e, opinions)).Error("decisions lost with more disks than may be")
+func (k *Keeper) logLostDecisions(s *shard, assessments map[string]assessment) {
+	for _, e := range s.role.Previous {
+		if e.Epoch >= s.epochState.base && !e.isRecoveryQuorum(k.intactHolders(s, &e, assessments)) {
+			k.settings.Logger.WithField("slice", s.id).WithField("epoch", e.Epoch).WithField("holders", e.holders()).
+				WithField("kept", k.intactHolders(s, &e, assessments)).Error("decisions lost with more disks than may be")
 		}
 	}
 }
 
 // collect fetches what the keepers have of a slice, each by the name of its disk. With
 // that, this keeper has all of it.
-func (k *Keeper) collect(ctx context.Context, s *shard, epoch uint64, from map[string]string) {
-	ctx, cancel := context.WithTimeout(ctx, opTime)
+func (k *Keeper) recoverShard(ctx context.Context, s *shard, epoch uint64, from map[string]string) {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	responses := make(chan *historypb.FetchResponse, len(from))
@@ -143,7 +143,7 @@
 	k.mu.Unlock()
 	for name, disk := range from {
 		group.Go(func() error {
-			response, err := k.peers.Fetch(ctx, name, &historypb.FetchRequest{Slice: s.number, Epoch: epoch, Disk: disk, Have: have})
+			response, err := k.peers.Fetch(ctx, name, &historypb.FetchRequest{Slice: s.id, Epoch: epoch, Disk: disk, Have: have})
 			if err == nil && response.Refused {
 				err = errors.Errorf("%s refuses epoch %d", name, epoch)
 			}
@@ -157,31 +157,31 @@
 	close(responses)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s.collecting = false
+	s.recovering = false
 	if err != nil {
-		k.settings.Logger.WithError(err).WithField("slice", s.number).Warn("decisions of earlier holders not fetched")
+		k.settings.Logger.WithError(err).WithField("slice", s.id).Warn("decisions of earlier holders not fetched")
 		return
 	}
 	if s.role.Epoch != epoch {
 		return
 	}
-	var news []*historypb.Record
+	var learned []*historypb.Record
 	for response := range responses {
 		for _, r := range response.Records {
 			if s.state.apply(r) {
-				news = append(news, r)
+				learned = append(learned, r)
 			}
 		}
 	}
-	k.persist(news, nil)
-	k.makeWhole(s)
+	k.persist(learned, nil)
+	k.markComplete(s)
 }
 
 // behind reports that another keeper could take the slice over with less to fetch; the
 // lock is held.
-func (k *Keeper) behind(s *shard, opinions map[string]opinion) bool {
-	for name := range s.role.everHeld() {
-		if o := opinions[name]; name != k.settings.Name && o.heard && !o.out && o.marks[s.number].Base > s.mark.Base {
+func (k *Keeper) isBehind(s *shard, assessments map[string]assessment) bool {
+	for name := range s.role.allHolders() {
+		if o := assessments[name]; name != k.settings.Name && o.live && !o.ineligible && o.epochStates[s.id].base > s.epochState.base {
 			return true
 		}
 	}
@@ -190,64 +190,64 @@
 
 // primaryGone reports that the slice's primary does not decide and is not about to; the
 // lock is held.
-func (k *Keeper) primaryGone(s *shard, opinions map[string]opinion, now time.Time) bool {
-	o, known := opinions[s.role.Primary]
-	return o.out || !known && now.Sub(k.started) > bootTime || s.primaryLost(o)
+func (k *Keeper) primaryFailed(s *shard, assessments map[string]assessment, now time.Time) bool {
+	o, known := assessments[s.role.Primary]
+	return o.ineligible || !known && now.Sub(k.started) > startupGrace || s.primaryIncomplete(o)
 }
 
 // primaryLost reports that the primary lives and does not have its slice: its disk is
 // lost, or it can't fetch what it lacks. Its last word before a cut says nothing of what
 // it has had since.
-func (s *shard) primaryLost(o opinion) bool {
-	if !o.heard || o.has(int(s.number), s.role.Epoch) {
-		s.primaryLostSince = time.Time{}
+func (s *shard) primaryIncomplete(o assessment) bool {
+	if !o.live || o.isComplete(int(s.id), s.role.Epoch) {
+		s.primaryIncompleteSince = time.Time{}
 		return false
 	}
-	recorded := s.role.disk(s.role.Primary)
+	recorded := s.role.diskOf(s.role.Primary)
 	if recorded != "" && recorded != o.disk {
 		return true
 	}
-	if s.primaryLostSince.IsZero() {
-		s.primaryLostSince = o.at
+	if s.primaryIncompleteSince.IsZero() {
+		s.primaryIncompleteSince = o.lastContact
 	}
-	limit := stuckAfter
+	limit := recoveryTimeout
 	if recorded == "" {
-		limit = lostRounds * statusEvery
+		limit = incompleteRounds * statusPollInterval
 	}
-	return o.at.Sub(s.primaryLostSince) > limit
+	return o.lastContact.Sub(s.primaryIncompleteSince) > limit
 }
 
 // abandoned reports that the slice can't be had whole from any keepers, and that this one
 // has to go on with what it has: soon where all its holders are heard, else after the time
 // for which the decisions of the silent ones are kept at all. More disks were lost then
 // than may be at once.
-func (k *Keeper) abandoned(s *shard, opinions map[string]opinion, now time.Time) bool {
-	if s.role.Epoch == 0 || s.marking || s.collecting || !k.verified || !k.firstToAbandon(s, opinions) {
-		s.lostSince = time.Time{}
+func (k *Keeper) mustForceRecovery(s *shard, assessments map[string]assessment, now time.Time) bool {
+	if s.role.Epoch == 0 || s.persistingState || s.recovering || !k.verified || !k.leadsForcedRecovery(s, assessments) {
+		s.unrecoverableSince = time.Time{}
 		return false
 	}
-	if s.lostSince.IsZero() {
-		s.lostSince = now
+	if s.unrecoverableSince.IsZero() {
+		s.unrecoverableSince = now
 	}
 	limit := defaultRetention
-	if k.allHeard(s, opinions) {
-		limit = abandonAfter
+	if k.allHoldersLive(s, assessments) {
+		limit = forceRecoveryAfter
 	}
-	if now.Sub(s.lostSince) < limit {
+	if now.Sub(s.unrecoverableSince) < limit {
 		return false
 	}
-	s.lostSince = time.Time{}
-	s.forced = s.role.Epoch + 1
-	k.settings.Logger.WithField("slice", s.number).WithField("epoch", s.role.Epoch).WithField("base", s.mark.Base).
+	s.unrecoverableSince = time.Time{}
+	s.forcedEpoch = s.role.Epoch + 1
+	k.settings.Logger.WithField("slice", s.id).WithField("epoch", s.role.Epoch).WithField("base", s.epochState.base).
 		Error("slice lost on more disks than may be, continued with what is left")
 	return true
 }
 
 // allHeard reports that all other holders of the slice are heard, also those of earlier
 // ensembles that may be needed; the lock is held.
-func (k *Keeper) allHeard(s *shard, opinions map[string]opinion) bool {
-	for name := range s.role.everHeld() {
-		if name != k.settings.Name && !opinions[name].heard {
+func (k *Keeper) allHoldersLive(s *shard, assessments map[string]assessment) bool {
+	for name := range s.role.allHolders() {
+		if name != k.settings.Name && !assessments[name].live {
 			return false
 		}
 	}
@@ -257,15 +257,15 @@
 // firstToAbandon reports that this keeper is a holder and that no other that is heard has
 // more of the slice; of equals the primary goes on, else the one with the lowest name. The
 // lock is held.
-func (k *Keeper) firstToAbandon(s *shard, opinions map[string]opinion) bool {
-	holders := s.role.everHeld()
+func (k *Keeper) leadsForcedRecovery(s *shard, assessments map[string]assessment) bool {
+	holders := s.role.allHolders()
 	for name := range holders {
-		other := opinions[name].marks[s.number].Base
+		other := assessments[name].epochStates[s.id].base
 		switch {
-		case name == k.settings.Name || !opinions[name].heard:
-		case other > s.mark.Base:
+		case name == k.settings.Name || !assessments[name].live:
+		case other > s.epochState.base:
 			return false
-		case other == s.mark.Base && s.role.Primary != k.settings.Name && (name == s.role.Primary || name < k.settings.Name):
+		case other == s.epochState.base && s.role.Primary != k.settings.Name && (name == s.role.Primary || name < k.settings.Name):
 			return false
 		}
 	}
--- a/internal/history/serve.go
+++ b/internal/history/serve.go
@@ -12,12 +12,12 @@
 // Reserve implements historypb.Keeper.
 func (k *Keeper) Reserve(ctx context.Context, r *historypb.ReserveRequest) (*historypb.ReserveResponse, error) {
 	k.mu.Lock()
-	s := k.sliceFor(r.Slice)
-	if s == nil || !k.primary(s) {
+	s := k.shardByID(r.Slice)
+	if s == nil || !k.isPrimary(s) {
 		defer k.mu.Unlock()
-		return &historypb.ReserveResponse{Verdict: historypb.Verdict_MOVED, Role: k.roleOf(s)}, nil
+		return &historypb.ReserveResponse{Verdict: historypb.Verdict_MOVED, Role: k.encodeRole(s)}, nil
 	}
-	if v := k.serves(s, time.Now()); v != historypb.Verdict_DONE {
+	if v := k.servingVerdict(s, time.Now()); v != historypb.Verdict_DONE {
 		defer k.mu.Unlock()
 		return &historypb.ReserveResponse{Verdict: v}, nil
 	}
@@ -25,9 +25,9 @@
 	if r.Previous != "" && !r.Foreign {
 		found, ok := s.state.chain(r.Customer, r.Previous)
 		if !ok {
-			e := k.submit(s, nil)
+			e := k.replicate(s, nil)
 			k.mu.Unlock()
-			return &historypb.ReserveResponse{Verdict: certain(ctx, e, historypb.Verdict_NO_TURN)}, nil
+			return &historypb.ReserveResponse{Verdict: verdictAfterCommit(ctx, e, historypb.Verdict_NO_TURN)}, nil
 		}
 		chain = found
 	}
@@ -36,19 +36,19 @@
 		defer k.mu.Unlock()
 		response := &historypb.ReserveResponse{Verdict: verdict}
 		if a := s.state.account(r.Customer, r.Program); a != nil {
-			response.Spent, response.Open = a.Spent, openTokens(a)
+			response.Spent, response.Open = a.Spent, reservedTokens(a)
 		}
 		return response, nil
 	}
-	replica := s.state.replica(r.Customer, r.Program, chain)
-	e := k.submit(s, []*historypb.Record{accountRecord(r.Slice, account)})
+	replica := s.state.preferredReplica(r.Customer, r.Program, chain)
+	e := k.replicate(s, []*historypb.Record{accountRecord(r.Slice, account)})
 	k.mu.Unlock()
-	return &historypb.ReserveResponse{Verdict: certain(ctx, e, historypb.Verdict_DONE), Chain: chain, Replica: replica}, nil
+	return &historypb.ReserveResponse{Verdict: verdictAfterCommit(ctx, e, historypb.Verdict_DONE), Chain: chain, Replica: replica}, nil
 }
 
 // certain returns the verdict once it is certain that it holds.
-func certain(ctx context.Context, e *entry, v historypb.Verdict) historypb.Verdict {
-	if !wait(ctx, e) {
+func verdictAfterCommit(ctx context.Context, e *pendingCommit, v historypb.Verdict) historypb.Verdict {
+	if !awaitCommit(ctx, e) {
 		return historypb.Verdict_NOT_NOW
 	}
 	return v
@@ -56,12 +56,12 @@
 
 // isolated reports that no other keeper has been heard for as long as it takes
 // to replace one; the lock is held. What waited then would wait in vain.
-func (k *Keeper) isolated() bool { return k.allSilent(suspectAfter) }
+func (k *Keeper) isIsolated() bool { return k.allUnresponsive(suspectTimeout) }
 
 // allSilent reports that no other keeper has been heard for that long; the lock is held.
-func (k *Keeper) allSilent(since time.Duration) bool {
+func (k *Keeper) allUnresponsive(timeout time.Duration) bool {
 	for _, v := range k.views {
-		if time.Since(v.heard) < since {
+		if time.Since(v.lastContact) < timeout {
 			return false
 		}
 	}
@@ -71,59 +71,59 @@
 // Settle implements historypb.Keeper.
 func (k *Keeper) Settle(ctx context.Context, r *historypb.SettleRequest) (*historypb.SettleResponse, error) {
 	k.mu.Lock()
-	s := k.sliceFor(r.Slice)
-	if s == nil || !k.primary(s) {
+	s := k.shardByID(r.Slice)
+	if s == nil || !k.isPrimary(s) {
 		defer k.mu.Unlock()
-		return &historypb.SettleResponse{Verdict: historypb.Verdict_MOVED, Role: k.roleOf(s)}, nil
+		return &historypb.SettleResponse{Verdict: historypb.Verdict_MOVED, Role: k.encodeRole(s)}, nil
 	}
-	if k.alone(s) && k.serves(s, time.Now()) != historypb.Verdict_DONE {
+	if k.isSoleHolder(s) && k.servingVerdict(s, time.Now()) != historypb.Verdict_DONE {
 		defer k.mu.Unlock()
 		return &historypb.SettleResponse{Verdict: historypb.Verdict_NOT_NOW}, nil
 	}
-	e := k.submit(s, s.state.settle(r, time.Now()))
+	e := k.replicate(s, s.state.settle(r, time.Now()))
 	k.mu.Unlock()
-	return &historypb.SettleResponse{Verdict: certain(ctx, e, historypb.Verdict_DONE)}, nil
+	return &historypb.SettleResponse{Verdict: verdictAfterCommit(ctx, e, historypb.Verdict_DONE)}, nil
 }
 
 // Draw implements historypb.Keeper.
 func (k *Keeper) Draw(ctx context.Context, r *historypb.DrawRequest) (*historypb.DrawResponse, error) {
 	k.mu.Lock()
-	s := k.sliceFor(r.Slice)
-	if s == nil || !k.primary(s) {
+	s := k.shardByID(r.Slice)
+	if s == nil || !k.isPrimary(s) {
 		defer k.mu.Unlock()
-		return &historypb.DrawResponse{Verdict: historypb.Verdict_MOVED, Role: k.roleOf(s)}, nil
+		return &historypb.DrawResponse{Verdict: historypb.Verdict_MOVED, Role: k.encodeRole(s)}, nil
 	}
-	if k.alone(s) && k.serves(s, time.Now()) != historypb.Verdict_DONE {
+	if k.isSoleHolder(s) && k.servingVerdict(s, time.Now()) != historypb.Verdict_DONE {
 		defer k.mu.Unlock()
 		return &historypb.DrawResponse{Verdict: historypb.Verdict_NOT_NOW}, nil
 	}
 	held, account := s.state.draw(r, time.Now())
-	e := k.submit(s, []*historypb.Record{accountRecord(r.Slice, account)})
+	e := k.replicate(s, []*historypb.Record{accountRecord(r.Slice, account)})
 	k.mu.Unlock()
-	return &historypb.DrawResponse{Verdict: certain(ctx, e, historypb.Verdict_DONE), Held: held}, nil
+	return &historypb.DrawResponse{Verdict: verdictAfterCommit(ctx, e, historypb.Verdict_DONE), Held: held}, nil
 }
 
 // Find implements historypb.Keeper. A turn that is not durable yet was never
 // named to anybody who could ask for it.
 func (k *Keeper) Find(ctx context.Context, r *historypb.FindRequest) (*historypb.FindResponse, error) {
 	k.mu.Lock()
-	asked := map[uint32]*entry{}
+	pending := map[uint32]*pendingCommit{}
 	for _, s := range k.shards {
 		if chain, ok := s.state.chain(r.Customer, r.Turn); ok {
 			k.mu.Unlock()
 			return &historypb.FindResponse{Chain: chain}, nil
 		}
-		if k.primary(s) {
-			asked[s.number] = k.submit(s, nil)
+		if k.isPrimary(s) {
+			pending[s.id] = k.replicate(s, nil)
 		}
 	}
 	k.mu.Unlock()
 	response := &historypb.FindResponse{}
-	ctx, cancel := context.WithTimeout(ctx, opTime)
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	for number, e := range asked {
-		if wait(ctx, e) {
-			response.Absent = append(response.Absent, number)
+	for id, e := range pending {
+		if awaitCommit(ctx, e) {
+			response.Absent = append(response.Absent, id)
 		}
 	}
 	return response, nil
@@ -135,32 +135,32 @@
 	durable := make(chan struct{})
 	k.mu.Lock()
 	var records []*historypb.Record
-	var complete []*shard
+	var completed []*shard
 	var epochs []uint64
 	for _, a := range r.Slices {
-		s := k.sliceFor(a.Slice)
+		s := k.shardByID(a.Slice)
 		if s == nil || !k.accepts(s, a) {
 			response.Refused = append(response.Refused, k.refusal(a, s))
 			continue
 		}
-		if a.Epoch > s.mark.Epoch {
-			k.follow(s, a.Epoch)
-			records = append(records, markRecord(s.number, s.mark))
+		if a.Epoch > s.epochState.promised {
+			k.promiseEpoch(s, a.Epoch)
+			records = append(records, epochStateRecord(s.id, s.epochState))
 		}
 		for _, record := range a.Records {
 			s.state.apply(record)
 		}
 		records = append(records, a.Records...)
-		if a.Complete && !s.mark.whole(a.Epoch) {
-			records = append(records, markRecord(s.number, mark{Epoch: a.Epoch, Base: a.Epoch}))
-			complete, epochs = append(complete, s), append(epochs, a.Epoch)
+		if a.Complete && !s.epochState.isComplete(a.Epoch) {
+			records = append(records, epochStateRecord(s.id, epochState{promised: a.Epoch, base: a.Epoch}))
+			completed, epochs = append(completed, s), append(epochs, a.Epoch)
 		}
 	}
 	k.persist(records, func() {
 		// Only what is on the disk may be relied on: after a crash this keeper
 		// must know by itself that it has all of the slice.
-		for i, s := range complete {
-			s.mark.raise(mark{Base: epochs[i]})
+		for i, s := range completed {
+			s.epochState.merge(epochState{base: epochs[i]})
 		}
 		close(durable)
 	})
@@ -179,10 +179,10 @@
 // replaced long ago could else win it over.
 func (k *Keeper) accepts(s *shard, a *historypb.SliceAppend) bool {
 	if !k.verified {
-		notify(k.wakeRead)
+		notify(k.wakeReader)
 		return false
 	}
-	return k.sameDisk(a.Disk) && a.Epoch >= s.mark.Epoch && a.Epoch >= s.role.Epoch
+	return k.sameDisk(a.Disk) && a.Epoch >= s.epochState.promised && a.Epoch >= s.role.Epoch
 }
 
 // sameDisk reports that this keeper has the named disk, or that none is named.
@@ -191,18 +191,18 @@
 func (k *Keeper) refusal(a *historypb.SliceAppend, s *shard) *historypb.SliceMark {
 	m := &historypb.SliceMark{Slice: a.Slice}
 	if s != nil && k.verified && k.sameDisk(a.Disk) {
-		m.Epoch = max(s.mark.Epoch, s.role.Epoch)
+		m.Epoch = max(s.epochState.promised, s.role.Epoch)
 	}
 	return m
 }
 
 // follow has this keeper refuse lower epochs; the lock is held. What it had in them
 // it still has.
-func (k *Keeper) follow(s *shard, epoch uint64) {
-	s.mark.raise(mark{Epoch: epoch})
-	s.drop()
+func (k *Keeper) promiseEpoch(s *shard, epoch uint64) {
+	s.epochState.merge(epochState{promised: epoch})
+	s.abortPending()
 	if epoch > s.role.Epoch {
-		k.readUnlessTold(s)
+		k.readIfNotNotified(s)
 	}
 }
 
@@ -211,16 +211,16 @@
 func (k *Keeper) Fetch(ctx context.Context, r *historypb.FetchRequest) (*historypb.FetchResponse, error) {
 	durable := make(chan struct{})
 	k.mu.Lock()
-	s := k.sliceFor(r.Slice)
-	if s == nil || !k.verified || !k.sameDisk(r.Disk) || r.Epoch < max(s.mark.Epoch, s.role.Epoch) {
+	s := k.shardByID(r.Slice)
+	if s == nil || !k.verified || !k.sameDisk(r.Disk) || r.Epoch < max(s.epochState.promised, s.role.Epoch) {
 		defer k.mu.Unlock()
-		notify(k.wakeRead)
+		notify(k.wakeReader)
 		return &historypb.FetchResponse{Refused: true}, nil
 	}
-	if r.Epoch > s.mark.Epoch {
-		k.follow(s, r.Epoch)
+	if r.Epoch > s.epochState.promised {
+		k.promiseEpoch(s, r.Epoch)
 	}
-	k.persist([]*historypb.Record{markRecord(s.number, s.mark)}, func() { close(durable) })
+	k.persist([]*historypb.Record{epochStateRecord(s.id, s.epochState)}, func() { close(durable) })
 	k.mu.Unlock()
 	select {
 	case <-durable:
@@ -229,7 +229,7 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return &historypb.FetchResponse{Records: s.state.lacking(s.number, r.Have)}, nil
+	return &historypb.FetchResponse{Records: s.state.recordsMissingFrom(s.id, r.Have)}, nil
 }
 
 // Status implements historypb.Keeper.
@@ -241,11 +241,11 @@
 
 // status is how this keeper stands; the lock is held.
 func (k *Keeper) status() *historypb.StatusResponse {
-	response := &historypb.StatusResponse{Name: k.settings.Name, Leaving: k.leaving, StalledMs: k.stalled().Milliseconds(), Disk: k.disk, Spares: true}
+	response := &historypb.StatusResponse{Name: k.settings.Name, Leaving: k.draining, StalledMs: k.stalledFor().Milliseconds(), Disk: k.disk, Spares: true}
 	for i, s := range k.shards {
-		response.Slices = append(response.Slices, sliceMark(s.number, s.mark))
-		if k.toldMarks[i] != s.mark {
-			k.toldMarks[i] = s.mark
+		response.Slices = append(response.Slices, encodeEpochState(s.id, s.epochState))
+		if k.broadcastStates[i] != s.epochState {
+			k.broadcastStates[i] = s.epochState
 			k.edition++
 		}
 	}
@@ -254,21 +254,21 @@
 }
 
 // stalled is for how long the disk has not finished a write; the lock is held.
-func (k *Keeper) stalled() time.Duration {
+func (k *Keeper) stalledFor() time.Duration {
 	if k.writingSince.IsZero() {
 		return 0
 	}
 	return time.Since(k.writingSince)
 }
 
-func (k *Keeper) sliceFor(number uint32) *shard {
-	if number >= ShardCount {
+func (k *Keeper) shardByID(id uint32) *shard {
+	if id >= ShardCount {
 		return nil
 	}
-	return k.shards[number]
+	return k.shards[id]
 }
 
-func (k *Keeper) roleOf(s *shard) *historypb.Role {
+func (k *Keeper) encodeRole(s *shard) *historypb.Role {
 	if s == nil {
 		return nil
 	}
--- a/internal/history/state.go
+++ b/internal/history/state.go
@@ -10,10 +10,10 @@
 const (
 	// keepMargin is how much longer than asked turns and accounts are kept: the
 	// clocks of instances differ, and may step by seconds.
-	keepMargin = 20 * time.Second
+	retentionMargin = 20 * time.Second
 	// settledMost bounds the settled turns that an account remembers. A repeat
 	// comes within seconds, in which a program ends a few turns.
-	settledMost = 16
+	maxSettledTurns = 16
 )
 
 // state is what is kept of one slice. Its rules are pure: they change the
@@ -21,20 +21,20 @@
 type state struct {
 	// accounts and turns are found by customer and id, see keyOf.
 	accounts map[string]*historypb.Account
-	turns    map[string]*keptTurn
+	turns    map[string]*retainedTurn
 	// epoch is that in which this keeper decides, or did last.
-	epoch uint64
+	primaryEpoch uint64
 	// starts counts the starts of keepers on this disk.
-	starts uint64
+	diskStarts uint64
 }
 
-type keptTurn struct {
+type retainedTurn struct {
 	turn    *historypb.Turn
 	expires int64
 }
 
 func newState() *state {
-	return &state{accounts: map[string]*historypb.Account{}, turns: map[string]*keptTurn{}}
+	return &state{accounts: map[string]*historypb.Account{}, turns: map[string]*retainedTurn{}}
 }
 
 // reserve opens a turn in the program's account.
@@ -48,16 +48,16 @@
 			// The caller has given the turn up; this request was late.
 			return historypb.Verdict_NOT_NOW, nil
 		}
-		if r.Budget > 0 && old.Spent+openTokens(old)+r.Most > r.Budget {
+		if r.Budget > 0 && old.Spent+reservedTokens(old)+r.Most > r.Budget {
 			return historypb.Verdict_SPENT, nil
 		}
 	} else if r.Budget > 0 && r.Most > r.Budget {
 		return historypb.Verdict_SPENT, nil
 	}
-	next := s.copyAccount(old, r.Customer, r.Program)
+	next := s.nextAccountVersion(old, r.Customer, r.Program)
 	next.Open = append(next.Open, &historypb.OpenTurn{Id: r.Turn, Most: r.Most})
 	next.TouchedUnixMs, next.RetentionMs = now.UnixMilli(), max(next.RetentionMs, r.RetentionMs)
-	s.put(next)
+	s.putAccount(next)
 	return historypb.Verdict_DONE, next
 }
 
@@ -65,7 +65,7 @@
 // while the program has used less than half of its budget: the other half stays
 // for turns at other entries, which can't see what this one does not use.
 func (s *state) draw(r *historypb.DrawRequest, now time.Time) (held int64, next *historypb.Account) {
-	next = s.copyAccount(s.account(r.Customer, r.Program), r.Customer, r.Program)
+	next = s.nextAccountVersion(s.account(r.Customer, r.Program), r.Customer, r.Program)
 	i := slices.IndexFunc(next.Open, func(o *historypb.OpenTurn) bool { return o.Id == r.Allowance })
 	a := &historypb.OpenTurn{Id: r.Allowance}
 	if i >= 0 {
@@ -76,7 +76,7 @@
 		next.Spent += delta
 		a.Made, a.Most = r.Made, max(0, a.Most-delta)
 	}
-	if more := r.Want - a.Most; more > 0 && next.Spent+openTokens(next)+r.Want <= r.Budget/2 {
+	if more := r.Want - a.Most; more > 0 && next.Spent+reservedTokens(next)+r.Want <= r.Budget/2 {
 		a.Most += more
 	}
 	next.Open = append(next.Open, a)
@@ -84,7 +84,7 @@
 	if r.Replica != "" {
 		next.Replica = r.Replica
 	}
-	s.put(next)
+	s.putAccount(next)
 	// An older request, come late, tells less than is known: what may be made
 	// beyond it includes what was made meanwhile.
 	return a.Most + a.Made - r.Made, next
@@ -98,43 +98,43 @@
 	var records []*historypb.Record
 	account := s.account(r.Customer, r.Program)
 	if account == nil || !slices.Contains(account.Settled, r.Turn) {
-		next := s.copyAccount(account, r.Customer, r.Program)
+		next := s.nextAccountVersion(account, r.Customer, r.Program)
 		next.Open = slices.DeleteFunc(next.Open, func(o *historypb.OpenTurn) bool { return o.Id == r.Turn })
 		next.Spent += r.Made
 		if r.Replica != "" {
 			next.Replica = r.Replica
 		}
 		next.Settled = append(next.Settled, r.Turn)
-		if over := len(next.Settled) - settledMost; over > 0 {
+		if over := len(next.Settled) - maxSettledTurns; over > 0 {
 			next.Settled = next.Settled[over:]
 		}
 		next.TouchedUnixMs, next.RetentionMs = now.UnixMilli(), max(next.RetentionMs, r.RetentionMs)
-		s.put(next)
+		s.putAccount(next)
 		account = next
 	}
 	records = append(records, accountRecord(r.Slice, account))
 	for _, t := range r.Chain {
-		records = append(records, s.keep(r.Slice, t))
+		records = append(records, s.retain(r.Slice, t))
 	}
 	if r.Kept != nil {
-		records = append(records, s.keep(r.Slice, r.Kept))
+		records = append(records, s.retain(r.Slice, r.Kept))
 	}
 	return records
 }
 
 // keep keeps a turn, and returns the record of what is kept under its id.
-func (s *state) keep(slice uint32, t *historypb.Turn) *historypb.Record {
+func (s *state) retain(shardID uint32, t *historypb.Turn) *historypb.Record {
 	s.addTurn(t)
-	return turnRecord(slice, s.turns[keyOf(t.Customer, t.Id)].turn)
+	return turnRecord(shardID, s.turns[recordKey(t.Customer, t.Id)].turn)
 }
 
 // addTurn keeps a turn, and the chain before it as long as itself.
 func (s *state) addTurn(t *historypb.Turn) {
-	key := keyOf(t.Customer, t.Id)
+	key := recordKey(t.Customer, t.Id)
 	if s.turns[key] == nil {
-		s.turns[key] = &keptTurn{turn: t}
+		s.turns[key] = &retainedTurn{turn: t}
 	}
-	expires := t.EndedUnixMs + t.RetentionMs + keepMargin.Milliseconds()
+	expires := t.EndedUnixMs + t.RetentionMs + retentionMargin.Milliseconds()
 	for k := s.turns[key]; k != nil && k.expires < expires; k = s.turn(t.Customer, k.turn.Previous) {
 		k.expires = expires
 	}
@@ -158,7 +158,7 @@
 
 // replica returns the engine that most likely has a turn's prompt cached: the
 // one that ran the turn before, or else the program's last.
-func (s *state) replica(customer *string, program string, chain []*historypb.Turn) string {
+func (s *state) preferredReplica(customer *string, program string, chain []*historypb.Turn) string {
 	if n := len(chain); n > 0 && chain[n-1].Replica != "" {
 		return chain[n-1].Replica
 	}
@@ -174,12 +174,12 @@
 func (s *state) apply(r *historypb.Record) bool {
 	switch b := r.Body.(type) {
 	case *historypb.Record_Turn:
-		_, known := s.turns[keyOf(b.Turn.Customer, b.Turn.Id)]
+		_, known := s.turns[recordKey(b.Turn.Customer, b.Turn.Id)]
 		s.addTurn(b.Turn)
 		return !known
 	case *historypb.Record_Account:
-		if old := s.accounts[keyOf(b.Account.Customer, b.Account.Program)]; old == nil || old.Version < b.Account.Version {
-			s.put(b.Account)
+		if old := s.accounts[recordKey(b.Account.Customer, b.Account.Program)]; old == nil || old.Version < b.Account.Version {
+			s.putAccount(b.Account)
 			return true
 		}
 	}
@@ -195,7 +195,7 @@
 		}
 	}
 	for key, a := range s.accounts {
-		if a.TouchedUnixMs+max(a.RetentionMs, defaultRetention.Milliseconds())+keepMargin.Milliseconds() < at {
+		if a.TouchedUnixMs+max(a.RetentionMs, defaultRetention.Milliseconds())+retentionMargin.Milliseconds() < at {
 			delete(s.accounts, key)
 		}
 	}
@@ -205,13 +205,13 @@
 const defaultRetention = time.Minute
 
 // records returns all of the slice.
-func (s *state) records(slice uint32) []*historypb.Record {
+func (s *state) records(shardID uint32) []*historypb.Record {
 	records := make([]*historypb.Record, 0, len(s.turns)+len(s.accounts))
 	for _, a := range s.accounts {
-		records = append(records, accountRecord(slice, a))
+		records = append(records, accountRecord(shardID, a))
 	}
 	for _, k := range s.turns {
-		records = append(records, turnRecord(slice, k.turn))
+		records = append(records, turnRecord(shardID, k.turn))
 	}
 	return records
 }
@@ -227,8 +227,8 @@
 // a later epoch is always higher: the primary before may have left one on a disk that
 // was never acknowledged, and would pass for the newer there. The same holds for what
 // this keeper sent its partners before it was killed, and has not on its own disk.
-func (s *state) copyAccount(old *historypb.Account, customer *string, program string) *historypb.Account {
-	first := s.epoch<<epochShift + s.starts<<startShift
+func (s *state) nextAccountVersion(old *historypb.Account, customer *string, program string) *historypb.Account {
+	first := s.primaryEpoch<<epochShift + s.diskStarts<<startShift
 	if old == nil {
 		return &historypb.Account{Program: program, Customer: customer, Version: first + 1}
 	}
@@ -249,7 +249,7 @@
 	}
 }
 
-func openTokens(a *historypb.Account) int64 {
+func reservedTokens(a *historypb.Account) int64 {
 	n := int64(0)
 	for _, o := range a.Open {
 		n += o.Most
@@ -257,15 +257,15 @@
 	return n
 }
 
-func accountRecord(slice uint32, a *historypb.Account) *historypb.Record {
-	return &historypb.Record{Slice: slice, Body: &historypb.Record_Account{Account: a}}
+func accountRecord(shardID uint32, a *historypb.Account) *historypb.Record {
+	return &historypb.Record{Slice: shardID, Body: &historypb.Record_Account{Account: a}}
 }
 
-func turnRecord(slice uint32, t *historypb.Turn) *historypb.Record {
-	return &historypb.Record{Slice: slice, Body: &historypb.Record_Turn{Turn: t}}
+func turnRecord(shardID uint32, t *historypb.Turn) *historypb.Record {
+	return &historypb.Record{Slice: shardID, Body: &historypb.Record_Turn{Turn: t}}
 }
 
-func markRecord(slice uint32, m mark) *historypb.Record {
-	wire := &historypb.Mark{Epoch: m.Epoch, Base: m.Base, Synced: m.whole(m.Epoch)}
-	return &historypb.Record{Slice: slice, Body: &historypb.Record_Mark{Mark: wire}}
+func epochStateRecord(shardID uint32, m epochState) *historypb.Record {
+	wire := &historypb.Mark{Epoch: m.promised, Base: m.base, Synced: m.isComplete(m.promised)}
+	return &historypb.Record{Slice: shardID, Body: &historypb.Record_Mark{Mark: wire}}
 }
--- a/internal/history/telling_test.go
+++ b/internal/history/telling_test.go
@@ -22,9 +22,9 @@
 			fail(errors.Errorf("%d calls in half a minute", calls))
 		}
 		w.machines[3].freeze()
-		time.Sleep(suspectAfter + statusEvery)
+		time.Sleep(suspectTimeout + statusPollInterval)
 		for s, role := range w.assigned().Shards {
-			if role.holds(w.machines[3].name) {
+			if role.hasHolder(w.machines[3].name) {
 				fail(errors.Errorf("slice %d is still held by the frozen one", s))
 			}
 		}
@@ -52,7 +52,7 @@
 				}
 			}
 			w.stopAll()
-			time.Sleep(releaseTime)
+			time.Sleep(releaseTimeout)
 		})
 	}
 }
@@ -62,21 +62,21 @@
 func TestWordOfAnEditionThatWasNotToldCountsForNothing(t *testing.T) {
 	is := is.New(t)
 	began := time.Now()
-	k := &Keeper{settings: Settings{Name: "a", Retiring: func(string) bool { return false }}, views: map[string]*view{}, wakeRoles: make(chan struct{}, 1)}
+	k := &Keeper{settings: Settings{Name: "a", Retiring: func(string) bool { return false }}, views: map[string]*peerView{}, wakeReconciler: make(chan struct{}, 1)}
 	told := func(edition uint64, slices ...*historypb.SliceMark) {
 		k.ObserveStatus(&historypb.StatusResponse{Name: "b", Disk: "b1", Edition: edition, Slices: slices})
 	}
 	told(1)
 	is.Equal(len(k.views), 0)
-	told(1, sliceMark(3, mark{Epoch: 5, Base: 5}))
-	is.True(k.opinions(began)["b"].has(3, 5))
-	k.views["b"].heard = began.Add(-time.Minute)
+	told(1, encodeEpochState(3, epochState{promised: 5, base: 5}))
+	is.True(k.assessPeers(began)["b"].isComplete(3, 5))
+	k.views["b"].lastContact = began.Add(-time.Minute)
 	told(2)
-	is.Equal(k.views["b"].heard, began.Add(-time.Minute))
+	is.Equal(k.views["b"].lastContact, began.Add(-time.Minute))
 	told(1)
-	is.True(k.views["b"].heard.After(began.Add(-time.Second)))
-	told(2, sliceMark(3, mark{Epoch: 6, Base: 5}))
-	is.True(!k.opinions(began)["b"].has(3, 6))
+	is.True(k.views["b"].lastContact.After(began.Add(-time.Second)))
+	told(2, encodeEpochState(3, epochState{promised: 6, base: 5}))
+	is.True(!k.assessPeers(began)["b"].isComplete(3, 6))
 	k.ObserveStatus(&historypb.StatusResponse{Name: "a", Edition: 1})
 	k.ObserveStatus(&historypb.StatusResponse{})
 	is.Equal(len(k.views), 1)
--- a/internal/history/witness.go
+++ b/internal/history/witness.go
@@ -16,17 +16,17 @@
 	// doubtAfter is how long a keeper may be silent before entries are asked about
 	// it, so that they have answered by the time at which it would be replaced:
 	// one of its answers is late then.
-	doubtAfter = 200 * time.Millisecond
+	suspicionDelay = 200 * time.Millisecond
 	// doubtEvery is how often they are asked.
-	doubtEvery = 100 * time.Millisecond
+	witnessInterval = 100 * time.Millisecond
 	// reachGap is the longest time between two answers of entries that show that
 	// this keeper has reached them all the while, and reachSpan how long it must
 	// have: a keeper that is there is heard in it.
-	reachGap  = 300 * time.Millisecond
-	reachSpan = 200 * time.Millisecond
+	maxContactGap  = 300 * time.Millisecond
+	minContactSpan = 200 * time.Millisecond
 	// wordLife is how long the word of witnesses counts. They are asked again as
 	// often as the keepers, and some rounds may go amiss.
-	wordLife = time.Second
+	witnessValidity = time.Second
 )
 
 // Witness is what an entry says of a keeper.
@@ -36,33 +36,35 @@
 }
 
 // loss is what is known of a keeper's loss.
-type loss struct {
+type lossEvidence struct {
 	// confirmed is when witnesses confirmed it last.
-	confirmed time.Time
+	confirmedAt time.Time
 	// heardSince is since when the keeper is heard again, with no gap in which it
 	// would have been replaced.
-	heardSince time.Time
+	contactSince time.Time
 }
 
 // holds reports that the keeper is lost by a word that is not out of date.
-func (l *loss) holds(now time.Time) bool { return now.Sub(l.confirmed) <= wordLife }
+func (l *lossEvidence) isCurrent(now time.Time) bool {
+	return now.Sub(l.confirmedAt) <= witnessValidity
+}
 
 // noteHeard takes in that a keeper answered; the lock is held.
-func (v *view) noteHeard(now time.Time) {
-	if v.status == nil || v.silent(now) {
-		v.loss.heardSince = now
+func (v *peerView) recordContact(now time.Time) {
+	if v.status == nil || v.unresponsive(now) {
+		v.loss.contactSince = now
 	}
-	v.heard, v.loss.confirmed = now, time.Time{}
+	v.lastContact, v.loss.confirmedAt = now, time.Time{}
 }
 
 // runWitnesses asks entries about keepers that are silent.
 func (k *Keeper) runWitnesses(ctx context.Context) {
-	ticker := time.NewTicker(doubtEvery)
+	ticker := time.NewTicker(witnessInterval)
 	defer ticker.Stop()
-	asking := newFewEach(1)
+	queries := newKeyedLimiter(1)
 	for {
-		for _, name := range k.doubted() {
-			asking.start(name, func() { k.askWitnesses(ctx, name) })
+		for _, name := range k.suspectedKeepers() {
+			queries.start(name, func() { k.queryWitnesses(ctx, name) })
 		}
 		select {
 		case <-ticker.C:
@@ -77,41 +79,41 @@
 // be the last. One that was replaced for good stays registered for long, and to ask
 // about it all that time would cost each keeper a call to most entries ten times a
 // second.
-func (k *Keeper) doubted() []string {
+func (k *Keeper) suspectedKeepers() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	last := k.allSilent(doubtAfter) || slices.ContainsFunc(k.shards[:], k.alone)
+	last := k.allUnresponsive(suspicionDelay) || slices.ContainsFunc(k.shards[:], k.isSoleHolder)
 	var names []string
 	for name, v := range k.views {
-		if time.Since(v.heard) > doubtAfter && (last || k.known.held(name) > 0) {
+		if time.Since(v.lastContact) > suspicionDelay && (last || k.known.countHeldBy(name) > 0) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-func (k *Keeper) askWitnesses(ctx context.Context, name string) {
+func (k *Keeper) queryWitnesses(ctx context.Context, name string) {
 	witnesses := k.peers.Witnesses(ctx, name)
-	missed := !hearsAny(witnesses)
-	share := k.shareOf(witnesses)
+	unheard := !anyHears(witnesses)
+	reachable := k.reachableShare(witnesses)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if share >= half {
-		k.reach.note(now)
+	if reachable >= halfOfDataCentres {
+		k.quorumContact.record(now)
 	}
 	v := k.views[name]
-	if missed && share > half && now.Sub(v.heard) > doubtAfter {
-		if !v.loss.holds(now) {
-			k.settings.Logger.WithField("keeper", name).WithField("silent_ms", now.Sub(v.heard).Milliseconds()).
+	if unheard && reachable > halfOfDataCentres && now.Sub(v.lastContact) > suspicionDelay {
+		if !v.loss.isCurrent(now) {
+			k.settings.Logger.WithField("keeper", name).WithField("silent_ms", now.Sub(v.lastContact).Milliseconds()).
 				WithField("witnesses", len(witnesses)).Info("keeper lost by the word of entries")
 		}
-		v.loss.confirmed = now
+		v.loss.confirmedAt = now
 	}
-	notify(k.wakeRoles)
+	notify(k.wakeReconciler)
 }
 
-func hearsAny(witnesses []Witness) bool {
+func anyHears(witnesses []Witness) bool {
 	for _, w := range witnesses {
 		if w.HearsKeeper {
 			return true
@@ -122,11 +124,11 @@
 
 // half of the data centres are on each side where two lose each other: none of
 // the sides is the smaller one.
-const half = 0.5
+const halfOfDataCentres = 0.5
 
 // shareOf returns the share of data centres that this keeper reaches: its own and
 // those of which an entry answered; 0 where none did.
-func (k *Keeper) shareOf(witnesses []Witness) float64 {
+func (k *Keeper) reachableShare(witnesses []Witness) float64 {
 	if len(witnesses) == 0 {
 		return 0
 	}
@@ -138,11 +140,11 @@
 }
 
 // reach is over which time entries of at least half of the data centres answered.
-type reach struct{ since, last time.Time }
+type contactPeriod struct{ since, last time.Time }
 
 // note takes in that they did.
-func (r *reach) note(now time.Time) {
-	if now.Sub(r.last) > reachGap {
+func (r *contactPeriod) record(now time.Time) {
+	if now.Sub(r.last) > maxContactGap {
 		r.since = now
 	}
 	r.last = now
@@ -154,6 +156,6 @@
 // with it, it would take slices from the side that callers are sent to, and keep
 // turns on disks that may be lost together; and after the cut it would replace
 // those that it has not asked yet.
-func (r *reach) holds(now time.Time) bool {
-	return now.Sub(r.last) <= reachGap && r.last.Sub(r.since) >= reachSpan
+func (r *contactPeriod) isEstablished(now time.Time) bool {
+	return now.Sub(r.last) <= maxContactGap && r.last.Sub(r.since) >= minContactSpan
 }
--- a/internal/history/world_test.go
+++ b/internal/history/world_test.go
@@ -217,7 +217,7 @@
 	}
 	l := p.keeper.log
 	size := l.synced + int64(kept*float64(l.size-l.synced))
-	if err := os.Truncate(l.path(l.number), size); err != nil {
+	if err := os.Truncate(l.segmentPath(l.segment), size); err != nil {
 		m.world.t.Fatal(err)
 	}
 }
