--- a/internal/history/allowance.go
+++ b/internal/history/allowance.go
@@ -12,45 +12,46 @@
 )
 
 const (
-	// allowanceTurns is how many turns at their most an entry wants to hold of a
-	// program. A turn makes a quarter of its most, so that they last for about
-	// eight turns, or some seconds of a program.
+	// targetAllowanceTurns is the size of an allowance in turns of the largest output. A turn
+	// outputs a quarter of its maximum, so that an allowance lasts for about eight turns, or some
+	// seconds of a program.
 	targetAllowanceTurns = 3
-	// refillBelow is the number of turns at their most below which an allowance
-	// is drawn again.
+	// refillThresholdTurns is the number of turns of the largest output below which an allowance is
+	// refilled.
 	refillThresholdTurns = 2
-	// allowanceIdle is how long an allowance without turns is remembered.
+	// allowanceIdleTimeout is how long an allowance without turns is retained.
 	allowanceIdleTimeout = time.Minute
-	// drawTime bounds all tries of one drawing, which nobody waits for.
+	// drawTimeout bounds all attempts of one draw, for which no caller waits.
 	drawTimeout = 10 * time.Second
 )
 
-// allowances are the tokens of programs that this entry holds ahead of turns.
+// allowances are the tokens of programs that this entry has reserved ahead of turns.
 //
-// They serve the turns of a program, where these need not be kept, while its
-// keepers are out of reach: an entry that is cut off with its data centre goes
-// on with what it holds. And such a turn does not wait for the keepers. The
-// budget holds, since what is held counts as spent there until it is told
-// otherwise; an entry that is lost takes its allowances with it.
+// An allowance covers turns of a program that need not be retained. Such turns do not wait for the
+// keepers, and run even while the keepers are unreachable: an entry in an isolated data centre
+// continues on its allowances. The budget is never exceeded, since the keepers count an allowance
+// as spent until the entry reports its use. If an entry is lost, its unused allowances are lost to
+// the programs.
 type allowances struct {
-	// name tells this process's allowances from those of earlier ones.
+	// incarnation distinguishes this process's allowances from those of earlier ones.
 	incarnation string
 
 	mu sync.Mutex
-	// programs are found by customer and id, see keyOf.
+	// programs are keyed by customer and id, see recordKey.
 	programs map[string]*allowance
-	// turns are the turns under way that run on an allowance.
+	// turns are the turns in flight that run on an allowance.
 	turns        map[string]*allowanceTurn
 	lastEviction time.Time
 }
 
-// allowance is what this entry holds of one program.
+// allowance is what this entry has reserved of one program's tokens.
 type allowance struct {
 	customer, program string
-	// made is all that turns made on it; committed is what those under way may
-	// make; limit is what made may reach.
+	// outputTokens is the output of all settled turns; inFlight is the maximum output of turns in
+	// flight; limit is what outputTokens may reach.
 	outputTokens, inFlight, limit int64
-	// most is the largest turn so far, by which it is drawn.
+	// largestTurn is the largest maximum output of a turn so far, which determines the size of a
+	// draw.
 	largestTurn, budget int64
 	retention           time.Duration
 	replica             string
@@ -71,7 +72,7 @@
 	}
 }
 
-// take begins a turn on the program's allowance, if that covers it.
+// beginTurn begins a turn on the program's allowance, and reports whether the allowance covers it.
 func (s *allowances) beginTurn(r gateway.Reservation, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +87,7 @@
 	return true
 }
 
-// settle ends a turn that ran on an allowance; false if it did not.
+// settleTurn ends a turn that ran on an allowance; it returns false for other turns.
 func (s *allowances) settleTurn(e gateway.Settlement) (*allowance, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +104,7 @@
 	return t.allowance, true
 }
 
-// open returns the program's allowance, which may be empty yet.
+// getOrCreate returns the program's allowance; a new one is empty.
 func (s *allowances) getOrCreate(r gateway.Reservation, now time.Time) *allowance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +119,7 @@
 	return a
 }
 
-// sweep forgets allowances of programs that are over; the lock is held.
+// evictIdle removes allowances that were idle for allowanceIdleTimeout; the lock is held.
 func (s *allowances) evictIdle(now time.Time) {
 	if now.Sub(s.lastEviction) < allowanceIdleTimeout/4 {
 		return
@@ -131,8 +132,7 @@
 	}
 }
 
-// request returns the drawing that the allowance needs now, if any. One is
-// under way at a time.
+// nextDraw returns the draw that the allowance needs now, if any. One is in flight at a time.
 func (s *allowances) nextDraw(a *allowance) (*historypb.DrawRequest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,8 +153,8 @@
 	}, true
 }
 
-// drawn takes in the outcome of a drawing. The keeper holds back what it told,
-// beyond what the request told to be made.
+// completeDraw applies the outcome of a draw. The keeper has reserved held tokens beyond the output
+// that the request reported.
 func (s *allowances) completeDraw(a *allowance, r *historypb.DrawRequest, held int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +162,7 @@
 	a.limit = max(a.limit, r.Made+held)
 }
 
-// refill draws for an allowance that runs low. Nobody waits for it.
+// refill draws for an allowance that runs low, in the background.
 func (c *Client) refill(a *allowance) {
 	request, needed := c.allowances.nextDraw(a)
 	if !needed {
@@ -183,8 +183,9 @@
 			return outcomeDone
 		})
 		if err != nil {
-			// The next turn's end tries again; until then the keepers are asked.
-			c.logger.WithError(err).WithField("program", request.Program).Info("nothing drawn")
+			// The settlement of the next turn tries again; until then turns are reserved at the
+			// keepers.
+			c.logger.WithError(err).WithField("program", request.Program).Info("allowance not refilled; retrying at the next settlement")
 			held = 0
 		}
 		c.allowances.completeDraw(a, request, held)
--- a/internal/history/assessment.go
+++ b/internal/history/assessment.go
@@ -6,37 +6,40 @@
 	"foxhall/internal/history/historypb"
 )
 
-// view is what is known of another keeper.
+// peerView is the last known state of another keeper.
 type peerView struct {
 	lastContact time.Time
 	status      *historypb.StatusResponse
-	// refused counts the refused connections since it was heard.
+	// refusedConnections counts the refused connections since the last contact.
 	refusedConnections int
 	loss               lossEvidence
 }
 
-// opinion is what a decision about roles needs of another keeper.
+// assessment is what decisions about shard roles need to know about another keeper.
 type assessment struct {
-	// out says that it should hold nothing: it is silent, stalled or leaving.
+	// ineligible means that the keeper should hold no shards: it is unresponsive, stalled or
+	// draining.
 	ineligible bool
-	// heard says that its marks are known.
+	// live means that the keeper is responsive and its epoch states are known.
 	live bool
-	// at is when they were told.
+	// lastContact is when the epoch states were received.
 	lastContact time.Time
 	epochStates [ShardCount]epochState
-	// disk names its disk.
+	// disk is the name of its disk.
 	disk string
-	// spares says that it knows decisions that are not on all disks of a slice.
+	// supportsOptionalBackups means that its version handles commits that are not on the disks of
+	// all holders.
 	supportsOptionalBackups bool
 }
 
-// silent reports that the keeper was not heard for as long as a pause may last.
+// unresponsive reports whether the keeper has sent nothing for longer than a process pause may
+// last; the time is shorter where witnesses confirm the loss.
 func (v *peerView) unresponsive(now time.Time) bool {
 	since := now.Sub(v.lastContact)
 	return since > suspectTimeout || since > confirmedSuspectTimeout && v.loss.isCurrent(now)
 }
 
-// opinions judges the other keepers; the lock is held.
+// assessPeers assesses the other keepers; the lock is held.
 func (k *Keeper) assessPeers(now time.Time) map[string]assessment {
 	assessments := map[string]assessment{}
 	for name, v := range k.views {
@@ -60,7 +63,7 @@
 	return assessments
 }
 
-// has reports that the keeper is known to have all of a slice in the epoch.
+// isComplete reports whether the keeper is live and has all of a shard in the epoch.
 func (o assessment) isComplete(shardID int, epoch uint64) bool {
 	return o.live && o.epochStates[shardID].isComplete(epoch)
 }
--- a/internal/history/assignment.go
+++ b/internal/history/assignment.go
@@ -1,16 +1,16 @@
-// Package history keeps the turns of programs and counts the tokens that they
-// make, on the instances that have a disk.
+// Package history replicates the retained turns of programs and their token accounts over keepers,
+// the instances that have a disk.
 //
-// Programs hash to slices. For each slice one object in the platform's store
-// names the keepers that hold it, under an epoch. The primary decides; a decision
-// counts once it is on the primary's disk and on those of its partners, all of them
-// or all but one, see Ensemble.
+// Programs hash to shards. One object in the platform's store assigns each shard an epoch and an
+// ensemble of keepers: a primary and its backups. The primary orders the changes; a change is
+// committed once it is on the disks of the primary and of all backups, or all but one, see
+// Ensemble.
 //
-// A change of holders is one conditional write by a keeper that makes itself the
-// primary of the next epoch. A keeper that did not decide in the epoch before first
-// has enough of its holders refuse that epoch, and fetches what they have: any
-// decision is on one of them. So a primary that was frozen or cut off can finish
-// nothing after it was replaced, without a lease and without a clock.
+// A reassignment is one conditional update by a keeper that makes itself the primary of the next
+// epoch. Unless it was the primary before, it first has a recovery quorum of the earlier holders
+// refuse lower epochs, and fetches their records: each committed change is on one of them. A
+// primary that was paused or isolated can therefore commit nothing after it was replaced. This
+// needs neither leases nor synchronised clocks.
 package history
 
 import (
@@ -21,27 +21,27 @@
 	"github.com/pkg/errors"
 )
 
-// SliceCount is the number of slices. Two dozen keepers have a few each, and
-// the object that assigns them stays at 3 KB.
+// ShardCount is the number of shards. Two dozen keepers have a few each, and the assignment object
+// stays at 3 KB.
 const ShardCount = 32
 
-// SliceOf returns the slice that a program belongs to.
+// ShardOf returns the shard that a program belongs to.
 func ShardOf(program string) uint32 {
 	return uint32(xxhash.Sum64String(program) % ShardCount)
 }
 
-// assignmentForm is the form in which assignments are written. Form 1, which has no
-// number, names no disks and has decisions on all disks of a slice.
+// assignmentFormatVersion is the format version in which assignments are written. Version 1, which
+// is encoded without a number, names no disks and commits changes on all disks of a shard.
 const assignmentFormatVersion = 2
 
-// Assignment tells who holds which slice.
+// Assignment names the holders of each shard.
 type Assignment struct {
-	// Form is that of the object in the store.
+	// FormatVersion is that of the object in the store.
 	FormatVersion int                         `json:"form,omitempty"`
 	Shards        [ShardCount]ShardAssignment `json:"slices"`
 }
 
-// ErrForm says that an assignment was written by a later version of foxhall.
+// ErrUnknownFormat indicates an assignment that was written by a later version of foxhall.
 var ErrUnknownFormat = errors.New("history: assignment of an unknown form")
 
 // DecodeAssignment reads an assignment from the store.
@@ -56,22 +56,23 @@
 	return a, nil
 }
 
-// Encode returns the assignment as the store holds it.
+// Encode returns the assignment in the store's encoding.
 func (a *Assignment) Encode() ([]byte, error) {
 	a.FormatVersion = assignmentFormatVersion
 	return json.Marshal(a)
 }
 
-// Candidate is a keeper that may be given slices.
+// Candidate is a keeper to which shards may be assigned.
 type Candidate struct {
 	Name       string
 	DataCentre string
-	// Disk names its disk, where it is known.
+	// Disk is the name of its disk, if known.
 	Disk string
 }
 
-// First returns the assignment of a system that has never run: slices go round
-// the keepers. Of each slice, disksLost holders may be lost at once.
+// InitialAssignment returns the assignment of a system that has never run: shards are assigned to
+// the keepers in turn. Of each shard, maxDiskFailures holders may be lost at once. It returns false
+// for fewer than two keepers.
 func InitialAssignment(keepers []Candidate, maxDiskFailures int) (Assignment, bool) {
 	var a Assignment
 	if len(keepers) < 2 {
@@ -87,7 +88,7 @@
 	return a, true
 }
 
-// held counts the slices that a keeper holds in either role.
+// countHeldBy counts the shards that a keeper holds as primary or backup.
 func (a *Assignment) countHeldBy(name string) int {
 	n := 0
 	for i := range a.Shards {
@@ -98,7 +99,7 @@
 	return n
 }
 
-// ensembleOf returns an ensemble of the primary and its partners.
+// newEnsemble returns an ensemble of the primary and its backups.
 func newEnsemble(epoch uint64, primary Candidate, backups []Candidate, maxDiskFailures int) Ensemble {
 	e := Ensemble{Epoch: epoch, Primary: primary.Name, Disks: []string{primary.Disk}}
 	for _, p := range backups {
@@ -111,8 +112,8 @@
 	return e
 }
 
-// sparesOne reports that a decision need not be on all disks of the holders: all disks
-// are known by name, and whichever data centre is lost, more holders than the spare one
+// allowsOptionalBackup reports whether a change may be committed without one of the backups: all
+// disks are known by name, and whichever data centre is lost, more holders than the optional one
 // are left.
 func allowsOptionalBackup(holders []Candidate) bool {
 	for _, h := range holders {
@@ -123,7 +124,7 @@
 	return true
 }
 
-// sharing counts those in the data centre.
+// countInDataCentre counts the candidates in the data centre.
 func countInDataCentre(taken []Candidate, dataCentre string) int {
 	n := 0
 	for _, c := range taken {
--- a/internal/history/assignment_reader.go
+++ b/internal/history/assignment_reader.go
@@ -7,7 +7,7 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// runReads reads the assignment from the store when it is asked for.
+// runAssignmentReader reads the assignment from the store on request.
 func (k *Keeper) runAssignmentReader(ctx context.Context) {
 	for {
 		select {
@@ -26,20 +26,20 @@
 		k.verified = true
 		k.mu.Unlock()
 		k.ApplyAssignment(a, version)
-		// A burst of refusals asks for one read.
+		// A burst of refusals causes one read.
 		time.Sleep(minReadInterval)
 	}
 }
 
-// readPause is the least time between two reads of the assignment. It is short,
-// since keepers that change it at the same time take turns by reading it again.
+// minReadInterval is the shortest time between two reads of the assignment. It is short because
+// keepers whose conditional updates conflict read the assignment again before the next try.
 const minReadInterval = 25 * time.Millisecond
 
-// tellTime is how long the other instances take to tell of a new assignment.
+// assignmentGossipTimeout is how long gossip takes to deliver a new assignment.
 const assignmentGossipTimeout = 300 * time.Millisecond
 
-// readUnlessTold has the assignment read if a later epoch of the slice than the known one
-// is followed and no instance tells of it soon; the lock is held.
+// readIfNotNotified requests a read of the assignment if this keeper promised a later epoch of the
+// shard than the known one and gossip does not deliver that assignment in time; the lock is held.
 func (k *Keeper) readIfNotNotified(s *shard) {
 	time.AfterFunc(assignmentGossipTimeout, func() {
 		k.mu.Lock()
@@ -51,14 +51,14 @@
 }
 
 const (
-	// While the store does not answer, calls to it wait from storeFirst to
-	// storeMost: each is paid for, and there are many keepers.
+	// While the store does not respond, calls to it back off from minStoreBackoff to
+	// maxStoreBackoff: each call costs money, and there are many keepers.
 	minStoreBackoff = 100 * time.Millisecond
 	maxStoreBackoff = 400 * time.Millisecond
 )
 
-// storeLost notes that the store did not answer, and returns for how long it is
-// not called.
+// backOffStore records that the store did not respond, and returns how long to wait before the next
+// call.
 func (k *Keeper) backOffStore() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -67,7 +67,7 @@
 	return pause
 }
 
-// storeBack notes that the store answers; the lock is held.
+// resetStoreBackoff records that the store responds; the lock is held.
 func (k *Keeper) resetStoreBackoff() {
 	k.storeBackoff.Reset()
 	k.storeRetryAt = time.Time{}
--- a/internal/history/backup_selector.go
+++ b/internal/history/backup_selector.go
@@ -2,29 +2,28 @@
 
 import "slices"
 
-// chooser chooses the partners of slices. It is used for one round of decisions.
+// backupSelector selects the backups of shards. It is used for one pass of the reconciler.
 type backupSelector struct {
-	// assignment is the one that the choices go into.
+	// assignment is the one under construction.
 	assignment      *Assignment
 	keepers         []Candidate
 	maxDiskFailures int
-	// out reports whether a keeper may not be given slices; nil where all may.
+	// excluded reports whether a keeper may not be given shards; nil if all may.
 	excluded func(name string) bool
-	// held counts the slices of each keeper.
+	// shardsHeld counts the shards of each keeper.
 	shardsHeld map[string]int
 }
 
-// count takes in a slice's holders.
+// countHolders adds a shard's holders to shardsHeld.
 func (c *backupSelector) countHolders(r *ShardAssignment) {
 	for _, name := range r.holders() {
 		c.shardsHeld[name]++
 	}
 }
 
-// partnersFor chooses partners for the primary of a slice: as many as disks may be lost
-// at once, each in a data centre of its own while there is one, since a data centre can
-// be lost whole, and one more where a decision then need not be on all disks. It returns
-// fewer where there are not enough.
+// selectBackups selects backups for the primary of a shard: maxDiskFailures of them, in distinct
+// data centres where possible, since a data centre can fail as a whole, and one more where that
+// makes one backup optional. It returns fewer if there are not enough keepers.
 func (c *backupSelector) selectBackups(shardID int, primary Candidate) []Candidate {
 	taken := []Candidate{primary}
 	for len(taken) <= c.maxDiskFailures {
@@ -41,7 +40,8 @@
 	return taken[1:]
 }
 
-// best returns the keeper that may be added to those taken, so that all conditions hold.
+// bestCandidate returns the best keeper to add to those taken among the keepers with which all
+// conditions hold.
 func (c *backupSelector) bestCandidate(taken []Candidate, better func(k, best Candidate) bool, conditions ...func([]Candidate) bool) (Candidate, bool) {
 	best, found := Candidate{}, false
 	for _, k := range c.keepers {
@@ -57,8 +57,8 @@
 	return best, found
 }
 
-// fartherFrom prefers a keeper whose data centre holds the slice less often, then one
-// that holds it already, then the one with the fewest slices.
+// betterSpread prefers a keeper whose data centre has fewer of the taken keepers, then a present
+// backup, then the keeper with the fewest shards.
 func (c *backupSelector) betterSpread(shardID int, taken []Candidate, k, best Candidate) bool {
 	shared, bestShared := countInDataCentre(taken, k.DataCentre), countInDataCentre(taken, best.DataCentre)
 	if shared != bestShared {
@@ -67,8 +67,8 @@
 	return c.lowerCost(shardID, k, best)
 }
 
-// nearerTo prefers a keeper that holds the slice already, then one in the primary's data
-// centre, to which bytes cost nothing, then the one with the fewest slices.
+// betterOptional prefers a present backup, then a keeper in the primary's data centre, to which
+// traffic is free, then the keeper with the fewest shards.
 func (c *backupSelector) betterOptional(shardID int, primary, k, best Candidate) bool {
 	current, bestCurrent := c.assignment.Shards[shardID].hasBackup(k.Name), c.assignment.Shards[shardID].hasBackup(best.Name)
 	if current != bestCurrent {
@@ -81,7 +81,7 @@
 	return c.lowerCost(shardID, k, best)
 }
 
-// cheaper prefers a keeper that holds the slice already, then the one with the fewest.
+// lowerCost prefers a present backup, then the keeper with the fewest shards.
 func (c *backupSelector) lowerCost(shardID int, k, best Candidate) bool {
 	current, bestCurrent := c.assignment.Shards[shardID].hasBackup(k.Name), c.assignment.Shards[shardID].hasBackup(best.Name)
 	if current != bestCurrent {
--- a/internal/history/backup_stream.go
+++ b/internal/history/backup_stream.go
@@ -8,28 +8,28 @@
 	"foxhall/internal/history/historypb"
 )
 
-// queueMost bounds the entries that wait for a partner that does not answer. It is
-// sent all of the slice later.
+// maxPendingCommits bounds the pending commits for a backup that does not respond. Beyond it, the
+// backup gets a state transfer later.
 const maxPendingCommits = 1024
 
-// link is a primary's way to one partner of a slice.
+// backupStream is the primary's replication stream to one backup of a shard.
 type backupStream struct {
-	// disk names the partner's disk, if it is known.
+	// disk is the name of the backup's disk, if known.
 	disk string
-	// entries wait for the partner, in order.
+	// pending are the commits that the backup has not acknowledged, in order.
 	pending      []*pendingCommit
 	transferring bool
-	// filled says that this process has sent the partner all of the slice, and each
-	// entry since. A primary that was killed may have records on its disk that its
-	// partner never got; a repeated call would find them done.
+	// transferred means that this process has sent the backup all of the shard, and each commit
+	// since. A primary that was killed may have records on its disk that its backup never received,
+	// and would report them as committed to a repeated call.
 	transferred bool
-	// overflowed says that entries were put aside since the filling began.
+	// overflowed means that pending commits were discarded since the state transfer began.
 	overflowed bool
-	// declare says that the partner is to be told that it has all of the slice.
+	// declareComplete means that the next append tells the backup that it has all of the shard.
 	declareComplete bool
 }
 
-// link returns the way to a partner.
+// streamTo returns the stream to a backup, creating it if needed.
 func (s *shard) streamTo(backup string) *backupStream {
 	if s.streams[backup] == nil {
 		s.streams[backup] = &backupStream{disk: s.role.diskOf(backup)}
@@ -37,7 +37,7 @@
 	return s.streams[backup]
 }
 
-// queue has an entry wait for the partner.
+// enqueue adds a commit to those pending for the backup.
 func (l *backupStream) enqueue(e *pendingCommit) {
 	if len(l.pending) >= maxPendingCommits {
 		l.pending, l.transferred, l.declareComplete, l.overflowed = nil, false, false, true
@@ -45,7 +45,7 @@
 	l.pending = append(l.pending, e)
 }
 
-// wakeSender makes the partner's sender look for entries; the lock is held.
+// wakeSender wakes the backup's sender, starting it if needed; the lock is held.
 func (k *Keeper) wakeSender(backup string) {
 	if backup == "" || k.ctx == nil {
 		return
@@ -59,8 +59,8 @@
 	notify(wake)
 }
 
-// runSender sends entries to one partner, all that wait at once. What is not
-// acknowledged is sent again, until this keeper is no longer the primary.
+// runSender sends pending commits to one backup in batches. Commits that are not acknowledged are
+// sent again as long as this keeper is the primary.
 func (k *Keeper) runSender(ctx context.Context, backup string, wake chan struct{}) {
 	for {
 		select {
@@ -80,7 +80,8 @@
 	}
 }
 
-// gather returns what waits for a partner, and the entries of each slice in it.
+// nextAppend returns the request with all that is pending for a backup, and the commits of each
+// shard in it. The request is nil if nothing is pending.
 func (k *Keeper) nextAppend(backup string) (*historypb.AppendRequest, map[uint32][]*pendingCommit) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -109,7 +110,7 @@
 	defer cancel()
 	response, err := k.peers.Append(ctx, backup, r)
 	if err != nil {
-		k.settings.Logger.WithError(err).WithField("partner", backup).Debug("records not sent, to be sent again")
+		k.settings.Logger.WithError(err).WithField("partner", backup).Debug("append to backup failed; retrying")
 		return false
 	}
 	k.mu.Lock()
@@ -117,7 +118,7 @@
 	refused := k.handleRefusals(response)
 	for _, a := range r.Slices {
 		s := k.shards[a.Slice]
-		// What was dropped meanwhile, at the loss of the role, counts no more.
+		// Commits that were aborted meanwhile, when this keeper lost the role, do not count.
 		l := s.streams[backup]
 		if refused[a.Slice] || s.role.Epoch != a.Epoch || l == nil || !k.isPrimary(s) {
 			continue
@@ -131,7 +132,7 @@
 	return len(refused) == 0
 }
 
-// acknowledge takes in that the partner's disk has the entries; the lock is held.
+// acknowledge records that the commits are on the backup's disk; the lock is held.
 func (l *backupStream) acknowledge(s *shard, backup string, commits []*pendingCommit) {
 	for _, e := range commits {
 		e.ackedBy = append(e.ackedBy, backup)
@@ -140,7 +141,7 @@
 	l.pending = slices.DeleteFunc(l.pending, func(e *pendingCommit) bool { return slices.Contains(e.ackedBy, backup) })
 }
 
-// noteWhole takes in that a partner has all of a slice, before its next word tells so;
+// recordBackupComplete records that a backup has all of a shard, ahead of the backup's next status;
 // the lock is held.
 func (k *Keeper) recordBackupComplete(backup string, shardID uint32, epoch uint64) {
 	v := k.views[backup]
@@ -154,8 +155,8 @@
 	}
 }
 
-// noteRefused returns the refused slices, and has the assignment read again
-// where a newer epoch than the known one shows that this keeper was replaced.
+// handleRefusals returns the refused shards. It requests a read of the assignment where an epoch
+// newer than the known one shows that this keeper was replaced.
 func (k *Keeper) handleRefusals(response *historypb.AppendResponse) map[uint32]bool {
 	refused := map[uint32]bool{}
 	for _, m := range response.Refused {
--- a/internal/history/client.go
+++ b/internal/history/client.go
@@ -14,42 +14,43 @@
 )
 
 const (
-	// callTime bounds one call to a keeper, which waits for all disks of a slice.
+	// callTimeout bounds one call to a keeper, which waits for the commit of the change.
 	callTimeout = 900 * time.Millisecond
-	// reserveTime bounds all tries of a reservation: a change of keepers takes
-	// about a second, and a caller that is refused sooner would come back into it.
+	// reserveTimeout bounds all attempts of a reservation. A reassignment takes about a second, and
+	// a caller that is refused sooner would retry during it.
 	reserveTimeout = 1800 * time.Millisecond
-	// retryPause is the pause between two tries.
+	// retryInterval is the pause between two attempts.
 	retryInterval = 60 * time.Millisecond
-	// releaseTime is how long a reservation that may have been made in vain is
-	// given back; then it counts as spent.
+	// releaseTimeout bounds the attempts to settle a turn or to release an unused reservation. A
+	// reservation that is not released by then counts as spent.
 	releaseTimeout = 20 * time.Second
 )
 
-// ErrUnreached says that no keeper of the slice could be asked in time.
-var ErrKeepersUnreachable = errors.New("history: no keeper reached")
+// ErrKeepersUnreachable indicates that no keeper of the shard gave a result in time.
+var ErrKeepersUnreachable = errors.New("history: no keeper of the shard gave a result in time")
 
 // Keepers calls keepers by name.
 type Keepers interface {
-	// Keeper returns false for one that is out of reach.
+	// Keeper returns false for an unreachable keeper.
 	Keeper(name string) (historypb.Keeper, bool)
-	// WhenSilent has f called should the keeper fall silent before stop is called.
+	// OnSilence arranges that f is called if the keeper becomes unresponsive before stop is called.
 	OnSilence(name string, f func()) (stop func())
-	// CutOff reports whether this instance reaches no other data centre, so that
-	// nothing can be made durable from here.
+	// Isolated reports whether this instance reaches no other data centre, so that it can't get
+	// changes committed.
 	Isolated() bool
 }
 
 // Client reserves and settles turns at the keepers. It is safe for concurrent use.
 type Client struct {
 	keepers Keepers
-	// assignment returns the newest known one; false before the first.
+	// assignment returns the newest known assignment; false before the first.
 	assignment func() (Assignment, bool)
 	allowances *allowances
 	logger     log.Interface
 
 	mu sync.Mutex
-	// newer holds roles that keepers told before the assignment came.
+	// observedRoles are the roles from responses of keepers, which may be newer than the
+	// assignment.
 	observedRoles [ShardCount]ShardAssignment
 }
 
@@ -70,7 +71,7 @@
 	return a.Shards[shardID]
 }
 
-// learn takes in a keeper's word on a slice's role.
+// observeRole records a shard's role from the response of a keeper.
 func (c *Client) observeRole(shardID uint32, r *historypb.Role) {
 	if r == nil {
 		return
@@ -82,21 +83,21 @@
 	}
 }
 
-// reply is what came of one call to a keeper.
+// callOutcome is the outcome of one call to a keeper.
 type callOutcome uint8
 
 const (
-	// again says that another keeper, or this one later, may settle the matter.
+	// outcomeRetry means that another keeper, or this one later, may give a result.
 	outcomeRetry callOutcome = iota
 	outcomeDone
-	// isolated says that the keeper reaches no other.
+	// outcomeIsolated means that the keeper reaches no other keeper.
 	outcomeIsolated
 )
 
-// ask calls the slice's primary, and its partners where that one does not settle
-// the matter, until one does or the time is over. With giveUp it ends at once
-// where each of them is out of reach or isolated: a keeper that is cut off alone
-// is replaced by its partner, but one that is cut off with the caller is not.
+// callShard calls the shard's primary, and then its backups, until one of them gives a result or
+// the timeout passes. With failFast it fails at once if each of them is unreachable or isolated: a
+// keeper that is isolated by itself is replaced by its backup, but a keeper that is isolated
+// together with the caller is not.
 func (c *Client) callShard(ctx context.Context, shardID uint32, timeout time.Duration, failFast bool, call func(context.Context, historypb.Keeper) callOutcome) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -121,11 +122,11 @@
 		sleep(ctx, retryInterval)
 	}
 	role := c.roleOf(shardID)
-	return errors.Wrapf(ErrKeepersUnreachable, "slice %d in epoch %d of %s with %v", shardID, role.Epoch, role.Primary, role.Backups)
+	return errors.Wrapf(ErrKeepersUnreachable, "shard %d in epoch %d: primary %s, backups %v", shardID, role.Epoch, role.Primary, role.Backups)
 }
 
-// askOne asks one keeper. One that falls silent meanwhile is given up at once: the
-// next holder knows sooner who took its place.
+// callKeeper calls one keeper. The call is cancelled if the keeper becomes unresponsive: the next
+// holder knows sooner which keeper replaced it.
 func (c *Client) callKeeper(ctx context.Context, name string, k historypb.Keeper, call func(context.Context, historypb.Keeper) callOutcome) callOutcome {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -154,8 +155,8 @@
 	return reserved, err
 }
 
-// allowanceLeast is the number of turns at their most that a budget must hold
-// for an allowance to be drawn of it; the keepers give at most half of it.
+// minBudgetTurns is the number of turns of the largest output that a budget must cover for an
+// allowance to be drawn; the keepers grant at most half of the budget.
 const minBudgetTurns = 4 * targetAllowanceTurns
 
 func (c *Client) reserveAtKeepers(ctx context.Context, r gateway.Reservation) (gateway.Reserved, error) {
@@ -196,8 +197,8 @@
 	return reserved, verdictError(response.Verdict)
 }
 
-// ownChain reports whether all turns may be continued by the customer. Keepers of an older
-// version do not look at that.
+// ownsChain reports whether the customer may continue all turns of the chain. Keepers of an older
+// version do not check this.
 func ownsChain(chain []*historypb.Turn, customer *string) bool {
 	return !slices.ContainsFunc(chain, func(t *historypb.Turn) bool { return !ownedBy(t, customer) })
 }
@@ -240,14 +241,14 @@
 	return result, nil
 }
 
-// giveBack ends a reservation that may have been made without our hearing of
-// it. The turn was not sent to any replica.
+// releaseReservation settles, in the background, a reservation that may have been made although no
+// response arrived. The turn was not sent to any replica.
 func (c *Client) releaseReservation(r *historypb.ReserveRequest) {
 	settle := &historypb.SettleRequest{Slice: r.Slice, Program: r.Program, Customer: r.Customer, Turn: r.Turn}
 	go func() {
 		if err := c.settle(context.Background(), settle, releaseTimeout); err != nil {
-			// The tokens stay counted as spent, which harms the program alone.
-			c.logger.WithError(err).WithField("request", r.Turn).WithField("program", r.Program).Warn("reservation not given back")
+			// The tokens stay counted as spent, which affects only this program.
+			c.logger.WithError(err).WithField("request", r.Turn).WithField("program", r.Program).Warn("reservation not released; its tokens count as spent")
 		}
 	}()
 }
@@ -290,8 +291,8 @@
 	})
 }
 
-// find looks a turn up in all slices: a program may continue another's turn.
-// Only when each slice's primary has said so is the turn certainly not there.
+// findChain looks a turn up in all shards, since a program may continue a turn of another program.
+// The turn is certainly absent only if the primary of each shard has confirmed that.
 func (c *Client) findChain(ctx context.Context, customer, turn string) ([]*historypb.Turn, error) {
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
@@ -307,7 +308,7 @@
 			}
 			response, err := keeper.Find(ctx, &historypb.FindRequest{Turn: turn, Customer: &customer})
 			if err != nil {
-				c.logger.WithError(err).WithField("keeper", name).WithField("request", turn).Debug("turn not asked for here")
+				c.logger.WithError(err).WithField("keeper", name).WithField("request", turn).Debug("keeper failed to look up a turn")
 				continue
 			}
 			if len(response.Chain) > 0 && ownsChain(response.Chain, &customer) {
@@ -325,7 +326,7 @@
 	return nil, ErrKeepersUnreachable
 }
 
-// holders returns the keepers of the slices that have not said yet.
+// holdersToAsk returns the keepers of the shards that are not in absent.
 func (c *Client) holdersToAsk(absent map[uint32]bool) []string {
 	var names []string
 	seen := map[string]bool{}
--- a/internal/history/customer.go
+++ b/internal/history/customer.go
@@ -2,11 +2,12 @@
 
 import "foxhall/internal/history/historypb"
 
-// customerMark ends a customer's name in a key. No id contains it: ids come from headers.
+// customerSeparator ends a customer's name in a key. No id contains it, since ids come from
+// headers.
 const customerSeparator = "\x00"
 
-// keyOf returns the key of a program or turn of the customer. Without a customer it is the
-// bare id, as in what older versions kept.
+// recordKey returns the key of a program or turn of the customer. Without a customer it is the bare
+// id, as in records of older versions.
 func recordKey(customer *string, id string) string {
 	if customer == nil || *customer == "" {
 		return id
@@ -14,13 +15,13 @@
 	return *customer + customerSeparator + id
 }
 
-// ownedBy reports whether a turn may be continued by the customer. Turns that older versions
-// kept name none; whoever names such a turn may continue it, as before the upgrade.
+// ownedBy reports whether the customer may continue a turn. Turns of older versions name no
+// customer, so that any customer who names such a turn may continue it.
 func ownedBy(t *historypb.Turn, customer *string) bool {
 	return t.Customer == nil || customer == nil || *t.Customer == *customer
 }
 
-// turn returns the customer's kept turn, or nil.
+// turn returns the customer's retained turn, or nil.
 func (s *state) turn(customer *string, id string) *retainedTurn {
 	if id == "" {
 		return nil
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// anyTurn finds a turn for an entry of an older version, which names no customer.
+// turnByID finds a turn for an entry of an older version, which names no customer.
 func (s *state) turnByID(id string) *retainedTurn {
 	for _, k := range s.turns {
 		if k.turn.Id == id {
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// account returns the token account of the customer's program, or nil. One that an older
-// version kept is carried over to the first customer that goes on with the program.
+// account returns the token account of the customer's program, or nil. An account of an older
+// version goes to the first customer that continues the program.
 func (s *state) account(customer *string, program string) *historypb.Account {
 	if customer == nil {
 		return s.newestAccount(program)
--- a/internal/history/disk_log.go
+++ b/internal/history/disk_log.go
@@ -16,32 +16,31 @@
 )
 
 const (
-	// frameHead is the length of a record's frame: its size and its checksum.
+	// frameHeaderSize is the length in bytes of the header of a record: its size and its checksum.
 	frameHeaderSize = 12
-	// maxRecord bounds a record; a turn's input is at most a caller's body.
+	// maxRecordSize bounds a record in bytes; a turn's input is at most the body of a call.
 	maxRecordSize = 64 << 20
-	// segmentBytes is the size at which a segment is replaced by a new one that
-	// begins with all that is still kept. Two of them and what is kept fit the
-	// smallest disk, of 340 MB, several times.
+	// maxSegmentSize is the size in bytes at which the log is compacted into a new segment that
+	// begins with all retained records. Two segments and the retained records fit the smallest
+	// disk, of 340 MB, several times.
 	maxSegmentSize    = 48 << 20
 	segmentNameFormat = "history-%08d.log"
-	// compactBytes is how much of a compaction is framed before it is written.
+	// compactionBufferSize is how many bytes a compaction buffers before it writes them.
 	compactionBufferSize = 1 << 20
 )
 
-// diskLog is the log of records on this instance's disk. It is used by one
+// diskLog is the segmented write-ahead log of records on this instance's disk. It is used by one
 // goroutine.
 type diskLog struct {
 	dir     string
 	file    *os.File
 	segment int
-	// size is the segment's length, and synced how much of it is durable.
+	// size is the segment's length in bytes, and synced how much of it is durable.
 	size, synced int64
 }
 
-// openLog reads all segments, calling each for every record, and opens a new
-// one for writing. A record that was not wholly written ends its segment:
-// nothing behind it was ever acknowledged.
+// openLog calls visit for every record of all segments, and opens a new segment for writing. A
+// record that was written in part ends its segment: nothing after it was ever acknowledged.
 func openLog(dir string, visit func(*historypb.Record)) (*diskLog, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, errors.Wrap(err, "history")
@@ -80,7 +79,7 @@
 	return filepath.Join(l.dir, fmt.Sprintf(segmentNameFormat, n))
 }
 
-// next begins a new segment.
+// startSegment begins a new segment.
 func (l *diskLog) startSegment() error {
 	file, err := os.OpenFile(l.segmentPath(l.segment+1), os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o644)
 	if err != nil {
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// frame appends a record's frame to b.
+// appendFrame appends a record with its header to b.
 func appendFrame(b []byte, r *historypb.Record) ([]byte, error) {
 	start := len(b)
 	b = append(b, make([]byte, frameHeaderSize)...)
@@ -151,8 +150,8 @@
 	return errors.Wrap(err, "history")
 }
 
-// compact begins a new segment with all that is kept and removes the older
-// ones once it is durable.
+// compact begins a new segment with all retained records, and removes the older segments once it is
+// durable.
 func (l *diskLog) compact(all []*historypb.Record) error {
 	older, err := listSegments(l.dir)
 	if err != nil {
--- a/internal/history/ensemble.go
+++ b/internal/history/ensemble.go
@@ -2,42 +2,43 @@
 
 import "slices"
 
-// Ensemble is the keepers that hold a slice in one epoch.
+// Ensemble is the replica set of a shard in one epoch.
 type Ensemble struct {
-	// Epoch grows with each change; 0 says that nobody holds the slice yet.
+	// Epoch grows with each reassignment; at 0 no keeper holds the shard yet.
 	Epoch   uint64 `json:"epoch"`
 	Primary string `json:"primary"`
-	// Partners hold the same as the primary.
+	// Backups are the keepers that replicate the primary's changes.
 	Backups []string `json:"partners"`
-	// Disks names the disks of the holders, the primary's first. A holder whose
-	// disk has another name lost what it held. Empty in assignments of form 1.
+	// Disks names the disks of the holders, the primary's first. A holder whose disk has another
+	// name has lost its data. Empty in assignments of format version 1.
 	Disks []string `json:"disks,omitempty"`
-	// Spare is the number of partners on whose disks a decision need not be.
+	// OptionalBackups is the number of backups that need not acknowledge a change before it is
+	// committed.
 	OptionalBackups int `json:"spare,omitempty"`
 }
 
-// Role tells who holds a slice.
+// ShardAssignment names the holders of a shard.
 type ShardAssignment struct {
 	Ensemble
-	// Before lists earlier ensembles, the oldest first, that may hold decisions
-	// which the primary has to fetch before it decides.
+	// Previous lists earlier ensembles, the oldest first, that may hold committed changes which the
+	// primary has to fetch before it serves.
 	Previous []Ensemble `json:"before,omitempty"`
 }
 
-// spareMost is the largest Spare. Any two holders of an ensemble then have all of its
-// decisions between them.
+// maxOptionalBackups is the largest OptionalBackups. Any two holders of an ensemble then have all
+// of its committed changes between them.
 const maxOptionalBackups = 1
 
-// holders returns the primary and its partners.
+// holders returns the primary followed by its backups.
 func (e *Ensemble) holders() []string { return append([]string{e.Primary}, e.Backups...) }
 
-// partner reports whether a keeper is a partner.
+// hasBackup reports whether a keeper is a backup.
 func (e *Ensemble) hasBackup(name string) bool { return slices.Contains(e.Backups, name) }
 
-// holds reports whether a keeper is a holder.
+// hasHolder reports whether a keeper is the primary or a backup.
 func (e *Ensemble) hasHolder(name string) bool { return e.Primary == name || e.hasBackup(name) }
 
-// disk returns the name of a holder's disk, or nothing where it is not known.
+// diskOf returns the name of a holder's disk, or "" if it is unknown.
 func (e *Ensemble) diskOf(name string) string {
 	i := slices.Index(e.holders(), name)
 	if i < 0 || i >= len(e.Disks) {
@@ -46,11 +47,11 @@
 	return e.Disks[i]
 }
 
-// acks returns on how many partners' disks a decision must be.
+// requiredAcks returns the number of backups that must acknowledge a change to commit it.
 func (e *Ensemble) requiredAcks() int { return len(e.Backups) - e.OptionalBackups }
 
-// sameHolders reports that the other ensemble has the same primary and partners, in any
-// order, on the same disks, and the same spare.
+// sameReplicaSet reports whether the other ensemble has the same primary and backups, in any order,
+// on the same disks, and as many optional backups.
 func (e *Ensemble) sameReplicaSet(other *Ensemble) bool {
 	if e.Primary != other.Primary || e.OptionalBackups != other.OptionalBackups || len(e.Backups) != len(other.Backups) {
 		return false
@@ -63,7 +64,7 @@
 	return true
 }
 
-// keeps reports whether a keeper with the disk and the base still has all that it
+// isIntact reports whether a keeper with the disk and the base still has everything that it
 // acknowledged in the ensemble.
 func (e *Ensemble) isIntact(name, disk string, base uint64) bool {
 	if !e.hasHolder(name) {
@@ -72,22 +73,22 @@
 	if recorded := e.diskOf(name); recorded != "" {
 		return recorded == disk
 	}
-	// Without the disk's name, a base of the epoch before shows that the disk was
-	// there when the ensemble began.
+	// Where the disk's name is unknown, a base of the preceding epoch shows that the keeper already
+	// had this disk when the ensemble began.
 	return base > 0 && base+1 >= e.Epoch
 }
 
-// complete reports whether the keepers, which have all that they acknowledged in the
-// ensemble, have all of its decisions between them: each is on the primary's disk, and
-// on those of all partners but the spare ones.
+// isRecoveryQuorum reports whether the keepers, which are intact, have all committed changes of the
+// ensemble between them: each change is on the disks of the primary and of all backups but the
+// optional ones.
 func (e *Ensemble) isRecoveryQuorum(names []string) bool {
 	return slices.Contains(names, e.Primary) || len(names) > e.OptionalBackups
 }
 
-// chain returns the ensembles that may hold decisions, the oldest first.
+// ensembles returns the ensembles that may hold committed changes, the oldest first.
 func (r *ShardAssignment) ensembles() []Ensemble { return append(slices.Clone(r.Previous), r.Ensemble) }
 
-// everHeld returns the holders of all these ensembles.
+// allHolders returns the holders of all these ensembles.
 func (r *ShardAssignment) allHolders() map[string]bool {
 	names := map[string]bool{}
 	for _, e := range r.ensembles() {
@@ -98,7 +99,7 @@
 	return names
 }
 
-// oldest returns the lowest base with which a keeper may take the slice over.
+// minBase returns the lowest base with which a keeper may take the shard over.
 func (r *ShardAssignment) minBase() uint64 {
 	if len(r.Previous) > 0 {
 		return r.Previous[0].Epoch
--- a/internal/history/epoch_state.go
+++ b/internal/history/epoch_state.go
@@ -2,26 +2,27 @@
 
 import "foxhall/internal/history/historypb"
 
-// mark says how a keeper stands in a slice. Both epochs only grow while it has its disk.
+// epochState is a keeper's replication state of a shard. Both epochs only grow while the keeper has
+// its disk.
 type epochState struct {
-	// Epoch is the highest that the keeper follows; it refuses lower ones.
+	// promised is the highest epoch that the keeper has accepted; it refuses lower ones.
 	promised uint64
-	// Base is the epoch before which it has all that was decided. It has what it
-	// acknowledged since, too.
+	// base is the epoch before which the keeper has all committed changes. It also has everything
+	// that it acknowledged since.
 	base uint64
 }
 
-// whole reports that the keeper has all that was decided before the epoch.
+// isComplete reports whether the keeper has all changes committed before the epoch.
 func (m epochState) isComplete(epoch uint64) bool { return epoch > 0 && m.base == epoch }
 
-// wireMark is the common part of the messages that hold a mark.
+// wireEpochState is implemented by the messages that carry an epoch state.
 type wireEpochState interface {
 	GetEpoch() uint64
 	GetSynced() bool
 	GetBase() uint64
 }
 
-// markOf reads a mark. Older versions name no base.
+// decodeEpochState reads an epoch state. Older versions send no base.
 func decodeEpochState(w wireEpochState) epochState {
 	m := epochState{promised: w.GetEpoch(), base: w.GetBase()}
 	if m.base == 0 && w.GetSynced() {
@@ -30,7 +31,7 @@
 	return m
 }
 
-// raise takes in what a mark says, which may be older.
+// merge raises each epoch to that of the other state, which may be older.
 func (m *epochState) merge(other epochState) {
 	m.promised, m.base = max(m.promised, other.promised), max(m.base, other.base)
 }
--- a/internal/history/handoff.go
+++ b/internal/history/handoff.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Leave hands over what this keeper holds, until it holds nothing or ctx ends.
+// HandOff drains this keeper: it returns once other keepers hold all shards or ctx ends.
 func (k *Keeper) HandOff(ctx context.Context) {
 	k.mu.Lock()
 	k.draining = true
@@ -21,7 +21,7 @@
 	}
 }
 
-// Empty reports that each slice is whole on other keepers.
+// Drained reports whether this keeper holds no shards and all holders of each shard are complete.
 func (k *Keeper) Drained() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/history/holders.go
+++ b/internal/history/holders.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// propose returns the assignment that this keeper wants, where it differs; the
-// lock is held. Only a keeper that has all of a slice may change its holders.
+// proposeAssignment returns the assignment that this keeper proposes, and whether it differs from
+// the known one; the lock is held. Only a keeper that can recover a shard changes its holders.
 func (k *Keeper) proposeAssignment(assessments map[string]assessment, now time.Time) (Assignment, bool) {
 	next, changed, unplaceable := k.known, false, 0
 	if k.stalledFor() > diskStallTimeout {
@@ -15,8 +15,8 @@
 	leaving := k.isDraining()
 	selector := k.newBackupSelector(&next, assessments)
 	for _, s := range k.shards {
-		// One that leaves hands its slices to others that have them, and what only
-		// it has is its to share first.
+		// A draining keeper leaves its shards to other complete holders. A shard of which it is the
+		// only complete holder it must replicate first.
 		if leaving && k.otherHolderComplete(s, assessments) || !k.mustReassign(s, assessments, now) {
 			continue
 		}
@@ -33,7 +33,7 @@
 	return next, changed
 }
 
-// newChooser returns a chooser among the keepers that are heard; the lock is held.
+// newBackupSelector returns a selector among the live keepers; the lock is held.
 func (k *Keeper) newBackupSelector(next *Assignment, assessments map[string]assessment) *backupSelector {
 	c := &backupSelector{assignment: next, keepers: k.candidates(assessments), maxDiskFailures: k.maxDiskFailures(), shardsHeld: map[string]int{}}
 	c.excluded = func(name string) bool {
@@ -48,8 +48,8 @@
 	return c
 }
 
-// nextRole returns a slice's next role with this keeper as the primary: alone where it
-// is the last one. It returns false where no partner is to be had now.
+// nextAssignment returns a shard's next assignment with this keeper as the primary, without backups
+// if it is the last keeper. It returns false if no backup is available now.
 func (k *Keeper) nextAssignment(selector *backupSelector, s *shard, assessments map[string]assessment, now time.Time) (ShardAssignment, bool) {
 	self := Candidate{Name: k.settings.Name, DataCentre: k.settings.DataCentre, Disk: k.disk}
 	backups := selector.selectBackups(int(s.id), self)
@@ -67,13 +67,13 @@
 	return role, true
 }
 
-// chainMost is the number of earlier ensembles beyond which those that this keeper does
-// not need itself are left out.
+// maxPreviousEnsembles is the number of earlier ensembles beyond which those that this keeper does
+// not need itself are removed.
 const maxPreviousEnsembles = 8
 
-// settled reports that this keeper decides for the slice, and that as many partners as
-// may be lost at once have all that was decided before its epoch: whoever takes the slice
-// over needs none of the earlier ensembles.
+// earlierEpochsReplicated reports whether this keeper is the shard's primary and at least
+// maxDiskFailures backups (or all, if fewer) have all changes committed before its epoch. A
+// successor then needs none of the earlier ensembles.
 func (k *Keeper) earlierEpochsReplicated(s *shard, assessments map[string]assessment) bool {
 	if !k.isPrimary(s) {
 		return false
@@ -87,8 +87,8 @@
 	return have >= min(k.maxDiskFailures(), len(s.role.Backups))
 }
 
-// tellStuck says why slices that should be held by others are not: no keeper is
-// to be had, and it is not certain that this one is the last.
+// logUnplaceable logs why shards that need other holders don't get them: no keeper is eligible, and
+// it is not certain that this one is the last.
 func (k *Keeper) logUnplaceable(shards int, assessments map[string]assessment, now time.Time) {
 	if shards == 0 || now.Sub(k.unplaceableLoggedAt) < unplaceableLogInterval {
 		return
@@ -101,17 +101,17 @@
 		if v != nil {
 			entry = entry.WithField("silent_ms", now.Sub(v.lastContact).Milliseconds()).WithField("lost", v.loss.isCurrent(now))
 		}
-		entry.Info("no holder to be had")
+		entry.Info("no eligible backup; shards keep their holders")
 	}
 }
 
-// stuckEvery is the least time between two such words.
+// unplaceableLogInterval is the shortest time between two such reports.
 const unplaceableLogInterval = time.Second
 
-// disksLost is the number of disks that may be lost at once.
+// maxDiskFailures is the number of disks that may fail at once, at least 1.
 func (k *Keeper) maxDiskFailures() int { return max(1, k.settings.MaxDiskFailures) }
 
-// tooFew reports that a slice could have more partners than it has.
+// underReplicated reports whether a shard has too few backups and more are available.
 func (k *Keeper) underReplicated(s *shard, assessments map[string]assessment) bool {
 	if len(s.role.Backups) > k.maxDiskFailures() {
 		return false
@@ -125,7 +125,7 @@
 	return usable > len(s.role.Backups)
 }
 
-// othersHave reports that another holder is there and has all of the slice.
+// otherHolderComplete reports whether another holder is live and has all of the shard.
 func (k *Keeper) otherHolderComplete(s *shard, assessments map[string]assessment) bool {
 	for _, name := range s.role.holders() {
 		if name != k.settings.Name && assessments[name].isComplete(int(s.id), s.role.Epoch) {
@@ -135,9 +135,9 @@
 	return false
 }
 
-// withHolders returns the partners chosen for a slice, and beside them its present
-// ones until the chosen have all of it: else the primary would have it alone while
-// they are filled, and its loss would leave nobody who knows all.
+// withCurrentBackups returns the backups chosen for a shard, and in addition its present complete
+// ones until the chosen are complete. Without them, the primary would be the only complete holder
+// during the state transfers, and its loss would lose committed changes.
 func (k *Keeper) withCurrentBackups(s *shard, chosen, keepers []Candidate, assessments map[string]assessment) []Candidate {
 	id, epoch := int(s.id), s.role.Epoch
 	if !k.isPrimary(s) || allComplete(chosen, assessments, id, epoch) {
@@ -156,13 +156,13 @@
 	return !slices.ContainsFunc(keepers, func(c Candidate) bool { return !assessments[c.Name].isComplete(shardID, epoch) })
 }
 
-// spreadAfter is how long a keeper must be heard before slices are given to it for
-// the sake of its data centre alone.
+// spreadDelay is how long contact with a keeper must last before shards are assigned to it only to
+// spread them over data centres.
 const spreadDelay = time.Second
 
-// couldSpread reports that two holders of a slice share a data centre while a keeper
-// of another one is to be had: it was lost, and the slice went to what was left. A
-// cut would take the slice whole.
+// shouldSpread reports whether two holders of a shard share a data centre while a keeper of another
+// data centre is available. This happens when a data centre returns after a loss. Until the shard
+// is spread again, the isolation of one data centre makes it unavailable.
 func (k *Keeper) shouldSpread(s *shard, assessments map[string]assessment, now time.Time) bool {
 	dataCentres := map[string]string{}
 	for _, c := range k.settings.Keepers() {
@@ -185,8 +185,8 @@
 
 func (k *Keeper) isDraining() bool { return k.draining || k.settings.Retiring(k.settings.Name) }
 
-// mustChange reports that this keeper should give a slice other holders: as its primary,
-// or because it can take the place of one that is gone. The lock is held.
+// mustReassign reports whether this keeper should propose other holders for a shard: as its
+// primary, or because it can replace a primary that failed. The lock is held.
 func (k *Keeper) mustReassign(s *shard, assessments map[string]assessment, now time.Time) bool {
 	switch {
 	case k.isPrimary(s):
@@ -196,7 +196,7 @@
 	case s.role.Primary != k.settings.Name && !k.primaryFailed(s, assessments, now):
 		return false
 	case k.canRecover(s, assessments):
-		// The primary fetches what it lacks by itself, unless it has another disk.
+		// The primary fetches what it lacks itself, unless its disk was replaced.
 		s.unrecoverableSince = time.Time{}
 		return s.role.Primary != k.settings.Name && !k.isBehind(s, assessments)
 	case !k.mustForceRecovery(s, assessments, now):
@@ -209,8 +209,7 @@
 	}
 }
 
-// partnersMustChange reports that a slice's partners are not those it should have, or
-// that others may be better.
+// backupsMustChange reports whether a shard's backups should be replaced, reduced or extended.
 func (k *Keeper) backupsMustChange(s *shard, assessments map[string]assessment, now time.Time) bool {
 	for _, name := range s.role.Backups {
 		o, known := assessments[name]
--- a/internal/history/inventory.go
+++ b/internal/history/inventory.go
@@ -8,8 +8,8 @@
 	"foxhall/internal/history/historypb"
 )
 
-// inventory lists what is here of the slice. Keepers of a slice have nearly the same, and
-// all of it would take seconds on their links.
+// inventory lists the records of the shard that this keeper has. Holders of a shard have nearly the
+// same records, and transferring all of them would take seconds.
 func (s *state) inventory() *historypb.Inventory {
 	have := &historypb.Inventory{}
 	for key := range s.turns {
@@ -22,7 +22,7 @@
 	return have
 }
 
-// lacking returns the records that one with the inventory does not have; all for none.
+// recordsMissingFrom returns the records that the inventory does not list; all of them for nil.
 func (s *state) recordsMissingFrom(shardID uint32, have *historypb.Inventory) []*historypb.Record {
 	turns, versions := map[uint64]bool{}, map[uint64]uint64{}
 	for _, hash := range have.GetTurns() {
@@ -47,8 +47,8 @@
 	return records
 }
 
-// List implements historypb.Keeper. What it lists is on the disk when it answers, and not
-// lost with the power.
+// List implements historypb.Keeper. All listed records are durable when it responds, so that a
+// power failure does not lose them.
 func (k *Keeper) List(ctx context.Context, r *historypb.ListRequest) (*historypb.ListResponse, error) {
 	durable := make(chan struct{})
 	k.mu.Lock()
--- a/internal/history/keeper.go
+++ b/internal/history/keeper.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// opTime bounds the wait for one operation to become durable: longer than a
-	// change of keepers takes, so that most callers do not notice one.
+	// commitTimeout bounds the wait for one change to be committed. It is longer than a
+	// reassignment takes, so that most callers do not notice one.
 	commitTimeout = 1500 * time.Millisecond
-	// appendTime bounds one call to a partner: its disk takes 5 ms, and a
-	// partner that needs this long is replaced.
+	// appendTimeout bounds one call to a backup. A disk write takes 5 ms, and a backup that needs
+	// this long is replaced.
 	appendTimeout = 600 * time.Millisecond
-	// appendPause is the pause after a failed call to a partner.
+	// appendRetryInterval is the pause after a failed call to a backup or a failed disk write.
 	appendRetryInterval = 40 * time.Millisecond
-	// fillBytes is about the size of one message that fills a partner.
+	// transferPartSize is the approximate size in bytes of one message of a state transfer.
 	transferPartSize = 256 << 10
-	// expireEvery is how often what is no longer kept is forgotten.
+	// expireInterval is the time between removals of expired records.
 	expireInterval = 5 * time.Second
 )
 
@@ -35,22 +35,22 @@
 type Peers interface {
 	Append(ctx context.Context, name string, r *historypb.AppendRequest) (*historypb.AppendResponse, error)
 	Status(ctx context.Context, name string, r *historypb.StatusRequest) (*historypb.StatusResponse, error)
-	// Tell tells all other keepers how this one stands. It may be lost.
+	// BroadcastStatus sends this keeper's status to all other keepers, without delivery guarantee.
 	BroadcastStatus(status *historypb.StatusResponse)
 	Fetch(ctx context.Context, name string, r *historypb.FetchRequest) (*historypb.FetchResponse, error)
 	List(ctx context.Context, name string, r *historypb.ListRequest) (*historypb.ListResponse, error)
-	// Witnesses asks entries of each data centre whether they hear a keeper. Those
-	// that do not answer, or can't tell yet, are left out.
+	// Witnesses asks entries of each data centre whether they have contact with a keeper. Entries
+	// that do not respond or do not know yet are left out.
 	Witnesses(ctx context.Context, name string) []Witness
 }
 
 // Assignments reads and changes the assignment in the platform's store.
 type Assignments interface {
-	// Read returns the assignment as the store has it now; version 0 if there is none.
+	// Read returns the store's present assignment; version 0 if there is none.
 	Read(ctx context.Context) (Assignment, store.Version, error)
-	// Write replaces the assignment if its version is still base, and returns the new one.
-	// At a conflict it returns the present assignment and its version, if they are told;
-	// version 0 if they are not.
+	// Write replaces the assignment if its version is still base, and returns the new one. At a
+	// conflict it returns the present assignment and its version if the store reports them, and
+	// otherwise version 0.
 	Write(ctx context.Context, a Assignment, base store.Version) (Assignment, store.Version, error)
 }
 
@@ -60,29 +60,29 @@
 	DataCentre string
 	// DataCentres is how many data centres there are.
 	DataCentres int
-	// Folder is where the log is kept.
+	// Folder is the directory of the log.
 	Folder string
-	// DisksLost is the number of disks that may be lost at once.
+	// MaxDiskFailures is the number of disks that may fail at once without loss of data.
 	MaxDiskFailures int
-	// Keepers returns the keepers that are registered, this one among them.
+	// Keepers returns the registered keepers, including this one.
 	Keepers func() []Candidate
-	// Retiring reports that operators want a keeper emptied.
+	// Retiring reports whether operators want a keeper drained.
 	Retiring func(name string) bool
 	Logger   log.Interface
 }
 
-// Keeper holds slices on this instance's disk. It is safe for concurrent use.
+// Keeper stores shards on this instance's disk. It is safe for concurrent use.
 type Keeper struct {
 	settings    Settings
 	peers       Peers
 	assignments Assignments
 	log         *diskLog
-	// disk names the disk; a lost one is followed by one of another name. starts counts
-	// the starts on it.
+	// disk is the random name of the disk; a replaced disk gets another name. diskStarts counts the
+	// keeper's starts on it.
 	disk       string
 	diskStarts uint64
-	// edition is that of the marks that were told last. It begins at random, so that a
-	// keeper that was restarted is not taken for the one before.
+	// edition identifies the epoch states broadcast last. It begins at random, so that peers do not
+	// mistake a restarted keeper for its earlier incarnation.
 	edition         uint64
 	broadcastStates [ShardCount]epochState
 	started         time.Time
@@ -90,27 +90,27 @@
 	mu     sync.Mutex
 	shards [ShardCount]*shard
 	known  Assignment
-	// version is the store's of the known assignment.
+	// version is the store's version of the known assignment.
 	version store.Version
-	// verified says that this instance may take records for epochs that it has
-	// not seen: it has its own marks on disk, or has read the assignment since.
+	// verified means that this keeper may accept records for epochs that it has not seen: it has
+	// its epoch states on disk, or has read the assignment since its start.
 	verified      bool
 	views         map[string]*peerView
 	quorumContact contactPeriod
-	// stuckTold is when it was told last that slices find no holder.
+	// unplaceableLoggedAt is when shards without an eligible backup were last logged.
 	unplaceableLoggedAt time.Time
 	draining            bool
-	// writes wait for the disk.
+	// pendingWrites wait for the disk.
 	pendingWrites []diskWrite
 	writingSince  time.Time
 	senders       map[string]chan struct{}
 	ctx           context.Context
-	// storeWaits gives for how long the store is not called after it did not
-	// answer, and storeAfter is until when.
+	// storeBackoff is the backoff after a failed store call, and storeRetryAt the time of the next
+	// permitted call.
 	storeBackoff *backoff.ExponentialBackOff
 	storeRetryAt time.Time
 
-	// looks counts how often the roles were looked at.
+	// reconciliations counts the calls of reconcile.
 	reconciliations atomic.Int64
 
 	wakeWriter     chan struct{}
@@ -118,41 +118,40 @@
 	wakeReader     chan struct{}
 }
 
-// slice is one slice as this keeper holds it. The keeper's lock guards it.
+// shard is this keeper's replica of one shard. The keeper's lock guards it.
 type shard struct {
 	id    uint32
 	state *state
-	// mark is up to which epoch this keeper follows the slice; a primary of a
-	// lower epoch is refused.
+	// epochState holds the promised epoch; a primary of a lower epoch is refused.
 	epochState epochState
 	role       ShardAssignment
-	// links are the ways to the partners, by name.
+	// streams are the replication streams to the backups, by name.
 	streams map[string]*backupStream
-	// tenure counts how often this keeper ceased to decide for the slice.
+	// primaryTerm counts how often this keeper ceased to be the shard's primary.
 	primaryTerm int
-	// collecting says that records of earlier ensembles are being fetched, and forced
-	// is the epoch that begins with what is left of them.
+	// recovering means that records of earlier ensembles are being fetched. forcedEpoch is the
+	// epoch that starts from the records that are left if some are lost.
 	recovering  bool
 	forcedEpoch uint64
-	// marking says that a mark is on its way to the disk.
+	// persistingState means that an epoch state is being written to the disk.
 	persistingState bool
-	// lostSince is since when the slice can't be had whole any more, and
-	// primaryLostSince since when the primary does not have it.
+	// unrecoverableSince is when the shard was first found not to be recoverable in full, and
+	// primaryIncompleteSince when the primary was first found incomplete. Zero if neither holds.
 	unrecoverableSince, primaryIncompleteSince time.Time
 }
 
-// entry is one change on its way to the disks of a slice. The keeper's lock guards it
-// until done is closed.
+// pendingCommit is one change that is being replicated. The keeper's lock guards it until done is
+// closed.
 type pendingCommit struct {
 	records []*historypb.Record
-	// tenure is the slice's at the time of the change.
+	// primaryTerm is that of the shard at the time of the change.
 	primaryTerm int
-	// stored says that this keeper's disk has it, and acks names the partners whose
-	// disks have.
+	// durableLocally means that the change is on this keeper's disk; ackedBy names the backups on
+	// whose disks it is.
 	durableLocally bool
 	ackedBy        []string
 	completed      bool
-	// dropped says that this keeper no longer decides.
+	// aborted means that this keeper ceased to be the primary before the commit.
 	aborted bool
 	done    chan struct{}
 }
@@ -198,7 +197,7 @@
 	return k, nil
 }
 
-// replay takes in a record from the disk.
+// replay applies a record from the disk.
 func (k *Keeper) replay(r *historypb.Record) {
 	if name := r.GetDisk(); name != "" {
 		k.disk, k.diskStarts = name, max(k.diskStarts, r.Starts)
@@ -216,7 +215,7 @@
 	s.state.apply(r)
 }
 
-// everything returns all records that are kept; the lock is held or not needed.
+// snapshotRecords returns all records that are retained; the lock is held or not needed.
 func (k *Keeper) snapshotRecords() []*historypb.Record {
 	now := time.Now()
 	all := []*historypb.Record{{Body: &historypb.Record_Disk{Disk: k.disk}, Starts: k.diskStarts}}
@@ -230,7 +229,7 @@
 	return all
 }
 
-// Run keeps slices until ctx ends.
+// Run runs the keeper until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	k.mu.Lock()
 	k.ctx = ctx
@@ -243,8 +242,9 @@
 	return k.log.close()
 }
 
-// Woke is called after a pause of this process. What was not heard in it says
-// nothing of the other keepers: judged by it, all of them would be replaced.
+// ResetAfterPause is called after a pause of this process. It discards the evidence on other
+// keepers, since the missing messages of the pause would make all of them seem lost and have them
+// replaced.
 func (k *Keeper) ResetAfterPause() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -255,13 +255,14 @@
 	k.quorumContact = contactPeriod{}
 }
 
-// primary reports that this keeper decides for the slice.
+// isPrimary reports whether this keeper is the shard's primary and complete in its epoch, so that
+// it may commit changes.
 func (k *Keeper) isPrimary(s *shard) bool {
 	return s.role.Primary == k.settings.Name && s.epochState.promised == s.role.Epoch && s.epochState.isComplete(s.role.Epoch)
 }
 
-// submit sends a change to the disks of the slice; the lock is held. Without
-// records it only asks the partners whether this keeper is still the primary.
+// replicate starts to replicate a change to the disks of the shard; the lock is held. Without
+// records it only confirms with the backups that this keeper is still the primary.
 func (k *Keeper) replicate(s *shard, records []*historypb.Record) *pendingCommit {
 	e := &pendingCommit{records: records, primaryTerm: s.primaryTerm, done: make(chan struct{})}
 	for _, backup := range s.role.Backups {
@@ -280,7 +281,7 @@
 	return e
 }
 
-// judge ends an entry that is on enough disks; the lock is held.
+// completeIfCommitted completes a change that is on enough disks; the lock is held.
 func (s *shard) completeIfCommitted(e *pendingCommit) {
 	if e.completed || !e.durableLocally || e.primaryTerm != s.primaryTerm {
 		return
@@ -297,8 +298,8 @@
 	}
 }
 
-// drop ends what waits in a slice that this keeper no longer decides for. Its
-// callers hear that it may not last, and ask the new primary.
+// abortPending aborts the pending changes of a shard of which this keeper is no longer the primary.
+// Their callers learn that the changes may be lost, and ask the new primary.
 func (s *shard) abortPending() {
 	for _, l := range s.streams {
 		for _, e := range l.pending {
@@ -326,7 +327,7 @@
 	}
 }
 
-// wait returns whether the change is durable on enough disks of its slice.
+// awaitCommit waits for the change and reports whether it is committed.
 func awaitCommit(ctx context.Context, e *pendingCommit) bool {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -338,7 +339,7 @@
 	}
 }
 
-// runWriter writes what is queued, all at once, again and again.
+// runWriter writes the queued records to the disk in batches.
 func (k *Keeper) runWriter(ctx context.Context) {
 	for {
 		select {
@@ -364,15 +365,15 @@
 	}
 }
 
-// writeBatch writes until the disk has taken the batch. After a failed write
-// the segment's end is not known, so the batch goes to a new one.
+// writeBatch retries until the batch is on the disk. After a failed write the end of the segment is
+// unknown, so the batch goes to a new one.
 func (k *Keeper) writeBatch(ctx context.Context, batch []diskWrite) {
 	var framed []byte
 	for _, w := range batch {
 		for _, r := range w.records {
 			next, err := appendFrame(framed, r)
 			if err != nil {
-				panic(errors.Wrap(err, "a record that can't be encoded"))
+				panic(errors.Wrap(err, "record can't be encoded"))
 			}
 			framed = next
 		}
@@ -382,7 +383,7 @@
 	}
 	err := k.log.write(framed)
 	for err != nil && ctx.Err() == nil {
-		k.settings.Logger.WithError(err).Error("disk refuses records")
+		k.settings.Logger.WithError(err).Error("disk write failed; retrying in a new segment")
 		time.Sleep(appendRetryInterval)
 		if err = k.log.startSegment(); err == nil {
 			err = k.log.write(framed)
@@ -398,6 +399,6 @@
 	all := k.snapshotRecords()
 	k.mu.Unlock()
 	if err := k.log.compact(all); err != nil {
-		k.settings.Logger.WithError(err).Error("log not compacted")
+		k.settings.Logger.WithError(err).Error("log compaction failed; older segments may remain")
 	}
 }
--- a/internal/history/peer_status.go
+++ b/internal/history/peer_status.go
@@ -10,20 +10,21 @@
 	"foxhall/internal/history/historypb"
 )
 
-// questionsMost is the number of questions under way to one keeper: the last one
-// into a cut must not delay the first after it.
+// maxStatusRequests is the number of status requests in flight to one keeper: the last request
+// before a network partition must not delay the first one after it.
 const maxStatusRequests = 2
 
 const (
-	// tellEvery is how often a keeper tells the others how it stands. Two such words in a
-	// row are lost before one of them asks.
+	// broadcastInterval is the time between status broadcasts of a keeper. Other keepers request
+	// the status only after two broadcasts in a row are lost.
 	broadcastInterval = 90 * time.Millisecond
-	// tellAllEvery is how many words pass until one lists all slices without a change.
+	// fullBroadcastEvery is the number of broadcasts of which one lists all shards even without a
+	// change.
 	fullBroadcastEvery = 8
 )
 
-// runTelling tells the other keepers how this one stands. Each keeper hears of all others,
-// so that a call for each word would cost the square of their number.
+// runBroadcast broadcasts this keeper's status. Broadcasts replace calls between each pair of
+// keepers, whose cost would grow with the square of their number.
 func (k *Keeper) runBroadcast(ctx context.Context) {
 	ticker := time.NewTicker(broadcastInterval)
 	defer ticker.Stop()
@@ -45,7 +46,7 @@
 	}
 }
 
-// Heard takes in what another keeper tells.
+// ObserveStatus records another keeper's broadcast status.
 func (k *Keeper) ObserveStatus(status *historypb.StatusResponse) {
 	if status.Name == k.settings.Name || status.Name == "" {
 		return
@@ -55,8 +56,8 @@
 	if len(status.Slices) == 0 {
 		v := k.views[status.Name]
 		if v == nil || v.status == nil || v.status.Edition != status.Edition {
-			// The word that told of the change was lost. The next full one comes soon, or
-			// an answer.
+			// The broadcast with the change was lost. The next full one, or a response to a status
+			// request, arrives soon.
 			return
 		}
 		status.Slices = v.status.Slices
@@ -64,7 +65,7 @@
 	k.recordStatus(status.Name, status)
 }
 
-// runViews asks the other keepers how they stand, those that were not heard lately.
+// runStatusPolls requests the status of the other keepers without recent contact.
 func (k *Keeper) runStatusPolls(ctx context.Context) {
 	ticker := time.NewTicker(statusPollInterval)
 	defer ticker.Stop()
@@ -103,7 +104,7 @@
 	k.recordStatus(name, status)
 }
 
-// heardLately reports that a keeper told how it stands before any doubt.
+// hasRecentContact reports whether a keeper's status arrived less than suspicionDelay ago.
 func (k *Keeper) hasRecentContact(name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -111,7 +112,7 @@
 	return v != nil && v.status != nil && time.Since(v.lastContact) < suspicionDelay
 }
 
-// hear takes in how another keeper stands; the lock is held.
+// recordStatus records another keeper's status; the lock is held.
 func (k *Keeper) recordStatus(name string, status *historypb.StatusResponse) {
 	v := k.views[name]
 	if v == nil {
@@ -121,14 +122,14 @@
 	changed := v.unresponsive(time.Now()) || v.refusedConnections > 0 || !sameStatus(v.status, status)
 	v.recordContact(time.Now())
 	v.status, v.refusedConnections = status, 0
-	// Roles are looked at anew ten times a second anyway. To do it at each answer of each
-	// keeper would cost the square of their number.
+	// The reconciler runs ten times a second anyway. To run it at each status of each keeper would
+	// cost the square of their number.
 	if changed {
 		notify(k.wakeReconciler)
 	}
 }
 
-// sameStanding reports that nothing changed by which roles are decided.
+// sameStatus reports whether two statuses agree in all that affects role decisions.
 func sameStatus(a, b *historypb.StatusResponse) bool {
 	if a == nil || a.Leaving != b.Leaving || a.Disk != b.Disk || a.Spares != b.Spares || len(a.Slices) != len(b.Slices) {
 		return false
@@ -142,7 +143,8 @@
 	return stalled(a) == stalled(b)
 }
 
-// fewEach runs a few functions at a time for each name. It is used by one goroutine.
+// keyedLimiter limits the number of functions that run concurrently for each name. It is used by
+// one goroutine.
 type keyedLimiter struct {
 	limit   int
 	running map[string]chan struct{}
@@ -152,7 +154,7 @@
 	return &keyedLimiter{limit: limit, running: map[string]chan struct{}{}}
 }
 
-// start runs f in the background, unless as many of that name run as may.
+// start runs f in the background, unless the limit for the name is reached.
 func (e *keyedLimiter) start(name string, f func()) {
 	if e.running[name] == nil {
 		e.running[name] = make(chan struct{}, e.limit)
--- a/internal/history/reconcile.go
+++ b/internal/history/reconcile.go
@@ -12,32 +12,34 @@
 )
 
 const (
-	// rolesEvery is how often the roles are looked at without an event.
+	// reconcileInterval is the time between reconciliations without an event.
 	reconcileInterval = 100 * time.Millisecond
-	// statusEvery is how often other keepers are asked how they stand.
+	// statusPollInterval is the time between status requests to keepers without recent contact.
 	statusPollInterval = 150 * time.Millisecond
-	// statusTime bounds one such question.
+	// statusTimeout bounds one status request.
 	statusTimeout = 300 * time.Millisecond
-	// suspectAfter is how long a keeper may be silent before it is replaced: a
-	// pause of the process or a lost packet passes, a loss does not. A needless
-	// change costs the filling of a slice and no more.
+	// suspectTimeout is how long a keeper may be unresponsive before it is replaced. It outlasts a
+	// pause of the process or a lost packet. A needless replacement costs no more than a state
+	// transfer.
 	suspectTimeout = 550 * time.Millisecond
-	// confirmedAfter is the same where entries of most data centres do not hear it
-	// either: all of them do not pause at once.
+	// confirmedSuspectTimeout replaces suspectTimeout where entries of most data centres have no
+	// contact with the keeper either: not all of them pause at once.
 	confirmedSuspectTimeout = 350 * time.Millisecond
-	// refusedMost is the number of refused connections in a row that show that a
-	// keeper's process is gone, which silence would show later.
+	// minRefusedConnections is the number of refused connections in a row that show that a keeper's
+	// process has ended, sooner than its unresponsiveness would.
 	minRefusedConnections = 2
-	// stalledAfter is how long a disk may take for one write; it takes 5 ms.
+	// diskStallTimeout is how long one disk write may take before the disk counts as stalled;
+	// usually it takes 5 ms.
 	diskStallTimeout = 500 * time.Millisecond
-	// bootTime is how long after its start a keeper judges no other by silence.
+	// startupGrace is how long after its start a keeper counts no other as unresponsive.
 	startupGrace = 1200 * time.Millisecond
-	// abandonAfter is how long no keeper of a slice may have all of it before it
-	// begins anew. All its disks are lost then, or it never began.
+	// forceRecoveryAfter is how long a shard may be unrecoverable, with all its holders live,
+	// before it continues with the records that are left. All its disks are lost then, or it never
+	// began.
 	forceRecoveryAfter = 10 * time.Second
 )
 
-// Adopt takes in an assignment of the store; an older one changes nothing.
+// ApplyAssignment applies an assignment from the store; an older one changes nothing.
 func (k *Keeper) ApplyAssignment(a Assignment, version store.Version) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -45,7 +47,7 @@
 		return
 	}
 	k.known, k.version = a, version
-	// A newer assignment came from the store, so it is back.
+	// A newer assignment shows that the store is available.
 	k.resetStoreBackoff()
 	for _, s := range k.shards {
 		if next := &a.Shards[s.id]; next.Epoch > s.role.Epoch {
@@ -55,11 +57,11 @@
 	notify(k.wakeReconciler)
 }
 
-// assign puts a slice's newer role in force; the lock is held.
+// applyRole applies a shard's newer assignment; the lock is held.
 func (k *Keeper) applyRole(s *shard, next ShardAssignment) {
 	k.settings.Logger.WithField("slice", s.id).WithField("epoch", next.Epoch).
 		WithField("primary", next.Primary).WithField("partners", next.Backups).
-		WithField("spare", next.OptionalBackups).WithField("mark", s.epochState.promised).WithField("base", s.epochState.base).Info("slice assigned")
+		WithField("spare", next.OptionalBackups).WithField("mark", s.epochState.promised).WithField("base", s.epochState.base).Info("shard assigned")
 	continues := k.isPrimary(s) && next.Epoch == s.role.Epoch+1 && next.Primary == k.settings.Name
 	s.role = next
 	s.unrecoverableSince, s.primaryIncompleteSince = time.Time{}, time.Time{}
@@ -70,23 +72,23 @@
 		s.state.primaryEpoch = next.Epoch
 		k.rebuildStreams(s)
 	}
-	// Nothing was decided before the first epoch.
+	// Nothing was committed before the first epoch.
 	first := next.Epoch == 1 && s.epochState.base == 0 && next.diskOf(k.settings.Name) == k.disk
 	if continues || first || k.resumesFormat1(s) {
 		k.markComplete(s)
 	}
 }
 
-// carriesOn reports that this keeper was made the primary by an assignment of form 1,
-// and had not written that down when it was stopped.
+// resumesFormat1 reports whether an assignment of format version 1 made this keeper the primary and
+// it stopped before that was on its disk.
 func (k *Keeper) resumesFormat1(s *shard) bool {
 	r := &s.role
 	return r.Primary == k.settings.Name && len(r.Disks) == 0 && s.epochState.promised < r.Epoch && s.epochState.isComplete(r.Epoch-1)
 }
 
-// relink makes the ways to the partners those of the new role; the lock is held. A new
-// partner is sent everything that is not on enough disks yet, and what waited for one
-// that is gone is judged without it.
+// rebuildStreams replaces the streams by those to the backups of the new role; the lock is held. A
+// new backup is sent all uncommitted changes, and changes that waited for a removed backup are
+// committed if the remaining acknowledgements suffice.
 func (k *Keeper) rebuildStreams(s *shard) {
 	var waiting []*pendingCommit
 	for _, l := range s.streams {
@@ -111,8 +113,8 @@
 	}
 }
 
-// makeWhole makes this keeper one that has all of the slice in the present epoch, once
-// that is on its disk; the lock is held.
+// markComplete makes this keeper complete in the shard's present epoch once that is on its disk;
+// the lock is held.
 func (k *Keeper) markComplete(s *shard) {
 	complete := epochState{promised: s.role.Epoch, base: s.role.Epoch}
 	s.persistingState = true
@@ -123,7 +125,7 @@
 	})
 }
 
-// runRoles keeps each slice on as many keepers as it should be on.
+// runReconciler reconciles the roles of all shards periodically and on events.
 func (k *Keeper) runReconciler(ctx context.Context) {
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
@@ -151,8 +153,8 @@
 	}
 }
 
-// reconcile fills partners that lack records, fetches what this keeper lacks of slices
-// that it is to decide for, and proposes what must change.
+// reconcile transfers records to incomplete backups, recovers shards of which this keeper is the
+// new primary, and proposes the reassignments that are needed.
 func (k *Keeper) reconcile(ctx context.Context) {
 	k.reconciliations.Add(1)
 	k.mu.Lock()
@@ -180,8 +182,8 @@
 	}
 }
 
-// begin makes the first assignment. The keeper with the lowest name does it, among those
-// that it hears; should two do it, the store takes one.
+// bootstrap makes the first assignment. The keeper with the lowest name among the live ones does
+// it; if two do, the store accepts one.
 func (k *Keeper) bootstrap(ctx context.Context) {
 	age := time.Since(k.started)
 	if age < startupGrace {
@@ -195,7 +197,7 @@
 	}
 	a, version, err := k.assignments.Read(ctx)
 	if err != nil {
-		k.settings.Logger.WithError(err).Warn("assignment not read before the first is made")
+		k.settings.Logger.WithError(err).Warn("assignment can't be read; initial assignment postponed")
 		return
 	}
 	if version > 0 {
@@ -207,7 +209,7 @@
 	}
 }
 
-// heardKeepers returns the keepers that are heard, this one among them, with their disks.
+// liveKeepers returns the live keepers, including this one, with their disks.
 func (k *Keeper) liveKeepers() []Candidate {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -217,8 +219,8 @@
 	})
 }
 
-// candidates returns the registered keepers, with the disks of those that know decisions
-// that are not on all disks of a slice; the lock is held.
+// candidates returns the registered keepers, with the disks of those that support optional backups;
+// the lock is held.
 func (k *Keeper) candidates(assessments map[string]assessment) []Candidate {
 	list := slices.Clone(k.settings.Keepers())
 	for i, c := range list {
@@ -231,22 +233,23 @@
 	return list
 }
 
-// write proposes an assignment. A lost answer is settled by reading.
+// writeAssignment writes an assignment by a conditional update. If the response is lost, the
+// assignment is read again.
 func (k *Keeper) writeAssignment(ctx context.Context, a Assignment, base store.Version) {
 	present, version, err := k.assignments.Write(ctx, a, base)
 	switch {
 	case err == nil, errors.Is(err, store.ErrConflict) && version > 0:
-		// Many keepers change the assignment at once after a loss. Each that came too late
-		// goes on from what it was told, without a call and a pause to read it.
+		// After a loss many keepers change the assignment at once. Those that conflict continue
+		// from the returned assignment, which saves the read and its pause.
 		k.ApplyAssignment(present, version)
 	case errors.Is(err, store.ErrUnavailable):
-		// Surely not written: there is nothing to read either.
-		k.settings.Logger.WithError(err).Warn("assignment not written")
+		// The store certainly did not write it, so there is no need to read it.
+		k.settings.Logger.WithError(err).Warn("store unavailable; assignment not written")
 		k.backOffStore()
 	case errors.Is(err, store.ErrConflict):
 		notify(k.wakeReader)
 	default:
-		k.settings.Logger.WithError(err).Warn("assignment not known to be written")
+		k.settings.Logger.WithError(err).Warn("outcome of writing the assignment unknown; reading it again")
 		notify(k.wakeReader)
 	}
 }
--- a/internal/history/recover.go
+++ b/internal/history/recover.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// stuckAfter is how long a primary that lives may take to have all of its slice,
-	// before another takes the slice over.
+	// recoveryTimeout is how long a live primary may be incomplete before another keeper takes its
+	// shard over.
 	recoveryTimeout = 2 * time.Second
-	// lostRounds is the number of rounds in which a primary on a disk without a name
-	// must lack its slice: what is known of it lags.
+	// incompleteRounds is the number of status rounds in which a primary on a disk of unknown name
+	// must be incomplete before it is replaced, since its known status lags behind.
 	incompleteRounds = 3
 )
 
-// kept returns the keepers that still have what they acknowledged in an ensemble, this
-// one among them, as far as they are heard; the lock is held.
+// intactHolders returns the live keepers, including this one, that still have everything that they
+// acknowledged in an ensemble; the lock is held.
 func (k *Keeper) intactHolders(s *shard, e *Ensemble, assessments map[string]assessment) []string {
 	var names []string
 	for _, name := range e.holders() {
@@ -38,8 +38,8 @@
 	return names
 }
 
-// collectable reports that this keeper has, or can fetch, all that was decided in the
-// slice; the lock is held.
+// canRecover reports whether this keeper has, or can fetch, all committed changes of the shard; the
+// lock is held.
 func (k *Keeper) canRecover(s *shard, assessments map[string]assessment) bool {
 	if s.epochState.base == 0 || s.epochState.base < s.role.minBase() {
 		return false
@@ -52,8 +52,8 @@
 	return true
 }
 
-// exhausted reports that no holder of an ensemble but those that are heard will ever have
-// what it acknowledged: the others have new disks. The lock is held.
+// allIntactReachable reports whether the live intact holders are the only ones left of an ensemble:
+// the disks of all others were replaced. The lock is held.
 func (k *Keeper) allIntactReachable(s *shard, e *Ensemble, assessments map[string]assessment) bool {
 	kept := k.intactHolders(s, e, assessments)
 	for _, name := range e.holders() {
@@ -66,8 +66,9 @@
 	return true
 }
 
-// sources returns the keepers to fetch from, so that with what this one has all decisions
-// of the earlier ensembles are there; false where they can't be had now. The lock is held.
+// recoverySources returns the keepers, with the names of their disks, from which this one must
+// fetch to have all committed changes of the earlier ensembles; false if that is not possible now.
+// The lock is held.
 func (k *Keeper) recoverySources(s *shard, assessments map[string]assessment) (map[string]string, bool) {
 	forced := s.forcedEpoch == s.role.Epoch
 	if s.epochState.base < s.role.minBase() && !forced {
@@ -98,8 +99,8 @@
 	return from, true
 }
 
-// collectIfNeeded has this keeper, which the store made a slice's primary, fetch what it
-// may lack of the decisions before; the lock is held.
+// recoverIfNeeded starts to fetch the committed changes that this keeper may lack of a shard of
+// which it became the primary; the lock is held.
 func (k *Keeper) recoverIfNeeded(ctx context.Context, s *shard, assessments map[string]assessment) {
 	if s.role.Primary != k.settings.Name || s.role.Epoch == 0 || s.epochState.promised > s.role.Epoch || s.persistingState || s.recovering {
 		return
@@ -120,19 +121,19 @@
 	go k.recoverShard(ctx, s, s.role.Epoch, from)
 }
 
-// tellLost says which earlier ensembles lost more disks than may be lost at once: what
-// was on these alone is gone. The lock is held.
+// logLostDecisions logs the earlier ensembles that lost more disks than may fail at once: changes
+// that were on these disks only are lost. The lock is held.
 func (k *Keeper) logLostDecisions(s *shard, assessments map[string]assessment) {
 	for _, e := range s.role.Previous {
 		if e.Epoch >= s.epochState.base && !e.isRecoveryQuorum(k.intactHolders(s, &e, assessments)) {
 			k.settings.Logger.WithField("slice", s.id).WithField("epoch", e.Epoch).WithField("holders", e.holders()).
-				WithField("kept", k.intactHolders(s, &e, assessments)).Error("decisions lost with more disks than may be")
+				WithField("kept", k.intactHolders(s, &e, assessments)).Error("more disks lost than tolerated; committed changes of the epoch may be lost")
 		}
 	}
 }
 
-// collect fetches what the keepers have of a slice, each by the name of its disk. With
-// that, this keeper has all of it.
+// recoverShard fetches the records of a shard from the keepers, given with the names of their
+// disks. After that, this keeper is complete.
 func (k *Keeper) recoverShard(ctx context.Context, s *shard, epoch uint64, from map[string]string) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -159,7 +160,7 @@
 	defer k.mu.Unlock()
 	s.recovering = false
 	if err != nil {
-		k.settings.Logger.WithError(err).WithField("slice", s.id).Warn("decisions of earlier holders not fetched")
+		k.settings.Logger.WithError(err).WithField("slice", s.id).Warn("recovery of the shard failed; retrying")
 		return
 	}
 	if s.role.Epoch != epoch {
@@ -177,8 +178,8 @@
 	k.markComplete(s)
 }
 
-// behind reports that another keeper could take the slice over with less to fetch; the
-// lock is held.
+// isBehind reports whether another keeper could take the shard over with less to fetch; the lock is
+// held.
 func (k *Keeper) isBehind(s *shard, assessments map[string]assessment) bool {
 	for name := range s.role.allHolders() {
 		if o := assessments[name]; name != k.settings.Name && o.live && !o.ineligible && o.epochStates[s.id].base > s.epochState.base {
@@ -188,16 +189,16 @@
 	return false
 }
 
-// primaryGone reports that the slice's primary does not decide and is not about to; the
+// primaryFailed reports whether the shard's primary does not serve it and is not expected to; the
 // lock is held.
 func (k *Keeper) primaryFailed(s *shard, assessments map[string]assessment, now time.Time) bool {
 	o, known := assessments[s.role.Primary]
 	return o.ineligible || !known && now.Sub(k.started) > startupGrace || s.primaryIncomplete(o)
 }
 
-// primaryLost reports that the primary lives and does not have its slice: its disk is
-// lost, or it can't fetch what it lacks. Its last word before a cut says nothing of what
-// it has had since.
+// primaryIncomplete reports whether the primary is live but lacks its shard: its disk was replaced,
+// or it can't fetch what it lacks. The time is measured between statuses of the primary, since its
+// last status before a network partition does not show what it has received since.
 func (s *shard) primaryIncomplete(o assessment) bool {
 	if !o.live || o.isComplete(int(s.id), s.role.Epoch) {
 		s.primaryIncompleteSince = time.Time{}
@@ -217,10 +218,10 @@
 	return o.lastContact.Sub(s.primaryIncompleteSince) > limit
 }
 
-// abandoned reports that the slice can't be had whole from any keepers, and that this one
-// has to go on with what it has: soon where all its holders are heard, else after the time
-// for which the decisions of the silent ones are kept at all. More disks were lost then
-// than may be at once.
+// mustForceRecovery reports whether the shard can't be recovered in full, and this keeper has to
+// continue with the records that are left. If all holders are live, this takes forceRecoveryAfter,
+// and otherwise the time for which the records of the unresponsive holders are retained. More disks
+// were lost then than may fail at once.
 func (k *Keeper) mustForceRecovery(s *shard, assessments map[string]assessment, now time.Time) bool {
 	if s.role.Epoch == 0 || s.persistingState || s.recovering || !k.verified || !k.leadsForcedRecovery(s, assessments) {
 		s.unrecoverableSince = time.Time{}
@@ -239,12 +240,12 @@
 	s.unrecoverableSince = time.Time{}
 	s.forcedEpoch = s.role.Epoch + 1
 	k.settings.Logger.WithField("slice", s.id).WithField("epoch", s.role.Epoch).WithField("base", s.epochState.base).
-		Error("slice lost on more disks than may be, continued with what is left")
+		Error("shard lost on more disks than tolerated; continuing with the records that are left")
 	return true
 }
 
-// allHeard reports that all other holders of the slice are heard, also those of earlier
-// ensembles that may be needed; the lock is held.
+// allHoldersLive reports whether all other holders of the shard are live, including those of
+// earlier ensembles that may be needed; the lock is held.
 func (k *Keeper) allHoldersLive(s *shard, assessments map[string]assessment) bool {
 	for name := range s.role.allHolders() {
 		if name != k.settings.Name && !assessments[name].live {
@@ -254,9 +255,8 @@
 	return true
 }
 
-// firstToAbandon reports that this keeper is a holder and that no other that is heard has
-// more of the slice; of equals the primary goes on, else the one with the lowest name. The
-// lock is held.
+// leadsForcedRecovery reports whether this keeper is a holder and no other live holder has a higher
+// base; among equals the primary leads, or else the keeper with the lowest name. The lock is held.
 func (k *Keeper) leadsForcedRecovery(s *shard, assessments map[string]assessment) bool {
 	holders := s.role.allHolders()
 	for name := range holders {
--- a/internal/history/serve.go
+++ b/internal/history/serve.go
@@ -46,7 +46,7 @@
 	return &historypb.ReserveResponse{Verdict: verdictAfterCommit(ctx, e, historypb.Verdict_DONE), Chain: chain, Replica: replica}, nil
 }
 
-// certain returns the verdict once it is certain that it holds.
+// verdictAfterCommit returns the verdict once the change is committed, and NOT_NOW if that fails.
 func verdictAfterCommit(ctx context.Context, e *pendingCommit, v historypb.Verdict) historypb.Verdict {
 	if !awaitCommit(ctx, e) {
 		return historypb.Verdict_NOT_NOW
@@ -54,11 +54,12 @@
 	return v
 }
 
-// isolated reports that no other keeper has been heard for as long as it takes
-// to replace one; the lock is held. What waited then would wait in vain.
+// isIsolated reports whether there was no contact with any other keeper for suspectTimeout; the
+// lock is held. Changes can't be committed then.
 func (k *Keeper) isIsolated() bool { return k.allUnresponsive(suspectTimeout) }
 
-// allSilent reports that no other keeper has been heard for that long; the lock is held.
+// allUnresponsive reports whether no other keeper was in contact within the timeout; the lock is
+// held.
 func (k *Keeper) allUnresponsive(timeout time.Duration) bool {
 	for _, v := range k.views {
 		if time.Since(v.lastContact) < timeout {
@@ -103,8 +104,8 @@
 	return &historypb.DrawResponse{Verdict: verdictAfterCommit(ctx, e, historypb.Verdict_DONE), Held: held}, nil
 }
 
-// Find implements historypb.Keeper. A turn that is not durable yet was never
-// named to anybody who could ask for it.
+// Find implements historypb.Keeper. It may return a turn that is not durable yet, since no caller
+// knows the id of such a turn.
 func (k *Keeper) Find(ctx context.Context, r *historypb.FindRequest) (*historypb.FindResponse, error) {
 	k.mu.Lock()
 	pending := map[uint32]*pendingCommit{}
@@ -157,8 +158,8 @@
 		}
 	}
 	k.persist(records, func() {
-		// Only what is on the disk may be relied on: after a crash this keeper
-		// must know by itself that it has all of the slice.
+		// Only the state on the disk counts: after a crash this keeper must know from it that it
+		// has all of the shard.
 		for i, s := range completed {
 			s.epochState.merge(epochState{base: epochs[i]})
 		}
@@ -173,10 +174,10 @@
 	}
 }
 
-// accepts reports whether records of a primary may be taken. Those for a disk that is
-// lost are not: the ones before them are lost too. A keeper that lost its disk knows
-// nothing of later epochs, so it first reads the assignment: a primary that was
-// replaced long ago could else win it over.
+// accepts reports whether records of a primary may be accepted. Records for a disk that was
+// replaced are refused, since the records before them are lost. A keeper that lost its disk does
+// not know the latest epoch, so it first reads the assignment; otherwise it could accept records of
+// a primary that was replaced long ago.
 func (k *Keeper) accepts(s *shard, a *historypb.SliceAppend) bool {
 	if !k.verified {
 		notify(k.wakeReader)
@@ -185,7 +186,7 @@
 	return k.sameDisk(a.Disk) && a.Epoch >= s.epochState.promised && a.Epoch >= s.role.Epoch
 }
 
-// sameDisk reports that this keeper has the named disk, or that none is named.
+// sameDisk reports whether this keeper has the named disk, or no disk is named.
 func (k *Keeper) sameDisk(name string) bool { return name == "" || name == k.disk }
 
 func (k *Keeper) refusal(a *historypb.SliceAppend, s *shard) *historypb.SliceMark {
@@ -196,8 +197,7 @@
 	return m
 }
 
-// follow has this keeper refuse lower epochs; the lock is held. What it had in them
-// it still has.
+// promiseEpoch makes this keeper refuse lower epochs; the lock is held. Its records of them remain.
 func (k *Keeper) promiseEpoch(s *shard, epoch uint64) {
 	s.epochState.merge(epochState{promised: epoch})
 	s.abortPending()
@@ -206,8 +206,8 @@
 	}
 }
 
-// Fetch implements historypb.Keeper. The refusal of lower epochs is on the disk before
-// the records are read: what the primary before decides later can't count on this keeper.
+// Fetch implements historypb.Keeper. The promise to refuse lower epochs is on the disk before the
+// records are read, so that this keeper can't acknowledge later changes of the previous primary.
 func (k *Keeper) Fetch(ctx context.Context, r *historypb.FetchRequest) (*historypb.FetchResponse, error) {
 	durable := make(chan struct{})
 	k.mu.Lock()
@@ -239,7 +239,7 @@
 	return k.status(), nil
 }
 
-// status is how this keeper stands; the lock is held.
+// status returns this keeper's status; the lock is held.
 func (k *Keeper) status() *historypb.StatusResponse {
 	response := &historypb.StatusResponse{Name: k.settings.Name, Leaving: k.draining, StalledMs: k.stalledFor().Milliseconds(), Disk: k.disk, Spares: true}
 	for i, s := range k.shards {
@@ -253,7 +253,8 @@
 	return response
 }
 
-// stalled is for how long the disk has not finished a write; the lock is held.
+// stalledFor returns for how long the present disk write has been running; 0 if none is. The lock
+// is held.
 func (k *Keeper) stalledFor() time.Duration {
 	if k.writingSince.IsZero() {
 		return 0
--- a/internal/history/sole_holder.go
+++ b/internal/history/sole_holder.go
@@ -6,20 +6,19 @@
 	"foxhall/internal/history/historypb"
 )
 
-// A slice of which all other holders are lost, with no keeper left to become one,
-// is held by its last keeper alone: else no kept turn is served until one is back.
-// What it then acknowledges is on one disk. That is safe while as many disks as may
-// be lost at once are lost already, and would not be for a keeper that is itself
-// the one cut off: its disk may be lost with what only it has. So a keeper holds
-// slices alone only where witnesses confirm that all others are lost, and only as
-// long.
+// When every other keeper is lost, the last keeper becomes the sole holder of its shards; otherwise
+// no retained turn could be served until another keeper returned. What a sole holder acknowledges
+// is on one disk. This is safe only while as many disks as may fail at once have failed already. It
+// is not safe for a keeper that is itself isolated, since its disk may fail with data that exists
+// nowhere else. A keeper is therefore a sole holder only while witnesses confirm the loss of all
+// others.
 
-// returnTime is how long a keeper that is heard again counts as lost: it takes a
-// change of holders to make it a partner, and its disk is behind until then.
+// rejoinGrace is how long a keeper still counts as lost after contact is restored: it becomes a
+// backup only by a reassignment, and its disk is behind until then.
 const rejoinGrace = 3 * time.Second
 
-// lastKeeper reports that all other keepers are lost, and at least as many as may
-// be lost at once; the lock is held.
+// isLastKeeper reports whether the loss of all other keepers is confirmed and they number at least
+// maxDiskFailures; the lock is held.
 func (k *Keeper) isLastKeeper(now time.Time) bool {
 	others := k.otherKeepers()
 	for _, name := range others {
@@ -30,7 +29,7 @@
 	return len(others) >= k.maxDiskFailures()
 }
 
-// others returns the names of the other keepers.
+// otherKeepers returns the names of the other registered keepers.
 func (k *Keeper) otherKeepers() []string {
 	var names []string
 	for _, c := range k.settings.Keepers() {
@@ -41,22 +40,22 @@
 	return names
 }
 
-// alone reports that this keeper holds the slice with no partner.
+// isSoleHolder reports whether this keeper is the primary of the shard without any backup.
 func (k *Keeper) isSoleHolder(s *shard) bool {
 	return s.role.Primary == k.settings.Name && len(s.role.Backups) == 0
 }
 
-// justBack reports that the keeper is heard again and counts as lost for now.
+// recentlyReturned reports whether contact with the keeper was restored less than rejoinGrace ago.
 func (v *peerView) recentlyReturned(now time.Time) bool {
 	return now.Sub(v.lastContact) < suspectTimeout && now.Sub(v.loss.contactSince) < rejoinGrace
 }
 
-// serves returns whether this keeper may acknowledge something in a slice that it
-// decides for, by DONE, or how the caller is to be turned away; the lock is held.
+// servingVerdict returns DONE if this keeper may acknowledge changes to a shard of which it is the
+// primary, and otherwise the verdict that the caller gets; the lock is held.
 //
-// A keeper that holds a slice alone may have been cut off since, and its disk be
-// the next to go while the others are whole again and know nothing of what it
-// acknowledges. So it does so only while each other keeper is lost or just back.
+// A sole holder may have been isolated since it became one, and its disk may fail while the other
+// keepers have recovered without what it acknowledged. It therefore acknowledges only while each
+// other keeper is confirmed lost or recently returned.
 func (k *Keeper) servingVerdict(s *shard, now time.Time) historypb.Verdict {
 	if !k.isSoleHolder(s) {
 		if k.isIsolated() {
@@ -72,8 +71,8 @@
 	return historypb.Verdict_DONE
 }
 
-// unsure turns a caller away from a slice held alone: for a moment while others
-// may still turn out to be lost, for good where this keeper is the one cut off.
+// soleHolderRefusal returns the verdict for a caller that a sole holder can't serve: NOT_NOW while
+// the loss of the others may still be confirmed, ISOLATED where this keeper is the isolated one.
 func (k *Keeper) soleHolderRefusal(now time.Time) historypb.Verdict {
 	if now.Sub(k.started) < startupGrace || !k.isIsolated() {
 		return historypb.Verdict_NOT_NOW
--- a/internal/history/state.go
+++ b/internal/history/state.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// keepMargin is how much longer than asked turns and accounts are kept: the
-	// clocks of instances differ, and may step by seconds.
+	// retentionMargin is added to the retention of turns and accounts, because the clocks of
+	// instances differ and may step by seconds.
 	retentionMargin = 20 * time.Second
-	// settledMost bounds the settled turns that an account remembers. A repeat
-	// comes within seconds, in which a program ends a few turns.
+	// maxSettledTurns bounds the settled turns that an account lists to detect repeated
+	// settlements. A repeat arrives within seconds, in which a program settles a few turns.
 	maxSettledTurns = 16
 )
 
-// state is what is kept of one slice. Its rules are pure: they change the
-// state and return the records that make the change durable.
+// state is the replicated state of one shard. Its methods do no I/O: they change the state and
+// return the records that make the change durable.
 type state struct {
-	// accounts and turns are found by customer and id, see keyOf.
+	// accounts and turns are keyed by customer and id, see recordKey.
 	accounts map[string]*historypb.Account
 	turns    map[string]*retainedTurn
-	// epoch is that in which this keeper decides, or did last.
+	// primaryEpoch is the latest epoch in which this keeper is or was the primary.
 	primaryEpoch uint64
-	// starts counts the starts of keepers on this disk.
+	// diskStarts counts the starts of the keeper on this disk.
 	diskStarts uint64
 }
 
@@ -45,7 +45,7 @@
 			return historypb.Verdict_DONE, old
 		}
 		if slices.Contains(old.Settled, r.Turn) {
-			// The caller has given the turn up; this request was late.
+			// The caller has released the turn already; this request arrived late.
 			return historypb.Verdict_NOT_NOW, nil
 		}
 		if r.Budget > 0 && old.Spent+reservedTokens(old)+r.Most > r.Budget {
@@ -61,9 +61,9 @@
 	return historypb.Verdict_DONE, next
 }
 
-// draw takes in what an entry made of its allowance and adds to the allowance
-// while the program has used less than half of its budget: the other half stays
-// for turns at other entries, which can't see what this one does not use.
+// draw records the output tokens that an entry used of its allowance, and extends the allowance as
+// long as spent and reserved tokens stay within half of the budget. The other half remains for
+// turns at other entries, which can't use the unused part of this allowance.
 func (s *state) draw(r *historypb.DrawRequest, now time.Time) (held int64, next *historypb.Account) {
 	next = s.nextAccountVersion(s.account(r.Customer, r.Program), r.Customer, r.Program)
 	i := slices.IndexFunc(next.Open, func(o *historypb.OpenTurn) bool { return o.Id == r.Allowance })
@@ -85,15 +85,15 @@
 		next.Replica = r.Replica
 	}
 	s.putAccount(next)
-	// An older request, come late, tells less than is known: what may be made
-	// beyond it includes what was made meanwhile.
+	// A request that arrives late reports fewer output tokens than are known. The result is
+	// relative to the request, so it includes the tokens used since.
 	return a.Most + a.Made - r.Made, next
 }
 
-// settle closes a turn and counts what it made. A turn that is not open may
-// have been opened by a primary whose record was lost; it counts all the same.
-// A repeat changes nothing, but returns its records again: a partner may lack
-// what this keeper has on its disk since before it was killed.
+// settle closes a turn and adds its output tokens to the account. A turn that is not open is
+// counted too, since it may have been opened by a primary whose record was lost. A repeat changes
+// nothing but returns the records again: a backup may lack records that this keeper wrote to its
+// disk before it was killed.
 func (s *state) settle(r *historypb.SettleRequest, now time.Time) []*historypb.Record {
 	var records []*historypb.Record
 	account := s.account(r.Customer, r.Program)
@@ -122,13 +122,13 @@
 	return records
 }
 
-// keep keeps a turn, and returns the record of what is kept under its id.
+// retain adds a turn, and returns the record of the turn that is retained under its id.
 func (s *state) retain(shardID uint32, t *historypb.Turn) *historypb.Record {
 	s.addTurn(t)
 	return turnRecord(shardID, s.turns[recordKey(t.Customer, t.Id)].turn)
 }
 
-// addTurn keeps a turn, and the chain before it as long as itself.
+// addTurn retains a turn, and the chain before it at least as long as the turn itself.
 func (s *state) addTurn(t *historypb.Turn) {
 	key := recordKey(t.Customer, t.Id)
 	if s.turns[key] == nil {
@@ -140,8 +140,8 @@
 	}
 }
 
-// chain returns the customer's turns up to and with the named one, the oldest first;
-// false if any of them is not here.
+// chain returns the customer's turns up to and including the named one, the oldest first; false if
+// any of them is missing.
 func (s *state) chain(customer *string, id string) ([]*historypb.Turn, bool) {
 	var chain []*historypb.Turn
 	for id != "" {
@@ -156,8 +156,8 @@
 	return chain, true
 }
 
-// replica returns the engine that most likely has a turn's prompt cached: the
-// one that ran the turn before, or else the program's last.
+// preferredReplica returns the engine that most likely has a turn's prompt cached: the one that ran
+// the previous turn, or else the program's last turn.
 func (s *state) preferredReplica(customer *string, program string, chain []*historypb.Turn) string {
 	if n := len(chain); n > 0 && chain[n-1].Replica != "" {
 		return chain[n-1].Replica
@@ -168,9 +168,8 @@
 	return ""
 }
 
-// apply takes in a record of a primary, and reports whether it was news. Records may
-// come twice and out of order: turns never change, and of an account the higher version
-// counts.
+// apply applies a record of a primary, and reports whether it changed the state. Records may arrive
+// twice and out of order: turns never change, and the highest version of an account wins.
 func (s *state) apply(r *historypb.Record) bool {
 	switch b := r.Body.(type) {
 	case *historypb.Record_Turn:
@@ -186,7 +185,7 @@
 	return false
 }
 
-// expire forgets what need not be kept any longer.
+// expire removes the turns and accounts whose retention has passed.
 func (s *state) expire(now time.Time) {
 	at := now.UnixMilli()
 	for key, k := range s.turns {
@@ -201,10 +200,10 @@
 	}
 }
 
-// defaultRetention is how long an account is kept whose turns name no time.
+// defaultRetention is the minimum retention of an account.
 const defaultRetention = time.Minute
 
-// records returns all of the slice.
+// records returns all records of the shard.
 func (s *state) records(shardID uint32) []*historypb.Record {
 	records := make([]*historypb.Record, 0, len(s.turns)+len(s.accounts))
 	for _, a := range s.accounts {
@@ -223,17 +222,18 @@
 	startShift = 12
 )
 
-// copyAccount returns an account to be changed, in a version of its own. A version of
-// a later epoch is always higher: the primary before may have left one on a disk that
-// was never acknowledged, and would pass for the newer there. The same holds for what
-// this keeper sent its partners before it was killed, and has not on its own disk.
+// nextAccountVersion returns a copy of an account, to be changed, with a new version. Versions of a
+// later epoch are always higher. Otherwise an uncommitted version that the previous primary left on
+// some disk could be taken for the newer one. Versions also grow with each start of the keeper,
+// because it may have sent versions to its backups that were not on its own disk when it was
+// killed.
 func (s *state) nextAccountVersion(old *historypb.Account, customer *string, program string) *historypb.Account {
 	first := s.primaryEpoch<<epochShift + s.diskStarts<<startShift
 	if old == nil {
 		return &historypb.Account{Program: program, Customer: customer, Version: first + 1}
 	}
 	if customer == nil {
-		// The request is an older version's, which knows no customers.
+		// The request is from an entry of an older version, which sends no customer.
 		customer = old.Customer
 	}
 	return &historypb.Account{
--- a/internal/history/state_transfer.go
+++ b/internal/history/state_transfer.go
@@ -8,8 +8,8 @@
 	"foxhall/internal/history/historypb"
 )
 
-// fillIfNeeded has a partner that is not known to have all of the slice be sent it, or
-// be told so where each part is on its way already; the lock is held.
+// transferIfNeeded starts a state transfer to a backup that is not known to be complete, or
+// declares the backup complete if all records were sent already; the lock is held.
 func (k *Keeper) transferIfNeeded(ctx context.Context, s *shard, name string, backup assessment) {
 	l := s.streamTo(name)
 	known := backup.isComplete(int(s.id), s.role.Epoch)
@@ -29,7 +29,7 @@
 	go k.runTransfer(ctx, f)
 }
 
-// filling is the sending of a whole slice to one partner's disk.
+// transfer is a state transfer of a shard to one backup's disk.
 type transfer struct {
 	shard  *shard
 	stream *backupStream
@@ -38,8 +38,8 @@
 	disk   string
 }
 
-// fill sends the records that the partner lacks in parts, the last with the word that they
-// are all. What changes meanwhile goes to the partner as it happens.
+// runTransfer sends the records that the backup lacks in parts; the last part declares the backup
+// complete. Changes made meanwhile reach the backup through its stream.
 func (k *Keeper) runTransfer(ctx context.Context, f *transfer) {
 	defer func() {
 		k.mu.Lock()
@@ -73,14 +73,14 @@
 	k.recordBackupComplete(f.backup, f.shard.id, f.epoch)
 }
 
-// listOf returns what the partner's disk has; nothing where it does not say, as those of
-// older versions.
+// fetchInventory returns the inventory of the backup's disk; nil if the backup does not provide
+// one, as in older versions.
 func (k *Keeper) fetchInventory(ctx context.Context, f *transfer) *historypb.Inventory {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	response, err := k.peers.List(ctx, f.backup, &historypb.ListRequest{Slice: f.shard.id})
 	if err != nil {
-		k.settings.Logger.WithError(err).WithField("partner", f.backup).WithField("slice", f.shard.id).Debug("slice not listed, sent whole")
+		k.settings.Logger.WithError(err).WithField("partner", f.backup).WithField("slice", f.shard.id).Debug("inventory of backup not available; transferring the whole shard")
 		return nil
 	}
 	if response.Disk != f.disk {
@@ -95,7 +95,7 @@
 	r := &historypb.AppendRequest{From: k.settings.Name, Slices: []*historypb.SliceAppend{part}}
 	response, err := k.peers.Append(ctx, f.backup, r)
 	if err != nil {
-		k.settings.Logger.WithError(err).WithField("partner", f.backup).WithField("slice", part.Slice).Debug("slice not sent")
+		k.settings.Logger.WithError(err).WithField("partner", f.backup).WithField("slice", part.Slice).Debug("state transfer to backup failed")
 		return false
 	}
 	k.mu.Lock()
--- a/internal/history/witness.go
+++ b/internal/history/witness.go
@@ -6,50 +6,49 @@
 	"time"
 )
 
-// A keeper that hears another no longer can't tell whether that one is lost, or the
-// way between them, or whether it is itself cut off; and the store, which may be in
-// reach of both sides of a cut, does not tell either. Entries do: which of them
-// answer shows on which side this keeper is, and what they hear whether the other
-// is lost.
+// A keeper without contact to another can't distinguish the loss of that keeper from a network
+// partition between the two or its own isolation. The store can't help, since both sides of a
+// partition may reach it. Entries serve as witnesses: which of them respond shows on which side of
+// a partition this keeper is, and whether they have contact shows whether the other keeper is lost.
 
 const (
-	// doubtAfter is how long a keeper may be silent before entries are asked about
-	// it, so that they have answered by the time at which it would be replaced:
-	// one of its answers is late then.
+	// suspicionDelay is how long a keeper may be unresponsive before entries are asked about it, so
+	// that they have responded by the time it would be replaced. One of its statuses is late by
+	// then.
 	suspicionDelay = 200 * time.Millisecond
-	// doubtEvery is how often they are asked.
+	// witnessInterval is the time between such queries.
 	witnessInterval = 100 * time.Millisecond
-	// reachGap is the longest time between two answers of entries that show that
-	// this keeper has reached them all the while, and reachSpan how long it must
-	// have: a keeper that is there is heard in it.
+	// maxContactGap is the longest time between two responses of entries that count as continuous
+	// contact. minContactSpan is how long the contact must have lasted, which is long enough to
+	// receive the status of a running keeper.
 	maxContactGap  = 300 * time.Millisecond
 	minContactSpan = 200 * time.Millisecond
-	// wordLife is how long the word of witnesses counts. They are asked again as
-	// often as the keepers, and some rounds may go amiss.
+	// witnessValidity is how long a confirmation by witnesses is valid. It spans several witness
+	// queries, since some may fail.
 	witnessValidity = time.Second
 )
 
-// Witness is what an entry says of a keeper.
+// Witness is an entry's report on its contact with a keeper.
 type Witness struct {
 	DataCentre  string
 	HearsKeeper bool
 }
 
-// loss is what is known of a keeper's loss.
+// lossEvidence is the evidence of a keeper's loss.
 type lossEvidence struct {
-	// confirmed is when witnesses confirmed it last.
+	// confirmedAt is when witnesses last confirmed the loss.
 	confirmedAt time.Time
-	// heardSince is since when the keeper is heard again, with no gap in which it
-	// would have been replaced.
+	// contactSince is when the present contact with the keeper began, with no gap in which it would
+	// have been replaced.
 	contactSince time.Time
 }
 
-// holds reports that the keeper is lost by a word that is not out of date.
+// isCurrent reports whether witnesses confirmed the loss within witnessValidity.
 func (l *lossEvidence) isCurrent(now time.Time) bool {
 	return now.Sub(l.confirmedAt) <= witnessValidity
 }
 
-// noteHeard takes in that a keeper answered; the lock is held.
+// recordContact records contact with a keeper; the lock is held.
 func (v *peerView) recordContact(now time.Time) {
 	if v.status == nil || v.unresponsive(now) {
 		v.loss.contactSince = now
@@ -57,7 +56,7 @@
 	v.lastContact, v.loss.confirmedAt = now, time.Time{}
 }
 
-// runWitnesses asks entries about keepers that are silent.
+// runWitnesses asks entries about unresponsive keepers.
 func (k *Keeper) runWitnesses(ctx context.Context) {
 	ticker := time.NewTicker(witnessInterval)
 	defer ticker.Stop()
@@ -74,11 +73,10 @@
 	}
 }
 
-// doubted returns the keepers that were not heard for a while and that entries are
-// to be asked about: those that hold slices, and all of them where this keeper may
-// be the last. One that was replaced for good stays registered for long, and to ask
-// about it all that time would cost each keeper a call to most entries ten times a
-// second.
+// suspectedKeepers returns the unresponsive keepers about which entries are asked: those that hold
+// shards, and all of them if this keeper may be the last one. Keepers that were replaced for good
+// are left out: they stay registered for long, and asking about them would cost each keeper a call
+// to most entries ten times a second.
 func (k *Keeper) suspectedKeepers() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -106,7 +104,7 @@
 	if unheard && reachable > halfOfDataCentres && now.Sub(v.lastContact) > suspicionDelay {
 		if !v.loss.isCurrent(now) {
 			k.settings.Logger.WithField("keeper", name).WithField("silent_ms", now.Sub(v.lastContact).Milliseconds()).
-				WithField("witnesses", len(witnesses)).Info("keeper lost by the word of entries")
+				WithField("witnesses", len(witnesses)).Info("loss of keeper confirmed by witnesses")
 		}
 		v.loss.confirmedAt = now
 	}
@@ -122,12 +120,12 @@
 	return false
 }
 
-// half of the data centres are on each side where two lose each other: none of
-// the sides is the smaller one.
+// halfOfDataCentres is the reachable share on each side of a partition between two data centres,
+// where neither side is the minority.
 const halfOfDataCentres = 0.5
 
-// shareOf returns the share of data centres that this keeper reaches: its own and
-// those of which an entry answered; 0 where none did.
+// reachableShare returns the share of data centres that this keeper reaches: its own and those with
+// an entry that responded; 0 if none responded.
 func (k *Keeper) reachableShare(witnesses []Witness) float64 {
 	if len(witnesses) == 0 {
 		return 0
@@ -139,10 +137,10 @@
 	return float64(len(reached)) / float64(max(1, k.settings.DataCentres))
 }
 
-// reach is over which time entries of at least half of the data centres answered.
+// contactPeriod is the period over which entries of at least half of the data centres responded.
 type contactPeriod struct{ since, last time.Time }
 
-// note takes in that they did.
+// record extends the period by a response at now, or begins a new one after a gap.
 func (r *contactPeriod) record(now time.Time) {
 	if now.Sub(r.last) > maxContactGap {
 		r.since = now
@@ -150,12 +148,11 @@
 	r.last = now
 }
 
-// holds reports that this keeper is not on the smaller side of a cut, and has not
-// been for long enough to hear the others again if they are there. Otherwise it
-// must not replace those that it does not hear: beside keepers that are cut off
-// with it, it would take slices from the side that callers are sent to, and keep
-// turns on disks that may be lost together; and after the cut it would replace
-// those that it has not asked yet.
+// isEstablished reports whether this keeper is not in the minority of a network partition, and has
+// not been for long enough to receive the statuses of running keepers. Otherwise it must not
+// replace unresponsive keepers. In a minority, it would take shards from the side to which callers
+// are routed, and store turns on disks that may be lost together. Just after a partition, it would
+// replace keepers that it has not asked yet.
 func (r *contactPeriod) isEstablished(now time.Time) bool {
 	return now.Sub(r.last) <= maxContactGap && r.last.Sub(r.since) >= minContactSpan
 }
