--- a/internal/history/recover.go
+++ b/internal/history/recover.go
@@ -55,11 +55,11 @@
 // allIntactReachable reports whether the live intact holders are the only ones left of an ensemble:
 // the disks of all others were replaced. The lock is held.
 func (k *Keeper) allIntactReachable(s *shard, e *Ensemble, assessments map[string]assessment) bool {
-	kept := k.intactHolders(s, e, assessments)
+	intact := k.intactHolders(s, e, assessments)
 	for _, name := range e.holders() {
 		o := assessments[name]
 		replaced := o.live && e.diskOf(name) != "" && o.disk != e.diskOf(name) || name == k.settings.Name
-		if !slices.Contains(kept, name) && !replaced {
+		if !slices.Contains(intact, name) && !replaced {
 			return false
 		}
 	}
@@ -79,20 +79,20 @@
 		if e.Epoch < s.epochState.base {
 			continue
 		}
-		var has []string
+		var intact []string
 		if e.isIntact(k.settings.Name, k.disk, s.epochState.base) {
-			has = append(has, k.settings.Name)
+			intact = append(intact, k.settings.Name)
 		}
 		for _, name := range k.intactHolders(s, &e, assessments) {
-			if e.isRecoveryQuorum(has) && !forced {
+			if e.isRecoveryQuorum(intact) && !forced {
 				break
 			}
 			if name != k.settings.Name {
-				has = append(has, name)
+				intact = append(intact, name)
 				from[name] = e.diskOf(name)
 			}
 		}
-		if !e.isRecoveryQuorum(has) && !forced && !k.allIntactReachable(s, &e, assessments) {
+		if !e.isRecoveryQuorum(intact) && !forced && !k.allIntactReachable(s, &e, assessments) {
 			return nil, false
 		}
 	}
