--- a/internal/history/allowance.go
+++ b/internal/history/allowance.go
@@ -29,9 +29,9 @@
 //
 // An allowance covers turns of a program that need not be retained. Such turns do not wait for the
 // keepers, and run even while the keepers are unreachable: an entry in an isolated data centre
-// continues on its allowances. The budget is never exceeded, since the keepers count an allowance
-// as spent until the entry reports its use. If an entry is lost, its unused allowances are lost to
-// the programs.
+// continues on its allowances. The budget holds, since the keepers count an allowance as spent
+// until the entry reports otherwise. If an entry is lost, its unused allowances are lost to the
+// programs.
 type allowances struct {
 	// incarnation distinguishes this process's allowances from those of earlier ones.
 	incarnation string
