--- a/internal/history/customer.go
+++ b/internal/history/customer.go
@@ -2,34 +2,35 @@
 
 import "foxhall/internal/history/historypb"
 
-// customerMark ends a customer's name in a key. No id contains it: ids come from headers.
-const customerMark = "\x00"
+// customerSeparator ends a customer's name in a key. No id contains it, since ids come from
+// headers.
+const customerSeparator = "\x00"
 
-// keyOf returns the key of a program or turn of the customer. Without a customer it is the
-// bare id, as in what older versions kept.
-func keyOf(customer *string, id string) string {
+// recordKey returns the key of a program or turn of the customer. Without a customer it is the bare
+// id, as in records of older versions.
+func recordKey(customer *string, id string) string {
 	if customer == nil || *customer == "" {
 		return id
 	}
-	return *customer + customerMark + id
+	return *customer + customerSeparator + id
 }
 
-// ownedBy reports whether a turn may be continued by the customer. Turns that older versions
-// kept name none; whoever names such a turn may continue it, as before the upgrade.
+// ownedBy reports whether the customer may continue a turn. Turns of older versions name no
+// customer, so that any customer who names such a turn may continue it.
 func ownedBy(t *historypb.Turn, customer *string) bool {
 	return t.Customer == nil || customer == nil || *t.Customer == *customer
 }
 
-// turn returns the customer's kept turn, or nil.
-func (s *state) turn(customer *string, id string) *keptTurn {
+// turn returns the customer's retained turn, or nil.
+func (s *state) turn(customer *string, id string) *retainedTurn {
 	if id == "" {
 		return nil
 	}
-	if k := s.turns[keyOf(customer, id)]; k != nil && ownedBy(k.turn, customer) {
+	if k := s.turns[recordKey(customer, id)]; k != nil && ownedBy(k.turn, customer) {
 		return k
 	}
 	if customer == nil {
-		return s.anyTurn(id)
+		return s.turnByID(id)
 	}
 	if k := s.turns[id]; k != nil && k.turn.Customer == nil {
 		return k
@@ -37,8 +38,8 @@
 	return nil
 }
 
-// anyTurn finds a turn for an entry of an older version, which names no customer.
-func (s *state) anyTurn(id string) *keptTurn {
+// turnByID finds a turn for an entry of an older version, which names no customer.
+func (s *state) turnByID(id string) *retainedTurn {
 	for _, k := range s.turns {
 		if k.turn.Id == id {
 			return k
@@ -47,13 +48,13 @@
 	return nil
 }
 
-// account returns the token account of the customer's program, or nil. One that an older
-// version kept is carried over to the first customer that goes on with the program.
+// account returns the token account of the customer's program, or nil. An account of an older
+// version goes to the first customer that continues the program.
 func (s *state) account(customer *string, program string) *historypb.Account {
 	if customer == nil {
 		return s.newestAccount(program)
 	}
-	if a := s.accounts[keyOf(customer, program)]; a != nil {
+	if a := s.accounts[recordKey(customer, program)]; a != nil {
 		return a
 	}
 	if a := s.accounts[program]; a != nil && a.Customer == nil {
@@ -73,4 +74,4 @@
 	return newest
 }
 
-func (s *state) put(a *historypb.Account) { s.accounts[keyOf(a.Customer, a.Program)] = a }
+func (s *state) putAccount(a *historypb.Account) { s.accounts[recordKey(a.Customer, a.Program)] = a }
--- a/internal/history/fill.go
+++ b/internal/history/fill.go
@@ -8,56 +8,56 @@
 	"foxhall/internal/history/historypb"
 )
 
-// fillIfNeeded has a partner that is not known to have all of the slice be sent it, or
-// be told so where each part is on its way already; the lock is held.
-func (k *Keeper) fillIfNeeded(ctx context.Context, s *shard, name string, partner opinion) {
-	l := s.link(name)
-	known := partner.has(int(s.number), s.role.Epoch)
-	if l.filling || !partner.heard || l.filled && known || l.disk != "" && l.disk != partner.disk {
+// transferIfNeeded starts a state transfer to a backup that is not known to be complete, or
+// declares the backup complete if all records were sent already; the lock is held.
+func (k *Keeper) transferIfNeeded(ctx context.Context, s *shard, name string, backup assessment) {
+	l := s.streamTo(name)
+	known := backup.isComplete(int(s.id), s.role.Epoch)
+	if l.transferring || !backup.live || l.transferred && known || l.disk != "" && l.disk != backup.disk {
 		return
 	}
-	if l.filled {
-		if !l.declare {
-			l.declare = true
+	if l.transferred {
+		if !l.declareComplete {
+			l.declareComplete = true
 			k.wakeSender(name)
 		}
 		return
 	}
-	l.filling = true
+	l.transferring = true
 	l.overflowed = false
-	f := &filling{slice: s, link: l, epoch: s.role.Epoch, partner: name, disk: partner.disk}
-	go k.fill(ctx, f)
+	f := &transfer{shard: s, stream: l, epoch: s.role.Epoch, backup: name, disk: backup.disk}
+	go k.runTransfer(ctx, f)
 }
 
-// filling is the sending of a whole slice to one partner's disk.
-type filling struct {
-	slice   *shard
-	link    *link
-	epoch   uint64
-	partner string
-	disk    string
+// transfer is a state transfer of a shard to one backup's disk.
+type transfer struct {
+	shard  *shard
+	stream *backupStream
+	epoch  uint64
+	backup string
+	disk   string
 }
 
-// fill sends the records that the partner lacks in parts, the last with the word that they
-// are all. What changes meanwhile goes to the partner as it happens.
-func (k *Keeper) fill(ctx context.Context, f *filling) {
+// runTransfer sends the records that the backup lacks in parts; the last part declares the backup
+// complete. Changes made meanwhile reach the backup through its stream.
+func (k *Keeper) runTransfer(ctx context.Context, f *transfer) {
 	defer func() {
 		k.mu.Lock()
-		f.link.filling = false
+		f.stream.transferring = false
 		k.mu.Unlock()
 	}()
-	have := k.listOf(ctx, f)
+	have := k.fetchInventory(ctx, f)
 	k.mu.Lock()
-	records := f.slice.state.lacking(f.slice.number, have)
+	records := f.shard.state.recordsMissingFrom(f.shard.id, have)
 	k.mu.Unlock()
 	for {
 		n, size := 0, 0
-		for n < len(records) && size < fillBytes {
+		for n < len(records) && size < transferPartSize {
 			size += proto.Size(records[n])
 			n++
 		}
 		part := &historypb.SliceAppend{
-			Slice: f.slice.number, Epoch: f.epoch, Disk: f.disk, Records: records[:n], Complete: n == len(records),
+			Slice: f.shard.id, Epoch: f.epoch, Disk: f.disk, Records: records[:n], Complete: n == len(records),
 		}
 		if !k.sendPart(ctx, f, part) {
 			return
@@ -69,18 +69,18 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	f.link.filled = f.slice.links[f.partner] == f.link && !f.link.overflowed
-	k.noteWhole(f.partner, f.slice.number, f.epoch)
+	f.stream.transferred = f.shard.streams[f.backup] == f.stream && !f.stream.overflowed
+	k.recordBackupComplete(f.backup, f.shard.id, f.epoch)
 }
 
-// listOf returns what the partner's disk has; nothing where it does not say, as those of
-// older versions.
-func (k *Keeper) listOf(ctx context.Context, f *filling) *historypb.Inventory {
-	ctx, cancel := context.WithTimeout(ctx, opTime)
+// fetchInventory returns the inventory of the backup's disk; nil if the backup does not provide
+// one, as in older versions.
+func (k *Keeper) fetchInventory(ctx context.Context, f *transfer) *historypb.Inventory {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	response, err := k.peers.List(ctx, f.partner, &historypb.ListRequest{Slice: f.slice.number})
+	response, err := k.peers.List(ctx, f.backup, &historypb.ListRequest{Slice: f.shard.id})
 	if err != nil {
-		k.settings.Logger.WithError(err).WithField("partner", f.partner).WithField("slice", f.slice.number).Debug("slice not listed, sent whole")
+		k.settings.Logger.WithError(err).WithField("partner", f.backup).WithField("slice", f.shard.id).Debug("inventory of backup not available; transferring the whole shard")
 		return nil
 	}
 	if response.Disk != f.disk {
@@ -89,16 +89,16 @@
 	return response.Have
 }
 
-func (k *Keeper) sendPart(ctx context.Context, f *filling, part *historypb.SliceAppend) bool {
-	ctx, cancel := context.WithTimeout(ctx, opTime)
+func (k *Keeper) sendPart(ctx context.Context, f *transfer, part *historypb.SliceAppend) bool {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	r := &historypb.AppendRequest{From: k.settings.Name, Slices: []*historypb.SliceAppend{part}}
-	response, err := k.peers.Append(ctx, f.partner, r)
+	response, err := k.peers.Append(ctx, f.backup, r)
 	if err != nil {
-		k.settings.Logger.WithError(err).WithField("partner", f.partner).WithField("slice", part.Slice).Debug("slice not sent")
+		k.settings.Logger.WithError(err).WithField("partner", f.backup).WithField("slice", part.Slice).Debug("state transfer to backup failed")
 		return false
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return len(k.noteRefused(response)) == 0
+	return len(k.handleRefusals(response)) == 0
 }
--- a/internal/history/inventory.go
+++ b/internal/history/inventory.go
@@ -8,8 +8,8 @@
 	"foxhall/internal/history/historypb"
 )
 
-// inventory lists what is here of the slice. Keepers of a slice have nearly the same, and
-// all of it would take seconds on their links.
+// inventory lists the records of the shard that this keeper has. Holders of a shard have nearly the
+// same records, and transferring all of them would take seconds.
 func (s *state) inventory() *historypb.Inventory {
 	have := &historypb.Inventory{}
 	for key := range s.turns {
@@ -22,8 +22,8 @@
 	return have
 }
 
-// lacking returns the records that one with the inventory does not have; all for none.
-func (s *state) lacking(slice uint32, have *historypb.Inventory) []*historypb.Record {
+// recordsMissingFrom returns the records that the inventory does not list; all of them for nil.
+func (s *state) recordsMissingFrom(shardID uint32, have *historypb.Inventory) []*historypb.Record {
 	turns, versions := map[uint64]bool{}, map[uint64]uint64{}
 	for _, hash := range have.GetTurns() {
 		turns[hash] = true
@@ -36,23 +36,23 @@
 	var records []*historypb.Record
 	for key, a := range s.accounts {
 		if versions[xxhash.Sum64String(key)] < a.Version {
-			records = append(records, accountRecord(slice, a))
+			records = append(records, accountRecord(shardID, a))
 		}
 	}
 	for key, kept := range s.turns {
 		if !turns[xxhash.Sum64String(key)] {
-			records = append(records, turnRecord(slice, kept.turn))
+			records = append(records, turnRecord(shardID, kept.turn))
 		}
 	}
 	return records
 }
 
-// List implements historypb.Keeper. What it lists is on the disk when it answers, and not
-// lost with the power.
+// List implements historypb.Keeper. All listed records are durable when it responds, so that a
+// power failure does not lose them.
 func (k *Keeper) List(ctx context.Context, r *historypb.ListRequest) (*historypb.ListResponse, error) {
 	durable := make(chan struct{})
 	k.mu.Lock()
-	s := k.sliceFor(r.Slice)
+	s := k.shardByID(r.Slice)
 	if s == nil {
 		defer k.mu.Unlock()
 		return &historypb.ListResponse{}, nil
--- a/internal/history/opinion.go
+++ b/internal/history/opinion.go
@@ -6,61 +6,64 @@
 	"foxhall/internal/history/historypb"
 )
 
-// view is what is known of another keeper.
-type view struct {
-	heard  time.Time
-	status *historypb.StatusResponse
-	// refused counts the refused connections since it was heard.
-	refused int
-	loss    loss
+// peerView is the last known state of another keeper.
+type peerView struct {
+	lastContact time.Time
+	status      *historypb.StatusResponse
+	// refusedConnections counts the refused connections since the last contact.
+	refusedConnections int
+	loss               lossEvidence
 }
 
-// opinion is what a decision about roles needs of another keeper.
-type opinion struct {
-	// out says that it should hold nothing: it is silent, stalled or leaving.
-	out bool
-	// heard says that its marks are known.
-	heard bool
-	// at is when they were told.
-	at    time.Time
-	marks [ShardCount]mark
-	// disk names its disk.
+// assessment is what decisions about shard roles need to know about another keeper.
+type assessment struct {
+	// ineligible means that the keeper should hold no shards: it is unresponsive, stalled or
+	// draining.
+	ineligible bool
+	// live means that the keeper is responsive and its epoch states are known.
+	live bool
+	// lastContact is when the epoch states were received.
+	lastContact time.Time
+	epochStates [ShardCount]epochState
+	// disk is the name of its disk.
 	disk string
-	// spares says that it knows decisions that are not on all disks of a slice.
-	spares bool
+	// supportsOptionalBackups means that its version handles commits that are not on the disks of
+	// all holders.
+	supportsOptionalBackups bool
 }
 
-// silent reports that the keeper was not heard for as long as a pause may last.
-func (v *view) silent(now time.Time) bool {
-	since := now.Sub(v.heard)
-	return since > suspectAfter || since > confirmedAfter && v.loss.holds(now)
+// unresponsive reports whether the keeper has sent nothing for longer than a process pause may
+// last; the time is shorter where witnesses confirm the loss.
+func (v *peerView) unresponsive(now time.Time) bool {
+	since := now.Sub(v.lastContact)
+	return since > suspectTimeout || since > confirmedSuspectTimeout && v.loss.isCurrent(now)
 }
 
-// opinions judges the other keepers; the lock is held.
-func (k *Keeper) opinions(now time.Time) map[string]opinion {
-	opinions := map[string]opinion{}
+// assessPeers assesses the other keepers; the lock is held.
+func (k *Keeper) assessPeers(now time.Time) map[string]assessment {
+	assessments := map[string]assessment{}
 	for name, v := range k.views {
-		o := opinion{}
-		booted := now.Sub(k.started) > bootTime
-		gone := v.refused >= refusedMost && booted
-		silent := gone || v.silent(now) && booted
-		o.out = gone || silent && k.reach.holds(now) || k.settings.Retiring(name)
+		o := assessment{}
+		booted := now.Sub(k.started) > startupGrace
+		refusing := v.refusedConnections >= minRefusedConnections && booted
+		unresponsive := refusing || v.unresponsive(now) && booted
+		o.ineligible = refusing || unresponsive && k.quorumContact.isEstablished(now) || k.settings.Retiring(name)
 		if v.status != nil {
-			o.heard, o.at = !silent, v.heard
-			o.disk, o.spares = v.status.Disk, v.status.Spares
-			o.out = o.out || v.status.Leaving || v.status.StalledMs > stalledAfter.Milliseconds()
+			o.live, o.lastContact = !unresponsive, v.lastContact
+			o.disk, o.supportsOptionalBackups = v.status.Disk, v.status.Spares
+			o.ineligible = o.ineligible || v.status.Leaving || v.status.StalledMs > diskStallTimeout.Milliseconds()
 			for _, m := range v.status.Slices {
 				if m.Slice < ShardCount {
-					o.marks[m.Slice] = markOf(m)
+					o.epochStates[m.Slice] = decodeEpochState(m)
 				}
 			}
 		}
-		opinions[name] = o
+		assessments[name] = o
 	}
-	return opinions
+	return assessments
 }
 
-// has reports that the keeper is known to have all of a slice in the epoch.
-func (o opinion) has(slice int, epoch uint64) bool {
-	return o.heard && o.marks[slice].whole(epoch)
+// isComplete reports whether the keeper is live and has all of a shard in the epoch.
+func (o assessment) isComplete(shardID int, epoch uint64) bool {
+	return o.live && o.epochStates[shardID].isComplete(epoch)
 }
--- a/internal/history/recover.go
+++ b/internal/history/recover.go
@@ -12,129 +12,130 @@
 )
 
 const (
-	// stuckAfter is how long a primary that lives may take to have all of its slice,
-	// before another takes the slice over.
-	stuckAfter = 2 * time.Second
-	// lostRounds is the number of rounds in which a primary on a disk without a name
-	// must lack its slice: what is known of it lags.
-	lostRounds = 3
+	// recoveryTimeout is how long a live primary may be incomplete before another keeper takes its
+	// shard over.
+	recoveryTimeout = 2 * time.Second
+	// incompleteRounds is the number of status rounds in which a primary on a disk of unknown name
+	// must be incomplete before it is replaced, since its known status lags behind.
+	incompleteRounds = 3
 )
 
-// kept returns the keepers that still have what they acknowledged in an ensemble, this
-// one among them, as far as they are heard; the lock is held.
-func (k *Keeper) kept(s *shard, e *Ensemble, opinions map[string]opinion) []string {
+// intactHolders returns the live keepers, including this one, that still have everything that they
+// acknowledged in an ensemble; the lock is held.
+func (k *Keeper) intactHolders(s *shard, e *Ensemble, assessments map[string]assessment) []string {
 	var names []string
 	for _, name := range e.holders() {
-		o := opinions[name]
+		o := assessments[name]
 		switch {
 		case name == k.settings.Name:
-			if e.keeps(name, k.disk, s.mark.Base) {
+			if e.isIntact(name, k.disk, s.epochState.base) {
 				names = append(names, name)
 			}
-		case o.heard && e.keeps(name, o.disk, o.marks[s.number].Base):
+		case o.live && e.isIntact(name, o.disk, o.epochStates[s.id].base):
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// collectable reports that this keeper has, or can fetch, all that was decided in the
-// slice; the lock is held.
-func (k *Keeper) collectable(s *shard, opinions map[string]opinion) bool {
-	if s.mark.Base == 0 || s.mark.Base < s.role.oldest() {
+// canRecover reports whether this keeper has, or can fetch, all committed changes of the shard; the
+// lock is held.
+func (k *Keeper) canRecover(s *shard, assessments map[string]assessment) bool {
+	if s.epochState.base == 0 || s.epochState.base < s.role.minBase() {
 		return false
 	}
-	for _, e := range s.role.chain() {
-		if e.Epoch >= s.mark.Base && !e.complete(k.kept(s, &e, opinions)) && !k.exhausted(s, &e, opinions) {
+	for _, e := range s.role.ensembles() {
+		if e.Epoch >= s.epochState.base && !e.isRecoveryQuorum(k.intactHolders(s, &e, assessments)) && !k.allIntactReachable(s, &e, assessments) {
 			return false
 		}
 	}
 	return true
 }
 
-// exhausted reports that no holder of an ensemble but those that are heard will ever have
-// what it acknowledged: the others have new disks. The lock is held.
-func (k *Keeper) exhausted(s *shard, e *Ensemble, opinions map[string]opinion) bool {
-	kept := k.kept(s, e, opinions)
+// allIntactReachable reports whether the live intact holders are the only ones left of an ensemble:
+// the disks of all others were replaced. The lock is held.
+func (k *Keeper) allIntactReachable(s *shard, e *Ensemble, assessments map[string]assessment) bool {
+	intact := k.intactHolders(s, e, assessments)
 	for _, name := range e.holders() {
-		o := opinions[name]
-		replaced := o.heard && e.disk(name) != "" && o.disk != e.disk(name) || name == k.settings.Name
-		if !slices.Contains(kept, name) && !replaced {
+		o := assessments[name]
+		replaced := o.live && e.diskOf(name) != "" && o.disk != e.diskOf(name) || name == k.settings.Name
+		if !slices.Contains(intact, name) && !replaced {
 			return false
 		}
 	}
 	return true
 }
 
-// sources returns the keepers to fetch from, so that with what this one has all decisions
-// of the earlier ensembles are there; false where they can't be had now. The lock is held.
-func (k *Keeper) sources(s *shard, opinions map[string]opinion) (map[string]string, bool) {
-	forced := s.forced == s.role.Epoch
-	if s.mark.Base < s.role.oldest() && !forced {
+// recoverySources returns the keepers, with the names of their disks, from which this one must
+// fetch to have all committed changes of the earlier ensembles; false if that is not possible now.
+// The lock is held.
+func (k *Keeper) recoverySources(s *shard, assessments map[string]assessment) (map[string]string, bool) {
+	forced := s.forcedEpoch == s.role.Epoch
+	if s.epochState.base < s.role.minBase() && !forced {
 		return nil, false
 	}
 	from := map[string]string{}
-	for _, e := range s.role.Before {
-		if e.Epoch < s.mark.Base {
+	for _, e := range s.role.Previous {
+		if e.Epoch < s.epochState.base {
 			continue
 		}
-		var has []string
-		if e.keeps(k.settings.Name, k.disk, s.mark.Base) {
-			has = append(has, k.settings.Name)
+		var intact []string
+		if e.isIntact(k.settings.Name, k.disk, s.epochState.base) {
+			intact = append(intact, k.settings.Name)
 		}
-		for _, name := range k.kept(s, &e, opinions) {
-			if e.complete(has) && !forced {
+		for _, name := range k.intactHolders(s, &e, assessments) {
+			if e.isRecoveryQuorum(intact) && !forced {
 				break
 			}
 			if name != k.settings.Name {
-				has = append(has, name)
-				from[name] = e.disk(name)
+				intact = append(intact, name)
+				from[name] = e.diskOf(name)
 			}
 		}
-		if !e.complete(has) && !forced && !k.exhausted(s, &e, opinions) {
+		if !e.isRecoveryQuorum(intact) && !forced && !k.allIntactReachable(s, &e, assessments) {
 			return nil, false
 		}
 	}
 	return from, true
 }
 
-// collectIfNeeded has this keeper, which the store made a slice's primary, fetch what it
-// may lack of the decisions before; the lock is held.
-func (k *Keeper) collectIfNeeded(ctx context.Context, s *shard, opinions map[string]opinion) {
-	if s.role.Primary != k.settings.Name || s.role.Epoch == 0 || s.mark.Epoch > s.role.Epoch || s.marking || s.collecting {
+// recoverIfNeeded starts to fetch the committed changes that this keeper may lack of a shard of
+// which it became the primary; the lock is held.
+func (k *Keeper) recoverIfNeeded(ctx context.Context, s *shard, assessments map[string]assessment) {
+	if s.role.Primary != k.settings.Name || s.role.Epoch == 0 || s.epochState.promised > s.role.Epoch || s.persistingState || s.recovering {
 		return
 	}
-	if recorded := s.role.disk(k.settings.Name); recorded != "" && recorded != k.disk {
+	if recorded := s.role.diskOf(k.settings.Name); recorded != "" && recorded != k.disk {
 		return
 	}
-	from, found := k.sources(s, opinions)
+	from, found := k.recoverySources(s, assessments)
 	if !found {
 		return
 	}
-	k.tellLost(s, opinions)
+	k.logLostDecisions(s, assessments)
 	if len(from) == 0 {
-		k.makeWhole(s)
+		k.markComplete(s)
 		return
 	}
-	s.collecting = true
-	go k.collect(ctx, s, s.role.Epoch, from)
+	s.recovering = true
+	go k.recoverShard(ctx, s, s.role.Epoch, from)
 }
 
-// tellLost says which earlier ensembles lost more disks than may be lost at once: what
-// was on these alone is gone. The lock is held.
-func (k *Keeper) tellLost(s *shard, opinions map[string]opinion) {
-	for _, e := range s.role.Before {
-		if e.Epoch >= s.mark.Base && !e.complete(k.kept(s, &e, opinions)) {
-			k.settings.Logger.WithField("slice", s.number).WithField("epoch", e.Epoch).WithField("holders", e.holders()).
-				WithField("kept", k.kept(s, &e, opinions)).Error("decisions lost with more disks than may be")
+// logLostDecisions logs the earlier ensembles that lost more disks than may fail at once: changes
+// that were on these disks only are lost. The lock is held.
+func (k *Keeper) logLostDecisions(s *shard, assessments map[string]assessment) {
+	for _, e := range s.role.Previous {
+		if e.Epoch >= s.epochState.base && !e.isRecoveryQuorum(k.intactHolders(s, &e, assessments)) {
+			k.settings.Logger.WithField("slice", s.id).WithField("epoch", e.Epoch).WithField("holders", e.holders()).
+				WithField("kept", k.intactHolders(s, &e, assessments)).Error("more disks lost than tolerated; committed changes of the epoch may be lost")
 		}
 	}
 }
 
-// collect fetches what the keepers have of a slice, each by the name of its disk. With
-// that, this keeper has all of it.
-func (k *Keeper) collect(ctx context.Context, s *shard, epoch uint64, from map[string]string) {
-	ctx, cancel := context.WithTimeout(ctx, opTime)
+// recoverShard fetches the records of a shard from the keepers, given with the names of their
+// disks. After that, this keeper is complete.
+func (k *Keeper) recoverShard(ctx context.Context, s *shard, epoch uint64, from map[string]string) {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	responses := make(chan *historypb.FetchResponse, len(from))
@@ -143,7 +144,7 @@
 	k.mu.Unlock()
 	for name, disk := range from {
 		group.Go(func() error {
-			response, err := k.peers.Fetch(ctx, name, &historypb.FetchRequest{Slice: s.number, Epoch: epoch, Disk: disk, Have: have})
+			response, err := k.peers.Fetch(ctx, name, &historypb.FetchRequest{Slice: s.id, Epoch: epoch, Disk: disk, Have: have})
 			if err == nil && response.Refused {
 				err = errors.Errorf("%s refuses epoch %d", name, epoch)
 			}
@@ -157,115 +158,114 @@
 	close(responses)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s.collecting = false
+	s.recovering = false
 	if err != nil {
-		k.settings.Logger.WithError(err).WithField("slice", s.number).Warn("decisions of earlier holders not fetched")
+		k.settings.Logger.WithError(err).WithField("slice", s.id).Warn("recovery of the shard failed; retrying")
 		return
 	}
 	if s.role.Epoch != epoch {
 		return
 	}
-	var news []*historypb.Record
+	var learned []*historypb.Record
 	for response := range responses {
 		for _, r := range response.Records {
 			if s.state.apply(r) {
-				news = append(news, r)
+				learned = append(learned, r)
 			}
 		}
 	}
-	k.persist(news, nil)
-	k.makeWhole(s)
+	k.persist(learned, nil)
+	k.markComplete(s)
 }
 
-// behind reports that another keeper could take the slice over with less to fetch; the
-// lock is held.
-func (k *Keeper) behind(s *shard, opinions map[string]opinion) bool {
-	for name := range s.role.everHeld() {
-		if o := opinions[name]; name != k.settings.Name && o.heard && !o.out && o.marks[s.number].Base > s.mark.Base {
+// isBehind reports whether another keeper could take the shard over with less to fetch; the lock is
+// held.
+func (k *Keeper) isBehind(s *shard, assessments map[string]assessment) bool {
+	for name := range s.role.allHolders() {
+		if o := assessments[name]; name != k.settings.Name && o.live && !o.ineligible && o.epochStates[s.id].base > s.epochState.base {
 			return true
 		}
 	}
 	return false
 }
 
-// primaryGone reports that the slice's primary does not decide and is not about to; the
+// primaryFailed reports whether the shard's primary does not serve it and is not expected to; the
 // lock is held.
-func (k *Keeper) primaryGone(s *shard, opinions map[string]opinion, now time.Time) bool {
-	o, known := opinions[s.role.Primary]
-	return o.out || !known && now.Sub(k.started) > bootTime || s.primaryLost(o)
+func (k *Keeper) primaryFailed(s *shard, assessments map[string]assessment, now time.Time) bool {
+	o, known := assessments[s.role.Primary]
+	return o.ineligible || !known && now.Sub(k.started) > startupGrace || s.primaryIncomplete(o)
 }
 
-// primaryLost reports that the primary lives and does not have its slice: its disk is
-// lost, or it can't fetch what it lacks. Its last word before a cut says nothing of what
-// it has had since.
-func (s *shard) primaryLost(o opinion) bool {
-	if !o.heard || o.has(int(s.number), s.role.Epoch) {
-		s.primaryLostSince = time.Time{}
+// primaryIncomplete reports whether the primary is live but lacks its shard: its disk was replaced,
+// or it can't fetch what it lacks. The time is measured between statuses of the primary, since its
+// last status before a network partition does not show what it has received since.
+func (s *shard) primaryIncomplete(o assessment) bool {
+	if !o.live || o.isComplete(int(s.id), s.role.Epoch) {
+		s.primaryIncompleteSince = time.Time{}
 		return false
 	}
-	recorded := s.role.disk(s.role.Primary)
+	recorded := s.role.diskOf(s.role.Primary)
 	if recorded != "" && recorded != o.disk {
 		return true
 	}
-	if s.primaryLostSince.IsZero() {
-		s.primaryLostSince = o.at
+	if s.primaryIncompleteSince.IsZero() {
+		s.primaryIncompleteSince = o.lastContact
 	}
-	limit := stuckAfter
+	limit := recoveryTimeout
 	if recorded == "" {
-		limit = lostRounds * statusEvery
+		limit = incompleteRounds * statusPollInterval
 	}
-	return o.at.Sub(s.primaryLostSince) > limit
+	return o.lastContact.Sub(s.primaryIncompleteSince) > limit
 }
 
-// abandoned reports that the slice can't be had whole from any keepers, and that this one
-// has to go on with what it has: soon where all its holders are heard, else after the time
-// for which the decisions of the silent ones are kept at all. More disks were lost then
-// than may be at once.
-func (k *Keeper) abandoned(s *shard, opinions map[string]opinion, now time.Time) bool {
-	if s.role.Epoch == 0 || s.marking || s.collecting || !k.verified || !k.firstToAbandon(s, opinions) {
-		s.lostSince = time.Time{}
+// mustForceRecovery reports whether the shard can't be recovered in full, and this keeper has to
+// continue with the records that are left. If all holders are live, this takes forceRecoveryAfter,
+// and otherwise the time for which the records of the unresponsive holders are retained. More disks
+// were lost then than may fail at once.
+func (k *Keeper) mustForceRecovery(s *shard, assessments map[string]assessment, now time.Time) bool {
+	if s.role.Epoch == 0 || s.persistingState || s.recovering || !k.verified || !k.leadsForcedRecovery(s, assessments) {
+		s.unrecoverableSince = time.Time{}
 		return false
 	}
-	if s.lostSince.IsZero() {
-		s.lostSince = now
+	if s.unrecoverableSince.IsZero() {
+		s.unrecoverableSince = now
 	}
 	limit := defaultRetention
-	if k.allHeard(s, opinions) {
-		limit = abandonAfter
+	if k.allHoldersLive(s, assessments) {
+		limit = forceRecoveryAfter
 	}
-	if now.Sub(s.lostSince) < limit {
+	if now.Sub(s.unrecoverableSince) < limit {
 		return false
 	}
-	s.lostSince = time.Time{}
-	s.forced = s.role.Epoch + 1
-	k.settings.Logger.WithField("slice", s.number).WithField("epoch", s.role.Epoch).WithField("base", s.mark.Base).
-		Error("slice lost on more disks than may be, continued with what is left")
+	s.unrecoverableSince = time.Time{}
+	s.forcedEpoch = s.role.Epoch + 1
+	k.settings.Logger.WithField("slice", s.id).WithField("epoch", s.role.Epoch).WithField("base", s.epochState.base).
+		Error("shard lost on more disks than tolerated; continuing with the records that are left")
 	return true
 }
 
-// allHeard reports that all other holders of the slice are heard, also those of earlier
-// ensembles that may be needed; the lock is held.
-func (k *Keeper) allHeard(s *shard, opinions map[string]opinion) bool {
-	for name := range s.role.everHeld() {
-		if name != k.settings.Name && !opinions[name].heard {
+// allHoldersLive reports whether all other holders of the shard are live, including those of
+// earlier ensembles that may be needed; the lock is held.
+func (k *Keeper) allHoldersLive(s *shard, assessments map[string]assessment) bool {
+	for name := range s.role.allHolders() {
+		if name != k.settings.Name && !assessments[name].live {
 			return false
 		}
 	}
 	return true
 }
 
-// firstToAbandon reports that this keeper is a holder and that no other that is heard has
-// more of the slice; of equals the primary goes on, else the one with the lowest name. The
-// lock is held.
-func (k *Keeper) firstToAbandon(s *shard, opinions map[string]opinion) bool {
-	holders := s.role.everHeld()
+// leadsForcedRecovery reports whether this keeper is a holder and no other live holder has a higher
+// base; among equals the primary leads, or else the keeper with the lowest name. The lock is held.
+func (k *Keeper) leadsForcedRecovery(s *shard, assessments map[string]assessment) bool {
+	holders := s.role.allHolders()
 	for name := range holders {
-		other := opinions[name].marks[s.number].Base
+		other := assessments[name].epochStates[s.id].base
 		switch {
-		case name == k.settings.Name || !opinions[name].heard:
-		case other > s.mark.Base:
+		case name == k.settings.Name || !assessments[name].live:
+		case other > s.epochState.base:
 			return false
-		case other == s.mark.Base && s.role.Primary != k.settings.Name && (name == s.role.Primary || name < k.settings.Name):
+		case other == s.epochState.base && s.role.Primary != k.settings.Name && (name == s.role.Primary || name < k.settings.Name):
 			return false
 		}
 	}
