--- a/internal/limit/bench_test.go
+++ b/internal/limit/bench_test.go
@@ -11,7 +11,7 @@
 
 // BenchmarkEnter admits and ends steps that need not wait, with all
 // processors at once, of so many plans with limits.
-func BenchmarkEnter(b *testing.B) {
+func BenchmarkAdmit(b *testing.B) {
 	for _, count := range []int{1, 100, 1500} {
 		b.Run(fmt.Sprintf("plans=%d", count), func(b *testing.B) {
 			g := NewGate(Options{Capacity: 1 << 20})
@@ -48,21 +48,21 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				f := g.next(now)
+				f := g.nextFlow(now)
 				w := f.queue[0]
 				g.dispatch(now)
 				f.queue = append(f.queue[:0], w)
 				g.backlog[f] = struct{}{}
 				g.waiting++
 				f.running, g.running = 0, 0
-				<-w.decided
+				<-w.decision
 			}
 		})
 	}
 }
 
 // BenchmarkDivide is an arbiter's answer to one of so many instances that all ask.
-func BenchmarkDivide(b *testing.B) {
+func BenchmarkAllocate(b *testing.B) {
 	for _, count := range []int{9, 74} {
 		b.Run(fmt.Sprintf("instances=%d", count), func(b *testing.B) {
 			a, weights := newArbiter(), map[string]float64{}
@@ -76,7 +76,7 @@
 			for b.Loop() {
 				i++
 				now = now.Add(time.Second / time.Duration(count))
-				a.divide(fmt.Sprint("i", i%count), Demand{Plan: "p", Rate: float64(i % 7), Slots: i % 5, Limits: limits}, members, now)
+				a.allocate(fmt.Sprint("i", i%count), Demand{Plan: "p", Rate: float64(i % 7), Slots: i % 5, Limits: limits}, members, now)
 			}
 		})
 	}
@@ -93,7 +93,7 @@
 	}
 	now := time.Unix(1000, 0)
 	q.Set(quotas, now)
-	q.SetFleet(1, 1, tellTick, now)
+	q.SetFleet(1, 1, reportTick, now)
 	now = now.Add(tolerance.Window)
 	b.ReportAllocs()
 	n := 0
--- a/internal/limit/flow.go
+++ b/internal/limit/flow.go
@@ -10,13 +10,13 @@
 )
 
 // serviceMemory is the number of steps over which a flow's mean time is taken.
-const serviceMemory = 16
+const serviceTimeSamples = 16
 
 // waiter is one step that waits to be admitted.
 type waiter struct {
 	flow *flow
 	// decided gets nil for admitted, or the refusal. It has room for one.
-	decided chan *Refusal
+	decision chan *Refusal
 }
 
 // flow is the steps of one plan on this instance.
@@ -30,39 +30,39 @@
 	limiter *rate.Limiter
 	slots   int
 	// share is what the arbiter last granted, until shareEnds.
-	share     Share
-	shareEnds time.Time
+	share        Share
+	shareExpires time.Time
 
 	running int
 	queue   []*waiter
 	// tag is the flow's virtual time: the slot time it has been given, over
 	// its weight.
-	tag float64
+	virtualTime float64
 	// service is the mean time that a step occupies a slot.
-	service time.Duration
+	serviceTime time.Duration
 
 	// arrivals counts steps since the last report, offered is their smoothed
 	// rate a second; turned counts those refused for want of slots.
-	arrivals, turned int
-	offered          float64
-	lastUse          time.Time
+	arrivals, slotRefusals int
+	offeredRate            float64
+	lastUse                time.Time
 }
 
 const noLimit = math.MaxInt32
 
 func newFlow(p *plan.Plan) *flow {
-	return &flow{plan: p.Name, slots: noLimit, service: firstService}
+	return &flow{plan: p.Name, slots: noLimit, serviceTime: initialServiceTime}
 }
 
 // adopt takes over the plan's limits; priority 0 to 9 weighs 1 to 10.
-func (f *flow) adopt(p *plan.Plan) (changed bool) {
+func (f *flow) setPlan(p *plan.Plan) (changed bool) {
 	changed = f.limits != p.Limits
 	f.limits, f.weight = p.Limits, float64(1+p.Priority)
 	return changed
 }
 
 // apply sets this instance's part of the limits.
-func (f *flow) apply(part Share, now time.Time) {
+func (f *flow) applyShare(part Share, now time.Time) {
 	f.slots = noLimit
 	if f.limits.Concurrency > 0 {
 		f.slots = part.Slots
@@ -98,22 +98,22 @@
 	if f.limiter == nil {
 		return 0
 	}
-	lacking := float64(steps) - f.limiter.TokensAt(now)
-	if lacking <= 0 {
+	missing := float64(steps) - f.limiter.TokensAt(now)
+	if missing <= 0 {
 		return 0
 	}
-	seconds := lacking / float64(f.limiter.Limit())
+	seconds := missing / float64(f.limiter.Limit())
 	// One nanosecond more, so that rounding leaves no step just short of a token.
 	return time.Duration(min(seconds*float64(time.Second), math.MaxInt64/2)) + 1
 }
 
 // slotWait is about the time until the concurrency has room for so many more steps.
 func (f *flow) slotWait(steps int) time.Duration {
-	lacking := f.running + steps - f.slots
-	if lacking <= 0 {
+	missing := f.running + steps - f.slots
+	if missing <= 0 {
 		return 0
 	}
-	return f.service * time.Duration(lacking) / time.Duration(max(1, f.slots))
+	return f.serviceTime * time.Duration(missing) / time.Duration(max(1, f.slots))
 }
 
 // start counts a step as running.
@@ -125,8 +125,8 @@
 }
 
 // learn folds the time of a step that has ended into the mean.
-func (f *flow) learn(took time.Duration) {
-	f.service += (took - f.service) / serviceMemory
+func (f *flow) recordServiceTime(elapsed time.Duration) {
+	f.serviceTime += (elapsed - f.serviceTime) / serviceTimeSamples
 }
 
 // remove takes a waiter out of the queue and reports whether it was there.
@@ -143,13 +143,13 @@
 // demand is what the flow would use.
 func (f *flow) demand() Demand {
 	return Demand{
-		Plan: f.plan, Rate: f.offered, Slots: f.running + len(f.queue) + f.turned, Running: f.running,
+		Plan: f.plan, Rate: f.offeredRate, Slots: f.running + len(f.queue) + f.slotRefusals, Running: f.running,
 		Limits: f.limits,
 	}
 }
 
 // count folds the arrivals of an interval into the offered rate.
-func (f *flow) count(interval time.Duration) {
-	f.offered = (f.offered + float64(f.arrivals)/interval.Seconds()) / 2
-	f.arrivals, f.turned = 0, 0
+func (f *flow) updateOfferedRate(interval time.Duration) {
+	f.offeredRate = (f.offeredRate + float64(f.arrivals)/interval.Seconds()) / 2
+	f.arrivals, f.slotRefusals = 0, 0
 }
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -18,13 +18,13 @@
 	DefaultMaxQueue = 2000
 
 	// firstService is the guess of a step's time before any has ended.
-	firstService = 200 * time.Millisecond
+	initialServiceTime = 200 * time.Millisecond
 	// shortStep is the part of the mean time of a plan's steps, as one of so
 	// many, that a step must have left before its deadline. Steps differ
 	// widely; by the whole mean short steps would be refused for nothing.
-	shortStep = 4
+	deadlineReserveDivisor = 4
 	// idleFlow is how long a plan without steps is remembered.
-	idleFlow = time.Minute
+	flowRetention = time.Minute
 )
 
 // Options are a gate's surroundings. Zero values have defaults.
@@ -43,9 +43,9 @@
 // Gate admits an instance's steps. Its methods may be called at once from
 // many goroutines.
 type Gate struct {
-	options Options
-	arbiter *arbiter
-	askNow  chan struct{}
+	options    Options
+	arbiter    *arbiter
+	requestNow chan struct{}
 
 	mu      sync.Mutex
 	flows   map[string]*flow
@@ -54,11 +54,11 @@
 	backlog map[*flow]struct{}
 	waiting int
 	// service is the mean time of a step of any plan.
-	service time.Duration
+	serviceTime time.Duration
 	// tag is the virtual time of the gate: that of the flow served last.
-	tag float64
+	virtualTime float64
 	// wake fires when a rate has room again for a step that waits.
-	wake *time.Timer
+	rateTimer *time.Timer
 
 	admitted, refused, evicted metrics.Counter
 	queued, occupied           metrics.Gauge
@@ -79,8 +79,8 @@
 		return metrics.GetOrRegisterCounter("limit."+name, options.Registry)
 	}
 	return &Gate{
-		options: options, arbiter: newArbiter(), askNow: make(chan struct{}, 1), flows: map[string]*flow{},
-		backlog: map[*flow]struct{}{}, service: firstService,
+		options: options, arbiter: newArbiter(), requestNow: make(chan struct{}, 1), flows: map[string]*flow{},
+		backlog: map[*flow]struct{}{}, serviceTime: initialServiceTime,
 		admitted: counter("admitted"), refused: counter("refused"), evicted: counter("evicted"),
 		queued:   metrics.GetOrRegisterGauge("limit.queued", options.Registry),
 		occupied: metrics.GetOrRegisterGauge("limit.running", options.Registry),
@@ -97,12 +97,12 @@
 	f := g.flow(p, now)
 	f.arrivals++
 	f.lastUse = now
-	if len(f.queue) == 0 && f.eligible(now) && g.free() {
-		g.admit(f, now)
+	if len(f.queue) == 0 && f.eligible(now) && g.hasCapacity() {
+		g.startStep(f, now)
 		g.mu.Unlock()
 		return g.releaser(f, now), nil
 	}
-	maxWait, refusal := g.judge(f, deadline, now)
+	maxWait, refusal := g.assessWait(f, deadline, now)
 	if refusal != nil {
 		g.refused.Inc(1)
 		g.mu.Unlock()
@@ -116,7 +116,7 @@
 
 // judge estimates the wait of one more step of the flow. It returns how long
 // the step may wait, or a refusal.
-func (g *Gate) judge(f *flow, deadline time.Time, now time.Time) (time.Duration, *Refusal) {
+func (g *Gate) assessWait(f *flow, deadline time.Time, now time.Time) (time.Duration, *Refusal) {
 	ahead := len(f.queue) + 1
 	wait, reason := f.rateWait(ahead, now), RateLimited
 	if slots := f.slotWait(ahead); slots > wait {
@@ -126,14 +126,14 @@
 		wait, reason = capacity, Overloaded
 	}
 	if reason != Overloaded && wait > 0 {
-		g.askArbiter()
+		g.requestSoon()
 	}
 	if reason == ConcurrencyLimited {
-		f.turned++
+		f.slotRefusals++
 	}
 	maxWait := g.options.MaxWait
 	if !deadline.IsZero() {
-		maxWait = min(maxWait, deadline.Sub(now)-f.service/shortStep)
+		maxWait = min(maxWait, deadline.Sub(now)-f.serviceTime/deadlineReserveDivisor)
 	}
 	if wait <= maxWait && maxWait > 0 {
 		return maxWait, nil
@@ -148,7 +148,7 @@
 // steps of the flow, which is served by its weight among those that wait.
 func (g *Gate) capacityWait(f *flow, steps int) time.Duration {
 	// While there is room, only steps wait that their plans' own limits hold back.
-	if g.free() {
+	if g.hasCapacity() {
 		return 0
 	}
 	weights := f.weight
@@ -157,24 +157,24 @@
 			weights += other.weight
 		}
 	}
-	turns := float64(steps) * weights / f.weight / float64(g.options.Capacity)
-	return time.Duration(turns * float64(max(g.service, f.service)))
+	rounds := float64(steps) * weights / f.weight / float64(g.options.Capacity)
+	return time.Duration(rounds * float64(max(g.serviceTime, f.serviceTime)))
 }
 
 // enqueue adds a waiter. Where the queue of the instance is full, the newest
 // waiter of the flow that has most for its weight has to go.
 func (g *Gate) enqueue(f *flow) *waiter {
-	w := &waiter{flow: f, decided: make(chan *Refusal, 1)}
+	w := &waiter{flow: f, decision: make(chan *Refusal, 1)}
 	f.queue = append(f.queue, w)
 	g.backlog[f] = struct{}{}
 	g.waiting++
 	if g.waiting > g.options.MaxQueue {
-		g.evict()
+		g.evictNewest()
 	}
 	return w
 }
 
-func (g *Gate) evict() {
+func (g *Gate) evictNewest() {
 	var victim *flow
 	for f := range g.backlog {
 		if victim == nil || float64(len(f.queue))/f.weight > float64(len(victim.queue))/victim.weight {
@@ -182,22 +182,22 @@
 		}
 	}
 	last := victim.queue[len(victim.queue)-1]
-	g.drop(last)
+	g.removeWaiter(last)
 	g.evicted.Inc(1)
-	last.decided <- &Refusal{Plan: victim.plan, Reason: Overloaded, RetryAfter: g.capacityWait(victim, len(victim.queue)+1)}
+	last.decision <- &Refusal{Plan: victim.plan, Reason: Overloaded, RetryAfter: g.capacityWait(victim, len(victim.queue)+1)}
 }
 
 // drop takes a waiter out; false says that it has been decided already.
-func (g *Gate) drop(w *waiter) bool {
+func (g *Gate) removeWaiter(w *waiter) bool {
 	if !w.flow.remove(w) {
 		return false
 	}
-	g.left(w.flow)
+	g.countDequeued(w.flow)
 	return true
 }
 
 // left counts a step that no longer waits.
-func (g *Gate) left(f *flow) {
+func (g *Gate) countDequeued(f *flow) {
 	g.waiting--
 	if len(f.queue) == 0 {
 		delete(g.backlog, f)
@@ -210,7 +210,7 @@
 	defer timer.Stop()
 	var refusal *Refusal
 	select {
-	case refusal = <-w.decided:
+	case refusal = <-w.decision:
 		if refusal == nil {
 			return g.releaser(w.flow, time.Now()), nil
 		}
@@ -220,24 +220,24 @@
 	case <-timer.C:
 		refusal = &Refusal{Plan: w.flow.plan, Reason: Overloaded}
 	}
-	return g.giveUp(w, refusal)
+	return g.abandonWait(w, refusal)
 }
 
 // giveUp refuses a waiter whose time is up, unless it was decided just before.
-func (g *Gate) giveUp(w *waiter, refusal *Refusal) (func(), *Refusal) {
+func (g *Gate) abandonWait(w *waiter, refusal *Refusal) (func(), *Refusal) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.drop(w) {
-		if decided := <-w.decided; decided != nil {
+	if !g.removeWaiter(w) {
+		if decided := <-w.decision; decided != nil {
 			return nil, decided
 		}
 		return g.releaser(w.flow, now), nil
 	}
 	g.refused.Inc(1)
 	if refusal.Reason == Overloaded {
-		_, known := g.judge(w.flow, now, now)
-		refusal.RetryAfter = known.RetryAfter
+		_, estimate := g.assessWait(w.flow, now, now)
+		refusal.RetryAfter = estimate.RetryAfter
 	}
 	return nil, refusal
 }
@@ -247,30 +247,30 @@
 	f := g.flows[p.Name]
 	if f == nil {
 		f = newFlow(p)
-		f.tag = g.tag
+		f.virtualTime = g.virtualTime
 		g.flows[p.Name] = f
-		f.adopt(p)
-		f.apply(g.part(f, now), now)
+		f.setPlan(p)
+		f.applyShare(g.currentShare(f, now), now)
 		return f
 	}
-	if f.adopt(p) {
-		f.shareEnds = time.Time{}
-		f.apply(g.part(f, now), now)
+	if f.setPlan(p) {
+		f.shareExpires = time.Time{}
+		f.applyShare(g.currentShare(f, now), now)
 	}
 	return f
 }
 
-func (g *Gate) free() bool { return g.options.Capacity == 0 || g.running < g.options.Capacity }
+func (g *Gate) hasCapacity() bool { return g.options.Capacity == 0 || g.running < g.options.Capacity }
 
 // admit starts a step of the flow and charges its likely slot time to it.
-func (g *Gate) admit(f *flow, now time.Time) {
+func (g *Gate) startStep(f *flow, now time.Time) {
 	f.start(now)
 	g.running++
 	g.admitted.Inc(1)
 	// A flow that was idle does not come back with credit for that time.
-	f.tag = max(f.tag, g.tag)
-	g.tag = f.tag
-	f.tag += f.service.Seconds() / f.weight
+	f.virtualTime = max(f.virtualTime, g.virtualTime)
+	g.virtualTime = f.virtualTime
+	f.virtualTime += f.serviceTime.Seconds() / f.weight
 	g.occupied.Update(int64(g.running))
 }
 
@@ -282,15 +282,15 @@
 
 func (g *Gate) release(f *flow, start time.Time) {
 	now := time.Now()
-	took := now.Sub(start)
+	elapsed := now.Sub(start)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f.running--
 	g.running--
 	// The charge at admission was a guess of the time.
-	f.tag += (took - f.service).Seconds() / f.weight
-	f.learn(took)
-	g.service += (took - g.service) / (4 * serviceMemory)
+	f.virtualTime += (elapsed - f.serviceTime).Seconds() / f.weight
+	f.recordServiceTime(elapsed)
+	g.serviceTime += (elapsed - g.serviceTime) / (4 * serviceTimeSamples)
 	g.occupied.Update(int64(g.running))
 	g.dispatch(now)
 }
@@ -298,28 +298,28 @@
 // dispatch admits waiters while there is room: of the flows whose own limits
 // allow a step, the one with the least virtual time first.
 func (g *Gate) dispatch(now time.Time) {
-	for g.free() {
-		f := g.next(now)
+	for g.hasCapacity() {
+		f := g.nextFlow(now)
 		if f == nil {
 			break
 		}
 		w := f.queue[0]
 		f.queue = f.queue[1:]
-		g.left(f)
-		g.admit(f, now)
-		w.decided <- nil
+		g.countDequeued(f)
+		g.startStep(f, now)
+		w.decision <- nil
 	}
 	g.queued.Update(int64(g.waiting))
-	g.schedule(now)
+	g.armRateTimer(now)
 }
 
-func (g *Gate) next(now time.Time) *flow {
+func (g *Gate) nextFlow(now time.Time) *flow {
 	var best *flow
 	for f := range g.backlog {
 		if !f.eligible(now) {
 			continue
 		}
-		if best == nil || f.tag < best.tag || f.tag == best.tag && f.plan < best.plan {
+		if best == nil || f.virtualTime < best.virtualTime || f.virtualTime == best.virtualTime && f.plan < best.plan {
 			best = f
 		}
 	}
@@ -327,12 +327,12 @@
 }
 
 // schedule sets the timer for the first rate that will have room again.
-func (g *Gate) schedule(now time.Time) {
-	if g.wake != nil {
-		g.wake.Stop()
-		g.wake = nil
+func (g *Gate) armRateTimer(now time.Time) {
+	if g.rateTimer != nil {
+		g.rateTimer.Stop()
+		g.rateTimer = nil
 	}
-	if g.waiting == 0 || !g.free() {
+	if g.waiting == 0 || !g.hasCapacity() {
 		return
 	}
 	var first time.Duration
@@ -345,11 +345,11 @@
 		}
 	}
 	if first > 0 {
-		g.wake = time.AfterFunc(first, g.awake)
+		g.rateTimer = time.AfterFunc(first, g.onRateTimer)
 	}
 }
 
-func (g *Gate) awake() {
+func (g *Gate) onRateTimer() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.dispatch(time.Now())
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -22,7 +22,7 @@
 }
 
 // used is what one instance uses by what it was last answered.
-type used struct {
+type usedShare struct {
 	share Share
 	ends  time.Time
 }
@@ -42,7 +42,7 @@
 			Rate:        float64(rapid.IntRange(1, 100).Draw(rt, "rate")),
 			Concurrency: rapid.IntRange(1, 40).Draw(rt, "concurrency"),
 		}
-		now, arbiter, uses := time.Unix(1000, 0), newArbiter(), map[string]used{}
+		now, arbiter, uses := time.Unix(1000, 0), newArbiter(), map[string]usedShare{}
 		rt.Repeat(map[string]func(*rapid.T){
 			"ask": func(rt *rapid.T) {
 				name := rapid.SampledFrom(names).Draw(rt, "name")
@@ -50,9 +50,9 @@
 					Plan: "p", Limits: limits, Rate: float64(rapid.IntRange(0, 100).Draw(rt, "offered")),
 					Slots: rapid.IntRange(0, 30).Draw(rt, "slots"),
 				}
-				share := arbiter.divide(name, demand, members, now)
+				share := arbiter.allocate(name, demand, members, now)
 				if rapid.IntRange(0, 3).Draw(rt, "lost") > 0 {
-					uses[name] = used{share: share, ends: now.Add(shareTime)}
+					uses[name] = usedShare{share: share, ends: now.Add(shareLifetime)}
 				}
 			},
 			"time": func(rt *rapid.T) {
@@ -61,7 +61,7 @@
 			"": func(rt *rapid.T) {
 				var sum Share
 				for _, name := range names {
-					share := members.unasked(limits, name)
+					share := members.defaultShare(limits, name)
 					if u, ok := uses[name]; ok && now.Before(u.ends) {
 						share = u.share
 					}
@@ -77,33 +77,33 @@
 }
 
 // centre is the gates of a data centre that arbitrate for each other.
-type centre struct {
+type dataCentre struct {
 	mu    sync.Mutex
 	gates map[string]*Gate
 	down  bool
 }
 
 type member struct {
-	centre *centre
-	name   string
+	dataCentre *dataCentre
+	name       string
 }
 
 func (m member) Self() string { return m.name }
 
 func (m member) Weights() map[string]float64 {
-	m.centre.mu.Lock()
-	defer m.centre.mu.Unlock()
+	m.dataCentre.mu.Lock()
+	defer m.dataCentre.mu.Unlock()
 	weights := map[string]float64{}
-	for name := range m.centre.gates {
+	for name := range m.dataCentre.gates {
 		weights[name] = 1
 	}
 	return weights
 }
 
 func (m member) RequestShares(_ context.Context, instance string, demands []Demand) ([]Share, error) {
-	m.centre.mu.Lock()
-	gate, down := m.centre.gates[instance], m.centre.down
-	m.centre.mu.Unlock()
+	m.dataCentre.mu.Lock()
+	gate, down := m.dataCentre.gates[instance], m.dataCentre.down
+	m.dataCentre.mu.Unlock()
 	if down {
 		return nil, errors.New("partition")
 	}
@@ -111,8 +111,8 @@
 }
 
 // newCentre runs gates until the test's bubble ends with stop.
-func newCentre(names ...string) (f *centre, stop func()) {
-	f = &centre{gates: map[string]*Gate{}}
+func newDataCentre(names ...string) (f *dataCentre, stop func()) {
+	f = &dataCentre{gates: map[string]*Gate{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	for _, name := range names {
 		f.gates[name] = NewGate(Options{Members: member{f, name}, Arbiters: member{f, name}})
@@ -126,7 +126,7 @@
 
 // offer sends steps at an even pace, each taking service, and counts those
 // that were admitted. It returns when all have ended. One note is taken at a time.
-func offer(g *Gate, p *plan.Plan, count int, pace, service time.Duration, note func(waited time.Duration, refusal *Refusal)) {
+func offerSteps(g *Gate, p *plan.Plan, count int, pace, service time.Duration, note func(waited time.Duration, refusal *Refusal)) {
 	var group sync.WaitGroup
 	var noting sync.Mutex
 	for range count {
@@ -152,15 +152,15 @@
 func TestShareFollowsDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f, stop := newCentre("a", "b", "c", "d", "e")
+		f, stop := newDataCentre("a", "b", "c", "d", "e")
 		defer stop()
 		p := &plan.Plan{Name: "p", Limits: plan.Limits{Rate: 20, Burst: 5}}
 		for _, name := range []string{"b", "d"} {
 			g := f.gates[name]
 			nothing := func(time.Duration, *Refusal) {}
-			offer(g, p, 300, 20*time.Millisecond, time.Millisecond, nothing)
+			offerSteps(g, p, 300, 20*time.Millisecond, time.Millisecond, nothing)
 			before := g.admitted.Count()
-			offer(g, p, 500, 20*time.Millisecond, time.Millisecond, nothing)
+			offerSteps(g, p, 500, 20*time.Millisecond, time.Millisecond, nothing)
 			admitted := float64(g.admitted.Count()-before) / 10
 			t.Logf("%s admits %.1f a second of 20", name, admitted)
 			is.True(admitted >= 0.8*20 && admitted <= 1.5*20)
@@ -173,7 +173,7 @@
 func TestFewSlotsAndNoArbiter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f, stop := newCentre("a", "b", "c", "d", "e")
+		f, stop := newDataCentre("a", "b", "c", "d", "e")
 		defer stop()
 		p := &plan.Plan{Name: "p", Limits: plan.Limits{Concurrency: 2}}
 		for _, down := range []bool{false, true} {
@@ -184,7 +184,7 @@
 				release, refusal := g.Admit(context.Background(), p, time.Time{})
 				is.True(refusal == nil)
 				release()
-				time.Sleep(2 * shareTime) // its share ends
+				time.Sleep(2 * shareLifetime) // its share ends
 			}
 		}
 	})
@@ -194,7 +194,7 @@
 // do, another calls now and then. The second one waits for about the next slot
 // that comes free, with and without the flood; without fair queueing it would
 // stand behind the flood. The flood's own steps are refused at once, and told when.
-func TestFloodLeavesTheOthersWaits(t *testing.T) {
+func TestFloodDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const service = 100 * time.Millisecond
@@ -204,7 +204,7 @@
 		var worst time.Duration
 		var group sync.WaitGroup
 		group.Go(func() {
-			offer(g, flood, 8000, 1250*time.Microsecond, service, func(waited time.Duration, refusal *Refusal) {
+			offerSteps(g, flood, 8000, 1250*time.Microsecond, service, func(waited time.Duration, refusal *Refusal) {
 				floodSeen++
 				if refusal != nil {
 					floodRefused++
@@ -214,7 +214,7 @@
 		})
 		time.Sleep(time.Second)
 		group.Go(func() {
-			offer(g, calm, 40, 200*time.Millisecond, service, func(waited time.Duration, refusal *Refusal) {
+			offerSteps(g, calm, 40, 200*time.Millisecond, service, func(waited time.Duration, refusal *Refusal) {
 				is.True(refusal == nil)
 				worst = max(worst, waited)
 			})
@@ -228,7 +228,7 @@
 
 // A step whose deadline can't be met is refused on arrival, not near its
 // deadline; one that can be met waits. After RetryAfter a step is admitted.
-func TestShedsEarlyAndTellsWhen(t *testing.T) {
+func TestShedsEarlyWithRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := NewGate(Options{})
@@ -288,13 +288,13 @@
 		g := NewGate(Options{Capacity: 8})
 		back, steady := &plan.Plan{Name: "back"}, &plan.Plan{Name: "steady"}
 		nothing := func(time.Duration, *Refusal) {}
-		offer(g, back, 1, 0, service, nothing)
-		offer(g, steady, 400, 25*time.Millisecond, service, nothing)
+		offerSteps(g, back, 1, 0, service, nothing)
+		offerSteps(g, steady, 400, 25*time.Millisecond, service, nothing)
 		var group sync.WaitGroup
-		group.Go(func() { offer(g, back, 500, time.Millisecond, service, nothing) })
+		group.Go(func() { offerSteps(g, back, 500, time.Millisecond, service, nothing) })
 		time.Sleep(service)
 		var worst time.Duration
-		offer(g, steady, 10, service, service, func(waited time.Duration, refusal *Refusal) {
+		offerSteps(g, steady, 10, service, service, func(waited time.Duration, refusal *Refusal) {
 			is.True(refusal == nil)
 			worst = max(worst, waited)
 		})
@@ -313,7 +313,7 @@
 		var group sync.WaitGroup
 		refused := 0
 		group.Go(func() {
-			offer(g, flood, 11, 0, time.Second, func(waited time.Duration, refusal *Refusal) {
+			offerSteps(g, flood, 11, 0, time.Second, func(waited time.Duration, refusal *Refusal) {
 				if refusal != nil {
 					refused++
 					is.Equal(refusal.Reason, Overloaded)
@@ -322,7 +322,7 @@
 			})
 		})
 		time.Sleep(time.Millisecond)
-		offer(g, calm, 1, 0, time.Second, func(_ time.Duration, refusal *Refusal) { is.True(refusal == nil) })
+		offerSteps(g, calm, 1, 0, time.Second, func(_ time.Duration, refusal *Refusal) { is.True(refusal == nil) })
 		group.Wait()
 		is.Equal(refused, 1)
 	})
@@ -338,7 +338,7 @@
 		var group sync.WaitGroup
 		for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 			p := &plan.Plan{Name: name, Priority: 9, Limits: plan.Limits{Rate: 1, Burst: 1}}
-			group.Go(func() { offer(g, p, 3, 0, 0, func(time.Duration, *Refusal) {}) })
+			group.Go(func() { offerSteps(g, p, 3, 0, 0, func(time.Duration, *Refusal) {}) })
 		}
 		time.Sleep(100 * time.Millisecond)
 		is.True(g.queued.Value() > 0)
--- a/internal/limit/quota.go
+++ b/internal/limit/quota.go
@@ -28,28 +28,28 @@
 
 const (
 	// useMemory is the time over which an instance's part of a customer's calls is taken.
-	useMemory = 2 * time.Second
+	shareDecayTime = 2 * time.Second
 	// newcomersPart is the part of the room that is left to instances that begin to have
 	// calls of the customer, newcomersLeast the number of those who may do so at once.
-	newcomersPart  = 0.5
-	newcomersLeast = 2
+	newcomerFraction = 0.5
+	minNewcomers     = 2
 	// tellPart is the part of a burst from which on admitted calls are told at once;
 	// tellEvery is when fewer are.
-	tellPart  = 64
-	tellEvery = 500 * time.Millisecond
+	reportBurstDivisor = 64
+	reportInterval     = 500 * time.Millisecond
 	// partKnown is the part of a quota below which most instances are not heard.
-	partKnown = 0.5
+	majorityFraction = 0.5
 	// riseLeast is the rise of the part from which on it shows that a cut has healed.
-	riseLeast = 0.05
+	minFractionRise = 0.05
 	// tellingRounds is the number of rounds in which all is told, and made good if lost.
-	tellingRounds = 3
+	settlingRounds = 3
 	// refillLeast keeps a caller that is refused from coming back at once.
-	refillLeast = 50 * time.Millisecond
+	minRetryAfter = 50 * time.Millisecond
 	// returnWithin is how long after its admission a call may be given back.
-	returnWithin = 500 * time.Millisecond
+	maxReturnDelay = 500 * time.Millisecond
 	// forgetAfter is how long what a peer told of a customer is remembered: far longer than
 	// a datagram may be on its way, so that a late one does not count anew.
-	forgetAfter = 20 * time.Second
+	peerUsageRetention = 20 * time.Second
 )
 
 // Quotas holds customers to their quotas over all instances.
@@ -68,37 +68,37 @@
 //   - One that starts is told by the others what it does not know. Where all have started,
 //     nobody knows of the calls before, and the quota opens slowly for a window.
 type Quotas struct {
-	tolerance Tolerance
-	name      string
-	run       uint64
+	tolerance   Tolerance
+	name        string
+	incarnation uint64
 
-	mu     sync.Mutex
-	meters map[string]*meter
-	hashes map[uint64]*meter
-	peers  map[string]*peer
+	mu           sync.Mutex
+	meters       map[string]*meter
+	metersByHash map[uint64]*meter
+	peers        map[string]*peer
 	// part is what this group of instances may use of each quota; alone says that there is
 	// no other instance.
-	part  float64
-	alone bool
+	fraction       float64
+	singleInstance bool
 	// round is how long it takes an instance to tell all others.
-	round time.Duration
+	reportRound time.Duration
 	// knows is since when all calls are known; zero before most instances were heard.
-	knows time.Time
+	observedSince time.Time
 	// counted says that this instance was told all calls from before its start, and
 	// countedUntil until when others still tell of those for the first time.
-	counted      bool
-	countedUntil time.Time
-	swept        time.Time
+	countsReceived   bool
+	countsCoverUntil time.Time
+	lastSweep        time.Time
 	// rising is since when more instances are heard than part says; zero while they are not.
-	rising time.Time
+	risingSince time.Time
 	// started are instances that are to be told all calls of the window.
-	started []string
-	all     int
+	newInstances []string
+	fleetSize    int
 }
 
 // NewQuotas returns quotas of nobody, at the instance; the run tells its starts apart.
-func NewQuotas(name string, run uint64, t Tolerance) *Quotas {
-	return &Quotas{name: name, run: run, tolerance: t, meters: map[string]*meter{}, hashes: map[uint64]*meter{}, peers: map[string]*peer{}}
+func NewQuotas(name string, incarnation uint64, t Tolerance) *Quotas {
+	return &Quotas{name: name, incarnation: incarnation, tolerance: t, meters: map[string]*meter{}, metersByHash: map[uint64]*meter{}, peers: map[string]*peer{}}
 }
 
 // Set puts customers' quotas in force; those not named have none.
@@ -108,7 +108,7 @@
 	for name, m := range q.meters {
 		if !quotas[name].Limited() {
 			delete(q.meters, name)
-			delete(q.hashes, m.hash)
+			delete(q.metersByHash, m.hash)
 		}
 	}
 	for name, quota := range quotas {
@@ -118,10 +118,10 @@
 		m := q.meters[name]
 		if m == nil {
 			m = newMeter(xxhash.Sum64String(name), quota, q.tolerance, now)
-			q.meters[name], q.hashes[m.hash] = m, m
+			q.meters[name], q.metersByHash[m.hash] = m, m
 		}
 		m.advance(now)
-		m.size(quota, q.tolerance)
+		m.setQuota(quota, q.tolerance)
 	}
 }
 
@@ -155,117 +155,117 @@
 		return Admitted, 0
 	}
 	m.advance(now)
-	m.rotate(now, q.round)
-	known := q.known(now)
-	limit := m.limit(q.part, known)
-	begins := c.StartsProgram && !m.programs.knows(c.Program)
-	telling := m.tellingTime(now, q.round)
-	full := m.recent.sum+1 > limit || m.level < 1 || begins && !m.mayBegin(now, limit)
+	m.rotateUnreported(now, q.reportRound)
+	observed := q.observedFor(now)
+	limit := m.limit(q.fraction, observed)
+	starting := c.StartsProgram && !m.programs.contains(c.Program)
+	delay := m.reportDelay(now, q.reportRound)
+	full := m.recent.sum+1 > limit || m.bucket < 1 || starting && !m.canStartProgram(now, limit)
 	switch {
-	case full && q.part < partKnown:
-		return Undetermined, m.wait(q.part, known)
+	case full && q.fraction < majorityFraction:
+		return Undetermined, m.retryAfter(q.fraction, observed)
 	case full:
-		return OverQuota, m.wait(q.part, known)
-	case !q.alone && !m.mayRace(limit, telling):
-		return OverQuota, max(refillLeast, telling)
+		return OverQuota, m.retryAfter(q.fraction, observed)
+	case !q.singleInstance && !m.withinLocalShare(limit, delay):
+		return OverQuota, max(minRetryAfter, delay)
 	}
-	m.take(now)
+	m.recordOwn(now)
 	if c.Program != "" {
-		m.programs.called(c.Program, now, m.window)
+		m.programs.recordCall(c.Program, now, m.window)
 	}
 	return Admitted, 0
 }
 
 // known is for how long all calls are known; the lock is held.
-func (q *Quotas) known(now time.Time) time.Duration {
-	if q.knows.IsZero() {
+func (q *Quotas) observedFor(now time.Time) time.Duration {
+	if q.observedSince.IsZero() {
 		return 0
 	}
-	return now.Sub(q.knows)
+	return now.Sub(q.observedSince)
 }
 
 // Return gives an admission back whose call has not run. One that waited for long stays
 // counted: later calls would take its place while it has left the window already.
 func (q *Quotas) Return(customer string, admitted, now time.Time) {
-	if now.Sub(admitted) > returnWithin {
+	if now.Sub(admitted) > maxReturnDelay {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if m := q.meters[customer]; m != nil {
 		m.advance(now)
-		m.giveBack(admitted)
+		m.returnCall(admitted)
 	}
 }
 
-func (q *Quotas) window() time.Duration { return max(q.tolerance.Window, shortestWindow) }
+func (q *Quotas) window() time.Duration { return max(q.tolerance.Window, minWindow) }
 
 // Fleet takes in how many of all instances are heard, this one included, and how long it
 // takes to tell them all. An instance that is not heard may have calls of its own; while it
 // is not known which instances there are, none is heard.
-func (q *Quotas) SetFleet(heard, all int, round time.Duration, now time.Time) {
+func (q *Quotas) SetFleet(reachable, total int, round time.Duration, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.alone, q.all, q.round = all == 1, all, round
-	q.adopt(partOf(heard, all), now)
-	if q.knows.IsZero() && q.part > partKnown {
-		q.knows = now
-		if q.counted {
-			q.knows = now.Add(-q.window())
+	q.singleInstance, q.fleetSize, q.reportRound = total == 1, total, round
+	q.setFraction(groupFraction(reachable, total), now)
+	if q.observedSince.IsZero() && q.fraction > majorityFraction {
+		q.observedSince = now
+		if q.countsReceived {
+			q.observedSince = now.Add(-q.window())
 		}
 	}
-	if now.Sub(q.swept) >= forgetAfter {
-		q.swept = now
-		q.forget(now)
+	if now.Sub(q.lastSweep) >= peerUsageRetention {
+		q.lastSweep = now
+		q.dropStaleUsage(now)
 	}
 }
 
 // adopt takes in the part of the quotas that may be used; the lock is held. A larger one
 // counts once the instances that are heard again had time to tell of their calls.
-func (q *Quotas) adopt(part float64, now time.Time) {
+func (q *Quotas) setFraction(fraction float64, now time.Time) {
 	switch {
-	case part <= q.part || q.alone:
-		q.rising = time.Time{}
-	case q.rising.IsZero():
-		q.rising = now
-		if part-q.part > riseLeast {
-			q.tellAgain(now)
+	case fraction <= q.fraction || q.singleInstance:
+		q.risingSince = time.Time{}
+	case q.risingSince.IsZero():
+		q.risingSince = now
+		if fraction-q.fraction > minFractionRise {
+			q.reportAgain(now)
 		}
 		return
-	case now.Sub(q.rising) < q.settling():
+	case now.Sub(q.risingSince) < q.settlingTime():
 		return
 	}
-	q.part = part
+	q.fraction = fraction
 }
 
 // settling is how long instances that are heard anew have to tell of their calls. After a
 // start little is admitted in any case; the lock is held.
-func (q *Quotas) settling() time.Duration {
-	if q.knows.IsZero() {
-		return q.round
+func (q *Quotas) settlingTime() time.Duration {
+	if q.observedSince.IsZero() {
+		return q.reportRound
 	}
-	return tellingRounds * q.round
+	return settlingRounds * q.reportRound
 }
 
 // tellAgain has all calls of the window told to those that are heard again; the lock is held.
-func (q *Quotas) tellAgain(now time.Time) {
+func (q *Quotas) reportAgain(now time.Time) {
 	for _, m := range q.meters {
 		m.advance(now)
-		m.tellAgain(now, q.round)
+		m.reportAgain(now, q.reportRound)
 	}
 }
 
 // partOf is the part of each quota that a group of instances may use that hear each other
 // and nobody else. For any groups of a fleet the parts add up to one at most; most of it is
 // for a group of more than half, to which callers are sent.
-func partOf(heard, all int) float64 {
+func groupFraction(reachable, total int) float64 {
 	switch {
-	case heard == 0:
+	case reachable == 0:
 		return 0
-	case heard >= all:
+	case reachable >= total:
 		return 1
 	}
-	x := float64(heard) / float64(all)
-	in, out := x*x*x, (1-x)*(1-x)*(1-x)
-	return in / (in + out)
+	x := float64(reachable) / float64(total)
+	own, rest := x*x*x, (1-x)*(1-x)*(1-x)
+	return own / (own + rest)
 }
--- a/internal/limit/quota_test.go
+++ b/internal/limit/quota_test.go
@@ -12,35 +12,35 @@
 
 // manyCustomers are 83 customers of which a few are large, with two or three connections
 // each, and a demand of that part of their quotas.
-func manyCustomers(w *quotaWorld, demand float64) {
+func addCustomers(w *quotaWorld, demand float64) {
 	for n := range 83 {
 		q := Quota{Rate: 3 + 270/float64(1+n*n)}
 		q.Burst = q.Rate
 		w.customer(fmt.Sprint("customer-", n), q, demand, 2+n%2)
 	}
-	w.warm()
+	w.startIdle()
 }
 
 // warmUp is how long instances run before their callers come.
-const warmUp = 5500 * time.Millisecond
+const warmUpTime = 5500 * time.Millisecond
 
-func (w *quotaWorld) warm() {
-	asked := w.demand
+func (w *quotaWorld) startIdle() {
+	demand := w.demand
 	w.demand = map[string]float64{}
 	w.start()
-	w.play(warmUp)
-	w.demand = asked
+	w.run(warmUpTime)
+	w.demand = demand
 }
 
 // demandAll sets all customers' demand to a part of their rates.
-func (w *quotaWorld) demandAll(part float64) {
+func (w *quotaWorld) setDemand(part float64) {
 	for name, q := range w.quotas {
 		w.demand[name] = part * q.Rate
 	}
 }
 
 // wasteMost is the part of the calls owed that may be refused where nothing is wrong.
-const wasteMost = 0.001
+const maxLoss = 0.001
 
 // Customers are refused below their quotas, as each instance knows only of its own part.
 func TestNobodyIsRefusedBelowTheQuota(t *testing.T) {
@@ -49,112 +49,112 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			w := newQuotaWorld(7, size, told)
-			manyCustomers(w, 0)
-			w.demandAll(0.625)
-			w.play(time.Second)
-			starting, _ := w.lost()
-			w.countAnew()
-			w.play(4 * time.Second)
-			all, worst := w.lost()
-			t.Logf("%d of %d refused, lost %.4f of those owed, worst %.3f; %.4f at the start", total(w.refused), total(w.asked), all, worst, starting)
-			is.True(all <= wasteMost)
-			is.Equal(w.broken(), nil)
+			w := newQuotaWorld(7, size, newReporting)
+			addCustomers(w, 0)
+			w.setDemand(0.625)
+			w.run(time.Second)
+			starting, _ := w.lossFractions()
+			w.resetCounts()
+			w.run(4 * time.Second)
+			all, worst := w.lossFractions()
+			t.Logf("%d of %d refused, lost %.4f of those owed, worst %.3f; %.4f at the start", total(w.refused), total(w.offered), all, worst, starting)
+			is.True(all <= maxLoss)
+			is.Equal(w.violations(), nil)
 		})
 	}
 }
 
-func (w *quotaWorld) cutAndHeal(chosen func(n int) bool) {
-	w.cut(chosen)
-	w.play(6 * time.Second)
-	w.cut(func(int) bool { return false })
-	w.play(6 * time.Second)
+func (w *quotaWorld) partitionAndHeal(chosen func(n int) bool) {
+	w.partition(chosen)
+	w.run(6 * time.Second)
+	w.partition(func(int) bool { return false })
+	w.run(6 * time.Second)
 }
 
 // loads are patterns of the worst load.
 var loads = map[string]func(w *quotaWorld){
 	"burst": func(w *quotaWorld) {
-		manyCustomers(w, 0.625)
-		w.play(3 * time.Second)
-		w.demandAll(1.4)
-		w.play(6 * time.Second)
+		addCustomers(w, 0.625)
+		w.run(3 * time.Second)
+		w.setDemand(1.4)
+		w.run(6 * time.Second)
 	},
 	"one customer floods": func(w *quotaWorld) {
-		manyCustomers(w, 0.625)
-		w.play(3 * time.Second)
+		addCustomers(w, 0.625)
+		w.run(3 * time.Second)
 		w.demand["customer-1"] *= 20
-		w.play(7 * time.Second)
+		w.run(7 * time.Second)
 	},
 	"quotas are lowered": func(w *quotaWorld) {
-		manyCustomers(w, 0.625)
-		w.play(3 * time.Second)
+		addCustomers(w, 0.625)
+		w.run(3 * time.Second)
 		w.change("customer-0", Quota{Rate: 20, Burst: 20})
 		w.change("customer-5", Quota{Rate: 1, Burst: 1})
-		w.play(12 * time.Second)
+		w.run(12 * time.Second)
 	},
 	"a data centre is cut off": func(w *quotaWorld) {
-		manyCustomers(w, 0.8)
-		w.play(5 * time.Second)
-		w.cutAndHeal(func(n int) bool { return n%dataCentres == 0 })
+		addCustomers(w, 0.8)
+		w.run(5 * time.Second)
+		w.partitionAndHeal(func(n int) bool { return n%dataCentres == 0 })
 	},
 	"a data centre is cut off under a flood": func(w *quotaWorld) {
-		manyCustomers(w, 3)
-		w.play(5 * time.Second)
-		w.cutAndHeal(func(n int) bool { return n%dataCentres == 0 })
+		addCustomers(w, 3)
+		w.run(5 * time.Second)
+		w.partitionAndHeal(func(n int) bool { return n%dataCentres == 0 })
 	},
 	"halves do not hear each other under a flood": func(w *quotaWorld) {
-		manyCustomers(w, 3)
-		w.play(5 * time.Second)
-		w.cutAndHeal(func(n int) bool { return n%2 == 0 })
+		addCustomers(w, 3)
+		w.run(5 * time.Second)
+		w.partitionAndHeal(func(n int) bool { return n%2 == 0 })
 	},
 	"a flood through many instances": func(w *quotaWorld) {
 		for n := range 4 {
 			q := Quota{Rate: 20 * float64(1+n), Burst: 20 * float64(1+n)}
 			w.customer(fmt.Sprint("customer-", n), q, 0.6, 12)
 		}
-		w.warm()
-		w.play(3 * time.Second)
-		w.demandAll(12)
-		w.play(7 * time.Second)
+		w.startIdle()
+		w.run(3 * time.Second)
+		w.setDemand(12)
+		w.run(7 * time.Second)
 	},
 	"callers leave one half as a cut heals": func(w *quotaWorld) {
-		manyCustomers(w, 3)
-		w.play(5 * time.Second)
-		w.cut(func(n int) bool { return n%2 == 0 })
-		w.play(6 * time.Second)
+		addCustomers(w, 3)
+		w.run(5 * time.Second)
+		w.partition(func(n int) bool { return n%2 == 0 })
+		w.run(6 * time.Second)
 		for _, c := range w.clients {
-			if c.at.side == 1 {
-				c.at = w.instances[1]
+			if c.instance.side == 1 {
+				c.instance = w.instances[1]
 			}
 		}
-		w.cut(func(int) bool { return false })
-		w.play(6 * time.Second)
+		w.partition(func(int) bool { return false })
+		w.run(6 * time.Second)
 	},
 	"most instances are killed": func(w *quotaWorld) {
-		manyCustomers(w, 0.8)
-		w.play(5 * time.Second)
+		addCustomers(w, 0.8)
+		w.run(5 * time.Second)
 		for n, i := range w.instances {
 			if n%20 < 11 {
 				w.kill(i, 2*time.Second)
 			}
 		}
-		w.play(7 * time.Second)
+		w.run(7 * time.Second)
 	},
 	"all restart under a flood": func(w *quotaWorld) {
-		manyCustomers(w, 3)
-		w.play(6 * time.Second)
+		addCustomers(w, 3)
+		w.run(6 * time.Second)
 		for _, i := range w.instances {
 			w.kill(i, 700*time.Millisecond)
 		}
-		w.play(7 * time.Second)
+		w.run(7 * time.Second)
 	},
 	"instances freeze and wake": func(w *quotaWorld) {
-		manyCustomers(w, 2)
-		w.play(5 * time.Second)
-		w.freeze(func(n int) bool { return n%4 == 0 })
-		w.play(4 * time.Second)
-		w.freeze(func(int) bool { return false })
-		w.play(7 * time.Second)
+		addCustomers(w, 2)
+		w.run(5 * time.Second)
+		w.pause(func(n int) bool { return n%4 == 0 })
+		w.run(4 * time.Second)
+		w.pause(func(int) bool { return false })
+		w.run(7 * time.Second)
 	},
 }
 
@@ -166,11 +166,11 @@
 			t.Run(fmt.Sprintf("%s at %d", load, size), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				w := newQuotaWorld(11, size, told)
+				w := newQuotaWorld(11, size, newReporting)
 				play(w)
-				all, worst := w.lost()
-				t.Logf("%d of %d refused, lost %.4f of those owed, worst %.3f", total(w.refused), total(w.asked), all, worst)
-				is.Equal(w.broken(), nil)
+				all, worst := w.lossFractions()
+				t.Logf("%d of %d refused, lost %.4f of those owed, worst %.3f", total(w.refused), total(w.offered), all, worst)
+				is.Equal(w.violations(), nil)
 			})
 		}
 	}
@@ -180,30 +180,30 @@
 // within one telling.
 func TestFloodFromIdleEverywhere(t *testing.T) {
 	is := is.New(t)
-	w := newQuotaWorld(11, 81, told)
+	w := newQuotaWorld(11, 81, newReporting)
 	for n := range 4 {
 		q := Quota{Rate: 20 * float64(1+n), Burst: 20 * float64(1+n)}
 		w.customer(fmt.Sprint("customer-", n), q, 300, len(w.instances))
 	}
-	w.warm()
-	w.play(2 * time.Second)
-	is.Equal(w.broken(), nil)
+	w.startIdle()
+	w.run(2 * time.Second)
+	is.Equal(w.violations(), nil)
 }
 
 // TestOtherWaysLoseMore compares the way of the product with fixed parts and with parts that
 // an arbiter divides by demand, at the loads that they answer.
-func TestOtherWaysLoseMore(t *testing.T) {
+func TestAlternativesLoseMore(t *testing.T) {
 	for _, load := range []string{"burst", "one customer floods", "a data centre is cut off"} {
 		play := loads[load]
 		t.Run(load, func(t *testing.T) {
 			is := is.New(t)
 			lost := map[string]float64{}
-			for name, newWay := range map[string]func(*quotaWorld, string) way{"told": told, "fixed": fixed, "divided": divided()} {
+			for name, newWay := range map[string]func(*quotaWorld, string) admitter{"told": newReporting, "fixed": newFixed, "divided": newArbitrated()} {
 				w := newQuotaWorld(11, 9, newWay)
 				play(w)
-				all, worst := w.lost()
+				all, worst := w.lossFractions()
 				lost[name] = all
-				t.Logf("%s: lost %.4f of the calls owed, worst %.3f, %d broken", name, all, worst, len(w.broken()))
+				t.Logf("%s: lost %.4f of the calls owed, worst %.3f, %d broken", name, all, worst, len(w.violations()))
 			}
 			is.True(lost["told"] < lost["fixed"])
 			is.True(lost["told"] < lost["divided"])
@@ -214,18 +214,18 @@
 // TestQuotaMachine plays any faults and demands; no window may have more than is allowed.
 func TestQuotaMachine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newQuotaWorld(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(1, 16).Draw(rt, "instances"), told)
-		w.loss = rapid.SampledFrom([]float64{0, 0.01, 0.1}).Draw(rt, "loss")
+		w := newQuotaWorld(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(1, 16).Draw(rt, "instances"), newReporting)
+		w.lossRate = rapid.SampledFrom([]float64{0, 0.01, 0.1}).Draw(rt, "loss")
 		for n := range rapid.IntRange(1, 3).Draw(rt, "customers") {
 			q := drawQuota(rt)
 			w.customer(fmt.Sprint("c", n), q, rapid.Float64Range(0, 8).Draw(rt, "demand"), rapid.IntRange(1, 6).Draw(rt, "clients"))
 		}
 		w.start()
 		for range rapid.IntRange(1, 8).Draw(rt, "acts") {
-			w.act(rt)
-			w.play(time.Duration(rapid.IntRange(50, 3000).Draw(rt, "ms")) * time.Millisecond)
+			w.applyRandomEvent(rt)
+			w.run(time.Duration(rapid.IntRange(50, 3000).Draw(rt, "ms")) * time.Millisecond)
 		}
-		if broken := w.broken(); broken != nil {
+		if broken := w.violations(); broken != nil {
 			rt.Fatal(broken)
 		}
 	})
@@ -238,15 +238,15 @@
 }
 
 // act does one thing to the world.
-func (w *quotaWorld) act(rt *rapid.T) {
+func (w *quotaWorld) applyRandomEvent(rt *rapid.T) {
 	chosen := rapid.SliceOfN(rapid.Bool(), len(w.instances), len(w.instances)).Draw(rt, "instances chosen")
 	among := func(n int) bool { return chosen[n] }
 	name := rapid.SampledFrom(names(w.quotas)).Draw(rt, "customer")
 	switch rapid.SampledFrom([]string{"cut", "heal", "kill", "kill all", "freeze", "wake", "demand", "change", "none"}).Draw(rt, "act") {
 	case "cut":
-		w.cut(among)
+		w.partition(among)
 	case "heal":
-		w.cut(func(int) bool { return false })
+		w.partition(func(int) bool { return false })
 	case "kill":
 		for n, i := range w.instances {
 			if among(n) {
@@ -258,9 +258,9 @@
 			w.kill(i, 300*time.Millisecond)
 		}
 	case "freeze":
-		w.freeze(among)
+		w.pause(among)
 	case "wake":
-		w.freeze(func(int) bool { return false })
+		w.pause(func(int) bool { return false })
 	case "demand":
 		w.demand[name] = w.quotas[name].Rate * rapid.Float64Range(0, 8).Draw(rt, "demand")
 	case "change":
@@ -274,7 +274,7 @@
 	now := time.Unix(1000, 0)
 	q := NewQuotas("a", 1, tolerance)
 	q.Set(map[string]Quota{"c": {Rate: 2, Burst: 2}}, now)
-	q.SetFleet(1, 1, tellTick, now)
+	q.SetFleet(1, 1, reportTick, now)
 	now = now.Add(tolerance.Window)
 	for range 200 {
 		verdict, _ := q.Admit(Call{Customer: "c"}, now)
@@ -286,8 +286,8 @@
 		admitted++
 	}
 	is.True(admitted > 0)
-	told, _ := q.Report(now)
-	is.Equal(told.Usage[0].Admitted, uint64(admitted))
+	report, _ := q.Report(now)
+	is.Equal(report.Usage[0].Admitted, uint64(admitted))
 	verdict, after := q.Admit(Call{Customer: "c"}, now)
 	is.Equal(verdict, OverQuota)
 	is.True(after > 0 && after <= tolerance.Window)
@@ -302,12 +302,12 @@
 	now := time.Unix(1000, 0)
 	q := NewQuotas("a", 1, tolerance)
 	q.Set(map[string]Quota{"c": {Rate: 2, Burst: 2}}, now)
-	q.SetFleet(1, 1, tellTick, now)
+	q.SetFleet(1, 1, reportTick, now)
 	now = now.Add(tolerance.Window)
 	q.Admit(Call{Customer: "c"}, now)
 	q.Return("c", now, now.Add(4*time.Second))
 	is.Equal(q.meters["c"].recent.sum, 1.0)
-	q.Return("c", now, now.Add(returnWithin))
+	q.Return("c", now, now.Add(maxReturnDelay))
 	is.Equal(q.meters["c"].recent.sum, 0.0)
 }
 
@@ -319,16 +319,16 @@
 	q := NewQuotas("a", 1, tolerance)
 	q.Set(map[string]Quota{"c": {Rate: 20, Burst: 20}}, now)
 	m := q.meters["c"]
-	q.SetFleet(2, 2, tellTick, now)
-	q.SetFleet(2, 2, tellTick, now.Add(tellTick))
-	tell := func(from string, counted []WindowCount, made uint64) {
-		uses := []CallUsage{{Customer: m.hash, Admitted: made, Recent: uint32(made)}}
-		q.Merge(QuotaReport{From: from, Incarnation: 7, ObservedFor: tolerance.Window, Usage: uses, WindowCounts: counted}, now)
+	q.SetFleet(2, 2, reportTick, now)
+	q.SetFleet(2, 2, reportTick, now.Add(reportTick))
+	report := func(from string, counts []WindowCount, admitted uint64) {
+		usage := []CallUsage{{Customer: m.hash, Admitted: admitted, Recent: uint32(admitted)}}
+		q.Merge(QuotaReport{From: from, Incarnation: 7, ObservedFor: tolerance.Window, Usage: usage, WindowCounts: counts}, now)
 	}
-	tell("b", []WindowCount{{Customer: m.hash, Calls: 30}}, 30)
+	report("b", []WindowCount{{Customer: m.hash, Calls: 30}}, 30)
 	is.Equal(m.recent.sum, 30.0) // not counted twice
 	now = now.Add(time.Second)
-	tell("c", nil, 9)
+	report("c", nil, 9)
 	is.Equal(m.recent.sum, 39.0)
 }
 
@@ -339,10 +339,10 @@
 	var p programs
 	for i := range 10_000 {
 		now = now.Add(100 * time.Millisecond)
-		p.called(fmt.Sprint(i), now, tolerance.Window)
+		p.recordCall(fmt.Sprint(i), now, tolerance.Window)
 	}
-	is.True(len(p.known) <= int((rememberWindows+1)*tolerance.Window/(100*time.Millisecond)))
-	is.True(p.calls > 0)
+	is.True(len(p.byName) <= int((idleProgramWindows+1)*tolerance.Window/(100*time.Millisecond)))
+	is.True(p.learnedCalls > 0)
 }
 
 // The parts of groups that do not hear each other are more than the whole.
@@ -354,7 +354,7 @@
 			all += n
 		}
 		for _, n := range groups {
-			sum += partOf(n, all)
+			sum += groupFraction(n, all)
 		}
 		if sum > 1+1e-9 {
 			rt.Fatalf("%v: %v", groups, sum)
@@ -364,53 +364,53 @@
 
 // agentProgram makes calls one after the other, and fails with a call refused three times.
 type agentProgram struct {
-	name        string
-	left, tries int
-	next        time.Time
+	name             string
+	remaining, tries int
+	nextCall         time.Time
 }
 
 // finished plays programs of a customer whose quota holds a part of them, and returns how
 // many came to their ends.
-func finished(t *testing.T, byProgram bool) int {
+func completedPrograms(t *testing.T, byProgram bool) int {
 	const calls, think, beginEvery = 20, 400 * time.Millisecond, 250 * time.Millisecond
 	now := time.Unix(1000, 0)
 	q := NewQuotas("a", 1, tolerance)
 	q.Set(map[string]Quota{"c": {Rate: 12, Burst: 12}}, now)
-	q.SetFleet(1, 1, tellTick, now)
+	q.SetFleet(1, 1, reportTick, now)
 	now = now.Add(tolerance.Window)
-	var under []*agentProgram
-	done := 0
+	var active []*agentProgram
+	completed := 0
 	for until := now.Add(60 * time.Second); now.Before(until); now = now.Add(tick) {
 		if now.UnixMilli()%beginEvery.Milliseconds() == 0 {
-			under = append(under, &agentProgram{name: fmt.Sprint(now.UnixMilli()), left: calls, next: now})
+			active = append(active, &agentProgram{name: fmt.Sprint(now.UnixMilli()), remaining: calls, nextCall: now})
 		}
-		under = slices.DeleteFunc(under, func(p *agentProgram) bool {
-			if now.Before(p.next) {
+		active = slices.DeleteFunc(active, func(p *agentProgram) bool {
+			if now.Before(p.nextCall) {
 				return false
 			}
-			verdict, after := q.Admit(Call{Customer: "c", Program: p.name, StartsProgram: byProgram && p.left == calls}, now)
+			verdict, after := q.Admit(Call{Customer: "c", Program: p.name, StartsProgram: byProgram && p.remaining == calls}, now)
 			if verdict != Admitted {
 				p.tries++
-				p.next = now.Add(min(after, think))
+				p.nextCall = now.Add(min(after, think))
 				return p.tries == 3
 			}
-			p.left, p.tries, p.next = p.left-1, 0, now.Add(think)
-			if p.left == 0 {
-				done++
+			p.remaining, p.tries, p.nextCall = p.remaining-1, 0, now.Add(think)
+			if p.remaining == 0 {
+				completed++
 			}
-			return p.left == 0
+			return p.remaining == 0
 		})
 	}
-	return done
+	return completed
 }
 
 // A customer gets nothing of its quota: all its programs begin, and each is refused a call
 // in its middle.
 func TestProgramsThatBeginAreFinished(t *testing.T) {
 	is := is.New(t)
-	byCall, byProgram := finished(t, false), finished(t, true)
+	byCall, byProgram := completedPrograms(t, false), completedPrograms(t, true)
 	t.Logf("finished: %d where calls are admitted alike, %d where programs under way go first", byCall, byProgram)
-	const held = (12*60 + 12) / 20 // programs that the quota holds
-	is.True(byProgram >= held*9/10)
+	const capacity = (12*60 + 12) / 20 // programs that the quota holds
+	is.True(byProgram >= capacity*9/10)
 	is.True(byProgram > byCall)
 }
--- a/internal/limit/quota_world_test.go
+++ b/internal/limit/quota_world_test.go
@@ -16,104 +16,104 @@
 	// tick is the step of the world's clock.
 	tick = 5 * time.Millisecond
 	// tellTick is how often an instance sends, to reach of its peers at once.
-	tellTick = 60 * time.Millisecond
-	reach    = 24
+	reportTick = 60 * time.Millisecond
+	fanout     = 24
 	// countTick is how often an instance counts those that it hears: not one of a data centre
 	// of which it heard nothing for deafAfter, nor one of which three datagrams are missing.
-	countTick   = 100 * time.Millisecond
-	deafAfter   = 450 * time.Millisecond
+	fleetTick   = 100 * time.Millisecond
+	silentAfter = 450 * time.Millisecond
 	dataCentres = 3
 	// moveAfter is when clients leave an instance that does not answer.
-	moveAfter = 2 * time.Second
+	clientMoveAfter = 2 * time.Second
 )
 
 var tolerance = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
 // allowed is the most calls of the customer that may run in any window.
-func allowed(q Quota) float64 {
+func windowAllowance(q Quota) float64 {
 	return (q.Rate*tolerance.Window.Seconds()+q.Burst)*(1+tolerance.Overage) + tolerance.Slack
 }
 
 // way is how an instance admits calls.
-type way interface {
+type admitter interface {
 	set(quotas map[string]Quota, now time.Time)
 	admit(customer string, now time.Time) bool
 }
 
 // toldWay is the one of the product.
-type toldWay struct{ *Quotas }
+type reportingAdmitter struct{ *Quotas }
 
-func (w toldWay) set(quotas map[string]Quota, now time.Time) { w.Set(quotas, now) }
+func (w reportingAdmitter) set(quotas map[string]Quota, now time.Time) { w.Set(quotas, now) }
 
-func (w toldWay) admit(customer string, now time.Time) bool {
+func (w reportingAdmitter) admit(customer string, now time.Time) bool {
 	verdict, _ := w.Admit(Call{Customer: customer}, now)
 	return verdict == Admitted
 }
 
 // fixedWay gives each instance the same part of each quota.
-type fixedWay struct {
+type fixedAdmitter struct {
 	instances int
 	limiters  map[string]*rate.Limiter
 }
 
-func (w *fixedWay) set(quotas map[string]Quota, _ time.Time) {
+func (w *fixedAdmitter) set(quotas map[string]Quota, _ time.Time) {
 	for name, q := range quotas {
 		part := rate.Limit(q.Rate / float64(w.instances))
 		w.limiters[name] = rate.NewLimiter(part, max(1, int(q.Burst)/w.instances))
 	}
 }
 
-func (w *fixedWay) admit(customer string, now time.Time) bool {
+func (w *fixedAdmitter) admit(customer string, now time.Time) bool {
 	l := w.limiters[customer]
 	return l == nil || l.AllowN(now, 1)
 }
 
 // dividedWay has an arbiter divide each quota by demand, as it does plans of steps.
-type dividedWay struct {
+type arbitratedAdmitter struct {
 	name    string
 	arbiter *arbiter
 	members fleet
 	limits  map[string]plan.Limits
-	states  map[string]*dividedState
+	states  map[string]*arbitratedState
 }
 
-type dividedState struct {
-	limiter  *rate.Limiter
-	ends     time.Time
-	asked    time.Time
-	arrivals int
-	offered  float64
+type arbitratedState struct {
+	limiter     *rate.Limiter
+	expires     time.Time
+	requestedAt time.Time
+	arrivals    int
+	offeredRate float64
 }
 
-func (w *dividedWay) set(quotas map[string]Quota, _ time.Time) {
+func (w *arbitratedAdmitter) set(quotas map[string]Quota, _ time.Time) {
 	for name, q := range quotas {
 		w.limits[name] = plan.Limits{Rate: q.Rate, Burst: int(q.Burst)}
-		w.states[name] = &dividedState{}
+		w.states[name] = &arbitratedState{}
 	}
 }
 
-func (w *dividedWay) admit(customer string, now time.Time) bool {
+func (w *arbitratedAdmitter) admit(customer string, now time.Time) bool {
 	limits, s := w.limits[customer], w.states[customer]
 	if s == nil {
 		return true
 	}
 	s.arrivals++
-	if s.limiter == nil || now.After(s.ends) {
-		w.apply(s, limits, w.members.unasked(limits, w.name), now)
+	if s.limiter == nil || now.After(s.expires) {
+		w.apply(s, limits, w.members.defaultShare(limits, w.name), now)
 	}
 	if s.limiter.AllowN(now, 1) {
 		return true
 	}
-	if now.Sub(s.asked) >= askPause {
-		s.offered = max(s.offered/2, float64(s.arrivals)/max(askPause, min(askInterval, now.Sub(s.asked))).Seconds())
-		s.asked, s.arrivals = now, 0
-		w.apply(s, limits, w.arbiter.divide(w.name, Demand{Plan: customer, Rate: s.offered, Limits: limits}, w.members, now), now)
-		s.ends = now.Add(shareTime)
+	if now.Sub(s.requestedAt) >= minRequestGap {
+		s.offeredRate = max(s.offeredRate/2, float64(s.arrivals)/max(minRequestGap, min(requestInterval, now.Sub(s.requestedAt))).Seconds())
+		s.requestedAt, s.arrivals = now, 0
+		w.apply(s, limits, w.arbiter.allocate(w.name, Demand{Plan: customer, Rate: s.offeredRate, Limits: limits}, w.members, now), now)
+		s.expires = now.Add(shareLifetime)
 	}
 	return false
 }
 
-func (w *dividedWay) apply(s *dividedState, limits plan.Limits, share Share, now time.Time) {
+func (w *arbitratedAdmitter) apply(s *arbitratedState, limits plan.Limits, share Share, now time.Time) {
 	burst := max(1, int(float64(limits.Burst)*share.Rate/limits.Rate))
 	if s.limiter == nil {
 		s.limiter = rate.NewLimiter(rate.Limit(share.Rate), burst)
@@ -128,32 +128,32 @@
 	name       string
 	dataCentre int
 	// side tells the halves of a cut apart.
-	side      int
-	way       way
-	downUntil time.Time
-	frozen    bool
-	heard     map[string]time.Time
-	signs     map[int]time.Time
-	peers     []*quotaInstance
-	next      int
-	sendAt    time.Time
-	countAt   time.Time
-	inbox     []quotaDatagram
+	side          int
+	admitter      admitter
+	downUntil     time.Time
+	paused        bool
+	lastReport    map[string]time.Time
+	lastContact   map[int]time.Time
+	peers         []*quotaInstance
+	nextPeer      int
+	sendAt        time.Time
+	updateFleetAt time.Time
+	inbox         []quotaDatagram
 }
 
 type quotaDatagram struct {
-	at      time.Time
+	arrives time.Time
 	from    *quotaInstance
-	telling QuotaReport
+	report  QuotaReport
 }
 
 // quotaClient is one connection of a customer.
 type quotaClient struct {
 	customer string
 	// pace is the part of the customer's demand that comes through it.
-	pace  float64
-	at    *quotaInstance
-	stuck time.Time
+	demandFraction float64
+	instance       *quotaInstance
+	stuckSince     time.Time
 }
 
 // quotaWorld plays instances and clients of customers on a clock of its own.
@@ -165,28 +165,28 @@
 	clients   []*quotaClient
 	quotas    map[string]Quota
 	// changed says when a quota was changed last, former the highest one before.
-	changed map[string]time.Time
-	former  map[string]Quota
+	changedAt map[string]time.Time
+	former    map[string]Quota
 	// demand is in calls a second, by customer.
-	demand map[string]float64
-	newWay func(w *quotaWorld, name string) way
-	runs   uint64
-	loss   float64
+	demand       map[string]float64
+	newAdmitter  func(w *quotaWorld, name string) admitter
+	incarnations uint64
+	lossRate     float64
 
 	// ideal is one bucket for the whole fleet, and owed the calls that it admits.
-	ideal   map[string]*rate.Limiter
-	owed    map[string]int
-	ran     map[string][]time.Time
-	asked   map[string]int
-	refused map[string]int
+	ideal         map[string]*rate.Limiter
+	idealAdmitted map[string]int
+	admittedAt    map[string][]time.Time
+	offered       map[string]int
+	refused       map[string]int
 }
 
-func newQuotaWorld(seed uint64, instances int, newWay func(*quotaWorld, string) way) *quotaWorld {
+func newQuotaWorld(seed uint64, instances int, newWay func(*quotaWorld, string) admitter) *quotaWorld {
 	w := &quotaWorld{
-		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), newWay: newWay, loss: 0.01,
-		quotas: map[string]Quota{}, changed: map[string]time.Time{}, former: map[string]Quota{}, demand: map[string]float64{},
-		byName: map[string]*quotaInstance{}, ideal: map[string]*rate.Limiter{}, ran: map[string][]time.Time{},
-		owed: map[string]int{}, asked: map[string]int{}, refused: map[string]int{},
+		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), newAdmitter: newWay, lossRate: 0.01,
+		quotas: map[string]Quota{}, changedAt: map[string]time.Time{}, former: map[string]Quota{}, demand: map[string]float64{},
+		byName: map[string]*quotaInstance{}, ideal: map[string]*rate.Limiter{}, admittedAt: map[string][]time.Time{},
+		idealAdmitted: map[string]int{}, offered: map[string]int{}, refused: map[string]int{},
 	}
 	for i := range instances {
 		w.instances = append(w.instances, &quotaInstance{name: fmt.Sprint("i", i), dataCentre: i % dataCentres})
@@ -203,21 +203,23 @@
 	return w
 }
 
-func told(w *quotaWorld, name string) way { return toldWay{NewQuotas(name, w.runs, tolerance)} }
+func newReporting(w *quotaWorld, name string) admitter {
+	return reportingAdmitter{NewQuotas(name, w.incarnations, tolerance)}
+}
 
-func fixed(w *quotaWorld, _ string) way {
-	return &fixedWay{instances: len(w.instances), limiters: map[string]*rate.Limiter{}}
+func newFixed(w *quotaWorld, _ string) admitter {
+	return &fixedAdmitter{instances: len(w.instances), limiters: map[string]*rate.Limiter{}}
 }
 
 // divided returns the way of one arbiter that is never lost and answers at once.
-func divided() func(*quotaWorld, string) way {
+func newArbitrated() func(*quotaWorld, string) admitter {
 	shared := newArbiter()
-	return func(w *quotaWorld, name string) way {
+	return func(w *quotaWorld, name string) admitter {
 		weights := map[string]float64{}
 		for _, i := range w.instances {
 			weights[i.name] = 1
 		}
-		return &dividedWay{name: name, arbiter: shared, members: newFleet(weights), limits: map[string]plan.Limits{}, states: map[string]*dividedState{}}
+		return &arbitratedAdmitter{name: name, arbiter: shared, members: newFleet(weights), limits: map[string]plan.Limits{}, states: map[string]*arbitratedState{}}
 	}
 }
 
@@ -227,7 +229,7 @@
 	w.quotas[name], w.demand[name] = q, demand*q.Rate
 	w.ideal[name] = rate.NewLimiter(rate.Limit(q.Rate), max(1, int(q.Burst)))
 	for i := range clients {
-		w.clients = append(w.clients, &quotaClient{customer: name, pace: 2 * float64(clients-i) / float64(clients*(clients+1)), at: w.anyInstance()})
+		w.clients = append(w.clients, &quotaClient{customer: name, demandFraction: 2 * float64(clients-i) / float64(clients*(clients+1)), instance: w.anyInstance()})
 	}
 }
 
@@ -237,48 +239,48 @@
 
 func (w *quotaWorld) start() {
 	for _, i := range w.instances {
-		w.startOne(i)
+		w.startInstance(i)
 	}
 }
 
-func (w *quotaWorld) startOne(i *quotaInstance) {
-	w.runs++
-	i.way, i.heard, i.inbox = w.newWay(w, i.name), map[string]time.Time{}, nil
-	i.signs = map[int]time.Time{}
-	i.frozen = false
-	i.sendAt = w.now.Add(time.Duration(w.random.Int64N(int64(tellTick))))
-	i.way.set(w.quotas, w.now)
+func (w *quotaWorld) startInstance(i *quotaInstance) {
+	w.incarnations++
+	i.admitter, i.lastReport, i.inbox = w.newAdmitter(w, i.name), map[string]time.Time{}, nil
+	i.lastContact = map[int]time.Time{}
+	i.paused = false
+	i.sendAt = w.now.Add(time.Duration(w.random.Int64N(int64(reportTick))))
+	i.admitter.set(w.quotas, w.now)
 }
 
 // change sets a quota at all instances at once.
 func (w *quotaWorld) change(name string, q Quota) {
 	former := w.quotas[name]
-	if w.now.Before(w.changed[name].Add(tolerance.Window)) {
+	if w.now.Before(w.changedAt[name].Add(tolerance.Window)) {
 		former.Rate, former.Burst = max(former.Rate, w.former[name].Rate), max(former.Burst, w.former[name].Burst)
 	}
-	w.former[name], w.changed[name], w.quotas[name] = former, w.now, q
+	w.former[name], w.changedAt[name], w.quotas[name] = former, w.now, q
 	w.ideal[name].SetLimitAt(w.now, rate.Limit(q.Rate))
 	w.ideal[name].SetBurstAt(w.now, max(1, int(q.Burst)))
 	for _, i := range w.instances {
-		if i.way != nil {
-			i.way.set(w.quotas, w.now)
+		if i.admitter != nil {
+			i.admitter.set(w.quotas, w.now)
 		}
 	}
 }
 
 func (w *quotaWorld) kill(i *quotaInstance, down time.Duration) {
-	i.way, i.downUntil = nil, w.now.Add(down)
+	i.admitter, i.downUntil = nil, w.now.Add(down)
 }
 
 // freeze stops the instances chosen, and wakes the others.
-func (w *quotaWorld) freeze(chosen func(n int) bool) {
+func (w *quotaWorld) pause(chosen func(n int) bool) {
 	for n, i := range w.instances {
-		i.frozen = i.way != nil && chosen(n)
+		i.paused = i.admitter != nil && chosen(n)
 	}
 }
 
 // cut puts the instances chosen on a side of their own.
-func (w *quotaWorld) cut(chosen func(n int) bool) {
+func (w *quotaWorld) partition(chosen func(n int) bool) {
 	for n, i := range w.instances {
 		i.side = 0
 		if chosen(n) {
@@ -288,114 +290,114 @@
 }
 
 // play lets time pass.
-func (w *quotaWorld) play(d time.Duration) {
+func (w *quotaWorld) run(d time.Duration) {
 	for until := w.now.Add(d); w.now.Before(until); w.now = w.now.Add(tick) {
 		for _, i := range w.instances {
-			w.turn(i)
+			w.stepInstance(i)
 		}
 		for _, c := range w.clients {
-			w.call(c)
+			w.stepClient(c)
 		}
 	}
 }
 
 // turn lets an instance receive and send.
-func (w *quotaWorld) turn(i *quotaInstance) {
-	if i.way == nil {
+func (w *quotaWorld) stepInstance(i *quotaInstance) {
+	if i.admitter == nil {
 		if w.now.Before(i.downUntil) {
 			return
 		}
-		w.startOne(i)
+		w.startInstance(i)
 	}
-	if i.frozen {
+	if i.paused {
 		return
 	}
-	quotas, ok := i.way.(toldWay)
+	quotas, ok := i.admitter.(reportingAdmitter)
 	if !ok {
 		return
 	}
 	i.inbox = slices.DeleteFunc(i.inbox, func(d quotaDatagram) bool {
-		if d.at.After(w.now) {
+		if d.arrives.After(w.now) {
 			return false
 		}
-		i.heard[d.from.name], i.signs[d.from.dataCentre] = w.now, w.now
-		quotas.Merge(d.telling, w.now)
+		i.lastReport[d.from.name], i.lastContact[d.from.dataCentre] = w.now, w.now
+		quotas.Merge(d.report, w.now)
 		return true
 	})
 	if w.now.Before(i.sendAt) {
 		return
 	}
-	i.sendAt = i.sendAt.Add(tellTick)
-	turns := max(1, (len(i.peers)+reach-1)/reach)
-	if !w.now.Before(i.countAt) {
-		i.countAt = w.now.Add(countTick)
-		heard := 1
-		for name, at := range i.heard {
-			if w.now.Sub(at) < max(deafAfter, 3*time.Duration(turns)*tellTick) && w.now.Sub(i.signs[w.byName[name].dataCentre]) < deafAfter {
-				heard++
+	i.sendAt = i.sendAt.Add(reportTick)
+	rounds := max(1, (len(i.peers)+fanout-1)/fanout)
+	if !w.now.Before(i.updateFleetAt) {
+		i.updateFleetAt = w.now.Add(fleetTick)
+		reachable := 1
+		for name, at := range i.lastReport {
+			if w.now.Sub(at) < max(silentAfter, 3*time.Duration(rounds)*reportTick) && w.now.Sub(i.lastContact[w.byName[name].dataCentre]) < silentAfter {
+				reachable++
 			}
 		}
-		quotas.SetFleet(heard, len(w.instances), time.Duration(turns)*tellTick, w.now)
+		quotas.SetFleet(reachable, len(w.instances), time.Duration(rounds)*reportTick, w.now)
 	}
-	started, counted := quotas.NewInstances(w.now)
+	started, counts := quotas.NewInstances(w.now)
 	for _, name := range started {
-		w.send(i, w.byName[name], counted)
+		w.send(i, w.byName[name], counts)
 	}
-	telling, atOnce := quotas.Report(w.now)
+	report, direct := quotas.Report(w.now)
 	var recipients []*quotaInstance
-	for range min(reach, len(i.peers)) {
-		recipients = append(recipients, i.peers[i.next%len(i.peers)])
-		i.next++
+	for range min(fanout, len(i.peers)) {
+		recipients = append(recipients, i.peers[i.nextPeer%len(i.peers)])
+		i.nextPeer++
 	}
-	for _, name := range atOnce {
+	for _, name := range direct {
 		recipients = append(recipients, w.byName[name])
 	}
 	for _, to := range recipients {
-		w.send(i, to, telling)
+		w.send(i, to, report)
 	}
 }
 
 // send sends a datagram, which may be lost.
-func (w *quotaWorld) send(from, to *quotaInstance, telling QuotaReport) {
-	if w.random.Float64() < w.loss || to.way == nil || to.side != from.side {
+func (w *quotaWorld) send(from, to *quotaInstance, report QuotaReport) {
+	if w.random.Float64() < w.lossRate || to.admitter == nil || to.side != from.side {
 		return
 	}
 	delay := time.Millisecond + time.Duration(w.random.Int64N(int64(2*time.Millisecond)))
-	to.inbox = append(to.inbox, quotaDatagram{at: w.now.Add(delay), from: from, telling: telling})
+	to.inbox = append(to.inbox, quotaDatagram{arrives: w.now.Add(delay), from: from, report: report})
 }
 
 // call sends what a client has to send within a tick.
-func (w *quotaWorld) call(c *quotaClient) {
-	if c.at.way == nil || c.at.frozen || c.at.side == 1 {
-		if c.stuck.IsZero() {
-			c.stuck = w.now
+func (w *quotaWorld) stepClient(c *quotaClient) {
+	if c.instance.admitter == nil || c.instance.paused || c.instance.side == 1 {
+		if c.stuckSince.IsZero() {
+			c.stuckSince = w.now
 		}
-		if w.now.Sub(c.stuck) >= moveAfter {
-			c.at, c.stuck = w.anyInstance(), time.Time{}
+		if w.now.Sub(c.stuckSince) >= clientMoveAfter {
+			c.instance, c.stuckSince = w.anyInstance(), time.Time{}
 		}
-		if c.at.way == nil || c.at.frozen {
+		if c.instance.admitter == nil || c.instance.paused {
 			return
 		}
 	} else {
-		c.stuck = time.Time{}
+		c.stuckSince = time.Time{}
 	}
-	expected := w.demand[c.customer] * c.pace * tick.Seconds()
+	expected := w.demand[c.customer] * c.demandFraction * tick.Seconds()
 	n := int(expected)
 	if w.random.Float64() < expected-float64(n) {
 		n++
 	}
 	for range n {
-		w.one(c)
+		w.sendCall(c)
 	}
 }
 
-func (w *quotaWorld) one(c *quotaClient) {
-	w.asked[c.customer]++
+func (w *quotaWorld) sendCall(c *quotaClient) {
+	w.offered[c.customer]++
 	if w.ideal[c.customer].AllowN(w.now, 1) {
-		w.owed[c.customer]++
+		w.idealAdmitted[c.customer]++
 	}
-	if c.at.way.admit(c.customer, w.now) {
-		w.ran[c.customer] = append(w.ran[c.customer], w.now)
+	if c.instance.admitter.admit(c.customer, w.now) {
+		w.admittedAt[c.customer] = append(w.admittedAt[c.customer], w.now)
 		return
 	}
 	w.refused[c.customer]++
@@ -403,55 +405,55 @@
 
 // lost is the part of the calls owed that were not admitted, over all customers and of the
 // one that lost most.
-func (w *quotaWorld) lost() (all, worst float64) {
-	lacking, owed := 0, 0
-	for name, due := range w.owed {
-		lacks := max(0, due-len(w.ran[name]))
-		lacking, owed = lacking+lacks, owed+due
+func (w *quotaWorld) lossFractions() (all, worst float64) {
+	missing, ideal := 0, 0
+	for name, due := range w.idealAdmitted {
+		lost := max(0, due-len(w.admittedAt[name]))
+		missing, ideal = missing+lost, ideal+due
 		if due >= 20 {
-			worst = max(worst, float64(lacks)/float64(due))
+			worst = max(worst, float64(lost)/float64(due))
 		}
 	}
-	return float64(lacking) / float64(max(1, owed)), worst
+	return float64(missing) / float64(max(1, ideal)), worst
 }
 
 // countAnew forgets what was owed and refused.
-func (w *quotaWorld) countAnew() {
-	w.owed, w.asked, w.refused, w.ran = map[string]int{}, map[string]int{}, map[string]int{}, map[string][]time.Time{}
+func (w *quotaWorld) resetCounts() {
+	w.idealAdmitted, w.offered, w.refused, w.admittedAt = map[string]int{}, map[string]int{}, map[string]int{}, map[string][]time.Time{}
 }
 
 // worst returns the window of a customer with most calls beyond what is allowed.
-func (w *quotaWorld) worst(name string) (most int, at time.Time, over bool) {
-	times := w.ran[name]
+func (w *quotaWorld) worstWindow(name string) (calls int, at time.Time, over bool) {
+	times := w.admittedAt[name]
 	first := 0
 	for last, t := range times {
 		for t.Sub(times[first]) >= tolerance.Window {
 			first++
 		}
 		n := last - first + 1
-		most = max(most, n)
-		if float64(n) > w.allowedFrom(name, times[first]) && !over {
+		calls = max(calls, n)
+		if float64(n) > w.allowanceFrom(name, times[first]) && !over {
 			at, over = t, true
 		}
 	}
-	return most, at, over
+	return calls, at, over
 }
 
 // allowedFrom is the most calls of a customer in a window that begins then.
-func (w *quotaWorld) allowedFrom(name string, begin time.Time) float64 {
-	most := allowed(w.quotas[name])
-	if begin.Before(w.changed[name].Add(tolerance.Window)) {
-		most = max(most, allowed(w.former[name]))
+func (w *quotaWorld) allowanceFrom(name string, begin time.Time) float64 {
+	allowance := windowAllowance(w.quotas[name])
+	if begin.Before(w.changedAt[name].Add(tolerance.Window)) {
+		allowance = max(allowance, windowAllowance(w.former[name]))
 	}
-	return most
+	return allowance
 }
 
 // broken tells of the customers that had more than is allowed.
-func (w *quotaWorld) broken() []string {
+func (w *quotaWorld) violations() []string {
 	var list []string
 	for name, q := range w.quotas {
-		if most, at, over := w.worst(name); over {
-			list = append(list, fmt.Sprintf("%s: %d calls in a window, %.1f allowed, at %v", name, most, allowed(q), at.Sub(time.Unix(1000, 0))))
+		if calls, at, over := w.worstWindow(name); over {
+			list = append(list, fmt.Sprintf("%s: %d calls in a window, %.1f allowed, at %v", name, calls, windowAllowance(q), at.Sub(time.Unix(1000, 0))))
 		}
 	}
 	slices.Sort(list)
--- a/internal/limit/telling.go
+++ b/internal/limit/report.go
@@ -39,147 +39,147 @@
 
 // peer is another instance, as far as it told.
 type peer struct {
-	run  uint64
-	made map[uint64]made
+	incarnation uint64
+	admitted    map[uint64]reportedCalls
 }
 
 // made is the number of calls of a customer that a peer told of, and when it did.
-type made struct {
-	calls uint64
-	at    time.Time
+type reportedCalls struct {
+	calls      uint64
+	reportedAt time.Time
 }
 
 // Hear takes in what another instance tells. One without a run admits no calls.
-func (q *Quotas) Merge(t QuotaReport, now time.Time) {
-	if t.Incarnation == 0 {
+func (q *Quotas) Merge(r QuotaReport, now time.Time) {
+	if r.Incarnation == 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	p := q.peers[t.From]
-	if p == nil || p.run != t.Incarnation {
-		p = &peer{run: t.Incarnation, made: map[uint64]made{}}
-		q.peers[t.From] = p
-		if t.ObservedFor < q.window() && q.known(now) >= q.window() && q.tellsStarted(t.From) {
-			q.started = append(q.started, t.From)
+	p := q.peers[r.From]
+	if p == nil || p.incarnation != r.Incarnation {
+		p = &peer{incarnation: r.Incarnation, admitted: map[uint64]reportedCalls{}}
+		q.peers[r.From] = p
+		if r.ObservedFor < q.window() && q.observedFor(now) >= q.window() && q.shouldSendCounts(r.From) {
+			q.newInstances = append(q.newInstances, r.From)
 		}
 	}
-	if t.ObservedFor >= q.window() && len(t.WindowCounts) > 0 {
-		q.count(t.WindowCounts, now)
+	if r.ObservedFor >= q.window() && len(r.WindowCounts) > 0 {
+		q.mergeCounts(r.WindowCounts, now)
 	}
-	for _, u := range t.Usage {
-		q.hearUse(p, t.From, u, now)
+	for _, u := range r.Usage {
+		q.mergeUsage(p, r.From, u, now)
 	}
 }
 
 // tellers is about the number of instances that tell one that has started what it does not
 // know. Some of them may be cut off from it, or may have started as well.
-const tellers = 6
+const countSenders = 6
 
 // tellsStarted reports whether it is for this instance to tell the one that has started; the
 // lock is held.
-func (q *Quotas) tellsStarted(instance string) bool {
-	return xxhash.Sum64String(q.name+" "+instance)%uint64(max(1, q.all)) < tellers
+func (q *Quotas) shouldSendCounts(instance string) bool {
+	return xxhash.Sum64String(q.name+" "+instance)%uint64(max(1, q.fleetSize)) < countSenders
 }
 
 // count takes in how many calls there were; the lock is held. They are all of the window,
 // also those that this instance itself admitted before it was started again.
-func (q *Quotas) count(counted []WindowCount, now time.Time) {
-	if q.known(now) >= q.window() {
+func (q *Quotas) mergeCounts(counts []WindowCount, now time.Time) {
+	if q.observedFor(now) >= q.window() {
 		return
 	}
-	for _, c := range counted {
-		if m := q.hashes[c.Customer]; m != nil {
+	for _, c := range counts {
+		if m := q.metersByHash[c.Customer]; m != nil {
 			m.advance(now)
-			m.recent.add(m.head, max(0, float64(c.Calls)-m.recent.sum))
+			m.recent.add(m.headSlot, max(0, float64(c.Calls)-m.recent.sum))
 		}
 	}
-	if !q.counted {
-		q.counted, q.countedUntil = true, now.Add(tellingRounds*q.round)
+	if !q.countsReceived {
+		q.countsReceived, q.countsCoverUntil = true, now.Add(settlingRounds*q.reportRound)
 	}
-	if !q.knows.IsZero() {
-		q.knows = now.Add(-q.window())
+	if !q.observedSince.IsZero() {
+		q.observedSince = now.Add(-q.window())
 	}
 }
 
 // Started returns the instances that have started, and what to tell them. The list may be
 // told in parts.
-func (q *Quotas) NewInstances(now time.Time) (instances []string, t QuotaReport) {
+func (q *Quotas) NewInstances(now time.Time) (instances []string, r QuotaReport) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.started) == 0 {
+	if len(q.newInstances) == 0 {
 		return nil, QuotaReport{}
 	}
-	instances, q.started = q.started, nil
-	t = QuotaReport{From: q.name, Incarnation: q.run, ObservedFor: min(q.known(now), q.window())}
+	instances, q.newInstances = q.newInstances, nil
+	r = QuotaReport{From: q.name, Incarnation: q.incarnation, ObservedFor: min(q.observedFor(now), q.window())}
 	for _, m := range q.meters {
 		m.advance(now)
 		if m.recent.sum > 0 {
-			t.WindowCounts = append(t.WindowCounts, WindowCount{Customer: m.hash, Calls: uint32(math.Ceil(m.recent.sum))})
+			r.WindowCounts = append(r.WindowCounts, WindowCount{Customer: m.hash, Calls: uint32(math.Ceil(m.recent.sum))})
 		}
 	}
-	if t.WindowCounts == nil {
+	if r.WindowCounts == nil {
 		// That there were none is worth telling too.
-		t.WindowCounts = []WindowCount{{}}
+		r.WindowCounts = []WindowCount{{}}
 	}
-	return instances, t
+	return instances, r
 }
 
 // hearUse takes in the calls of one customer; the lock is held.
-func (q *Quotas) hearUse(p *peer, from string, u CallUsage, now time.Time) {
-	before, known := p.made[u.Customer]
+func (q *Quotas) mergeUsage(p *peer, from string, u CallUsage, now time.Time) {
+	before, known := p.admitted[u.Customer]
 	if u.Admitted < before.calls {
 		// Datagrams overtake each other.
 		return
 	}
-	p.made[u.Customer] = made{calls: u.Admitted, at: now}
-	fresh := u.Admitted - before.calls
+	p.admitted[u.Customer] = reportedCalls{calls: u.Admitted, reportedAt: now}
+	added := u.Admitted - before.calls
 	switch {
-	case !known && now.Before(q.countedUntil):
+	case !known && now.Before(q.countsCoverUntil):
 		// They are among those that were counted for this instance.
-		fresh = 0
+		added = 0
 	case !known:
 		// How many of them were made before the window is not known.
-		fresh = min(fresh, uint64(u.Recent))
+		added = min(added, uint64(u.Recent))
 	}
-	if m := q.hashes[u.Customer]; m != nil {
+	if m := q.metersByHash[u.Customer]; m != nil {
 		m.advance(now)
-		m.took(from, float64(fresh), now)
+		m.recordRemote(from, float64(added), now)
 	}
 }
 
 // Tell returns what the others are to be told now, and which of them are to hear it at once
 // and not by turns, since they have calls of the same customers.
-func (q *Quotas) Report(now time.Time) (t QuotaReport, atOnce []string) {
+func (q *Quotas) Report(now time.Time) (r QuotaReport, direct []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	t = QuotaReport{From: q.name, Incarnation: q.run, ObservedFor: min(q.known(now), q.window())}
+	r = QuotaReport{From: q.name, Incarnation: q.incarnation, ObservedFor: min(q.observedFor(now), q.window())}
 	sharing := map[string]bool{}
 	for _, m := range q.meters {
-		if !m.tells(now, q.round) {
+		if !m.shouldReport(now, q.reportRound) {
 			continue
 		}
 		m.advance(now)
-		t.Usage = append(t.Usage, CallUsage{Customer: m.hash, Admitted: m.made, Recent: uint32(max(0, math.Ceil(m.own.sum)))})
-		if q.round >= longRound {
-			for name := range m.others {
+		r.Usage = append(r.Usage, CallUsage{Customer: m.hash, Admitted: m.admitted, Recent: uint32(max(0, math.Ceil(m.own.sum)))})
+		if q.reportRound >= longReportRound {
+			for name := range m.remoteLastCall {
 				sharing[name] = true
 			}
 		}
 	}
-	return t, slices.Sorted(maps.Keys(sharing))
+	return r, slices.Sorted(maps.Keys(sharing))
 }
 
 // forget drops what peers told long ago, so that what is kept goes by the calls of the last
 // while and not by customers times instances; the lock is held.
-func (q *Quotas) forget(now time.Time) {
+func (q *Quotas) dropStaleUsage(now time.Time) {
 	for name, p := range q.peers {
-		for customer, m := range p.made {
-			if now.Sub(m.at) > forgetAfter {
-				delete(p.made, customer)
+		for customer, m := range p.admitted {
+			if now.Sub(m.reportedAt) > peerUsageRetention {
+				delete(p.admitted, customer)
 			}
 		}
-		if len(p.made) == 0 {
+		if len(p.admitted) == 0 {
 			delete(q.peers, name)
 		}
 	}
--- a/internal/limit/run.go
+++ b/internal/limit/run.go
@@ -9,11 +9,11 @@
 
 const (
 	// askInterval is the mean time between two reports of an instance.
-	askInterval = time.Second
+	requestInterval = time.Second
 	// askTimeout bounds one call of an arbiter.
-	askTimeout = 500 * time.Millisecond
+	requestTimeout = 500 * time.Millisecond
 	// askPause keeps a flood of refusals from asking more often than this.
-	askPause = 50 * time.Millisecond
+	minRequestGap = 50 * time.Millisecond
 )
 
 // Arbiters reaches the arbiters on other instances of the data centre.
@@ -27,75 +27,75 @@
 func (g *Gate) Run(ctx context.Context) error {
 	last := time.Now()
 	for {
-		timer := time.NewTimer(askInterval/2 + rand.N(askInterval))
+		timer := time.NewTimer(requestInterval/2 + rand.N(requestInterval))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return nil
 		case <-timer.C:
 			now := time.Now()
-			g.count(now.Sub(last))
+			g.updateFlows(now.Sub(last))
 			last = now
-		case <-g.askNow:
+		case <-g.requestNow:
 			timer.Stop()
 		}
-		g.ask(ctx)
+		g.refreshShares(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(askPause):
+		case <-time.After(minRequestGap):
 		}
 	}
 }
 
 // askArbiter makes Run ask at once, because a step has to wait.
-func (g *Gate) askArbiter() {
+func (g *Gate) requestSoon() {
 	select {
-	case g.askNow <- struct{}{}:
+	case g.requestNow <- struct{}{}:
 	default:
 	}
 }
 
 // count ends an interval of counting and forgets plans that are idle.
-func (g *Gate) count(interval time.Duration) {
+func (g *Gate) updateFlows(interval time.Duration) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for name, f := range g.flows {
-		f.count(interval)
-		if f.running == 0 && len(f.queue) == 0 && now.Sub(f.lastUse) > idleFlow {
+		f.updateOfferedRate(interval)
+		if f.running == 0 && len(f.queue) == 0 && now.Sub(f.lastUse) > flowRetention {
 			delete(g.flows, name)
 		}
 	}
 }
 
 // ask sends demands above the unasked part to their arbiters and applies the answers.
-func (g *Gate) ask(ctx context.Context) {
+func (g *Gate) refreshShares(ctx context.Context) {
 	if g.options.Members == nil {
 		return
 	}
 	members := g.members()
 	var group sync.WaitGroup
-	for instance, demands := range g.demands(members) {
-		group.Go(func() { g.askOne(ctx, instance, demands, members) })
+	for instance, demands := range g.demandsByArbiter(members) {
+		group.Go(func() { g.refreshFrom(ctx, instance, demands, members) })
 	}
 	group.Wait()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	for _, f := range g.flows {
-		f.apply(g.part(f, now), now)
+		f.applyShare(g.currentShare(f, now), now)
 	}
 	g.dispatch(now)
 }
 
 // demands groups by arbiter the demands that need a share.
-func (g *Gate) demands(members fleet) map[string][]Demand {
+func (g *Gate) demandsByArbiter(members fleet) map[string][]Demand {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	grouped := map[string][]Demand{}
 	for name, f := range g.flows {
-		part := members.unasked(f.limits, g.options.Members.Self())
+		part := members.defaultShare(f.limits, g.options.Members.Self())
 		d := f.demand()
 		if f.limits.Rate > 0 && d.Rate > part.Rate || f.limits.Concurrency > 0 && d.Slots > part.Slots || len(f.queue) > 0 {
 			arbiter := members.arbiterOf(name)
@@ -105,25 +105,25 @@
 	return grouped
 }
 
-func (g *Gate) askOne(ctx context.Context, instance string, demands []Demand, members fleet) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (g *Gate) refreshFrom(ctx context.Context, instance string, demands []Demand, members fleet) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	sent := time.Now()
-	shares, err := g.answer(ctx, instance, demands)
+	shares, err := g.sharesFrom(ctx, instance, demands)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		g.fallBack(demands, members)
+		g.applyFallback(demands, members)
 		return
 	}
 	for _, share := range shares {
 		if f := g.flows[share.Plan]; f != nil {
-			f.share, f.shareEnds = share, sent.Add(shareTime)
+			f.share, f.shareExpires = share, sent.Add(shareLifetime)
 		}
 	}
 }
 
-func (g *Gate) answer(ctx context.Context, instance string, demands []Demand) ([]Share, error) {
+func (g *Gate) sharesFrom(ctx context.Context, instance string, demands []Demand) ([]Share, error) {
 	if instance == g.options.Members.Self() {
 		return g.AllocateShares(instance, demands), nil
 	}
@@ -134,16 +134,16 @@
 // no share holds: half of it would refuse customers for a fault of ours. The
 // sum over the instances may then exceed a limit, by half at most, or by one
 // slot for each instance where a plan has fewer slots than there are instances.
-func (g *Gate) fallBack(demands []Demand, members fleet) {
+func (g *Gate) applyFallback(demands []Demand, members fleet) {
 	now := time.Now()
 	for _, d := range demands {
 		f := g.flows[d.Plan]
-		if f == nil || now.Before(f.shareEnds) {
+		if f == nil || now.Before(f.shareExpires) {
 			continue
 		}
-		rate, slots := members.base(f.limits, g.options.Members.Self())
+		rate, slots := members.weightedLimits(f.limits, g.options.Members.Self())
 		f.share = Share{Plan: d.Plan, Rate: rate, Slots: max(1, int(slots))}
-		f.shareEnds = now.Add(shareTime)
+		f.shareExpires = now.Add(shareLifetime)
 	}
 }
 
@@ -157,7 +157,7 @@
 	now := time.Now()
 	shares := make([]Share, 0, len(demands))
 	for _, d := range demands {
-		shares = append(shares, g.arbiter.divide(from, d, members, now))
+		shares = append(shares, g.arbiter.allocate(from, d, members, now))
 	}
 	return shares
 }
@@ -165,12 +165,12 @@
 func (g *Gate) members() fleet { return newFleet(g.options.Members.Weights()) }
 
 // part is what this instance may use of a plan's limits now.
-func (g *Gate) part(f *flow, now time.Time) Share {
+func (g *Gate) currentShare(f *flow, now time.Time) Share {
 	if g.options.Members == nil {
 		return Share{Rate: f.limits.Rate, Slots: f.limits.Concurrency}
 	}
-	if now.Before(f.shareEnds) {
+	if now.Before(f.shareExpires) {
 		return f.share
 	}
-	return g.members().unasked(f.limits, g.options.Members.Self())
+	return g.members().defaultShare(f.limits, g.options.Members.Self())
 }
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -13,10 +13,10 @@
 const (
 	// shareTime is how long a share holds after it was granted. An instance
 	// renews it each askInterval.
-	shareTime = 3 * time.Second
+	shareLifetime = 3 * time.Second
 	// unaskedPart is the part of an instance's weight that it uses without
 	// asking, as one of so many.
-	unaskedPart = 2
+	defaultShareDivisor = 2
 )
 
 // Demand is what one instance would use of a plan's limits.
@@ -81,7 +81,7 @@
 }
 
 // base returns an instance's part of the limits by weight.
-func (f fleet) base(limits plan.Limits, name string) (rate, slots float64) {
+func (f fleet) weightedLimits(limits plan.Limits, name string) (rate, slots float64) {
 	if f.total == 0 {
 		return limits.Rate, float64(limits.Concurrency)
 	}
@@ -90,12 +90,12 @@
 }
 
 // unasked is what an instance uses without a share.
-func (f fleet) unasked(limits plan.Limits, name string) Share {
-	rate, slots := f.base(limits, name)
+func (f fleet) defaultShare(limits plan.Limits, name string) Share {
+	rate, slots := f.weightedLimits(limits, name)
 	if len(f.weights) < 2 {
 		return Share{Rate: rate, Slots: int(slots)}
 	}
-	return Share{Rate: rate / unaskedPart, Slots: int(slots / unaskedPart)}
+	return Share{Rate: rate / defaultShareDivisor, Slots: int(slots / defaultShareDivisor)}
 }
 
 // arbiter divides the limits of those plans that hash to this instance. What
@@ -104,14 +104,14 @@
 // instance uses unasked.
 type arbiter struct {
 	mu    sync.Mutex
-	plans map[string]map[string]*asker
+	plans map[string]map[string]*requester
 }
 
 // asker is one instance's last demand and what it may be using by the shares
 // that it was granted.
-type asker struct {
-	demand Demand
-	seen   time.Time
+type requester struct {
+	demand      Demand
+	lastRequest time.Time
 	// grants are the shares that may still be in use, the last one last: an
 	// answer that lowers a share may get lost, and then the one before holds
 	// until it ends.
@@ -119,53 +119,53 @@
 }
 
 type grant struct {
-	share Share
-	ends  time.Time
+	share   Share
+	expires time.Time
 }
 
-func newArbiter() *arbiter { return &arbiter{plans: map[string]map[string]*asker{}} }
+func newArbiter() *arbiter { return &arbiter{plans: map[string]map[string]*requester{}} }
 
 // divide answers one instance's demand.
-func (a *arbiter) divide(from string, demand Demand, members fleet, now time.Time) Share {
+func (a *arbiter) allocate(from string, demand Demand, members fleet, now time.Time) Share {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	askers := a.plans[demand.Plan]
 	if askers == nil {
-		askers = map[string]*asker{}
+		askers = map[string]*requester{}
 		a.plans[demand.Plan] = askers
 	}
-	forget(askers, members, now)
+	dropStaleRequesters(askers, members, now)
 	self := askers[from]
 	if self == nil {
-		self = &asker{}
+		self = &requester{}
 		askers[from] = self
 	}
-	self.demand, self.seen = demand, now
+	self.demand, self.lastRequest = demand, now
 	share := fairShare(from, demand.Limits, askers, members)
 	free := remaining(from, demand, askers, members, now)
 	share.Rate = min(share.Rate, max(0, free.Rate))
 	share.Slots = min(share.Slots, max(0, free.Slots))
 	share.Plan = demand.Plan
-	self.note(share, now)
+	self.recordGrant(share, now)
 	return share
 }
 
 // note adds a share to those in use, in place of those that it covers.
-func (s *asker) note(share Share, now time.Time) {
+func (s *requester) recordGrant(share Share, now time.Time) {
 	kept := s.grants[:0]
 	for _, g := range s.grants {
-		if now.Before(g.ends) && (g.share.Rate > share.Rate || g.share.Slots > share.Slots) {
+		if now.Before(g.expires) && (g.share.Rate > share.Rate || g.share.Slots > share.Slots) {
 			kept = append(kept, g)
 		}
 	}
-	s.grants = append(kept, grant{share: share, ends: now.Add(shareTime)})
+	s.grants = append(kept, grant{share: share, expires: now.Add(shareLifetime)})
 }
 
 // inUse returns the most that the asker may be using.
-func (s *asker) inUse(now time.Time) Share {
+func (s *requester) mayUse(now time.Time) Share {
 	used := Share{Slots: s.demand.Running}
 	for _, g := range s.grants {
-		if now.Before(g.ends) {
+		if now.Before(g.expires) {
 			used = used.atLeast(g.share)
 		}
 	}
@@ -174,9 +174,9 @@
 
 // forget drops askers that have not asked for longer than a share holds, or
 // have left.
-func forget(askers map[string]*asker, members fleet, now time.Time) {
+func dropStaleRequesters(askers map[string]*requester, members fleet, now time.Time) {
 	for name, s := range askers {
-		if _, lives := members.weights[name]; !lives || now.Sub(s.seen) > shareTime {
+		if _, lives := members.weights[name]; !lives || now.Sub(s.lastRequest) > shareLifetime {
 			delete(askers, name)
 		}
 	}
@@ -184,16 +184,16 @@
 
 // remaining returns what the limits have left for one asker, when all others
 // use what they may.
-func remaining(from string, demand Demand, askers map[string]*asker, members fleet, now time.Time) Share {
+func remaining(from string, demand Demand, askers map[string]*requester, members fleet, now time.Time) Share {
 	left := Share{Rate: demand.Limits.Rate, Slots: demand.Limits.Concurrency}
 	for name := range members.weights {
 		if name == from {
 			continue
 		}
 		// Never less than what the instance falls back to when its share ends.
-		used := members.unasked(demand.Limits, name)
+		used := members.defaultShare(demand.Limits, name)
 		if s := askers[name]; s != nil {
-			used = used.atLeast(s.inUse(now))
+			used = used.atLeast(s.mayUse(now))
 		}
 		left.Rate -= used.Rate
 		left.Slots -= used.Slots
@@ -203,26 +203,26 @@
 
 // fairShare divides the limits between the askers, max-min fair by weight: who
 // asks for less than its part gets that, and the others divide the rest.
-func fairShare(from string, limits plan.Limits, askers map[string]*asker, members fleet) Share {
+func fairShare(from string, limits plan.Limits, askers map[string]*requester, members fleet) Share {
 	pool := Share{Rate: limits.Rate, Slots: limits.Concurrency}
 	var claims []claim
 	for name, weight := range members.weights {
 		s := askers[name]
 		if s == nil {
-			used := members.unasked(limits, name)
+			used := members.defaultShare(limits, name)
 			pool.Rate -= used.Rate
 			pool.Slots -= used.Slots
 			continue
 		}
-		least := members.unasked(limits, name)
+		least := members.defaultShare(limits, name)
 		claims = append(claims, claim{
 			name: name, weight: max(weight, minWeight),
-			rate: max(least.Rate, s.demand.Rate*headroom), slots: float64(max(least.Slots, s.demand.Slots)),
+			rate: max(least.Rate, s.demand.Rate*demandHeadroom), slots: float64(max(least.Slots, s.demand.Slots)),
 		})
 	}
 	sort.Slice(claims, func(i, j int) bool { return claims[i].name < claims[j].name })
 	rates := waterFill(claims, pool.Rate, func(c claim) float64 { return c.rate })
-	slots := wholeSlots(waterFill(claims, float64(pool.Slots), func(c claim) float64 { return c.slots }), claims, pool.Slots)
+	slots := roundSlots(waterFill(claims, float64(pool.Slots), func(c claim) float64 { return c.slots }), claims, pool.Slots)
 	for i, c := range claims {
 		if c.name == from {
 			return Share{Rate: rates[i], Slots: slots[i]}
@@ -233,7 +233,7 @@
 
 // headroom lets a share grow: an instance that uses its whole share can't
 // offer more than it to be counted.
-const headroom = 1.5
+const demandHeadroom = 1.5
 
 type claim struct {
 	name        string
@@ -269,7 +269,7 @@
 
 // wholeSlots rounds down and hands what is left to the largest fractions, so
 // that a concurrency below the number of instances is still given out whole.
-func wholeSlots(shares []float64, claims []claim, pool int) []int {
+func roundSlots(shares []float64, claims []claim, pool int) []int {
 	slots := make([]int, len(shares))
 	order := make([]int, len(shares))
 	left := max(0, pool)
