--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -22,11 +22,11 @@
 	// recentWrites is the number of write ids that an object remembers. A lost
 	// answer is settled within a few seconds, and an object is written a few
 	// times a second at most.
-	recentWrites = 96
+	maxRecentWrites = 96
 	// carryTime is how long after a change of a window's length its new windows
 	// count what was drawn under the old length. An edit is in force everywhere
 	// within 10 s; what a partitioned instance still holds is not counted longer.
-	carryTime = time.Minute
+	carryPeriod = time.Minute
 )
 
 // account counts what is drawn of one plan's budget in its last windows.
@@ -36,10 +36,10 @@
 	Budget  plan.Budget `json:"b"`
 	Version uint64      `json:"v"`
 	// Before is the window length before the last change of it, at Changed.
-	Before  time.Duration  `json:"o,omitempty"`
-	Changed time.Time      `json:"c,omitzero"`
-	Drawn   map[int64]Cost `json:"d"`
-	Carried map[int64]Cost `json:"p,omitempty"`
+	PreviousLength time.Duration  `json:"o,omitempty"`
+	ChangedAt      time.Time      `json:"c,omitzero"`
+	Drawn          map[int64]Cost `json:"d"`
+	Carried        map[int64]Cost `json:"p,omitempty"`
 }
 
 // accountSet is one object of the store: the accounts of a shard of the plans.
@@ -50,21 +50,21 @@
 }
 
 // ask is what an instance wants of one plan's budget in one window.
-type ask struct {
+type drawRequest struct {
 	plan    string
 	budget  plan.Budget
 	version uint64
 	window  Window
 	// give is returned; it has been drawn before.
-	give Cost
+	returned Cost
 	// need is the least that is of use, want what recent spending calls for;
 	// held is what the asker has free already.
 	need, want, held Cost
 }
 
 // result is the answer to an ask.
-type result struct {
-	ask     ask
+type drawResult struct {
+	request drawRequest
 	granted Cost
 	// refusal says why a need was not met.
 	refusal Reason
@@ -74,7 +74,7 @@
 func shardOf(name string, shards int) int { return int(xxhash.Sum64String(name) % uint64(shards)) }
 
 // apply answers asks and reports whether anything has changed.
-func (b *accountSet) apply(asks []ask, share int64, now time.Time) (results []result, changed bool) {
+func (b *accountSet) apply(asks []drawRequest, share int64, now time.Time) (results []drawResult, changed bool) {
 	if b.Accounts == nil {
 		b.Accounts = map[string]*account{}
 	}
@@ -84,9 +84,9 @@
 			acc = &account{Budget: a.budget, Version: a.version, Drawn: map[int64]Cost{}}
 			b.Accounts[a.plan] = acc
 		}
-		v := acc.answer(a, share, now)
-		changed = changed || !v.granted.isZero() || !a.give.isZero()
-		results = append(results, v)
+		r := acc.grant(a, share, now)
+		changed = changed || !r.granted.isZero() || !a.returned.isZero()
+		results = append(results, r)
 	}
 	if changed {
 		b.prune(now)
@@ -95,36 +95,36 @@
 }
 
 // answer takes back what is given and grants what the budget has left.
-func (a *account) answer(q ask, share int64, now time.Time) result {
-	v := result{ask: q}
-	if !a.follow(q, now) {
-		v.refusal = PlanOutdated
+func (a *account) grant(q drawRequest, share int64, now time.Time) drawResult {
+	r := drawResult{request: q}
+	if !a.updateBudget(q, now) {
+		r.refusal = PlanOutdated
 		// Money given back still counts, whoever gives it.
-		a.takeBack(q)
-		return v
+		a.creditReturn(q)
+		return r
 	}
-	a.takeBack(q)
+	a.creditReturn(q)
 	if q.need.isZero() && q.want.isZero() {
-		return v
+		return r
 	}
 	left := limitOf(a.Budget).minus(a.drawn(q.window))
 	left = left.atLeast(Cost{})
 	if !left.covers(q.need) {
-		v.refusal = Exhausted
-		return v
+		r.refusal = Exhausted
+		return r
 	}
 	// Nobody holds more than a share of what is left, so that the last part of
 	// a budget is not with whoever asked first.
-	room := left.over(share).minus(q.held).atLeast(Cost{})
-	v.granted = q.want.atMost(room).atLeast(q.need)
-	a.Drawn[q.window.Index] = a.Drawn[q.window.Index].plus(v.granted)
-	return v
+	available := left.dividedBy(share).minus(q.held).atLeast(Cost{})
+	r.granted = q.want.atMost(available).atLeast(q.need)
+	a.Drawn[q.window.Index] = a.Drawn[q.window.Index].plus(r.granted)
+	return r
 }
 
 // follow brings the account to the asker's budget if that is newer. It reports
 // false if the asker's is older: a grant by a budget that has been cut since
 // would break the cut for everybody.
-func (a *account) follow(q ask, now time.Time) bool {
+func (a *account) updateBudget(q drawRequest, now time.Time) bool {
 	if q.budget == a.Budget {
 		a.Version = max(a.Version, q.version)
 		return true
@@ -133,7 +133,7 @@
 		return false
 	}
 	if q.budget.Window != a.Budget.Window {
-		a.changeLength(q, now)
+		a.changeWindowLength(q, now)
 	}
 	a.Budget, a.Version = q.budget, q.version
 	return true
@@ -142,28 +142,28 @@
 // changeLength starts counting in windows of another length. What has been
 // drawn in the old windows that are not over may have been spent in the first
 // new ones, so they begin with it.
-func (a *account) changeLength(q ask, now time.Time) {
-	a.Before, a.Changed = lengthOf(a.Budget), now
-	var spent Cost
+func (a *account) changeWindowLength(q drawRequest, now time.Time) {
+	a.PreviousLength, a.ChangedAt = lengthOf(a.Budget), now
+	var carried Cost
 	for index := range a.Drawn {
-		if w := (Window{Length: a.Before, Index: index}); !w.over(now) {
-			spent = spent.plus(a.drawn(w))
+		if w := (Window{Length: a.PreviousLength, Index: index}); !w.ended(now) {
+			carried = carried.plus(a.drawn(w))
 		}
 	}
 	a.Drawn, a.Carried = map[int64]Cost{}, map[int64]Cost{}
-	last := windowAt(now.Add(carryTime), lengthOf(q.budget))
+	last := windowAt(now.Add(carryPeriod), lengthOf(q.budget))
 	for w := windowAt(now.Add(-2*MaxClockError), lengthOf(q.budget)); w.Index <= last.Index; w = w.next() {
-		a.Carried[w.Index] = spent
+		a.Carried[w.Index] = carried
 	}
 }
 
 func (a *account) drawn(w Window) Cost { return a.Drawn[w.Index].plus(a.Carried[w.Index]) }
 
-func (a *account) takeBack(q ask) {
-	if q.window.Length != lengthOf(a.Budget) || q.give.isZero() {
+func (a *account) creditReturn(q drawRequest) {
+	if q.window.Length != lengthOf(a.Budget) || q.returned.isZero() {
 		return
 	}
-	a.Drawn[q.window.Index] = a.Drawn[q.window.Index].minus(q.give).atLeast(Cost{})
+	a.Drawn[q.window.Index] = a.Drawn[q.window.Index].minus(q.returned).atLeast(Cost{})
 }
 
 // prune forgets windows that are over on every clock, and plans without any.
@@ -171,12 +171,12 @@
 	for name, a := range b.Accounts {
 		length := lengthOf(a.Budget)
 		for index := range a.Drawn {
-			if (Window{Length: length, Index: index}).over(now) {
+			if (Window{Length: length, Index: index}).ended(now) {
 				delete(a.Drawn, index)
 			}
 		}
 		for index := range a.Carried {
-			if (Window{Length: length, Index: index}).over(now) {
+			if (Window{Length: length, Index: index}).ended(now) {
 				delete(a.Carried, index)
 			}
 		}
@@ -188,16 +188,16 @@
 
 // mark names a write: its own id and the id of the write before it, which is
 // empty if there is none.
-type mark struct{ id, after string }
+type writeMark struct{ id, previousID string }
 
 // note remembers a write.
-func (b *accountSet) note(id string) mark {
-	m := mark{id: id}
+func (b *accountSet) recordWrite(id string) writeMark {
+	m := writeMark{id: id}
 	if len(b.Writes) > 0 {
-		m.after = b.Writes[len(b.Writes)-1]
+		m.previousID = b.Writes[len(b.Writes)-1]
 	}
 	b.Writes = append(b.Writes, id)
-	b.Writes = b.Writes[max(0, len(b.Writes)-recentWrites):]
+	b.Writes = b.Writes[max(0, len(b.Writes)-maxRecentWrites):]
 	return m
 }
 
@@ -205,11 +205,11 @@
 // forgotten writes since, so that it can't tell. While the write before it is
 // remembered, none since is forgotten. Without that a full set could never
 // tell, and a write lost without effect would refuse draws for the backoff.
-func (b *accountSet) wrote(m mark) (found, known bool) {
+func (b *accountSet) findWrite(m writeMark) (found, known bool) {
 	if slices.Contains(b.Writes, m.id) {
 		return true, true
 	}
-	return false, len(b.Writes) < recentWrites || slices.Contains(b.Writes, m.after)
+	return false, len(b.Writes) < maxRecentWrites || slices.Contains(b.Writes, m.previousID)
 }
 
 func (b *accountSet) encode() ([]byte, error) {
--- a/internal/budget/allocator.go
+++ b/internal/budget/allocator.go
@@ -38,29 +38,29 @@
 	DefaultStoreRate = 20
 
 	// firstChunk is the number of calls that a first draw covers.
-	firstChunk = 4
+	firstDrawCalls = 4
 	// refillPart and idleFactor bound what is held: where one of so many parts
 	// of what is wanted lacks it is refilled, above twice what is wanted the
 	// rest is returned.
-	refillPart = 4
-	idleFactor = 2
+	refillDivisor = 4
+	maxHeldFactor = 2
 	// leadPart bounds the lead to a part of short windows.
-	leadPart = 5
+	leadDivisor = 5
 	// idleAfter is how long after its last use an allotment is returned.
-	idleAfter = 2 * time.Minute
+	idleTimeout = 2 * time.Minute
 
 	// rateTick is the interval that metrics.EWMA is made for.
-	rateTick = 5 * time.Second
+	rateInterval = 5 * time.Second
 	// drawWait bounds how long a call waits for a draw under way.
-	drawWait = time.Second
+	maxDrawWait = time.Second
 	// believeExhausted is how long the store's answer that a budget is spent
 	// stands: others may return some.
 	// Each refusal of an exhausted plan would else cost a read.
-	believeExhausted = 30 * time.Second
-	believeBehind    = time.Second
+	exhaustedRetention = 30 * time.Second
+	outdatedRetention  = time.Second
 
-	storeRetryFirst = 250 * time.Millisecond
-	storeRetryMax   = 5 * time.Second
+	storeBackoffMin = 250 * time.Millisecond
+	storeBackoffMax = 5 * time.Second
 )
 
 // Plans is the list in force with its version.
@@ -96,11 +96,11 @@
 	cancel  context.CancelFunc
 	draws   sync.WaitGroup
 
-	outage  sync.Mutex
-	pause   *backoff.ExponentialBackOff
-	retryAt time.Time
+	outageMu     sync.Mutex
+	storeBackoff *backoff.ExponentialBackOff
+	retryAt      time.Time
 
-	metrics keeperMetrics
+	metrics allocatorMetrics
 }
 
 // shard is the allotments of the plans that one object counts.
@@ -111,9 +111,9 @@
 	allotments map[string]*allotment
 
 	// drawing guards the draw under way, if any, and whether another is to follow.
-	drawing sync.Mutex
-	done    chan struct{}
-	again   bool
+	drawMu    sync.Mutex
+	done      chan struct{}
+	drawAgain bool
 	// renewAt is when the background may draw again.
 	renewAt time.Time
 
@@ -123,11 +123,11 @@
 	unresolved bool
 }
 
-type keeperMetrics struct {
-	draws, conflicts, unsettled, exhausted, outage metrics.Counter
-	heldMoney, heldTokens                          metrics.Gauge
-	strandedMoney, strandedTokens                  metrics.Counter
-	overrun                                        metrics.Counter
+type allocatorMetrics struct {
+	draws, conflicts, unknownOutcomes, exhausted, outage metrics.Counter
+	heldMoney, heldTokens                                metrics.Gauge
+	strandedMoney, strandedTokens                        metrics.Counter
+	overrun                                              metrics.Counter
 }
 
 // NewKeeper returns a keeper that holds nothing.
@@ -137,22 +137,22 @@
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("budget."+name, registry) }
 	gauge := func(name string) metrics.Gauge { return metrics.GetOrRegisterGauge("budget."+name, registry) }
 	limiter := rate.NewLimiter(rate.Limit(options.StoreRate), 2*options.Shards)
-	k := &Allocator{
+	al := &Allocator{
 		client: store.LimitShared(client, limiter, registry, "budget.store"), plans: plans, options: options,
-		metrics: keeperMetrics{
-			draws: counter("draws"), conflicts: counter("conflicts"), unsettled: counter("unsettled"),
+		metrics: allocatorMetrics{
+			draws: counter("draws"), conflicts: counter("conflicts"), unknownOutcomes: counter("unsettled"),
 			exhausted: counter("refused.exhausted"), outage: counter("refused.outage"), overrun: counter("overrun"),
 			heldMoney: gauge("held.money"), heldTokens: gauge("held.tokens"),
 			strandedMoney: counter("stranded.money"), strandedTokens: counter("stranded.tokens"),
 		},
-		pause: backoff.NewExponentialBackOff(),
+		storeBackoff: backoff.NewExponentialBackOff(),
 	}
-	k.pause.InitialInterval, k.pause.MaxInterval = storeRetryFirst, storeRetryMax
-	k.ctx, k.cancel = context.WithCancel(context.Background())
+	al.storeBackoff.InitialInterval, al.storeBackoff.MaxInterval = storeBackoffMin, storeBackoffMax
+	al.ctx, al.cancel = context.WithCancel(context.Background())
 	for i := range options.Shards {
-		k.shards = append(k.shards, &shard{number: i, allotments: map[string]*allotment{}})
+		al.shards = append(al.shards, &shard{number: i, allotments: map[string]*allotment{}})
 	}
-	return k
+	return al
 }
 
 func (o Options) withDefaults() Options {
@@ -189,84 +189,84 @@
 // Reservation is a cost set aside in the budget. Exactly one of Settle and
 // Release ends it; later calls of either do nothing.
 type Reservation struct {
-	keeper     *Allocator
-	allotment  *allotment
-	cost       Cost
-	budget     plan.Budget
-	window     Window
-	both       bool
-	generation int
-	ended      atomic.Bool
+	allocator   *Allocator
+	allotment   *allotment
+	cost        Cost
+	budget      plan.Budget
+	window      Window
+	bothWindows bool
+	generation  int
+	ended       atomic.Bool
 }
 
 // Reserve sets aside the worst cost of a call before it is placed. It does no
 // I/O; where too little is held it waits briefly for a draw. The error is a
 // *Refusal. The spending belongs to the window in which it was reserved.
-func (k *Allocator) Reserve(ctx context.Context, p *plan.Plan, cost Cost) (*Reservation, error) {
-	list, version := k.plans.Plans()
+func (al *Allocator) Reserve(ctx context.Context, p *plan.Plan, cost Cost) (*Reservation, error) {
+	list, version := al.plans.Plans()
 	if list == nil || list.Lookup(p.Name) == nil {
 		return nil, &Refusal{Plan: p.Name, Reason: Removed}
 	}
-	if k.closed.Load() {
+	if al.closed.Load() {
 		return nil, &Refusal{Plan: p.Name, Reason: Closed}
 	}
 	budget := list.Lookup(p.Name).Budget
 	if budget.Unlimited() {
 		return &Reservation{}, nil
 	}
-	cost = cost.atLeast(Cost{}).of(budget)
+	cost = cost.atLeast(Cost{}).boundedBy(budget)
 	if !limitOf(budget).covers(cost) {
 		return nil, &Refusal{Plan: p.Name, Reason: TooLarge}
 	}
-	if r := k.take(p.Name, budget, version, cost); r != nil {
+	if r := al.reserveHeld(p.Name, budget, version, cost); r != nil {
 		return r, nil
 	}
-	return k.reserveAfterDraw(ctx, p.Name, cost)
+	return al.reserveAfterDraw(ctx, p.Name, cost)
 }
 
 // take reserves from what is held, or returns nil.
-func (k *Allocator) take(name string, budget plan.Budget, version uint64, cost Cost) *Reservation {
-	a := k.lock(name, budget, version)
+func (al *Allocator) reserveHeld(name string, budget plan.Budget, version uint64, cost Cost) *Reservation {
+	a := al.lock(name, budget, version)
 	defer a.mu.Unlock()
-	window, both, ok := a.take(cost, k.options.Now())
+	window, both, ok := a.reserve(cost, al.options.Now())
 	if !ok {
 		return nil
 	}
-	return &Reservation{keeper: k, allotment: a, cost: cost, budget: budget, window: window, both: both, generation: a.generation}
+	return &Reservation{allocator: al, allotment: a, cost: cost, budget: budget, window: window, bothWindows: both, generation: a.generation}
 }
 
 // reserveAfterDraw draws because too little is held. The caller waits for the
 // draw, which may have been under way before and not have known this need, and
 // then for the one after it, within drawWait.
-func (k *Allocator) reserveAfterDraw(ctx context.Context, name string, cost Cost) (*Reservation, error) {
-	ctx, cancel := context.WithTimeout(ctx, drawWait)
+func (al *Allocator) reserveAfterDraw(ctx context.Context, name string, cost Cost) (*Reservation, error) {
+	ctx, cancel := context.WithTimeout(ctx, maxDrawWait)
 	defer cancel()
 	for {
-		list, version := k.plans.Plans()
+		list, version := al.plans.Plans()
 		p := list.Lookup(name)
 		if p == nil {
 			return nil, &Refusal{Plan: name, Reason: Removed}
 		}
-		if r := k.take(name, p.Budget, version, cost); r != nil {
+		if r := al.reserveHeld(name, p.Budget, version, cost); r != nil {
 			return r, nil
 		}
-		done, refusal := k.draw(name, p.Budget, version, cost)
+		done, refusal := al.requestDraw(name, p.Budget, version, cost)
 		if refusal != nil {
 			return nil, refusal
 		}
 		select {
 		case <-done:
 		case <-ctx.Done():
-			return nil, &Refusal{Plan: name, Reason: Busy, RetryAfter: believeBehind}
+			return nil, &Refusal{Plan: name, Reason: Busy, RetryAfter: outdatedRetention}
 		}
 	}
 }
 
 // draw has a need drawn, unless it is known already that it can't be. The
 // channel is closed when the draw under way, or beginning with this, has ended.
-func (k *Allocator) draw(name string, budget plan.Budget, version uint64, need Cost) (<-chan struct{}, *Refusal) {
-	a := k.lock(name, budget, version)
-	refusal := k.standing(a)
+func (al *Allocator) requestDraw(name string, budget plan.Budget, version uint64, need Cost) (<-chan struct{}, *Refusal) {
+	a := al.lock(name, budget, version)
+	refusal := al.knownRefusal(a)
 	if refusal == nil {
 		a.need = a.need.atLeast(need)
 	}
@@ -274,27 +274,27 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	return k.start(k.shardOf(name)), nil
+	return al.startDraw(al.shardOf(name)), nil
 }
 
 // standing returns the refusal that is known without asking the store again.
-func (k *Allocator) standing(a *allotment) *Refusal {
-	now := k.options.Now()
+func (al *Allocator) knownRefusal(a *allotment) *Refusal {
+	now := al.options.Now()
 	if now.Before(a.refusedUntil) {
-		return k.refuse(a, now)
+		return al.storedRefusal(a, now)
 	}
-	if wait := k.untilRetry(now); wait > 0 {
-		k.metrics.outage.Inc(1)
+	if wait := al.untilRetry(now); wait > 0 {
+		al.metrics.outage.Inc(1)
 		return &Refusal{Plan: a.plan, Reason: StoreUnavailable, RetryAfter: wait}
 	}
 	return nil
 }
 
-func (k *Allocator) refuse(a *allotment, now time.Time) *Refusal {
+func (al *Allocator) storedRefusal(a *allotment, now time.Time) *Refusal {
 	if a.refusal == PlanOutdated {
 		return &Refusal{Plan: a.plan, Reason: PlanOutdated, RetryAfter: a.refusedUntil.Sub(now)}
 	}
-	k.metrics.exhausted.Inc(1)
+	al.metrics.exhausted.Inc(1)
 	first, both := windowsAt(now, lengthOf(a.budget))
 	if both {
 		first = first.next()
@@ -311,20 +311,20 @@
 func (r *Reservation) Release() { r.end(Cost{}) }
 
 func (r *Reservation) end(actual Cost) {
-	if r.keeper == nil || r.ended.Swap(true) {
+	if r.allocator == nil || r.ended.Swap(true) {
 		return
 	}
 	a := r.allotment
-	now := r.keeper.options.Now()
+	now := r.allocator.options.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	actual = actual.atLeast(Cost{}).of(r.budget)
-	a.spent = a.spent.plus(actual)
+	actual = actual.atLeast(Cost{}).boundedBy(r.budget)
+	a.spentSinceTick = a.spentSinceTick.plus(actual)
 	if !r.cost.covers(actual) {
-		r.keeper.metrics.overrun.Inc(1)
+		r.allocator.metrics.overrun.Inc(1)
 	}
 	a.settle(r.window, r.cost, actual, r.generation, now)
-	if r.both {
+	if r.bothWindows {
 		a.settle(r.window.next(), r.cost, actual, r.generation, now)
 	}
 }
@@ -333,21 +333,21 @@
 func (a *allotment) settle(w Window, reserved, actual Cost, generation int, now time.Time) {
 	a.release(w, reserved.minus(actual).atLeast(Cost{}), generation, now)
 	excess := actual.minus(reserved).atLeast(Cost{})
-	if h := a.at(w, false); h != nil {
+	if h := a.holdingFor(w, false); h != nil {
 		h.free = h.free.minus(excess.atMost(h.free))
 	}
 }
 
-func (k *Allocator) shardOf(name string) *shard { return k.shards[shardOf(name, len(k.shards))] }
+func (al *Allocator) shardOf(name string) *shard { return al.shards[shardOf(name, len(al.shards))] }
 
 // lock returns the plan's allotment, brought to the budget in force and locked.
-func (k *Allocator) lock(name string, budget plan.Budget, version uint64) *allotment {
-	s := k.shardOf(name)
+func (al *Allocator) lock(name string, budget plan.Budget, version uint64) *allotment {
+	s := al.shardOf(name)
 	for {
 		a := s.allotment(name, budget, version)
 		a.mu.Lock()
-		if !a.dropped {
-			a.adopt(budget, version)
+		if !a.removed {
+			a.setBudget(budget, version)
 			return a
 		}
 		a.mu.Unlock()
--- a/internal/budget/allotment.go
+++ b/internal/budget/allotment.go
@@ -33,10 +33,10 @@
 	lastUse       time.Time
 	// ended says that nothing is to be held any more: the plan was removed or
 	// the instance stops. dropped says that the keeper has forgotten the allotment.
-	ended, dropped bool
+	retired, removed bool
 	// money and tokens follow recent spending, in units a second.
-	money, tokens metrics.EWMA
-	spent         Cost
+	moneyRate, tokenRate metrics.EWMA
+	spentSinceTick       Cost
 	// refusal is the answer of the last draw, believed until refusedUntil.
 	refusal      Reason
 	refusedUntil time.Time
@@ -47,7 +47,7 @@
 func newAllotment(name string, budget plan.Budget, version uint64) *allotment {
 	return &allotment{
 		plan: name, budget: budget, version: version,
-		money: metrics.NewEWMA1(), tokens: metrics.NewEWMA1(),
+		moneyRate: metrics.NewEWMA1(), tokenRate: metrics.NewEWMA1(),
 	}
 }
 
@@ -55,11 +55,11 @@
 // before may be spent: what others hold and have spent is not known here, and
 // together it may be more than the new budget. It is returned, and new chunks
 // are drawn by the new budget.
-func (a *allotment) adopt(budget plan.Budget, version uint64) {
+func (a *allotment) setBudget(budget plan.Budget, version uint64) {
 	if version <= a.version {
 		return
 	}
-	if cutsBack(a.budget, budget) {
+	if reducesBudget(a.budget, budget) {
 		a.generation++
 		a.markForReturn()
 	}
@@ -67,12 +67,12 @@
 		a.refusedUntil, a.refillAfter = time.Time{}, time.Time{}
 	}
 	a.budget, a.version = budget, version
-	a.ended = false
+	a.retired = false
 }
 
 // end marks everything to be returned and nothing to be drawn.
-func (a *allotment) end() {
-	a.ended = true
+func (a *allotment) retire() {
+	a.retired = true
 	a.need = Cost{}
 	a.markForReturn()
 }
@@ -87,7 +87,7 @@
 }
 
 // at returns the holding of a window; create says whether to begin one.
-func (a *allotment) at(w Window, create bool) *holding {
+func (a *allotment) holdingFor(w Window, create bool) *holding {
 	for i := range a.holdings {
 		if a.holdings[i].window == w {
 			return &a.holdings[i]
@@ -101,10 +101,10 @@
 }
 
 // take reserves a cost in the window, or the two windows, that it is now.
-func (a *allotment) take(cost Cost, now time.Time) (first Window, both, ok bool) {
+func (a *allotment) reserve(cost Cost, now time.Time) (first Window, both, ok bool) {
 	a.lastUse = now
 	first, both = windowsAt(now, lengthOf(a.budget))
-	if !a.holds(first, cost) || both && !a.holds(first.next(), cost) {
+	if !a.canCover(first, cost) || both && !a.canCover(first.next(), cost) {
 		return first, both, false
 	}
 	a.charge(first, cost)
@@ -114,13 +114,13 @@
 	return first, both, true
 }
 
-func (a *allotment) holds(w Window, cost Cost) bool {
-	h := a.at(w, false)
+func (a *allotment) canCover(w Window, cost Cost) bool {
+	h := a.holdingFor(w, false)
 	return cost.isZero() || h != nil && h.free.covers(cost)
 }
 
 func (a *allotment) charge(w Window, cost Cost) {
-	if h := a.at(w, false); h != nil {
+	if h := a.holdingFor(w, false); h != nil {
 		h.free = h.free.minus(cost)
 	}
 }
@@ -128,10 +128,10 @@
 // release gives a reserved amount back to a window: to be spent again, or to
 // be returned if the budget has been cut since.
 func (a *allotment) release(w Window, cost Cost, generation int, now time.Time) {
-	if cost.isZero() || w.over(now) {
+	if cost.isZero() || w.ended(now) {
 		return
 	}
-	h := a.at(w, true)
+	h := a.holdingFor(w, true)
 	if generation == a.generation {
 		h.free = h.free.plus(cost)
 		return
@@ -140,45 +140,45 @@
 }
 
 // wants returns what should be held ahead, by recent spending.
-func (a *allotment) wants(horizon time.Duration, now time.Time) Cost {
-	if a.ended || now.Sub(a.lastUse) > idleAfter {
+func (a *allotment) target(horizon time.Duration, now time.Time) Cost {
+	if a.retired || now.Sub(a.lastUse) > idleTimeout {
 		return Cost{}
 	}
 	seconds := horizon.Seconds()
-	want := Cost{Money: plan.Micros(a.money.Rate() * seconds), Tokens: int64(a.tokens.Rate() * seconds)}
-	return want.atLeast(a.typical.atLeast(a.need).times(firstChunk)).of(a.budget)
+	want := Cost{Money: plan.Micros(a.moneyRate.Rate() * seconds), Tokens: int64(a.tokenRate.Rate() * seconds)}
+	return want.atLeast(a.typical.atLeast(a.need).times(firstDrawCalls)).boundedBy(a.budget)
 }
 
 // asks returns what to ask the store for. It changes nothing.
-func (a *allotment) asks(horizon, lead time.Duration, now time.Time) []ask {
-	want := a.wants(horizon, now)
-	var asks []ask
+func (a *allotment) drawRequests(horizon, lead time.Duration, now time.Time) []drawRequest {
+	want := a.target(horizon, now)
+	var asks []drawRequest
 	for i := range a.holdings {
-		asks = a.askBack(asks, &a.holdings[i], want, now)
+		asks = a.appendReturn(asks, &a.holdings[i], want, now)
 	}
-	if a.ended || a.need.isZero() && now.Before(a.refillAfter) {
+	if a.retired || a.need.isZero() && now.Before(a.refillAfter) {
 		return asks
 	}
-	for _, w := range a.windows(now, lead) {
-		asks = a.askFor(asks, w, want)
+	for _, w := range a.windowsToHold(now, lead) {
+		asks = a.appendDraw(asks, w, want)
 	}
 	return asks
 }
 
 // askBack adds what is to be returned of a holding.
-func (a *allotment) askBack(asks []ask, h *holding, want Cost, now time.Time) []ask {
-	q := ask{plan: a.plan, budget: a.budget, version: a.version, window: h.window, give: h.returning}
+func (a *allotment) appendReturn(asks []drawRequest, h *holding, want Cost, now time.Time) []drawRequest {
+	q := drawRequest{plan: a.plan, budget: a.budget, version: a.version, window: h.window, returned: h.returning}
 	if h.window.Length == lengthOf(a.budget) && a.need.isZero() {
-		q.give = q.give.plus(h.free.minus(want.times(idleFactor)).atLeast(Cost{}))
+		q.returned = q.returned.plus(h.free.minus(want.times(maxHeldFactor)).atLeast(Cost{}))
 	}
-	if q.give.isZero() || h.window.over(now) {
+	if q.returned.isZero() || h.window.ended(now) {
 		return asks
 	}
 	return append(asks, q)
 }
 
 // urgent reports whether something has to be returned without delay.
-func (a *allotment) urgent() bool {
+func (a *allotment) mustReturn() bool {
 	for i := range a.holdings {
 		if !a.holdings[i].returning.isZero() {
 			return true
@@ -189,10 +189,10 @@
 
 // withdraw takes what the asks give out of the holdings, before they are written:
 // an answer that is lost must not leave it to be spent here as well.
-func (a *allotment) withdraw(asks []ask) {
+func (a *allotment) withdraw(asks []drawRequest) {
 	for _, q := range asks {
-		if h := a.at(q.window, false); h != nil && !q.give.isZero() {
-			h.free = h.free.minus(q.give.minus(h.returning))
+		if h := a.holdingFor(q.window, false); h != nil && !q.returned.isZero() {
+			h.free = h.free.minus(q.returned.minus(h.returning))
 			h.returning = Cost{}
 		}
 	}
@@ -205,30 +205,30 @@
 // restore undoes withdraw after a write that certainly had no effect. The amounts
 // wait to be given again; they may have been marked for return, and so are not
 // spent.
-func (a *allotment) restore(asks []ask) {
+func (a *allotment) restore(asks []drawRequest) {
 	for _, q := range asks {
-		if !q.give.isZero() {
-			h := a.at(q.window, true)
-			h.returning = h.returning.plus(q.give)
+		if !q.returned.isZero() {
+			h := a.holdingFor(q.window, true)
+			h.returning = h.returning.plus(q.returned)
 		}
 	}
 }
 
 // askFor adds what is lacking in a window.
-func (a *allotment) askFor(asks []ask, w Window, want Cost) []ask {
+func (a *allotment) appendDraw(asks []drawRequest, w Window, want Cost) []drawRequest {
 	free := Cost{}
-	if h := a.at(w, false); h != nil {
+	if h := a.holdingFor(w, false); h != nil {
 		free = h.free
 	}
 	need := a.need
 	if free.covers(need) {
 		need = Cost{}
 	}
-	if need.isZero() && free.covers(want.minus(want.over(refillPart))) {
+	if need.isZero() && free.covers(want.minus(want.dividedBy(refillDivisor))) {
 		return asks
 	}
 	// What is lacking of the need must come in one piece with what is free.
-	q := ask{
+	q := drawRequest{
 		plan: a.plan, budget: a.budget, version: a.version, window: w,
 		need: need.minus(free).atLeast(Cost{}), want: want.minus(free).atLeast(Cost{}), held: free,
 	}
@@ -237,9 +237,9 @@
 
 // windows returns those to hold something of: now's, and the next from lead
 // before a boundary.
-func (a *allotment) windows(now time.Time, lead time.Duration) []Window {
+func (a *allotment) windowsToHold(now time.Time, lead time.Duration) []Window {
 	first, both := windowsAt(now, lengthOf(a.budget))
-	lead = min(lead, lengthOf(a.budget)/leadPart)
+	lead = min(lead, lengthOf(a.budget)/leadDivisor)
 	if both || windowAt(now.Add(lead), first.Length) != first {
 		return []Window{first, first.next()}
 	}
@@ -250,7 +250,7 @@
 func (a *allotment) expire(now time.Time) (unspent Cost) {
 	kept := a.holdings[:0]
 	for _, h := range a.holdings {
-		if h.window.over(now) {
+		if h.window.ended(now) {
 			unspent = unspent.plus(h.free).plus(h.returning)
 			continue
 		}
@@ -264,29 +264,29 @@
 }
 
 // granted takes in what the store granted.
-func (a *allotment) granted(v result, generation int, now time.Time) {
-	a.release(v.ask.window, v.granted, generation, now)
-	if v.refusal == "" || a.version != v.ask.version {
+func (a *allotment) recordResult(r drawResult, generation int, now time.Time) {
+	a.release(r.request.window, r.granted, generation, now)
+	if r.refusal == "" || a.version != r.request.version {
 		return
 	}
-	a.refusal = v.refusal
-	a.refusedUntil = now.Add(believeExhausted)
+	a.refusal = r.refusal
+	a.refusedUntil = now.Add(exhaustedRetention)
 	a.refillAfter = a.refusedUntil
-	if v.refusal == PlanOutdated {
-		a.refusedUntil = now.Add(believeBehind)
+	if r.refusal == PlanOutdated {
+		a.refusedUntil = now.Add(outdatedRetention)
 	}
 }
 
 // idle reports whether the allotment may be forgotten.
 func (a *allotment) idle(now time.Time) bool {
-	return len(a.holdings) == 0 && a.need.isZero() && now.Sub(a.lastUse) > idleAfter
+	return len(a.holdings) == 0 && a.need.isZero() && now.Sub(a.lastUse) > idleTimeout
 }
 
 // tick folds the spending since the last tick into the rates.
-func (a *allotment) tick() {
-	a.money.Update(int64(a.spent.Money))
-	a.tokens.Update(a.spent.Tokens)
-	a.spent = Cost{}
-	a.money.Tick()
-	a.tokens.Tick()
+func (a *allotment) updateRates() {
+	a.moneyRate.Update(int64(a.spentSinceTick.Money))
+	a.tokenRate.Update(a.spentSinceTick.Tokens)
+	a.spentSinceTick = Cost{}
+	a.moneyRate.Tick()
+	a.tokenRate.Tick()
 }
--- a/internal/budget/bench_test.go
+++ b/internal/budget/bench_test.go
@@ -14,7 +14,7 @@
 )
 
 // manyPlans returns so many plans with a token budget each.
-func manyPlans(count int, tokens int64) []plan.Plan {
+func makePlans(count int, tokens int64) []plan.Plan {
 	plans := make([]plan.Plan, count)
 	for i := range plans {
 		plans[i] = plan.Plan{
@@ -25,8 +25,8 @@
 	return plans
 }
 
-func benchKeeper(s *standin.Store, plans []plan.Plan) (*Allocator, *lists) {
-	l := &lists{changed: make(chan struct{})}
+func newBenchAllocator(s *standin.Store, plans []plan.Plan) (*Allocator, *planSource) {
+	l := &planSource{changed: make(chan struct{})}
 	l.set(plan.Restore(plans), 1)
 	return NewAllocator(s, l, Options{StoreRate: 1e6}), l
 }
@@ -36,10 +36,10 @@
 func BenchmarkReserve(b *testing.B) {
 	for _, count := range []int{1, 5000} {
 		b.Run(fmt.Sprintf("plans=%d", count), func(b *testing.B) {
-			plans := manyPlans(count, 1e15)
-			k, _ := benchKeeper(standin.NewStore(), plans)
+			plans := makePlans(count, 1e15)
+			al, _ := newBenchAllocator(standin.NewStore(), plans)
 			for i := range plans {
-				r, err := k.Reserve(context.Background(), &plans[i], Cost{Tokens: 1e10})
+				r, err := al.Reserve(context.Background(), &plans[i], Cost{Tokens: 1e10})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -51,7 +51,7 @@
 				i := rand.IntN(count)
 				for pb.Next() {
 					i = (i + 1) % count
-					r, err := k.Reserve(context.Background(), &plans[i], Cost{Tokens: 1000})
+					r, err := al.Reserve(context.Background(), &plans[i], Cost{Tokens: 1000})
 					if err != nil {
 						b.Error(err)
 						return
@@ -68,24 +68,24 @@
 	for _, count := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("plans=%d", count), func(b *testing.B) {
 			s := standin.NewStore()
-			plans := manyPlans(count, 1e15)
-			k, _ := benchKeeper(s, plans)
+			plans := makePlans(count, 1e15)
+			al, _ := newBenchAllocator(s, plans)
 			for i := range plans {
-				if r, err := k.Reserve(context.Background(), &plans[i], Cost{Tokens: 1}); err == nil {
+				if r, err := al.Reserve(context.Background(), &plans[i], Cost{Tokens: 1}); err == nil {
 					r.Settle(Cost{Tokens: 1})
 				}
 			}
-			object := k.shards[0]
-			before := k.client.Bytes()
+			object := al.shards[0]
+			before := al.client.Bytes()
 			for b.Loop() {
 				for _, a := range object.allotments {
 					a.need = a.holdings[0].free.plus(Cost{Tokens: 1})
 				}
-				if err := k.renew(context.Background(), object); err != nil {
+				if err := al.renew(context.Background(), object); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(k.client.Bytes()-before)/float64(b.N), "bytes/draw")
+			b.ReportMetric(float64(al.client.Bytes()-before)/float64(b.N), "bytes/draw")
 			b.ReportMetric(float64(len(object.allotments)), "plans/draw")
 		})
 	}
@@ -105,28 +105,28 @@
 	}
 	for _, name := range []string{"even", "zipf", "one", "moving"} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { strand(t, budget, instances, skews[name]) })
+			synctest.Test(t, func(t *testing.T) { runUntilExhausted(t, budget, instances, skews[name]) })
 		})
 	}
 }
 
-func strand(t *testing.T, budget int64, instances int, pick func(int) int) {
-	plans := manyPlans(1, budget)
+func runUntilExhausted(t *testing.T, budget int64, instances int, pick func(int) int) {
+	plans := makePlans(1, budget)
 	s := standin.NewStore()
 	ctx, cancel := context.WithCancel(context.Background())
-	var keepers []*Allocator
+	var allocators []*Allocator
 	done := make(chan struct{})
 	for range instances {
-		l := &lists{changed: make(chan struct{})}
+		l := &planSource{changed: make(chan struct{})}
 		l.set(plan.Restore(plans), 1)
-		k := NewAllocator(s, l, Options{})
-		keepers = append(keepers, k)
-		go func() { _ = k.Run(ctx); done <- struct{}{} }()
+		al := NewAllocator(s, l, Options{})
+		allocators = append(allocators, al)
+		go func() { _ = al.Run(ctx); done <- struct{}{} }()
 	}
 	var spent, atFirst, early int64
 	refused := 0
 	for call := 0; refused < 2000; call++ {
-		r, err := keepers[pick(call/20)].Reserve(ctx, &plans[0], Cost{Tokens: 40})
+		r, err := allocators[pick(call/20)].Reserve(ctx, &plans[0], Cost{Tokens: 40})
 		switch {
 		case err == nil:
 			spent += 20
@@ -150,7 +150,7 @@
 		100-100*float64(atFirst)/float64(budget), 100-100*float64(spent)/float64(budget), refused, early,
 		s.Counts().Reads+s.Counts().Writes)
 	cancel()
-	for _, k := range keepers {
+	for _, k := range allocators {
 		<-done
 		k.cancel()
 		k.draws.Wait()
--- a/internal/budget/budget_fuzz_test.go
+++ b/internal/budget/budget_fuzz_test.go
@@ -11,7 +11,7 @@
 )
 
 // open is a reservation under way, as the oracle knows it.
-type open struct {
+type openReservation struct {
 	node        int
 	reservation *Reservation
 	tokens      int64
@@ -25,7 +25,7 @@
 	budget  int64
 	version uint64
 	spent   map[int64]int64
-	open    []open
+	open    []openReservation
 	granted int
 }
 
@@ -56,7 +56,7 @@
 				"heal":       o.heal,
 				"crash":      o.crash,
 				"stop":       o.stopPlanned,
-				"time":       o.pass,
+				"time":       o.advanceTime,
 			})
 			granted += o.granted
 		})
@@ -85,7 +85,7 @@
 	o.granted++
 	window := time.Now().UnixNano() / int64(testWindow)
 	o.spent[window] += tokens
-	o.open = append(o.open, open{node: i, reservation: r, tokens: tokens, window: window})
+	o.open = append(o.open, openReservation{node: i, reservation: r, tokens: tokens, window: window})
 	if limit := o.largestBudget(); o.spent[window] > limit {
 		rt.Fatalf("spent %d of %d", o.spent[window], limit)
 	}
@@ -95,7 +95,7 @@
 func (o *oracle) largestBudget() int64 {
 	var largest int64
 	for _, n := range o.nodes {
-		if list, _ := n.lists.Plans(); list.Lookup("p") != nil {
+		if list, _ := n.plans.Plans(); list.Lookup("p") != nil {
 			largest = max(largest, list.Lookup("p").Budget.Tokens)
 		}
 	}
@@ -125,12 +125,12 @@
 
 func (o *oracle) deliver(rt *rapid.T) {
 	n := rapid.SampledFrom(o.nodes).Draw(rt, "node")
-	n.lists.set(onePlan(o.budget), o.version)
+	n.plans.set(onePlan(o.budget), o.version)
 }
 
 func (o *oracle) deliverAll(*rapid.T) {
 	for _, n := range o.nodes {
-		n.lists.set(onePlan(o.budget), o.version)
+		n.plans.set(onePlan(o.budget), o.version)
 	}
 }
 
@@ -159,7 +159,7 @@
 func (o *oracle) crash(rt *rapid.T) {
 	i := rapid.IntRange(0, len(o.nodes)-1).Draw(rt, "node")
 	o.nodes[i].crash()
-	o.forget(i)
+	o.dropReservations(i)
 	o.nodes[i].start()
 }
 
@@ -170,11 +170,11 @@
 	o.nodes[i].stop()
 	_ = o.nodes[i].Close(ctx)
 	o.nodes[i].crash()
-	o.forget(i)
+	o.dropReservations(i)
 	o.nodes[i].start()
 }
 
-func (o *oracle) forget(node int) {
+func (o *oracle) dropReservations(node int) {
 	kept := o.open[:0]
 	for _, r := range o.open {
 		if r.node != node {
@@ -184,6 +184,6 @@
 	o.open = kept
 }
 
-func (o *oracle) pass(rt *rapid.T) {
+func (o *oracle) advanceTime(rt *rapid.T) {
 	time.Sleep(time.Duration(rapid.IntRange(1, 15000).Draw(rt, "ms")) * time.Millisecond)
 }
--- a/internal/budget/cost.go
+++ b/internal/budget/cost.go
@@ -15,7 +15,7 @@
 func (c Cost) times(n int64) Cost { return Cost{c.Money * plan.Micros(n), c.Tokens * n} }
 
 // over returns an n-th of the cost.
-func (c Cost) over(n int64) Cost { return Cost{c.Money / plan.Micros(n), c.Tokens / n} }
+func (c Cost) dividedBy(n int64) Cost { return Cost{c.Money / plan.Micros(n), c.Tokens / n} }
 
 func (c Cost) isZero() bool { return c == Cost{} }
 
@@ -27,7 +27,7 @@
 func (c Cost) atMost(d Cost) Cost { return Cost{min(c.Money, d.Money), min(c.Tokens, d.Tokens)} }
 
 // of returns the cost without the kinds that the budget does not bound.
-func (c Cost) of(b plan.Budget) Cost {
+func (c Cost) boundedBy(b plan.Budget) Cost {
 	if b.Money == 0 {
 		c.Money = 0
 	}
@@ -42,7 +42,7 @@
 
 // cutsBack reports whether a budget allows less than the one before in any
 // kind, or divides time otherwise.
-func cutsBack(before, now plan.Budget) bool {
+func reducesBudget(before, now plan.Budget) bool {
 	less := func(before, now int64) bool { return now > 0 && (before == 0 || now < before) }
 	return before.Window != now.Window ||
 		less(int64(before.Money), int64(now.Money)) || less(before.Tokens, now.Tokens)
--- a/internal/budget/failure_test.go
+++ b/internal/budget/failure_test.go
@@ -57,12 +57,12 @@
 			_, refusal := n.spend(is, 50)
 			is.True(refusal == nil)
 		}
-		under, err := w.nodes[0].reserve(20)
+		inFlight, err := w.nodes[0].reserve(20)
 		is.NoErr(err)
 		for _, n := range w.nodes {
-			n.lists.set(onePlan(50), 2)
+			n.plans.set(onePlan(50), 2)
 		}
-		under.Settle(Cost{Tokens: 1})
+		inFlight.Settle(Cost{Tokens: 1})
 		for range 3 {
 			for _, n := range w.nodes {
 				spent, refusal := n.spend(is, 400)
@@ -93,19 +93,19 @@
 		sleepUntil(10 * time.Second)
 		before, refusal := n.spend(is, 20)
 		is.True(refusal == nil)
-		time.Sleep(4 * rateTick) // the allotment is sized by what was spent
+		time.Sleep(4 * rateInterval) // the allotment is sized by what was spent
 		w.store.SetFaults(standin.StoreFaults{Down: true})
 		during, refusal := n.spend(is, 400)
 		is.True(during > 0) // what is held is spent
 		is.True(before+during <= 400)
 		is.Equal(refusal.Reason, StoreUnavailable)
-		is.True(refusal.RetryAfter > 0 && refusal.RetryAfter <= 2*storeRetryMax)
+		is.True(refusal.RetryAfter > 0 && refusal.RetryAfter <= 2*storeBackoffMax)
 		sleepUntil(testWindow + 5*time.Second)
 		spent, refusal := n.spend(is, 400)
 		is.Equal(spent, int64(0))
 		is.Equal(refusal.Reason, StoreUnavailable)
 		w.store.SetFaults(standin.StoreFaults{})
-		time.Sleep(2 * storeRetryMax)
+		time.Sleep(2 * storeBackoffMax)
 		spent, refusal = n.spend(is, 500)
 		is.Equal(spent, int64(400))
 		is.Equal(refusal.Reason, Exhausted)
@@ -156,17 +156,17 @@
 		// The edit makes it return all, by a write whose answer is lost.
 		w.store.SetFaults(standin.StoreFaults{LoseAnswers: 1})
 		holder.link.afterPut = func() { w.store.SetFaults(standin.StoreFaults{Down: true}) }
-		holder.lists.set(onePlan(399), 2)
-		other.lists.set(onePlan(399), 2)
-		time.Sleep(3 * drawTime)
-		is.Equal(holder.Allocator.metrics.unsettled.Count(), int64(1))
+		holder.plans.set(onePlan(399), 2)
+		other.plans.set(onePlan(399), 2)
+		time.Sleep(3 * drawTimeout)
+		is.Equal(holder.Allocator.metrics.unknownOutcomes.Count(), int64(1))
 		spent, refusal := holder.spend(is, 1)
 		is.Equal(spent, int64(0))
 		is.Equal(refusal.Reason, StoreUnavailable)
 
 		holder.link.afterPut = nil
 		w.store.SetFaults(standin.StoreFaults{})
-		time.Sleep(2 * storeRetryMax)
+		time.Sleep(2 * storeBackoffMax)
 		more, _ := holder.spend(is, 100)
 		all, _ := other.spend(is, 500)
 		rest, _ := holder.spend(is, 500)
@@ -185,8 +185,8 @@
 		defer w.close()
 		sleepUntil(5 * time.Second)
 		full := &accountSet{}
-		for i := range 2 * recentWrites {
-			full.note(fmt.Sprint(i))
+		for i := range 2 * maxRecentWrites {
+			full.recordWrite(fmt.Sprint(i))
 		}
 		value, err := full.encode()
 		is.NoErr(err)
@@ -202,7 +202,7 @@
 		}
 		_, err = w.nodes[0].reserve(1)
 		is.NoErr(err)
-		is.Equal(w.nodes[0].Allocator.metrics.unsettled.Count(), int64(0))
+		is.Equal(w.nodes[0].Allocator.metrics.unknownOutcomes.Count(), int64(0))
 	})
 }
 
@@ -215,15 +215,15 @@
 		w := newWorld(400, 0, 0)
 		defer w.close()
 		sleepUntil(5 * time.Second)
-		w.nodes[0].lists.set(onePlan(50), 2)
+		w.nodes[0].plans.set(onePlan(50), 2)
 		r, err := w.nodes[0].reserve(1)
 		is.NoErr(err)
 		r.Release()
 		_, err = w.nodes[1].reserve(1)
 		refusal := refusalOf(is, err)
 		is.Equal(refusal.Reason, PlanOutdated)
-		is.True(refusal.RetryAfter <= believeBehind)
-		w.nodes[1].lists.set(onePlan(50), 2)
+		is.True(refusal.RetryAfter <= outdatedRetention)
+		w.nodes[1].plans.set(onePlan(50), 2)
 		_, err = w.nodes[1].reserve(1)
 		is.NoErr(err)
 	})
@@ -238,16 +238,16 @@
 	after := plan.Budget{Tokens: 400, Window: plan.Duration(time.Hour)}
 	b := &accountSet{}
 	w := windowAt(now, testWindow)
-	b.apply([]ask{{plan: "p", budget: before, version: 1, window: w, need: Cost{Tokens: 200}, want: Cost{Tokens: 200}}}, 1, now)
+	b.apply([]drawRequest{{plan: "p", budget: before, version: 1, window: w, need: Cost{Tokens: 200}, want: Cost{Tokens: 200}}}, 1, now)
 	hour := windowAt(now, time.Hour)
-	q := ask{plan: "p", budget: after, version: 2, window: hour, need: Cost{Tokens: 201}}
-	results, _ := b.apply([]ask{q}, 1, now)
+	q := drawRequest{plan: "p", budget: after, version: 2, window: hour, need: Cost{Tokens: 201}}
+	results, _ := b.apply([]drawRequest{q}, 1, now)
 	is.Equal(results[0].refusal, Exhausted)
 	q.need = Cost{Tokens: 200}
-	results, _ = b.apply([]ask{q}, 1, now)
+	results, _ = b.apply([]drawRequest{q}, 1, now)
 	is.Equal(results[0].granted, Cost{Tokens: 200})
 	// The old length is now behind.
-	results, _ = b.apply([]ask{{plan: "p", budget: before, version: 1, window: w, need: Cost{Tokens: 1}}}, 1, now)
+	results, _ = b.apply([]drawRequest{{plan: "p", budget: before, version: 1, window: w, need: Cost{Tokens: 1}}}, 1, now)
 	is.Equal(results[0].refusal, PlanOutdated)
 }
 
@@ -255,18 +255,18 @@
 // take effect just before the next write.
 type lateStore struct {
 	store.Client
-	hold bool
-	held func()
+	deferWrites bool
+	deferred    func()
 }
 
 func (l *lateStore) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
-	if l.hold {
-		l.held = func() { _, _ = l.Client.Put(context.Background(), key, value, base) }
+	if l.deferWrites {
+		l.deferred = func() { _, _ = l.Client.Put(context.Background(), key, value, base) }
 		return 0, store.ErrUnknown
 	}
-	if l.held != nil {
-		l.held()
-		l.held = nil
+	if l.deferred != nil {
+		l.deferred()
+		l.deferred = nil
 	}
 	return l.Client.Put(ctx, key, value, base)
 }
@@ -278,30 +278,30 @@
 func TestReturnTakesEffectLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		late := &lateStore{Client: standin.NewStore()}
-		l := &lists{changed: make(chan struct{})}
+		deferring := &lateStore{Client: standin.NewStore()}
+		l := &planSource{changed: make(chan struct{})}
 		l.set(onePlan(400), 1)
-		k := NewAllocator(late, l, Options{Shards: 1, Share: 4})
+		al := NewAllocator(deferring, l, Options{Shards: 1, Share: 4})
 		sleepUntil(10 * time.Second)
 		drawn := func() int64 {
-			b, _, err := k.read(context.Background(), store.Key{Kind: KindBudget, Name: "000"})
+			b, _, err := al.read(context.Background(), store.Key{Kind: KindBudget, Name: "000"})
 			is.NoErr(err)
 			return b.Accounts["p"].Drawn[windowAt(time.Now(), testWindow).Index].Tokens
 		}
-		r, err := k.Reserve(context.Background(), &plan.Plan{Name: "p"}, Cost{Tokens: 25})
+		r, err := al.Reserve(context.Background(), &plan.Plan{Name: "p"}, Cost{Tokens: 25})
 		is.NoErr(err)
 		is.Equal(drawn(), int64(100))
-		k.shards[0].allotments["p"].end() // 75 are free
-		late.hold = true
-		<-k.start(k.shards[0])
-		late.hold = false
-		time.Sleep(2 * storeRetryMax)
+		al.shards[0].allotments["p"].retire() // 75 are free
+		deferring.deferWrites = true
+		<-al.startDraw(al.shards[0])
+		deferring.deferWrites = false
+		time.Sleep(2 * storeBackoffMax)
 		r.Settle(Cost{Tokens: 5}) // and now 20
 		for range 3 {
-			<-k.start(k.shards[0])
+			<-al.startDraw(al.shards[0])
 		}
 		is.Equal(drawn(), int64(5)) // what has been spent
-		k.cancel()
+		al.cancel()
 	})
 }
 
@@ -323,24 +323,24 @@
 		}
 		before := w.store.Counts()
 		for _, n := range w.nodes {
-			n.lists.set(onePlan(50_000), 2)
+			n.plans.set(onePlan(50_000), 2)
 		}
 		start := time.Now()
-		held := func() (count int) {
+		pending := func() (count int) {
 			for _, n := range w.nodes {
 				a := n.shards[0].allotments["p"]
 				a.mu.Lock()
-				busy := a.version < 2 || a.urgent()
+				busy := a.version < 2 || a.mustReturn()
 				a.mu.Unlock()
-				n.shards[0].drawing.Lock()
+				n.shards[0].drawMu.Lock()
 				if busy || n.shards[0].done != nil {
 					count++
 				}
-				n.shards[0].drawing.Unlock()
+				n.shards[0].drawMu.Unlock()
 			}
 			return count
 		}
-		for held() > 0 && time.Since(start) < time.Minute {
+		for pending() > 0 && time.Since(start) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
 		}
 		took, after := time.Since(start), w.store.Counts()
--- a/internal/budget/joint_fuzz_test.go
+++ b/internal/budget/joint_fuzz_test.go
@@ -17,18 +17,18 @@
 // the keeper that follows it.
 type site struct {
 	*config.Source
-	keeper *Allocator
-	link   *link
-	fleet  *[]*site
-	alone  atomic.Bool
-	stop   func()
+	allocator *Allocator
+	link      *link
+	fleet     *[]*site
+	isolated  atomic.Bool
+	stop      func()
 }
 
 // Sample implements config.Peers with all other sites that can be reached.
 func (s *site) Sample(int) []config.Peer {
 	var peers []config.Peer
 	for _, other := range *s.fleet {
-		if other != s && !s.alone.Load() && !other.alone.Load() {
+		if other != s && !s.isolated.Load() && !other.isolated.Load() {
 			peers = append(peers, direct{other})
 		}
 	}
@@ -50,7 +50,7 @@
 func newSite(l *link, fleet *[]*site) *site {
 	s := &site{link: l, fleet: fleet}
 	s.Source = config.NewSource(l, config.Options{Peers: s})
-	s.keeper = NewAllocator(l, s.Source, Options{Shards: 1, Horizon: 20 * time.Second, Share: 4, Lead: 5 * time.Second, Renew: 5 * time.Second})
+	s.allocator = NewAllocator(l, s.Source, Options{Shards: 1, Horizon: 20 * time.Second, Share: 4, Lead: 5 * time.Second, Renew: 5 * time.Second})
 	return s
 }
 
@@ -58,13 +58,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{}, 2)
 	go func() { _ = s.Source.Run(ctx); done <- struct{}{} }()
-	go func() { _ = s.keeper.Run(ctx); done <- struct{}{} }()
+	go func() { _ = s.allocator.Run(ctx); done <- struct{}{} }()
 	s.stop = func() {
 		cancel()
-		s.keeper.cancel()
+		s.allocator.cancel()
 		<-done
 		<-done
-		s.keeper.draws.Wait()
+		s.allocator.draws.Wait()
 	}
 }
 
@@ -79,14 +79,14 @@
 			w := newWorld(0)
 			var fleet []*site
 			for range 3 {
-				fleet = append(fleet, newSite(&link{Client: w.store, first: w.first, mu: &w.mu}, &fleet))
+				fleet = append(fleet, newSite(&link{Client: w.store, firstRead: w.firstRead, mu: &w.mu}, &fleet))
 			}
 			for _, s := range fleet {
 				s.start()
 				defer s.stop()
 			}
 			defer w.store.SetFaults(standin.StoreFaults{})
-			j := &joint{world: w, fleet: fleet, floors: make([]uint64, len(fleet)), spent: map[int64]int64{}}
+			j := &jointModel{world: w, fleet: fleet, minVersions: make([]uint64, len(fleet)), spent: map[int64]int64{}}
 			rt.Repeat(map[string]func(*rapid.T){
 				"edit": j.edit, "spend": j.spend, "more": j.spend, "faults": j.faults, "": j.check,
 				"time": func(rt *rapid.T) {
@@ -98,15 +98,15 @@
 	})
 }
 
-type joint struct {
+type jointModel struct {
 	*world
-	fleet    []*site
-	floors   []uint64
-	spent    map[int64]int64
-	accepted uint64
+	fleet       []*site
+	minVersions []uint64
+	spent       map[int64]int64
+	accepted    uint64
 }
 
-func (j *joint) edit(rt *rapid.T) {
+func (j *jointModel) edit(rt *rapid.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	tokens := rapid.SampledFrom([]int64{50, 200, 400, 800}).Draw(rt, "tokens")
@@ -120,11 +120,11 @@
 	}
 }
 
-func (j *joint) spend(rt *rapid.T) {
+func (j *jointModel) spend(rt *rapid.T) {
 	for range rapid.IntRange(1, 20).Draw(rt, "calls") {
 		s := rapid.SampledFrom(j.fleet).Draw(rt, "site")
 		tokens := rapid.Int64Range(1, 30).Draw(rt, "tokens")
-		r, err := s.keeper.Reserve(context.Background(), &plan.Plan{Name: "p"}, Cost{Tokens: tokens})
+		r, err := s.allocator.Reserve(context.Background(), &plan.Plan{Name: "p"}, Cost{Tokens: tokens})
 		if err != nil {
 			continue
 		}
@@ -137,7 +137,7 @@
 	}
 }
 
-func (j *joint) largest() (largest int64) {
+func (j *jointModel) largest() (largest int64) {
 	for _, s := range j.fleet {
 		if c := s.Current(); c != nil {
 			largest = max(largest, c.Plans.Lookup("p").Budget.Tokens)
@@ -146,7 +146,7 @@
 	return largest
 }
 
-func (j *joint) faults(rt *rapid.T) {
+func (j *jointModel) faults(rt *rapid.T) {
 	j.store.SetFaults(standin.StoreFaults{
 		Down:         rapid.IntRange(0, 4).Draw(rt, "down") == 0,
 		LoseAnswers:  rapid.SampledFrom([]int{0, 1, 3}).Draw(rt, "lose"),
@@ -154,23 +154,23 @@
 	})
 	s := rapid.SampledFrom(j.fleet).Draw(rt, "site")
 	s.link.set(rapid.IntRange(0, 2).Draw(rt, "cut") == 0, rapid.IntRange(0, 2).Draw(rt, "regressed") == 0)
-	s.alone.Store(rapid.IntRange(0, 2).Draw(rt, "alone") == 0)
+	s.isolated.Store(rapid.IntRange(0, 2).Draw(rt, "alone") == 0)
 }
 
-func (j *joint) check(rt *rapid.T) {
+func (j *jointModel) check(rt *rapid.T) {
 	for i, s := range j.fleet {
-		if s.Version() < j.floors[i] {
+		if s.Version() < j.minVersions[i] {
 			rt.Fatalf("site %d went back to version %d", i, s.Version())
 		}
-		j.floors[i] = s.Version()
+		j.minVersions[i] = s.Version()
 	}
 }
 
-func (j *joint) heal(rt *rapid.T) {
+func (j *jointModel) heal(rt *rapid.T) {
 	j.store.SetFaults(standin.StoreFaults{})
 	for _, s := range j.fleet {
 		s.link.set(false, false)
-		s.alone.Store(false)
+		s.isolated.Store(false)
 	}
 	time.Sleep(10 * time.Second)
 	for i, s := range j.fleet {
--- a/internal/budget/run.go
+++ b/internal/budget/run.go
@@ -8,41 +8,41 @@
 
 // Run renews allotments in the background and follows edits of the plans until
 // ctx ends. It gives nothing back; Close does.
-func (k *Allocator) Run(ctx context.Context) error {
-	tick := time.NewTicker(rateTick)
+func (al *Allocator) Run(ctx context.Context) error {
+	tick := time.NewTicker(rateInterval)
 	defer tick.Stop()
 	// The channel is kept until it is closed: one taken anew after each event
 	// would miss an edit that arrives while the event is handled, and a cut
 	// plan's allotment would not be returned.
-	changed := k.plans.Changed()
+	changed := al.plans.Changed()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
-			changed = k.plans.Changed()
-			k.followEdit()
+			changed = al.plans.Changed()
+			al.applyEdit()
 		case <-tick.C:
-			k.tick()
+			al.updateHeld()
 		}
-		k.renewWhereDue(ctx, changed)
+		al.startDueDraws(ctx, changed)
 	}
 }
 
 // followEdit applies the list in force to everything that is held.
-func (k *Allocator) followEdit() {
-	list, version := k.plans.Plans()
-	if list == nil || k.closed.Load() {
+func (al *Allocator) applyEdit() {
+	list, version := al.plans.Plans()
+	if list == nil || al.closed.Load() {
 		return
 	}
-	for _, s := range k.shards {
+	for _, s := range al.shards {
 		s.mu.RLock()
 		for name, a := range s.allotments {
 			a.mu.Lock()
 			if p := list.Lookup(name); p != nil {
-				a.adopt(p.Budget, version)
+				a.setBudget(p.Budget, version)
 			} else {
-				a.end()
+				a.retire()
 			}
 			a.mu.Unlock()
 		}
@@ -50,48 +50,48 @@
 	}
 }
 
-func (k *Allocator) tick() {
-	now := k.options.Now()
+func (al *Allocator) updateHeld() {
+	now := al.options.Now()
 	var held Cost
-	for _, s := range k.shards {
+	for _, s := range al.shards {
 		s.mu.Lock()
 		for name, a := range s.allotments {
 			a.mu.Lock()
-			a.tick()
+			a.updateRates()
 			unspent := a.expire(now)
-			k.metrics.strandedMoney.Inc(int64(unspent.Money))
-			k.metrics.strandedTokens.Inc(unspent.Tokens)
+			al.metrics.strandedMoney.Inc(int64(unspent.Money))
+			al.metrics.strandedTokens.Inc(unspent.Tokens)
 			for _, h := range a.holdings {
 				held = held.plus(h.free).plus(h.returning)
 			}
 			if a.idle(now) {
-				a.dropped = true
+				a.removed = true
 				delete(s.allotments, name)
 			}
 			a.mu.Unlock()
 		}
 		s.mu.Unlock()
 	}
-	k.metrics.heldMoney.Update(int64(held.Money))
-	k.metrics.heldTokens.Update(held.Tokens)
+	al.metrics.heldMoney.Update(int64(held.Money))
+	al.metrics.heldTokens.Update(held.Tokens)
 }
 
 // renewWhereDue starts a draw of each shard in which something is lacking or
 // to be returned. The draws are spread over a tick: after an edit all
 // instances have to update one object, and at once they would mostly meet
 // conflicts. An edit ends the spreading, and begins it anew.
-func (k *Allocator) renewWhereDue(ctx context.Context, edited <-chan struct{}) {
-	if k.closed.Load() || k.untilRetry(k.options.Now()) > 0 {
+func (al *Allocator) startDueDraws(ctx context.Context, edited <-chan struct{}) {
+	if al.closed.Load() || al.untilRetry(al.options.Now()) > 0 {
 		return
 	}
 	var due []*shard
-	for _, s := range k.shards {
-		if k.due(s) {
+	for _, s := range al.shards {
+		if al.isDue(s) {
 			due = append(due, s)
 		}
 	}
 	for _, s := range due {
-		delay := time.NewTimer(rand.N(rateTick / time.Duration(len(due))))
+		delay := time.NewTimer(rand.N(rateInterval / time.Duration(len(due))))
 		select {
 		case <-delay.C:
 		case <-edited:
@@ -101,17 +101,17 @@
 			delay.Stop()
 			return
 		}
-		k.start(s)
+		al.startDraw(s)
 	}
 }
 
 // due reports whether the shard has anything to ask: what became of a lost
 // write and what was marked for return at once, anything else when it is time to renew.
-func (k *Allocator) due(s *shard) bool {
-	now := k.options.Now()
-	s.drawing.Lock()
+func (al *Allocator) isDue(s *shard) bool {
+	now := al.options.Now()
+	s.drawMu.Lock()
 	early, unresolved := now.Before(s.renewAt), s.unresolved
-	s.drawing.Unlock()
+	s.drawMu.Unlock()
 	if unresolved {
 		return true
 	}
@@ -119,7 +119,7 @@
 	defer s.mu.RUnlock()
 	for _, a := range s.allotments {
 		a.mu.Lock()
-		due := a.urgent() || !early && len(a.asks(k.options.Horizon, k.options.Lead, now)) > 0
+		due := a.mustReturn() || !early && len(a.drawRequests(al.options.Horizon, al.options.Lead, now)) > 0
 		a.mu.Unlock()
 		if due {
 			return true
@@ -130,24 +130,24 @@
 
 // Close stops reserving and returns everything that is not reserved: the
 // planned stop, after the instance's calls have ended.
-func (k *Allocator) Close(ctx context.Context) error {
-	k.closed.Store(true)
-	defer k.draws.Wait()
-	defer k.cancel()
-	for _, s := range k.shards {
-		if err := k.closeShard(ctx, s); err != nil {
+func (al *Allocator) Close(ctx context.Context) error {
+	al.closed.Store(true)
+	defer al.draws.Wait()
+	defer al.cancel()
+	for _, s := range al.shards {
+		if err := al.closeShard(ctx, s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (k *Allocator) closeShard(ctx context.Context, s *shard) error {
+func (al *Allocator) closeShard(ctx context.Context, s *shard) error {
 	s.mu.RLock()
 	empty := len(s.allotments) == 0
 	for _, a := range s.allotments {
 		a.mu.Lock()
-		a.end()
+		a.retire()
 		a.mu.Unlock()
 	}
 	s.mu.RUnlock()
@@ -157,7 +157,7 @@
 	// One draw that was under way may have collected before; the next has not.
 	for range 2 {
 		select {
-		case <-k.start(s):
+		case <-al.startDraw(s):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/budget/window.go
+++ b/internal/budget/window.go
@@ -33,7 +33,7 @@
 func (w Window) next() Window { return Window{Length: w.Length, Index: w.Index + 1} }
 
 // over reports whether the window has ended on every clock.
-func (w Window) over(now time.Time) bool { return now.Add(-2 * MaxClockError).After(w.End()) }
+func (w Window) ended(now time.Time) bool { return now.Add(-2 * MaxClockError).After(w.End()) }
 
 // windowsAt returns the windows that true time may be in: one, or two near a boundary.
 func windowsAt(now time.Time, length time.Duration) (first Window, both bool) {
--- a/internal/budget/world_test.go
+++ b/internal/budget/world_test.go
@@ -19,14 +19,14 @@
 )
 
 // given are the flags on the command line.
-var given = map[string]bool{}
+var flagsGiven = map[string]bool{}
 
 // TestMain fixes the seed unless the command line gives it.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	flag.Visit(func(f *flag.Flag) { flagsGiven[f.Name] = true })
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.steps": "60", "rapid.nofailfile": "true"} {
-		if !given[name] {
+		if !flagsGiven[name] {
 			_ = flag.Set(name, value)
 		}
 	}
@@ -37,33 +37,33 @@
 // check runs a property so many times unless the command line tells how often.
 func check(t *testing.T, checks string, property func(*rapid.T)) {
 	t.Helper()
-	if !given["rapid.checks"] {
+	if !flagsGiven["rapid.checks"] {
 		_ = flag.Set("rapid.checks", checks)
 	}
 	rapid.Check(t, property)
 }
 
 // lists is the configuration in force on one instance.
-type lists struct {
+type planSource struct {
 	mu      sync.Mutex
 	list    *plan.List
 	version uint64
 	changed chan struct{}
 }
 
-func (l *lists) Plans() (*plan.List, uint64) {
+func (l *planSource) Plans() (*plan.List, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.list, l.version
 }
 
-func (l *lists) Changed() <-chan struct{} {
+func (l *planSource) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-func (l *lists) set(list *plan.List, version uint64) {
+func (l *planSource) set(list *plan.List, version uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if version <= l.version {
@@ -91,9 +91,9 @@
 // object that anybody read.
 type link struct {
 	store.Client
-	first          map[store.Key]store.Object
-	mu             *sync.Mutex
-	cut, regressed bool
+	firstRead               map[store.Key]store.Object
+	mu                      *sync.Mutex
+	partitioned, staleReads bool
 	// afterPut is called after each Put, if set.
 	afterPut func()
 }
@@ -101,7 +101,7 @@
 func (l *link) Get(ctx context.Context, key store.Key) (store.Object, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cut {
+	if l.partitioned {
 		return store.Object{}, store.ErrUnavailable
 	}
 	l.mu.Unlock()
@@ -110,20 +110,20 @@
 	if err != nil {
 		return object, err
 	}
-	if _, ok := l.first[key]; !ok {
-		l.first[key] = object
+	if _, ok := l.firstRead[key]; !ok {
+		l.firstRead[key] = object
 	}
-	if l.regressed {
-		return l.first[key], nil
+	if l.staleReads {
+		return l.firstRead[key], nil
 	}
 	return object, nil
 }
 
 func (l *link) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
 	l.mu.Lock()
-	cut, afterPut := l.cut, l.afterPut
+	partitioned, afterPut := l.partitioned, l.afterPut
 	l.mu.Unlock()
-	if cut {
+	if partitioned {
 		return 0, store.ErrUnavailable
 	}
 	if afterPut != nil {
@@ -132,16 +132,16 @@
 	return l.Client.Put(ctx, key, value, base)
 }
 
-func (l *link) set(cut, regressed bool) {
+func (l *link) set(partitioned, staleReads bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut, l.regressed = cut, regressed
+	l.partitioned, l.staleReads = partitioned, staleReads
 }
 
 // node is one instance's keeper through its lives.
 type node struct {
 	*Allocator
-	lists *lists
+	plans *planSource
 	link  *link
 	skew  time.Duration
 	stop  context.CancelFunc
@@ -149,18 +149,18 @@
 }
 
 type world struct {
-	store *standin.Store
-	first map[store.Key]store.Object
-	mu    sync.Mutex
-	nodes []*node
+	store     *standin.Store
+	firstRead map[store.Key]store.Object
+	mu        sync.Mutex
+	nodes     []*node
 }
 
 func newWorld(tokens int64, skews ...time.Duration) *world {
-	w := &world{store: standin.NewStore(), first: map[store.Key]store.Object{}}
+	w := &world{store: standin.NewStore(), firstRead: map[store.Key]store.Object{}}
 	for _, skew := range skews {
-		n := &node{skew: skew, lists: &lists{changed: make(chan struct{})}}
-		n.link = &link{Client: w.store, first: w.first, mu: &w.mu}
-		n.lists.set(onePlan(tokens), 1)
+		n := &node{skew: skew, plans: &planSource{changed: make(chan struct{})}}
+		n.link = &link{Client: w.store, firstRead: w.firstRead, mu: &w.mu}
+		n.plans.set(onePlan(tokens), 1)
 		n.start()
 		w.nodes = append(w.nodes, n)
 	}
@@ -168,18 +168,18 @@
 }
 
 func (n *node) start() {
-	n.Allocator = NewAllocator(n.link, n.lists, Options{
+	n.Allocator = NewAllocator(n.link, n.plans, Options{
 		Shards: 1, Horizon: 20 * time.Second, Share: 4, Lead: 5 * time.Second, Renew: 5 * time.Second,
 		Now: func() time.Time { return time.Now().Add(n.skew) },
 	})
-	keeper := n.Allocator
+	allocator := n.Allocator
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	n.done = make(chan struct{})
 	done := n.done
 	go func() {
 		defer close(done)
-		_ = keeper.Run(ctx)
+		_ = allocator.Run(ctx)
 	}()
 }
 
