--- a/internal/limit/flow.go
+++ b/internal/limit/flow.go
@@ -9,59 +9,59 @@
 	"foxhall/internal/plan"
 )
 
-// serviceMemory is the number of steps over which a flow's mean time is taken.
+// serviceTimeSamples is the number of steps that the moving mean of a flow's service time spans.
 const serviceTimeSamples = 16
 
-// waiter is one step that waits to be admitted.
+// waiter is a step that waits for admission.
 type waiter struct {
 	flow *flow
-	// decided gets nil for admitted, or the refusal. It has room for one.
+	// decision receives nil for an admission, or the refusal. Its buffer holds one value.
 	decision chan *Refusal
 }
 
-// flow is the steps of one plan on this instance.
+// flow is the queue and the accounting of one plan's steps on this instance.
 type flow struct {
 	plan   string
 	limits plan.Limits
 	weight float64
 
-	// limiter is this instance's part of the plan's rate, nil for no limit;
-	// slots its part of the concurrency, or noLimit.
+	// limiter enforces this instance's part of the plan's rate, nil for no limit; slots is its
+	// part of the concurrency, or noLimit.
 	limiter *rate.Limiter
 	slots   int
-	// share is what the arbiter last granted, until shareEnds.
+	// share is the arbiter's last grant, valid until shareExpires.
 	share        Share
 	shareExpires time.Time
 
 	running int
 	queue   []*waiter
-	// tag is the flow's virtual time: the slot time it has been given, over
-	// its weight.
+	// virtualTime is the slot time that the flow has received, in seconds, divided by its weight.
 	virtualTime float64
-	// service is the mean time that a step occupies a slot.
+	// serviceTime is the mean time that a step occupies a slot.
 	serviceTime time.Duration
 
-	// arrivals counts steps since the last report, offered is their smoothed
-	// rate a second; turned counts those refused for want of slots.
-	arrivals, slotRefusals int
-	offeredRate            float64
-	lastUse                time.Time
+	// arrivals counts the steps of the current interval, slotLimited those that the concurrency
+	// limit delayed or refused. offeredRate is the smoothed arrival rate, in steps per second.
+	arrivals, slotLimited int
+	offeredRate           float64
+	lastUse               time.Time
 }
 
+// noLimit is the number of slots of a plan without a concurrency limit.
 const noLimit = math.MaxInt32
 
 func newFlow(p *plan.Plan) *flow {
 	return &flow{plan: p.Name, slots: noLimit, serviceTime: initialServiceTime}
 }
 
-// adopt takes over the plan's limits; priority 0 to 9 weighs 1 to 10.
+// setPlan sets the plan's limits and weight; priorities 0 to 9 have the weights 1 to 10.
 func (f *flow) setPlan(p *plan.Plan) (changed bool) {
 	changed = f.limits != p.Limits
 	f.limits, f.weight = p.Limits, float64(1+p.Priority)
 	return changed
 }
 
-// apply sets this instance's part of the limits.
+// applyShare sets this instance's part of the limits.
 func (f *flow) applyShare(part Share, now time.Time) {
 	f.slots = noLimit
 	if f.limits.Concurrency > 0 {
@@ -80,7 +80,7 @@
 	f.limiter.SetBurstAt(now, burst)
 }
 
-// burst is the plan's burst; a plan without one may burst a second's rate.
+// burst returns the plan's burst, by default the calls of one second at its rate.
 func (f *flow) burst() float64 {
 	if f.limits.Burst > 0 {
 		return float64(f.limits.Burst)
@@ -88,12 +88,12 @@
 	return max(1, f.limits.Rate)
 }
 
-// eligible reports whether the plan's own limits admit a step now.
+// eligible reports whether this instance's part of the plan's limits admits a step now.
 func (f *flow) eligible(now time.Time) bool {
 	return f.running < f.slots && (f.limiter == nil || f.limiter.TokensAt(now) >= 1)
 }
 
-// rateWait is the time until the rate has room for so many more steps.
+// rateWait returns the time until the rate limit admits that many more steps.
 func (f *flow) rateWait(steps int, now time.Time) time.Duration {
 	if f.limiter == nil {
 		return 0
@@ -103,11 +103,11 @@
 		return 0
 	}
 	seconds := missing / float64(f.limiter.Limit())
-	// One nanosecond more, so that rounding leaves no step just short of a token.
+	// The extra nanosecond keeps rounding from leaving a step just short of a token.
 	return time.Duration(min(seconds*float64(time.Second), math.MaxInt64/2)) + 1
 }
 
-// slotWait is about the time until the concurrency has room for so many more steps.
+// slotWait estimates the time until the concurrency limit admits that many more steps.
 func (f *flow) slotWait(steps int) time.Duration {
 	missing := f.running + steps - f.slots
 	if missing <= 0 {
@@ -124,12 +124,12 @@
 	}
 }
 
-// learn folds the time of a step that has ended into the mean.
+// recordServiceTime adds the time of a completed step to the mean.
 func (f *flow) recordServiceTime(elapsed time.Duration) {
 	f.serviceTime += (elapsed - f.serviceTime) / serviceTimeSamples
 }
 
-// remove takes a waiter out of the queue and reports whether it was there.
+// remove removes a waiter from the queue and reports whether it was queued.
 func (f *flow) remove(w *waiter) bool {
 	for i, other := range f.queue {
 		if other == w {
@@ -140,16 +140,16 @@
 	return false
 }
 
-// demand is what the flow would use.
+// demand returns the rate and the slots that the flow would use without limits.
 func (f *flow) demand() Demand {
 	return Demand{
-		Plan: f.plan, Rate: f.offeredRate, Slots: f.running + len(f.queue) + f.slotRefusals, Running: f.running,
+		Plan: f.plan, Rate: f.offeredRate, Slots: f.running + len(f.queue) + f.slotLimited, Running: f.running,
 		Limits: f.limits,
 	}
 }
 
-// count folds the arrivals of an interval into the offered rate.
+// updateOfferedRate adds the arrivals of an interval to the offered rate and starts a new interval.
 func (f *flow) updateOfferedRate(interval time.Duration) {
 	f.offeredRate = (f.offeredRate + float64(f.arrivals)/interval.Seconds()) / 2
-	f.arrivals, f.slotRefusals = 0, 0
+	f.arrivals, f.slotLimited = 0, 0
 }
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -10,38 +10,37 @@
 	"foxhall/internal/plan"
 )
 
-// Bounds of waiting at the gate.
+// Bounds of the wait for admission.
 const (
-	// DefaultMaxWait is the longest that a step waits to be admitted.
+	// DefaultMaxWait is the longest time that a step waits for admission.
 	DefaultMaxWait = 5 * time.Second
-	// DefaultMaxQueue is the number of steps that wait on an instance.
+	// DefaultMaxQueue is the largest number of steps that wait on an instance.
 	DefaultMaxQueue = 2000
 
-	// firstService is the guess of a step's time before any has ended.
+	// initialServiceTime is the assumed service time before the first step has completed.
 	initialServiceTime = 200 * time.Millisecond
-	// shortStep is the part of the mean time of a plan's steps, as one of so
-	// many, that a step must have left before its deadline. Steps differ
-	// widely; by the whole mean short steps would be refused for nothing.
+	// deadlineReserveDivisor sets the time that a step must have left before its deadline, as a
+	// fraction of the plan's mean service time. Service times vary widely; reserving the full
+	// mean would refuse short steps that can still meet their deadlines.
 	deadlineReserveDivisor = 4
-	// idleFlow is how long a plan without steps is remembered.
+	// flowRetention is how long the flow of a plan without steps is kept.
 	flowRetention = time.Minute
 )
 
-// Options are a gate's surroundings. Zero values have defaults.
+// Options configures a Gate. Zero values have defaults.
 type Options struct {
-	// Capacity is the number of steps that the instance has under way at
-	// once; zero for no bound.
+	// Capacity is the largest number of steps that run on the instance at once; zero for no
+	// bound.
 	Capacity int
 	MaxWait  time.Duration
 	MaxQueue int
-	// Members and Arbiters are the data centre's instances; nil for one alone.
+	// Members and Arbiters give access to the data centre's instances; nil for a single instance.
 	Members  Members
 	Arbiters Arbiters
 	Registry metrics.Registry
 }
 
-// Gate admits an instance's steps. Its methods may be called at once from
-// many goroutines.
+// Gate controls the admission of an instance's steps. It is safe for concurrent use.
 type Gate struct {
 	options    Options
 	arbiter    *arbiter
@@ -50,21 +49,21 @@
 	mu      sync.Mutex
 	flows   map[string]*flow
 	running int
-	// backlog is the flows in which steps wait, waiting the number of those steps.
+	// backlog is the set of flows with waiting steps, waiting the number of those steps.
 	backlog map[*flow]struct{}
 	waiting int
-	// service is the mean time of a step of any plan.
+	// serviceTime is the mean time of a step over all plans.
 	serviceTime time.Duration
-	// tag is the virtual time of the gate: that of the flow served last.
+	// virtualTime is that of the flow served last.
 	virtualTime float64
-	// wake fires when a rate has room again for a step that waits.
+	// rateTimer fires when a plan's rate limit admits a waiting step again.
 	rateTimer *time.Timer
 
 	admitted, refused, evicted metrics.Counter
 	queued, occupied           metrics.Gauge
 }
 
-// NewGate returns a gate through which nothing has passed.
+// NewGate returns a gate without steps.
 func NewGate(options Options) *Gate {
 	if options.MaxWait == 0 {
 		options.MaxWait = DefaultMaxWait
@@ -87,10 +86,9 @@
 	}
 }
 
-// Enter admits a step of the plan, waits until it can be, or refuses it. It
-// refuses at once where the wait would be too long by what is known, or would
-// leave the step too little time before the deadline; a zero deadline is none.
-// The caller calls release once when the step has ended.
+// Admit admits a step of the plan, at once or after a wait, or refuses it. It refuses at once if
+// the estimated wait is too long or leaves the step too little time before the deadline; a zero
+// deadline means no deadline. The caller must call release when the step has ended.
 func (g *Gate) Admit(ctx context.Context, p *plan.Plan, deadline time.Time) (release func(), refusal *Refusal) {
 	now := time.Now()
 	g.mu.Lock()
@@ -114,8 +112,8 @@
 	return g.await(ctx, w, maxWait)
 }
 
-// judge estimates the wait of one more step of the flow. It returns how long
-// the step may wait, or a refusal.
+// assessWait estimates the wait of one more step of the flow. It returns how long the step may
+// wait, or a refusal.
 func (g *Gate) assessWait(f *flow, deadline time.Time, now time.Time) (time.Duration, *Refusal) {
 	ahead := len(f.queue) + 1
 	wait, reason := f.rateWait(ahead, now), RateLimited
@@ -129,7 +127,7 @@
 		g.requestSoon()
 	}
 	if reason == ConcurrencyLimited {
-		f.slotRefusals++
+		f.slotLimited++
 	}
 	maxWait := g.options.MaxWait
 	if !deadline.IsZero() {
@@ -144,10 +142,10 @@
 	return 0, &Refusal{Plan: f.plan, Reason: reason, RetryAfter: wait}
 }
 
-// capacityWait is about the time until the instance has room for so many more
-// steps of the flow, which is served by its weight among those that wait.
+// capacityWait estimates the time until the instance has capacity for that many more steps of the
+// flow, which is served in proportion to its weight among the waiting flows.
 func (g *Gate) capacityWait(f *flow, steps int) time.Duration {
-	// While there is room, only steps wait that their plans' own limits hold back.
+	// While there is free capacity, steps wait only for their own plans' limits.
 	if g.hasCapacity() {
 		return 0
 	}
@@ -161,8 +159,8 @@
 	return time.Duration(rounds * float64(max(g.serviceTime, f.serviceTime)))
 }
 
-// enqueue adds a waiter. Where the queue of the instance is full, the newest
-// waiter of the flow that has most for its weight has to go.
+// enqueue adds a waiter to the flow's queue. If the queue of the instance is full, it evicts the
+// newest waiter of the flow with the most waiters relative to its weight.
 func (g *Gate) enqueue(f *flow) *waiter {
 	w := &waiter{flow: f, decision: make(chan *Refusal, 1)}
 	f.queue = append(f.queue, w)
@@ -187,7 +185,7 @@
 	last.decision <- &Refusal{Plan: victim.plan, Reason: Overloaded, RetryAfter: g.capacityWait(victim, len(victim.queue)+1)}
 }
 
-// drop takes a waiter out; false says that it has been decided already.
+// removeWaiter removes a waiter from its queue. It returns false if its decision has been made.
 func (g *Gate) removeWaiter(w *waiter) bool {
 	if !w.flow.remove(w) {
 		return false
@@ -196,7 +194,7 @@
 	return true
 }
 
-// left counts a step that no longer waits.
+// countDequeued updates the backlog after a waiter has left the flow's queue.
 func (g *Gate) countDequeued(f *flow) {
 	g.waiting--
 	if len(f.queue) == 0 {
@@ -223,7 +221,8 @@
 	return g.abandonWait(w, refusal)
 }
 
-// giveUp refuses a waiter whose time is up, unless it was decided just before.
+// abandonWait refuses a waiter that has waited too long or whose caller has gone, unless its
+// decision was made in the meantime.
 func (g *Gate) abandonWait(w *waiter, refusal *Refusal) (func(), *Refusal) {
 	now := time.Now()
 	g.mu.Lock()
@@ -242,7 +241,7 @@
 	return nil, refusal
 }
 
-// flow returns the plan's flow with the limits in force.
+// flow returns the plan's flow, updated to the plan's present limits.
 func (g *Gate) flow(p *plan.Plan, now time.Time) *flow {
 	f := g.flows[p.Name]
 	if f == nil {
@@ -262,12 +261,12 @@
 
 func (g *Gate) hasCapacity() bool { return g.options.Capacity == 0 || g.running < g.options.Capacity }
 
-// admit starts a step of the flow and charges its likely slot time to it.
+// startStep starts a step of the flow and charges the flow for the expected slot time.
 func (g *Gate) startStep(f *flow, now time.Time) {
 	f.start(now)
 	g.running++
 	g.admitted.Inc(1)
-	// A flow that was idle does not come back with credit for that time.
+	// A flow gets no credit for the time that it was idle.
 	f.virtualTime = max(f.virtualTime, g.virtualTime)
 	g.virtualTime = f.virtualTime
 	f.virtualTime += f.serviceTime.Seconds() / f.weight
@@ -287,7 +286,7 @@
 	defer g.mu.Unlock()
 	f.running--
 	g.running--
-	// The charge at admission was a guess of the time.
+	// Correct the charge made at admission by the actual time.
 	f.virtualTime += (elapsed - f.serviceTime).Seconds() / f.weight
 	f.recordServiceTime(elapsed)
 	g.serviceTime += (elapsed - g.serviceTime) / (4 * serviceTimeSamples)
@@ -295,8 +294,8 @@
 	g.dispatch(now)
 }
 
-// dispatch admits waiters while there is room: of the flows whose own limits
-// allow a step, the one with the least virtual time first.
+// dispatch admits waiters while the instance has capacity: of the flows whose own limits allow a
+// step, the one with the lowest virtual time first.
 func (g *Gate) dispatch(now time.Time) {
 	for g.hasCapacity() {
 		f := g.nextFlow(now)
@@ -326,7 +325,7 @@
 	return best
 }
 
-// schedule sets the timer for the first rate that will have room again.
+// armRateTimer sets the timer for the first rate limit that will admit a waiting step.
 func (g *Gate) armRateTimer(now time.Time) {
 	if g.rateTimer != nil {
 		g.rateTimer.Stop()
--- a/internal/limit/meter.go
+++ b/internal/limit/meter.go
@@ -6,77 +6,80 @@
 )
 
 const (
-	// windowMost is the part of what is allowed in a window up to which calls are admitted,
-	// less raceCalls; the rest is for calls that instances do not know of from each other.
+	// maxWindowFraction is the fraction of a window's allowance up to which calls are admitted,
+	// less unseenCallReserve calls. The rest is reserved for calls that other instances admitted
+	// and have not reported yet.
 	maxWindowFraction = 0.93
 	unseenCallReserve = 4
-	// burstPart is the part of a window's calls that may come at once, and burstPace how much
-	// faster than evenly they may go on. Together with startPart and startPace, which count
-	// after a start, they keep what ran before a restart of all instances and what runs after
-	// it within one window's calls.
+	// burstFraction is the fraction of a window's calls that may come at once, burstRateFactor the
+	// ratio of the rate that may follow to the even rate. startFraction and startRateFactor bound
+	// the calls after a start. Together the four keep the calls before and after a restart of all
+	// instances within the allowance of one window.
 	burstFraction   = 0.25
 	burstRateFactor = 1.25
 	startFraction   = 0.02
 	startRateFactor = 0.75
-	// freePart is the part of a window's calls from which on instances need not keep to their
-	// shares.
+	// uncontendedFraction is the fraction of a window's calls that must be free for instances to
+	// admit calls beyond their local shares.
 	uncontendedFraction = 0.5
-	// slots is the number of parts in which a window passes.
+	// windowSlots is the number of slots of a window, the steps in which it slides.
 	windowSlots = 50
-	// shortestWindow counts where none is set.
+	// minWindow is the shortest window, used if none is set.
 	minWindow = time.Second
-	// idleUse is the number of recent calls below which an instance counts as having none.
+	// idleCalls is the number of recent calls below which an instance is considered idle.
 	idleCalls = 0.5
-	// longRound is the time to tell all others from which on those that have calls of the same
-	// customer are told at once. That costs as many datagrams again.
+	// longReportRound is the duration of a round from which on instances with calls of the same
+	// customer are sent reports directly. That doubles the number of datagrams.
 	longReportRound = 300 * time.Millisecond
-	// tellAtOnce is how long that takes: two datagrams, of which one may be lost.
+	// directReportTime is how long direct reports take: two datagrams, of which one may be lost.
 	directReportTime = 120 * time.Millisecond
 )
 
-// meter counts one customer's calls, as one instance knows them.
+// meter counts one customer's calls, as far as one instance knows them.
 type meter struct {
-	// hash is that of the customer's name.
+	// hash is the hash of the customer's name.
 	hash uint64
-	// window is the time over which calls are bounded.
+	// window is the duration of the sliding window over which calls are bounded.
 	window time.Duration
-	// began is when the meter was made; slots count from it, so that steps of the time of day
-	// change no window.
+	// createdAt is when the meter was created. Slots are numbered from it on the monotonic clock, so
+	// that steps of the wall clock do not change a window.
 	createdAt time.Time
-	// most is the number of calls in a window, burst those that may come at once; pace is
-	// the rate of those that may follow, start and startPace bound calls after a start.
+	// maxCalls is the limit of calls in a window, burst that of calls at once. refillRate is the
+	// rate of calls that may follow, per second. startLimit and startRate bound the calls after a
+	// start.
 	maxCalls, burst, refillRate, startLimit, startRate float64
-	// level is the number of calls that may come at once now.
+	// bucket is the level of the token bucket: the number of calls that may come at once now.
 	bucket     float64
 	advancedAt time.Time
 
-	// recent counts the calls of the window by the slots that they came in, own those of
-	// this instance. head is the slot of now.
+	// recent counts the calls of the window by slot, own those of this instance. headSlot is the
+	// current slot.
 	recent, own ring
 	headSlot    int64
-	// shareOwn and shareAll are the calls of about the last useMemory: of this instance, and
-	// of all.
+	// decayedOwn and decayedAll count the calls of this instance and of all instances, decaying
+	// with the time constant shareDecayTime.
 	decayedOwn, decayedAll float64
 	programs               programs
-	// others are when each other instance last had calls.
+	// remoteLastCall is when each other instance last reported calls.
 	remoteLastCall map[string]time.Time
 
-	// made is the number of calls that this instance admitted, less returned ones.
+	// admitted is the number of calls that this instance admitted, for reports. It never
+	// decreases: a returned call is offset by not counting the next one.
 	admitted uint64
-	// returned is how many admissions were given back and are not made up for yet.
+	// returned is the number of returned calls that have not been offset yet.
 	returned int
-	// before and since count calls that others may not know of: since is from rotated on,
-	// before is of the round before.
+	// unreportedCurrent and unreportedPrevious count calls that other instances may not know of:
+	// those since rotatedAt and those of the round before.
 	unreportedPrevious, unreportedCurrent float64
 	rotatedAt                             time.Time
-	// active is since when this instance has calls of the customer without a pause.
+	// activeSince is when this instance last changed from idle to having calls of the customer.
 	activeSince time.Time
-	// told is the number made that was last told, from toldAt on.
+	// reported is the value of admitted when the last report began, at reportedAt.
 	reported   uint64
 	reportedAt time.Time
 }
 
-// ring counts calls by slot; the last one is kept until it has passed whole.
+// ring counts calls by slot. The oldest slot is kept until all of it has left the window.
 type ring struct {
 	counts [windowSlots + 1]float64
 	sum    float64
@@ -87,7 +90,7 @@
 	r.sum += calls
 }
 
-// pass forgets what came before the window that ends with the new slot.
+// expire clears the slots that leave the window when its head moves between two slots.
 func (r *ring) expire(from, to int64) {
 	for slot := from + 1; slot <= to && slot <= from+windowSlots+1; slot++ {
 		r.sum -= r.counts[slot%(windowSlots+1)]
@@ -95,7 +98,7 @@
 	}
 }
 
-// newMeter returns a meter that has counted nothing.
+// newMeter returns a meter without calls.
 func newMeter(hash uint64, q Quota, t Tolerance, now time.Time) *meter {
 	m := &meter{hash: hash, advancedAt: now, createdAt: now}
 	m.setQuota(q, t)
@@ -104,7 +107,7 @@
 	return m
 }
 
-// size sets the quota.
+// setQuota sets the limits of the quota.
 func (m *meter) setQuota(q Quota, t Tolerance) {
 	m.window = max(t.Window, minWindow)
 	seconds := m.window.Seconds()
@@ -120,7 +123,7 @@
 	return int64(now.Sub(m.createdAt) / (m.window / windowSlots))
 }
 
-// advance takes in that time has passed.
+// advance moves the meter to the present time.
 func (m *meter) advance(now time.Time) {
 	dt := now.Sub(m.advancedAt).Seconds()
 	if dt <= 0 {
@@ -138,8 +141,8 @@
 	}
 }
 
-// limit is the number of calls in a window, of a part of the quota. Known is for how long it
-// is known what calls there were.
+// limit returns the number of calls that a fraction of the quota allows in a window. The time
+// observed is how long all calls have been known; it bounds the calls after a start.
 func (m *meter) limit(fraction float64, observed time.Duration) float64 {
 	most := m.maxCalls
 	if observed < m.window {
@@ -148,24 +151,24 @@
 	return most * fraction
 }
 
-// mayRace reports whether this instance may admit a call though others may have admitted
-// some that it does not know of. While there is room for half of a window's calls, that many
-// do not come in the time it takes to tell. Then each instance keeps to its share of the room
-// and of the calls that leave the window meanwhile.
+// withinLocalShare reports whether this instance may admit a call while others may have admitted
+// calls that they have not reported yet. While half of a window's calls are free, that many do
+// not arrive within the report delay. Below that, each instance keeps to its share of the free
+// calls and of those that leave the window within the delay.
 func (m *meter) withinLocalShare(limit float64, delay time.Duration) bool {
 	free := limit - m.recent.sum
 	leaving := m.ownFraction() * limit * delay.Seconds() / m.window.Seconds()
 	return free > uncontendedFraction*limit || m.unreported()+1 <= max(1, m.localShare()*(free+m.unreported())+leaving)
 }
 
-// mayBegin reports whether there is room for one more program beside those under way: one
-// that runs into the limit later was begun in vain.
+// canStartProgram reports whether the limit covers one more program beside the active ones. A
+// program that reaches the limit after its start has wasted the calls made until then.
 func (m *meter) canStartProgram(now time.Time, limit float64) bool {
 	remote := m.recent.sum - m.own.sum
 	return m.own.sum < 1 || remote+m.programs.expectedCalls(now, m.window) <= limit
 }
 
-// wait is about the time until there is room for a call.
+// retryAfter estimates the time until a call can be admitted.
 func (m *meter) retryAfter(fraction float64, observed time.Duration) time.Duration {
 	if limit := m.limit(fraction, observed); m.recent.sum+1 > limit && observed >= m.window {
 		excess := m.recent.sum + 1 - limit
@@ -182,7 +185,7 @@
 	return max(minRetryAfter, min(m.window, time.Duration(float64(time.Second)/pace)))
 }
 
-// take counts a call of this instance.
+// recordOwn counts a call of this instance.
 func (m *meter) recordOwn(now time.Time) {
 	if m.decayedOwn < idleCalls {
 		m.activeSince = now
@@ -200,7 +203,7 @@
 	m.admitted++
 }
 
-// giveBack takes back a call of this instance that has not run.
+// returnCall takes back a call of this instance that did not run.
 func (m *meter) returnCall(admitted time.Time) {
 	slot := m.slot(admitted)
 	if slot <= m.headSlot-windowSlots || m.own.counts[slot%(windowSlots+1)] < 1 {
@@ -212,12 +215,12 @@
 	m.returned++
 }
 
-// took counts calls of another instance.
+// recordRemote counts calls of another instance.
 func (m *meter) recordRemote(from string, calls float64, now time.Time) {
 	if calls == 0 {
 		return
 	}
-	// What was admitted in too many places must not stop the customer for long.
+	// The floor bounds how long calls admitted by several instances at once block the customer.
 	m.bucket = max(-m.burst, m.bucket-calls)
 	m.recent.add(m.headSlot, calls)
 	m.decayedAll += calls
@@ -232,13 +235,13 @@
 	}
 }
 
-// share is the part of the room that this instance may use before the others know of it: by
-// its part of the calls, and something for one that begins to have calls.
+// localShare returns the fraction of the free calls that this instance may use before the others
+// know of it: its fraction of the recent calls, plus a part for instances that begin to have calls.
 func (m *meter) localShare() float64 {
 	return newcomerFraction/float64(max(minNewcomers, len(m.remoteLastCall)+1)) + (1-newcomerFraction)*m.ownFraction()
 }
 
-// ownPart is this instance's part of the recent calls.
+// ownFraction returns this instance's fraction of the recent calls.
 func (m *meter) ownFraction() float64 {
 	if m.decayedAll <= 0 {
 		return 0
@@ -246,16 +249,17 @@
 	return m.decayedOwn / m.decayedAll
 }
 
-// untold is the number of calls that others may not know of.
+// unreported returns the number of calls that other instances may not know of.
 func (m *meter) unreported() float64 { return m.unreportedPrevious + m.unreportedCurrent }
 
-// begins reports whether this instance may not know all others that have calls of the
-// customer, since it has had some itself for less than they take to tell.
+// isNewcomer reports whether this instance may not know all others that have calls of the
+// customer, because it has had calls itself for less than two rounds.
 func (m *meter) isNewcomer(now time.Time, round time.Duration) bool {
 	return now.Sub(m.activeSince) < 2*round
 }
 
-// tellingTime is how long calls may be unknown to others that have calls of the customer.
+// reportDelay returns how long calls may stay unknown to other instances that have calls of the
+// customer.
 func (m *meter) reportDelay(now time.Time, round time.Duration) time.Duration {
 	if round < longReportRound || m.isNewcomer(now, round) {
 		return round
@@ -263,7 +267,7 @@
 	return directReportTime
 }
 
-// rotate forgets calls that the others were told of.
+// rotateUnreported discards the calls that have been reported to the others.
 func (m *meter) rotateUnreported(now time.Time, round time.Duration) {
 	passed := now.Sub(m.rotatedAt)
 	round = m.reportDelay(now, round)
@@ -277,8 +281,8 @@
 	m.unreportedCurrent, m.rotatedAt = 0, now
 }
 
-// tells reports whether the calls are to be told now. They are told for one round; what is
-// lost then is made good with the next calls.
+// shouldReport reports whether the calls belong into a report now. They are reported for one
+// round; a report that is lost is made good by the report of the next calls.
 func (m *meter) shouldReport(now time.Time, round time.Duration) bool {
 	added := m.admitted - m.reported
 	if float64(added) >= max(1, m.burst/reportBurstDivisor) || added > 0 && now.Sub(m.reportedAt) >= reportInterval {
@@ -287,8 +291,8 @@
 	return now.Sub(m.reportedAt) < max(round, time.Millisecond)
 }
 
-// tellAgain has the calls told once more, for two rounds: there may be no next calls to make
-// good what is lost.
+// reportAgain has the calls reported again, for two rounds, because there may be no next calls to
+// make good a lost report.
 func (m *meter) reportAgain(now time.Time, round time.Duration) {
 	if m.own.sum > 0 {
 		m.reported, m.reportedAt = m.admitted, now.Add(round)
--- a/internal/limit/programs.go
+++ b/internal/limit/programs.go
@@ -3,43 +3,44 @@
 import "time"
 
 const (
-	// callsGuess is the number of calls of a program in a window before one has been seen.
+	// defaultProgramCalls is the assumed number of calls per window of a program before the first
+	// one has ended.
 	defaultProgramCalls = 10
-	// callsMemory is the number of programs over which it is learned.
+	// programCallSamples is the number of programs that the moving mean of learnedCalls spans.
 	programCallSamples = 8
-	// settledAge is the age from which on a program's calls tell its pace.
+	// minPaceAge is the age from which on a program's call rate is used.
 	minPaceAge = time.Second
-	// pausesMost is how many times the mean time between its calls a program may pause.
+	// maxPauseFactor bounds the pause of an active program, in mean intervals between its calls.
 	maxPauseFactor = 3
-	// rememberWindows is for how many windows without calls a program is remembered.
+	// idleProgramWindows is the number of windows without calls after which a program has ended.
 	idleProgramWindows = 3
 )
 
-// programs are a customer's programs that this instance has calls of.
+// programs tracks the programs of a customer that have calls on this instance.
 type programs struct {
 	byName map[string]*programUsage
-	// calls is the learned number of calls of a program in a window; 0 for unknown.
+	// learnedCalls is the mean number of calls per window of ended programs; 0 if unknown.
 	learnedCalls float64
 	lastSweep    time.Time
 }
 
-// programUse is what a program has used since it began.
+// programUsage counts the calls of a program since its start.
 type programUsage struct {
 	firstCall, lastCall time.Time
 	calls               float64
 }
 
-// knows reports whether the program has begun.
+// contains reports whether the program has started.
 func (p *programs) contains(name string) bool { return p.byName[name] != nil }
 
-// underWay reports whether more calls are to be expected soon: it paused for no longer than
-// some of its calls were apart.
+// isActive reports whether more calls are expected soon: the pause since the last call is shorter
+// than a window and than the longer of minPaceAge and maxPauseFactor mean intervals between calls.
 func (u *programUsage) isActive(now time.Time, window time.Duration) bool {
 	apart := u.lastCall.Sub(u.firstCall) / time.Duration(max(1, u.calls-1))
 	return now.Sub(u.lastCall) < min(window, max(minPaceAge, maxPauseFactor*apart))
 }
 
-// called counts a call of a program.
+// recordCall counts a call of a program.
 func (p *programs) recordCall(name string, now time.Time, window time.Duration) {
 	if p.byName == nil {
 		p.byName = map[string]*programUsage{}
@@ -54,7 +55,7 @@
 	use.calls++
 }
 
-// expected is the number of calls in a window that the programs under way and one more make.
+// expectedCalls returns the number of calls per window that the active programs and one more make.
 func (p *programs) expectedCalls(now time.Time, window time.Duration) float64 {
 	active := 1
 	for _, use := range p.byName {
@@ -65,7 +66,7 @@
 	return float64(active) * p.meanCallsPerWindow(now, window)
 }
 
-// sweep forgets programs that are over.
+// sweep removes programs that have ended.
 func (p *programs) sweep(now time.Time, window time.Duration) {
 	if now.Sub(p.lastSweep) < window {
 		return
@@ -79,7 +80,7 @@
 	}
 }
 
-// learn takes in a program that is over.
+// recordEnded adds an ended program to the mean.
 func (p *programs) recordEnded(use *programUsage, window time.Duration) {
 	calls := min(use.calls, callsPerWindow(use, use.lastCall, window))
 	if p.learnedCalls == 0 {
@@ -89,8 +90,8 @@
 	p.learnedCalls += (calls - p.learnedCalls) / programCallSamples
 }
 
-// mean is the number of calls of a program in a window: of those under way as far as their
-// pace can be told, else of earlier ones.
+// meanCallsPerWindow returns the mean number of calls per window of a program, over the active
+// programs that are old enough for a rate, with the mean of the ended ones counted as one program.
 func (p *programs) meanCallsPerWindow(now time.Time, window time.Duration) float64 {
 	sum, n := 0.0, 0.0
 	for _, use := range p.byName {
@@ -105,7 +106,7 @@
 	return (sum + earlier) / (n + 1)
 }
 
-// paceOf is the number of calls in a window that the program makes at its pace.
+// callsPerWindow returns the number of calls in a window that the program makes at its present rate.
 func callsPerWindow(use *programUsage, now time.Time, window time.Duration) float64 {
 	return use.calls * window.Seconds() / max(minPaceAge, min(window, now.Sub(use.firstCall))).Seconds()
 }
--- a/internal/limit/quota.go
+++ b/internal/limit/quota.go
@@ -7,66 +7,69 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Quota bounds a customer's calls over the whole fleet.
+// Quota bounds a customer's calls over all instances.
 type Quota struct {
-	// Rate is in calls a second; 0 for no limit.
+	// Rate is in calls per second; 0 for no limit.
 	Rate float64
 	// Burst is the number of calls that may come at once beyond the rate.
 	Burst float64
 }
 
-// Limited reports whether there is a limit.
+// Limited reports whether the quota sets a limit.
 func (q Quota) Limited() bool { return q.Rate > 0 }
 
-// Tolerance is how far a customer may be let beyond its quota in any window, since instances
-// learn of each other's calls late.
+// Tolerance is how far a customer may exceed its quota in any window, because instances learn of
+// each other's calls with a delay.
 type Tolerance struct {
 	Window time.Duration
-	// Overage is a part of what the quota allows in a window, Slack a number of calls.
+	// Overage is a fraction of what the quota allows in a window, Slack a number of calls.
 	Overage, Slack float64
 }
 
 const (
-	// useMemory is the time over which an instance's part of a customer's calls is taken.
+	// shareDecayTime is the time constant of the decaying counts that give an instance's fraction
+	// of a customer's calls.
 	shareDecayTime = 2 * time.Second
-	// newcomersPart is the part of the room that is left to instances that begin to have
-	// calls of the customer, newcomersLeast the number of those who may do so at once.
+	// newcomerFraction is the fraction of the free calls that is reserved for instances that begin
+	// to have calls of the customer. It is divided by at least minNewcomers instances.
 	newcomerFraction = 0.5
 	minNewcomers     = 2
-	// tellPart is the part of a burst from which on admitted calls are told at once;
-	// tellEvery is when fewer are.
+	// reportBurstDivisor sets the number of admitted calls that are reported immediately, as a
+	// fraction of the burst. Fewer calls are reported every reportInterval.
 	reportBurstDivisor = 64
 	reportInterval     = 500 * time.Millisecond
-	// partKnown is the part of a quota below which most instances are not heard.
+	// majorityFraction is the fraction of a quota that only a group of more than half of all
+	// instances exceeds.
 	majorityFraction = 0.5
-	// riseLeast is the rise of the part from which on it shows that a cut has healed.
+	// minFractionRise is the rise of the fraction that indicates a healed network partition.
 	minFractionRise = 0.05
-	// tellingRounds is the number of rounds in which all is told, and made good if lost.
+	// settlingRounds is the number of rounds in which all calls are reported, including the
+	// repetition of lost reports.
 	settlingRounds = 3
-	// refillLeast keeps a caller that is refused from coming back at once.
+	// minRetryAfter is the shortest time after which a refused caller is told to retry.
 	minRetryAfter = 50 * time.Millisecond
-	// returnWithin is how long after its admission a call may be given back.
+	// maxReturnDelay is how long after its admission a call may be returned.
 	maxReturnDelay = 500 * time.Millisecond
-	// forgetAfter is how long what a peer told of a customer is remembered: far longer than
-	// a datagram may be on its way, so that a late one does not count anew.
+	// peerUsageRetention is how long a peer's count for a customer is kept: far longer than a
+	// datagram may be in flight, so that a late one is not counted twice.
 	peerUsageRetention = 20 * time.Second
 )
 
-// Quotas holds customers to their quotas over all instances.
+// Quotas enforces customers' quotas over all instances.
 //
-// Each instance counts every customer's calls of the last window by itself: its own at once,
-// and those of the others when they tell of them. The failures that it guards against are a
-// customer that has its quota once at each instance, and one that is refused though others
-// of its instances are idle.
+// Each instance counts every customer's calls of the last window: its own immediately, those of
+// the others when they report them. Quotas guards against two failures: a customer that gets its
+// full quota at each instance, and a customer that is refused at one instance while its part of
+// the quota at the others is unused.
 //
-//   - Where a customer has had half of its calls, an instance admits no more between two
-//     tellings than its part of the room, by the calls it had lately. Parts add up to the
-//     whole. Instances tell all others by turns, and where that takes long, at once those
-//     that have calls of the same customer.
-//   - Instances that hear only some of the others have only a part of the quota, see partOf.
-//     The parts of groups that do not hear each other add up to one at most.
-//   - One that starts is told by the others what it does not know. Where all have started,
-//     nobody knows of the calls before, and the quota opens slowly for a window.
+//   - After a customer has used half of a window's calls, an instance admits between two reports
+//     at most its share of the free calls, according to its recent calls. The shares add up to
+//     one. Instances send their reports to all others in rounds. If a round takes long, they also
+//     send them directly to the instances that have calls of the same customer.
+//   - A group of instances that reaches only some of the others has a fraction of the quota, see
+//     groupFraction. The fractions of groups that do not reach each other add up to at most one.
+//   - An instance that starts receives the calls of the last window from the others. If all have
+//     started, the calls before are unknown, and the admitted rate rises slowly for one window.
 type Quotas struct {
 	tolerance   Tolerance
 	name        string
@@ -76,32 +79,34 @@
 	meters       map[string]*meter
 	metersByHash map[uint64]*meter
 	peers        map[string]*peer
-	// part is what this group of instances may use of each quota; alone says that there is
-	// no other instance.
+	// fraction is the part of each quota that this group of instances may use. singleInstance
+	// means that there is no other instance.
 	fraction       float64
 	singleInstance bool
-	// round is how long it takes an instance to tell all others.
+	// reportRound is how long it takes an instance to send its report to all others.
 	reportRound time.Duration
-	// knows is since when all calls are known; zero before most instances were heard.
+	// observedSince is the time since which all calls are known; zero until a majority of the
+	// instances is reachable.
 	observedSince time.Time
-	// counted says that this instance was told all calls from before its start, and
-	// countedUntil until when others still tell of those for the first time.
+	// countsReceived means that this instance has received the calls from before its start. Until
+	// countsCoverUntil the first reports of others consist of calls among these.
 	countsReceived   bool
 	countsCoverUntil time.Time
 	lastSweep        time.Time
-	// rising is since when more instances are heard than part says; zero while they are not.
+	// risingSince is when more instances became reachable than fraction accounts for; zero if none.
 	risingSince time.Time
-	// started are instances that are to be told all calls of the window.
+	// newInstances are the instances that need the calls of the window.
 	newInstances []string
 	fleetSize    int
 }
 
-// NewQuotas returns quotas of nobody, at the instance; the run tells its starts apart.
+// NewQuotas returns the Quotas of an instance, without any quota set. The incarnation distinguishes
+// the starts of the instance.
 func NewQuotas(name string, incarnation uint64, t Tolerance) *Quotas {
 	return &Quotas{name: name, incarnation: incarnation, tolerance: t, meters: map[string]*meter{}, metersByHash: map[uint64]*meter{}, peers: map[string]*peer{}}
 }
 
-// Set puts customers' quotas in force; those not named have none.
+// Set sets the customers' quotas. Customers that are not in the map are not limited.
 func (q *Quotas) Set(quotas map[string]Quota, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -125,28 +130,29 @@
 	}
 }
 
-// Verdict is what became of a call at its customer's quota.
+// Verdict is the result of checking a call against its customer's quota.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Admitted Verdict = iota
-	// Over says that the customer has had what its quota allows.
+	// OverQuota means that the customer's quota is exhausted.
 	OverQuota
-	// Unknown says that too few other instances are heard to tell.
+	// Undetermined means that too few other instances are reachable to decide.
 	Undetermined
 )
 
-// Call is a call that asks to be admitted.
+// Call is a call to be admitted.
 type Call struct {
 	Customer string
-	// Program is empty for a call that belongs to none. Head says that the call may begin it.
+	// Program is empty for a call that belongs to none. StartsProgram means that the call may be
+	// the program's first.
 	Program       string
 	StartsProgram bool
 }
 
-// Admit admits a call, or tells when it is worth to come again. Where the quota is nearly
-// used up, a program that begins is refused, and not one under way.
+// Admit admits a call, or refuses it and returns the time after which to retry. When the quota is
+// nearly exhausted, it refuses programs that start, not programs that have started.
 func (q *Quotas) Admit(c Call, now time.Time) (Verdict, time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -176,7 +182,7 @@
 	return Admitted, 0
 }
 
-// known is for how long all calls are known; the lock is held.
+// observedFor returns how long all calls have been known; the lock is held.
 func (q *Quotas) observedFor(now time.Time) time.Duration {
 	if q.observedSince.IsZero() {
 		return 0
@@ -184,8 +190,9 @@
 	return now.Sub(q.observedSince)
 }
 
-// Return gives an admission back whose call has not run. One that waited for long stays
-// counted: later calls would take its place while it has left the window already.
+// Return takes back the admission of a call that did not run. A call that waited longer than
+// maxReturnDelay stays counted: it leaves the window earlier than the credit for it would, and the
+// customer would exceed its quota.
 func (q *Quotas) Return(customer string, admitted, now time.Time) {
 	if now.Sub(admitted) > maxReturnDelay {
 		return
@@ -200,9 +207,9 @@
 
 func (q *Quotas) window() time.Duration { return max(q.tolerance.Window, minWindow) }
 
-// Fleet takes in how many of all instances are heard, this one included, and how long it
-// takes to tell them all. An instance that is not heard may have calls of its own; while it
-// is not known which instances there are, none is heard.
+// SetFleet sets the number of reachable instances, including this one, the number of all
+// instances, and the duration of a round of reports. An unreachable instance may admit calls that
+// are not known here. While the set of instances is unknown, reachable is 0.
 func (q *Quotas) SetFleet(reachable, total int, round time.Duration, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -220,8 +227,8 @@
 	}
 }
 
-// adopt takes in the part of the quotas that may be used; the lock is held. A larger one
-// counts once the instances that are heard again had time to tell of their calls.
+// setFraction sets the fraction of the quotas that may be used; the lock is held. A larger one
+// takes effect after the instances that are reachable again have had time to report their calls.
 func (q *Quotas) setFraction(fraction float64, now time.Time) {
 	switch {
 	case fraction <= q.fraction || q.singleInstance:
@@ -238,8 +245,8 @@
 	q.fraction = fraction
 }
 
-// settling is how long instances that are heard anew have to tell of their calls. After a
-// start little is admitted in any case; the lock is held.
+// settlingTime returns how long newly reachable instances have to report their calls; the lock is
+// held. One round is enough after a start, when few calls are admitted in any case.
 func (q *Quotas) settlingTime() time.Duration {
 	if q.observedSince.IsZero() {
 		return q.reportRound
@@ -247,7 +254,8 @@
 	return settlingRounds * q.reportRound
 }
 
-// tellAgain has all calls of the window told to those that are heard again; the lock is held.
+// reportAgain has all calls of the window reported to instances that are reachable again; the lock
+// is held.
 func (q *Quotas) reportAgain(now time.Time) {
 	for _, m := range q.meters {
 		m.advance(now)
@@ -255,9 +263,9 @@
 	}
 }
 
-// partOf is the part of each quota that a group of instances may use that hear each other
-// and nobody else. For any groups of a fleet the parts add up to one at most; most of it is
-// for a group of more than half, to which callers are sent.
+// groupFraction returns the fraction of each quota for a group of instances that reach each other
+// and no other instance. The fractions of disjoint groups add up to at most one. A group of more
+// than half of the instances, to which callers are routed, gets most of the quota.
 func groupFraction(reachable, total int) float64 {
 	switch {
 	case reachable == 0:
--- a/internal/limit/refusal.go
+++ b/internal/limit/refusal.go
@@ -5,29 +5,28 @@
 	"time"
 )
 
-// Reason tells why a step was not admitted.
+// Reason is the reason why a step was not admitted.
 type Reason string
 
 // The reasons of refusals.
 const (
-	// RateLimited says that the plan's rate is used up.
+	// RateLimited means that the plan's rate is exhausted.
 	RateLimited Reason = "rate limit of the plan"
-	// ConcurrencyLimited says that the plan has as many steps under way as it may.
+	// ConcurrencyLimited means that the plan has its maximum of running steps.
 	ConcurrencyLimited Reason = "concurrency limit of the plan"
-	// Overloaded says that the instance has no free slot soon enough.
+	// Overloaded means that the instance will not have a free slot in time.
 	Overloaded Reason = "instance overloaded"
-	// DeadlineTooClose says that the step would end after the caller's deadline.
+	// DeadlineTooClose means that the step would end after the caller's deadline.
 	DeadlineTooClose Reason = "deadline can't be met"
-	// Cancelled says that the caller went away while the step waited.
+	// Cancelled means that the caller disconnected while the step waited.
 	Cancelled Reason = "caller gone"
 )
 
-// Refusal says that a step was not admitted; nothing of it has been sent.
+// Refusal is returned for a step that was not admitted. Nothing of the step has been sent.
 type Refusal struct {
 	Plan   string
 	Reason Reason
-	// RetryAfter is when it would be admitted by what is known now; zero
-	// where that can't be told.
+	// RetryAfter is the estimated time until the step would be admitted; zero if unknown.
 	RetryAfter time.Duration
 }
 
--- a/internal/limit/run.go
+++ b/internal/limit/run.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// askInterval is the mean time between two reports of an instance.
+	// requestInterval is the mean time between two periodic requests of an instance for shares.
 	requestInterval = time.Second
-	// askTimeout bounds one call of an arbiter.
+	// requestTimeout bounds one request to an arbiter.
 	requestTimeout = 500 * time.Millisecond
-	// askPause keeps a flood of refusals from asking more often than this.
+	// minRequestGap bounds how often a flood of refusals triggers requests.
 	minRequestGap = 50 * time.Millisecond
 )
 
-// Arbiters reaches the arbiters on other instances of the data centre.
+// Arbiters sends requests to the arbiters on other instances of the data centre.
 type Arbiters interface {
-	// Ask sends demands to an instance, which answers by its gate's Divide.
+	// RequestShares sends demands to an instance, which answers them with Gate.AllocateShares.
 	RequestShares(ctx context.Context, instance string, demands []Demand) ([]Share, error)
 }
 
-// Run keeps this instance's parts of the limits in line with its demand until
-// ctx ends. A gate that is not run uses its parts by weight.
+// Run adjusts this instance's shares of the limits to its demand until ctx ends. Without Run a
+// gate uses its default shares.
 func (g *Gate) Run(ctx context.Context) error {
 	last := time.Now()
 	for {
@@ -48,7 +48,7 @@
 	}
 }
 
-// askArbiter makes Run ask at once, because a step has to wait.
+// requestSoon makes Run request shares without waiting for the interval, because a step must wait.
 func (g *Gate) requestSoon() {
 	select {
 	case g.requestNow <- struct{}{}:
@@ -56,7 +56,7 @@
 	}
 }
 
-// count ends an interval of counting and forgets plans that are idle.
+// updateFlows updates the offered rates at the end of an interval and removes idle flows.
 func (g *Gate) updateFlows(interval time.Duration) {
 	now := time.Now()
 	g.mu.Lock()
@@ -69,7 +69,8 @@
 	}
 }
 
-// ask sends demands above the unasked part to their arbiters and applies the answers.
+// refreshShares sends demands above the default share to their arbiters and applies the shares
+// granted.
 func (g *Gate) refreshShares(ctx context.Context) {
 	if g.options.Members == nil {
 		return
@@ -89,7 +90,7 @@
 	g.dispatch(now)
 }
 
-// demands groups by arbiter the demands that need a share.
+// demandsByArbiter returns, by arbiter, the demands that exceed the default share.
 func (g *Gate) demandsByArbiter(members fleet) map[string][]Demand {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -130,10 +131,10 @@
 	return g.options.Arbiters.RequestShares(ctx, instance, demands)
 }
 
-// fallBack uses the whole part by weight while an arbiter does not answer and
-// no share holds: half of it would refuse customers for a fault of ours. The
-// sum over the instances may then exceed a limit, by half at most, or by one
-// slot for each instance where a plan has fewer slots than there are instances.
+// applyFallback applies the full part by weight while an arbiter does not respond and no share is
+// valid: the default share, half of it, would refuse customers because of an internal fault. The
+// sum over the instances may then exceed a limit, by half at most, or by one slot for each
+// instance if a plan has fewer slots than there are instances.
 func (g *Gate) applyFallback(demands []Demand, members fleet) {
 	now := time.Now()
 	for _, d := range demands {
@@ -147,8 +148,7 @@
 	}
 }
 
-// Divide answers another instance's demands for plans of which this instance
-// is the arbiter.
+// AllocateShares returns shares for an instance's demands on plans whose arbiter is this instance.
 func (g *Gate) AllocateShares(from string, demands []Demand) []Share {
 	members := newFleet(map[string]float64{from: 1})
 	if g.options.Members != nil {
@@ -164,7 +164,7 @@
 
 func (g *Gate) members() fleet { return newFleet(g.options.Members.Weights()) }
 
-// part is what this instance may use of a plan's limits now.
+// currentShare returns what this instance may use of a plan's limits now.
 func (g *Gate) currentShare(f *flow, now time.Time) Share {
 	if g.options.Members == nil {
 		return Share{Rate: f.limits.Rate, Slots: f.limits.Concurrency}
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// shareTime is how long a share holds after it was granted. An instance
-	// renews it each askInterval.
+	// shareLifetime is how long a share is valid after its grant. An instance renews it every
+	// requestInterval.
 	shareLifetime = 3 * time.Second
-	// unaskedPart is the part of an instance's weight that it uses without
-	// asking, as one of so many.
+	// defaultShareDivisor sets the default share, which an instance uses without a request, as a
+	// fraction of its part by weight.
 	defaultShareDivisor = 2
 )
 
 // Demand is what one instance would use of a plan's limits.
 type Demand struct {
 	Plan string
-	// Rate is in steps a second; Slots in steps at once, of which Running are under way.
+	// Rate is in steps per second. Slots is the number of concurrent steps, of which Running are
+	// running.
 	Rate           float64
 	Slots, Running int
-	// Limits are the plan's, as the asker knows them.
+	// Limits are the plan's limits as the requester knows them.
 	Limits plan.Limits
 }
 
@@ -40,21 +41,21 @@
 	return Share{Plan: s.Plan, Rate: max(s.Rate, t.Rate), Slots: max(s.Slots, t.Slots)}
 }
 
-// Members tells the living instances of the data centre.
+// Members lists the live instances of the data centre.
 type Members interface {
-	// Weights returns the living instances' sizes by name, this one included.
+	// Weights returns the live instances' sizes by name, including this instance.
 	Weights() map[string]float64
 	// Self returns this instance's name.
 	Self() string
 }
 
-// fleet is the living instances of the data centre with their sizes.
+// fleet is the set of live instances of the data centre with their sizes.
 type fleet struct {
 	weights map[string]float64
 	total   float64
 }
 
-// minWeight keeps an instance without a stated size from dividing by zero.
+// minWeight prevents a division by zero for instances without a configured size.
 const minWeight = 1e-6
 
 func newFleet(weights map[string]float64) fleet {
@@ -65,9 +66,9 @@
 	return f
 }
 
-// arbiterOf returns the instance that divides a plan's limits: the highest
-// hash of instance and plan (rendezvous hashing, Thaler and Ravishankar 1996),
-// so that a change of members moves few plans.
+// arbiterOf returns the instance that divides a plan's limits: the one with the highest hash of
+// instance and plan (rendezvous hashing, Thaler and Ravishankar 1996), so that a change of members
+// moves few plans.
 func (f fleet) arbiterOf(planName string) string {
 	var best string
 	var top uint64
@@ -80,7 +81,7 @@
 	return best
 }
 
-// base returns an instance's part of the limits by weight.
+// weightedLimits returns an instance's part of the limits by weight.
 func (f fleet) weightedLimits(limits plan.Limits, name string) (rate, slots float64) {
 	if f.total == 0 {
 		return limits.Rate, float64(limits.Concurrency)
@@ -89,7 +90,7 @@
 	return limits.Rate * part, float64(limits.Concurrency) * part
 }
 
-// unasked is what an instance uses without a share.
+// defaultShare returns what an instance may use without a granted share.
 func (f fleet) defaultShare(limits plan.Limits, name string) Share {
 	rate, slots := f.weightedLimits(limits, name)
 	if len(f.weights) < 2 {
@@ -98,23 +99,20 @@
 	return Share{Rate: rate / defaultShareDivisor, Slots: int(slots / defaultShareDivisor)}
 }
 
-// arbiter divides the limits of those plans that hash to this instance. What
-// it knows is soft: a new arbiter learns it anew from the askers within one
-// interval, and counts for every instance it has not heard of what that
-// instance uses unasked.
+// arbiter divides the limits of the plans that hash to this instance. Its state is soft: a new
+// arbiter rebuilds it from the requests of one interval, and assumes the default share for
+// instances that have sent none.
 type arbiter struct {
 	mu    sync.Mutex
 	plans map[string]map[string]*requester
 }
 
-// asker is one instance's last demand and what it may be using by the shares
-// that it was granted.
+// requester holds one instance's last demand and the shares granted to it.
 type requester struct {
 	demand      Demand
 	lastRequest time.Time
-	// grants are the shares that may still be in use, the last one last: an
-	// answer that lowers a share may get lost, and then the one before holds
-	// until it ends.
+	// grants are the shares that may still be in use, newest last. A response that lowers a share
+	// may be lost; the instance then uses the share before it until that expires.
 	grants []grant
 }
 
@@ -125,7 +123,7 @@
 
 func newArbiter() *arbiter { return &arbiter{plans: map[string]map[string]*requester{}} }
 
-// divide answers one instance's demand.
+// allocate returns a share for one instance's demand.
 func (a *arbiter) allocate(from string, demand Demand, members fleet, now time.Time) Share {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -150,7 +148,7 @@
 	return share
 }
 
-// note adds a share to those in use, in place of those that it covers.
+// recordGrant adds a share to the grants and removes expired ones and those that it covers.
 func (s *requester) recordGrant(share Share, now time.Time) {
 	kept := s.grants[:0]
 	for _, g := range s.grants {
@@ -161,7 +159,7 @@
 	s.grants = append(kept, grant{share: share, expires: now.Add(shareLifetime)})
 }
 
-// inUse returns the most that the asker may be using.
+// mayUse returns the maximum that the requester may be using.
 func (s *requester) mayUse(now time.Time) Share {
 	used := Share{Slots: s.demand.Running}
 	for _, g := range s.grants {
@@ -172,8 +170,8 @@
 	return used
 }
 
-// forget drops askers that have not asked for longer than a share holds, or
-// have left.
+// dropStaleRequesters removes requesters that have sent no request for longer than shareLifetime or
+// are not in the fleet.
 func dropStaleRequesters(askers map[string]*requester, members fleet, now time.Time) {
 	for name, s := range askers {
 		if _, lives := members.weights[name]; !lives || now.Sub(s.lastRequest) > shareLifetime {
@@ -182,15 +180,14 @@
 	}
 }
 
-// remaining returns what the limits have left for one asker, when all others
-// use what they may.
+// remaining returns what the limits leave for one requester if all others use what they may.
 func remaining(from string, demand Demand, askers map[string]*requester, members fleet, now time.Time) Share {
 	left := Share{Rate: demand.Limits.Rate, Slots: demand.Limits.Concurrency}
 	for name := range members.weights {
 		if name == from {
 			continue
 		}
-		// Never less than what the instance falls back to when its share ends.
+		// At least the default share, which the instance uses when its share expires.
 		used := members.defaultShare(demand.Limits, name)
 		if s := askers[name]; s != nil {
 			used = used.atLeast(s.mayUse(now))
@@ -201,8 +198,8 @@
 	return left
 }
 
-// fairShare divides the limits between the askers, max-min fair by weight: who
-// asks for less than its part gets that, and the others divide the rest.
+// fairShare returns one requester's part of the limits, divided max-min fairly by weight:
+// requesters that demand less than their part get their demand, the others divide the rest.
 func fairShare(from string, limits plan.Limits, askers map[string]*requester, members fleet) Share {
 	pool := Share{Rate: limits.Rate, Slots: limits.Concurrency}
 	var claims []claim
@@ -231,8 +228,8 @@
 	return Share{}
 }
 
-// headroom lets a share grow: an instance that uses its whole share can't
-// offer more than it to be counted.
+// demandHeadroom is the factor by which the allocated rate may exceed the demand. It lets a share
+// grow: an instance that uses its full share can't show a demand above it.
 const demandHeadroom = 1.5
 
 type claim struct {
@@ -241,8 +238,8 @@
 	rate, slots float64
 }
 
-// waterFill divides the pool max-min fair. What is left when all are satisfied
-// goes to all by weight.
+// waterFill divides the pool max-min fairly. The surplus after all claims are met goes to all by
+// weight.
 func waterFill(claims []claim, pool float64, want func(claim) float64) []float64 {
 	shares := make([]float64, len(claims))
 	order := make([]int, len(claims))
@@ -267,8 +264,8 @@
 	return shares
 }
 
-// wholeSlots rounds down and hands what is left to the largest fractions, so
-// that a concurrency below the number of instances is still given out whole.
+// roundSlots rounds shares down to whole slots and gives the remaining slots to the largest
+// fractions, so that a concurrency below the number of instances is still fully allocated.
 func roundSlots(shares []float64, claims []claim, pool int) []int {
 	slots := make([]int, len(shares))
 	order := make([]int, len(shares))
--- a/internal/limit/report.go
+++ b/internal/limit/telling.go
@@ -9,47 +9,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Use is what an instance tells the others of a customer's calls.
+// CallUsage is the number of a customer's calls in an instance's report.
 type CallUsage struct {
-	// Customer is the hash of its name.
+	// Customer is the hash of the customer's name.
 	Customer uint64
-	// Made is the number of calls admitted since the instance started, Recent that of the
+	// Admitted is the number of calls admitted since the instance started, Recent that of the
 	// last window.
 	Admitted uint64
 	Recent   uint32
 }
 
-// Telling is what an instance tells the others at once.
+// QuotaReport is a report that an instance sends to others.
 type QuotaReport struct {
-	// From names the instance, Run tells its starts apart.
+	// From is the name of the instance, Incarnation distinguishes its starts.
 	From        string
 	Incarnation uint64
-	// Known is for how long it knows what calls there were, up to a window.
+	// ObservedFor is how long the instance has known all calls, at most one window.
 	ObservedFor time.Duration
 	Usage       []CallUsage
-	// Counted is told to an instance that has started: all calls of the last window.
+	// WindowCounts holds all calls of the last window. It is sent to an instance that has started.
 	WindowCounts []WindowCount
 }
 
-// Count is the number of a customer's calls of the last window, at all instances.
+// WindowCount is the number of a customer's calls of the last window at all instances.
 type WindowCount struct {
 	Customer uint64
 	Calls    uint32
 }
 
-// peer is another instance, as far as it told.
+// peer holds what another instance has reported.
 type peer struct {
 	incarnation uint64
 	admitted    map[uint64]reportedCalls
 }
 
-// made is the number of calls of a customer that a peer told of, and when it did.
+// reportedCalls is the number of a customer's calls in a peer's last report, and its time.
 type reportedCalls struct {
 	calls      uint64
 	reportedAt time.Time
 }
 
-// Hear takes in what another instance tells. One without a run admits no calls.
+// Merge merges another instance's report. Instances without an incarnation admit no calls.
 func (q *Quotas) Merge(r QuotaReport, now time.Time) {
 	if r.Incarnation == 0 {
 		return
@@ -72,18 +72,18 @@
 	}
 }
 
-// tellers is about the number of instances that tell one that has started what it does not
-// know. Some of them may be cut off from it, or may have started as well.
+// countSenders is the approximate number of instances that send the counts of the window to an
+// instance that has started. Some of them may be partitioned from it or have started as well.
 const countSenders = 6
 
-// tellsStarted reports whether it is for this instance to tell the one that has started; the
-// lock is held.
+// shouldSendCounts reports whether this instance sends the counts to one that has started; the lock
+// is held.
 func (q *Quotas) shouldSendCounts(instance string) bool {
 	return xxhash.Sum64String(q.name+" "+instance)%uint64(max(1, q.fleetSize)) < countSenders
 }
 
-// count takes in how many calls there were; the lock is held. They are all of the window,
-// also those that this instance itself admitted before it was started again.
+// mergeCounts merges the counts of the last window; the lock is held. They include the calls that
+// this instance itself admitted before its restart.
 func (q *Quotas) mergeCounts(counts []WindowCount, now time.Time) {
 	if q.observedFor(now) >= q.window() {
 		return
@@ -102,8 +102,8 @@
 	}
 }
 
-// Started returns the instances that have started, and what to tell them. The list may be
-// told in parts.
+// NewInstances returns the instances that have started and the report to send to them. The counts
+// may be sent in parts.
 func (q *Quotas) NewInstances(now time.Time) (instances []string, r QuotaReport) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -119,27 +119,27 @@
 		}
 	}
 	if r.WindowCounts == nil {
-		// That there were none is worth telling too.
+		// The report that there were no calls is needed, too.
 		r.WindowCounts = []WindowCount{{}}
 	}
 	return instances, r
 }
 
-// hearUse takes in the calls of one customer; the lock is held.
+// mergeUsage merges the calls of one customer; the lock is held.
 func (q *Quotas) mergeUsage(p *peer, from string, u CallUsage, now time.Time) {
 	before, known := p.admitted[u.Customer]
 	if u.Admitted < before.calls {
-		// Datagrams overtake each other.
+		// Datagrams may arrive out of order.
 		return
 	}
 	p.admitted[u.Customer] = reportedCalls{calls: u.Admitted, reportedAt: now}
 	added := u.Admitted - before.calls
 	switch {
 	case !known && now.Before(q.countsCoverUntil):
-		// They are among those that were counted for this instance.
+		// The counts received at the start include these calls.
 		added = 0
 	case !known:
-		// How many of them were made before the window is not known.
+		// How many of the calls precede the window is unknown.
 		added = min(added, uint64(u.Recent))
 	}
 	if m := q.metersByHash[u.Customer]; m != nil {
@@ -148,8 +148,8 @@
 	}
 }
 
-// Tell returns what the others are to be told now, and which of them are to hear it at once
-// and not by turns, since they have calls of the same customers.
+// Report returns the report to send now, and the instances to send it to directly, outside the
+// round, because they have calls of the same customers.
 func (q *Quotas) Report(now time.Time) (r QuotaReport, direct []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -170,8 +170,8 @@
 	return r, slices.Sorted(maps.Keys(sharing))
 }
 
-// forget drops what peers told long ago, so that what is kept goes by the calls of the last
-// while and not by customers times instances; the lock is held.
+// dropStaleUsage removes peers' counts that are older than peerUsageRetention, so that memory grows
+// with the recent calls and not with customers times instances; the lock is held.
 func (q *Quotas) dropStaleUsage(now time.Time) {
 	for name, p := range q.peers {
 		for customer, m := range p.admitted {
