--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -15,27 +15,27 @@
 	"foxhall/internal/store"
 )
 
-// KindBudget is the kind of the objects that count what is drawn.
+// KindBudget is the kind of the store objects that count the draws.
 const KindBudget = "budget"
 
 const (
-	// recentWrites is the number of write ids that an object remembers. A lost
-	// answer is settled within a few seconds, and an object is written a few
-	// times a second at most.
+	// maxRecentWrites is the number of write ids that an object retains. The outcome of a write
+	// with a lost response is resolved within a few seconds, and an object is written at most a
+	// few times per second.
 	maxRecentWrites = 96
-	// carryTime is how long after a change of a window's length its new windows
-	// count what was drawn under the old length. An edit is in force everywhere
-	// within 10 s; what a partitioned instance still holds is not counted longer.
+	// carryPeriod is how long after a change of the window length new windows include the draws
+	// under the old length. An edit is in force everywhere within 10 s; allotments that a
+	// partitioned instance holds for longer are not counted.
 	carryPeriod = time.Minute
 )
 
-// account counts what is drawn of one plan's budget in its last windows.
+// account counts the draws from one plan's budget in its last windows.
 type account struct {
-	// Budget is the plan's budget as the keeper with the highest
-	// configuration version knew it, and Version is that version.
+	// Budget is the plan's budget at the highest configuration version that any allocator has
+	// used, and Version is that version.
 	Budget  plan.Budget `json:"b"`
 	Version uint64      `json:"v"`
-	// Before is the window length before the last change of it, at Changed.
+	// PreviousLength is the window length before its last change, made at ChangedAt.
 	PreviousLength time.Duration  `json:"o,omitempty"`
 	ChangedAt      time.Time      `json:"c,omitzero"`
 	Drawn          map[int64]Cost `json:"d"`
@@ -45,35 +45,35 @@
 // accountSet is one object of the store: the accounts of a shard of the plans.
 type accountSet struct {
 	Accounts map[string]*account `json:"accounts"`
-	// Writes are the ids of the last writes, oldest first.
+	// Writes holds the ids of the last writes, oldest first.
 	Writes []string `json:"writes"`
 }
 
-// ask is what an instance wants of one plan's budget in one window.
+// drawRequest is a request of an instance for a part of one plan's budget in one window.
 type drawRequest struct {
 	plan    string
 	budget  plan.Budget
 	version uint64
 	window  Window
-	// give is returned; it has been drawn before.
+	// returned is an amount drawn before that the request returns.
 	returned Cost
-	// need is the least that is of use, want what recent spending calls for;
-	// held is what the asker has free already.
+	// need is the least useful amount, want the amount that recent spending calls for. held is
+	// what the instance holds unreserved already.
 	need, want, held Cost
 }
 
-// result is the answer to an ask.
+// drawResult is the result of a drawRequest.
 type drawResult struct {
 	request drawRequest
 	granted Cost
-	// refusal says why a need was not met.
+	// refusal is the reason why the need was not met; empty if it was.
 	refusal Reason
 }
 
-// shardOf returns the object that counts a plan's budget.
+// shardOf returns the number of the object that counts a plan's budget.
 func shardOf(name string, shards int) int { return int(xxhash.Sum64String(name) % uint64(shards)) }
 
-// apply answers asks and reports whether anything has changed.
+// apply applies requests to the accounts and reports whether an account has changed.
 func (b *accountSet) apply(asks []drawRequest, share int64, now time.Time) (results []drawResult, changed bool) {
 	if b.Accounts == nil {
 		b.Accounts = map[string]*account{}
@@ -94,12 +94,12 @@
 	return results, changed
 }
 
-// answer takes back what is given and grants what the budget has left.
+// grant credits the returned amount and grants what the budget has left.
 func (a *account) grant(q drawRequest, share int64, now time.Time) drawResult {
 	r := drawResult{request: q}
 	if !a.updateBudget(q, now) {
 		r.refusal = PlanOutdated
-		// Money given back still counts, whoever gives it.
+		// A return is credited also if the plan version is outdated.
 		a.creditReturn(q)
 		return r
 	}
@@ -113,17 +113,17 @@
 		r.refusal = Exhausted
 		return r
 	}
-	// Nobody holds more than a share of what is left, so that the last part of
-	// a budget is not with whoever asked first.
+	// No instance holds more than a share of the rest, so that the last part of a budget does not
+	// go to the first requester.
 	available := left.dividedBy(share).minus(q.held).atLeast(Cost{})
 	r.granted = q.want.atMost(available).atLeast(q.need)
 	a.Drawn[q.window.Index] = a.Drawn[q.window.Index].plus(r.granted)
 	return r
 }
 
-// follow brings the account to the asker's budget if that is newer. It reports
-// false if the asker's is older: a grant by a budget that has been cut since
-// would break the cut for everybody.
+// updateBudget updates the account to the request's budget if that is newer. It returns false if
+// the request's budget is older: a grant under a budget that has been reduced since would exceed
+// the reduced budget.
 func (a *account) updateBudget(q drawRequest, now time.Time) bool {
 	if q.budget == a.Budget {
 		a.Version = max(a.Version, q.version)
@@ -139,9 +139,8 @@
 	return true
 }
 
-// changeLength starts counting in windows of another length. What has been
-// drawn in the old windows that are not over may have been spent in the first
-// new ones, so they begin with it.
+// changeWindowLength starts counting in windows of another length. The amounts drawn in old windows
+// that have not ended may be spent in the first new ones, which therefore include them.
 func (a *account) changeWindowLength(q drawRequest, now time.Time) {
 	a.PreviousLength, a.ChangedAt = lengthOf(a.Budget), now
 	var carried Cost
@@ -166,7 +165,7 @@
 	a.Drawn[q.window.Index] = a.Drawn[q.window.Index].minus(q.returned).atLeast(Cost{})
 }
 
-// prune forgets windows that are over on every clock, and plans without any.
+// prune removes windows that have ended on every clock, and plans without windows.
 func (b *accountSet) prune(now time.Time) {
 	for name, a := range b.Accounts {
 		length := lengthOf(a.Budget)
@@ -186,11 +185,11 @@
 	}
 }
 
-// mark names a write: its own id and the id of the write before it, which is
-// empty if there is none.
+// writeMark identifies a write by its own id and the id of the write before it, which is empty if
+// there is none.
 type writeMark struct{ id, previousID string }
 
-// note remembers a write.
+// recordWrite adds a write to the recent writes.
 func (b *accountSet) recordWrite(id string) writeMark {
 	m := writeMark{id: id}
 	if len(b.Writes) > 0 {
@@ -201,10 +200,10 @@
 	return m
 }
 
-// wrote tells whether a write has taken effect: known is false if the set has
-// forgotten writes since, so that it can't tell. While the write before it is
-// remembered, none since is forgotten. Without that a full set could never
-// tell, and a write lost without effect would refuse draws for the backoff.
+// findWrite reports whether a write has taken effect. known is false if later writes may have been
+// removed from the set, so that this can't be determined. If the write before it is still in the
+// set, none since has been removed; without this rule a full set could never determine that a
+// write had no effect, and draws would be refused for the duration of the backoff.
 func (b *accountSet) findWrite(m writeMark) (found, known bool) {
 	if slices.Contains(b.Writes, m.id) {
 		return true, true
--- a/internal/budget/allotment.go
+++ b/internal/budget/allotment.go
@@ -12,7 +12,7 @@
 // holding is what an instance holds of one plan's budget in one window.
 type holding struct {
 	window Window
-	// free may be reserved; returning waits to be returned.
+	// free can be reserved; returning is marked to be returned to the store.
 	free, returning Cost
 }
 
@@ -22,25 +22,24 @@
 	plan    string
 	budget  plan.Budget
 	version uint64
-	// generation counts the edits that cut the budget. What a reservation of an
-	// earlier generation leaves over is returned instead of spent: more may be drawn
-	// by now than the budget allows.
+	// generation counts the edits that reduced the budget. The unused rest of a reservation of an
+	// earlier generation is returned, not spent: the draws may exceed the reduced budget.
 	generation int
 	holdings   []holding
-	// need is the largest cost that waits for a draw; zero if none. typical
-	// is the last one, kept while the plan is in use.
+	// need is the largest cost that waits for a draw; zero if none. typical is the need of the last
+	// draw that had one.
 	need, typical Cost
 	lastUse       time.Time
-	// ended says that nothing is to be held any more: the plan was removed or
-	// the instance stops. dropped says that the keeper has forgotten the allotment.
+	// retired means that nothing is to be held: the plan was removed or the instance stops.
+	// removed means that the allocator has removed the allotment.
 	retired, removed bool
-	// money and tokens follow recent spending, in units a second.
+	// moneyRate and tokenRate are moving averages of the spending, in units per second.
 	moneyRate, tokenRate metrics.EWMA
 	spentSinceTick       Cost
-	// refusal is the answer of the last draw, believed until refusedUntil.
+	// refusal is the result of the last refused draw, valid until refusedUntil.
 	refusal      Reason
 	refusedUntil time.Time
-	// refillAfter keeps the background from asking an exhausted budget again.
+	// refillAfter is the time before which the background does not draw from an exhausted budget.
 	refillAfter time.Time
 }
 
@@ -51,10 +50,9 @@
 	}
 }
 
-// adopt brings the allotment to the budget in force. After a cut nothing drawn
-// before may be spent: what others hold and have spent is not known here, and
-// together it may be more than the new budget. It is returned, and new chunks
-// are drawn by the new budget.
+// setBudget updates the allotment to the budget in force. After a reduction nothing drawn before
+// may be spent, because all instances' holdings and spending together may exceed the new budget.
+// The holdings are returned, and new chunks are drawn under the new budget.
 func (a *allotment) setBudget(budget plan.Budget, version uint64) {
 	if version <= a.version {
 		return
@@ -70,14 +68,14 @@
 	a.retired = false
 }
 
-// end marks everything to be returned and nothing to be drawn.
+// retire marks all free amounts to be returned and stops draws.
 func (a *allotment) retire() {
 	a.retired = true
 	a.need = Cost{}
 	a.markForReturn()
 }
 
-// markForReturn marks everything free to be returned.
+// markForReturn marks all free amounts to be returned.
 func (a *allotment) markForReturn() {
 	for i := range a.holdings {
 		h := &a.holdings[i]
@@ -86,7 +84,8 @@
 	}
 }
 
-// at returns the holding of a window; create says whether to begin one.
+// holdingFor returns the holding of a window. If there is none, it creates one if create is true
+// and returns nil otherwise.
 func (a *allotment) holdingFor(w Window, create bool) *holding {
 	for i := range a.holdings {
 		if a.holdings[i].window == w {
@@ -100,7 +99,7 @@
 	return &a.holdings[len(a.holdings)-1]
 }
 
-// take reserves a cost in the window, or the two windows, that it is now.
+// reserve reserves a cost in the present window, or in both windows near a boundary.
 func (a *allotment) reserve(cost Cost, now time.Time) (first Window, both, ok bool) {
 	a.lastUse = now
 	first, both = windowsAt(now, lengthOf(a.budget))
@@ -125,8 +124,8 @@
 	}
 }
 
-// release gives a reserved amount back to a window: to be spent again, or to
-// be returned if the budget has been cut since.
+// release releases a reserved amount of a window: to be spent again, or to be returned to the store
+// if the budget has been reduced since.
 func (a *allotment) release(w Window, cost Cost, generation int, now time.Time) {
 	if cost.isZero() || w.ended(now) {
 		return
@@ -139,7 +138,7 @@
 	h.returning = h.returning.plus(cost)
 }
 
-// wants returns what should be held ahead, by recent spending.
+// target returns the amount to hold in advance, according to recent spending.
 func (a *allotment) target(horizon time.Duration, now time.Time) Cost {
 	if a.retired || now.Sub(a.lastUse) > idleTimeout {
 		return Cost{}
@@ -149,7 +148,7 @@
 	return want.atLeast(a.typical.atLeast(a.need).times(firstDrawCalls)).boundedBy(a.budget)
 }
 
-// asks returns what to ask the store for. It changes nothing.
+// drawRequests returns the requests for the next draw, without changing the allotment.
 func (a *allotment) drawRequests(horizon, lead time.Duration, now time.Time) []drawRequest {
 	want := a.target(horizon, now)
 	var asks []drawRequest
@@ -165,7 +164,7 @@
 	return asks
 }
 
-// askBack adds what is to be returned of a holding.
+// appendReturn appends a request that returns a part of a holding, if there is any to return.
 func (a *allotment) appendReturn(asks []drawRequest, h *holding, want Cost, now time.Time) []drawRequest {
 	q := drawRequest{plan: a.plan, budget: a.budget, version: a.version, window: h.window, returned: h.returning}
 	if h.window.Length == lengthOf(a.budget) && a.need.isZero() {
@@ -177,7 +176,7 @@
 	return append(asks, q)
 }
 
-// urgent reports whether something has to be returned without delay.
+// mustReturn reports whether an amount has to be returned without delay.
 func (a *allotment) mustReturn() bool {
 	for i := range a.holdings {
 		if !a.holdings[i].returning.isZero() {
@@ -187,8 +186,8 @@
 	return false
 }
 
-// withdraw takes what the asks give out of the holdings, before they are written:
-// an answer that is lost must not leave it to be spent here as well.
+// withdraw removes the returned amounts from the holdings before the requests are written: if the
+// response to the write is lost, they must not be spent here as well.
 func (a *allotment) withdraw(asks []drawRequest) {
 	for _, q := range asks {
 		if h := a.holdingFor(q.window, false); h != nil && !q.returned.isZero() {
@@ -202,9 +201,8 @@
 	a.need = Cost{}
 }
 
-// restore undoes withdraw after a write that certainly had no effect. The amounts
-// wait to be given again; they may have been marked for return, and so are not
-// spent.
+// restore undoes withdraw after a write that certainly had no effect. The amounts are returned by
+// the next draw and not spent, because they may have been marked for return.
 func (a *allotment) restore(asks []drawRequest) {
 	for _, q := range asks {
 		if !q.returned.isZero() {
@@ -214,7 +212,7 @@
 	}
 }
 
-// askFor adds what is lacking in a window.
+// appendDraw appends a request for the amount that is missing in a window, if any.
 func (a *allotment) appendDraw(asks []drawRequest, w Window, want Cost) []drawRequest {
 	free := Cost{}
 	if h := a.holdingFor(w, false); h != nil {
@@ -227,7 +225,7 @@
 	if need.isZero() && free.covers(want.minus(want.dividedBy(refillDivisor))) {
 		return asks
 	}
-	// What is lacking of the need must come in one piece with what is free.
+	// The need is for a single reservation: it must be met in full, together with the free amount.
 	q := drawRequest{
 		plan: a.plan, budget: a.budget, version: a.version, window: w,
 		need: need.minus(free).atLeast(Cost{}), want: want.minus(free).atLeast(Cost{}), held: free,
@@ -235,8 +233,7 @@
 	return append(asks, q)
 }
 
-// windows returns those to hold something of: now's, and the next from lead
-// before a boundary.
+// windowsToHold returns the present window, and the next one from lead before the boundary.
 func (a *allotment) windowsToHold(now time.Time, lead time.Duration) []Window {
 	first, both := windowsAt(now, lengthOf(a.budget))
 	lead = min(lead, lengthOf(a.budget)/leadDivisor)
@@ -246,7 +243,7 @@
 	return []Window{first}
 }
 
-// expire forgets windows that are over and returns what was left unspent in them.
+// expire removes windows that have ended and returns the amount left unspent in them.
 func (a *allotment) expire(now time.Time) (unspent Cost) {
 	kept := a.holdings[:0]
 	for _, h := range a.holdings {
@@ -263,7 +260,7 @@
 	return unspent
 }
 
-// granted takes in what the store granted.
+// recordResult adds a granted amount to the holding, or records the refusal.
 func (a *allotment) recordResult(r drawResult, generation int, now time.Time) {
 	a.release(r.request.window, r.granted, generation, now)
 	if r.refusal == "" || a.version != r.request.version {
@@ -277,12 +274,12 @@
 	}
 }
 
-// idle reports whether the allotment may be forgotten.
+// idle reports whether the allotment can be removed.
 func (a *allotment) idle(now time.Time) bool {
 	return len(a.holdings) == 0 && a.need.isZero() && now.Sub(a.lastUse) > idleTimeout
 }
 
-// tick folds the spending since the last tick into the rates.
+// updateRates adds the spending since the last tick to the rates.
 func (a *allotment) updateRates() {
 	a.moneyRate.Update(int64(a.spentSinceTick.Money))
 	a.tokenRate.Update(a.spentSinceTick.Tokens)
--- a/internal/budget/doc.go
+++ b/internal/budget/doc.go
@@ -1,10 +1,8 @@
-// Package budget keeps each plan's spending within its budget without a
-// coordination service.
+// Package budget keeps each plan's spending within its budget without a coordination service.
 //
-// An instance draws chunks of a plan's budget, its allotments, from an object
-// in the store by conditional update, and spends only what it holds. What the
-// object counts as drawn is never above the budget, and what all instances
-// have spent and hold is never above what is drawn, so the budget holds
-// through any partition, lost answer or crash. An instance that dies takes
-// what it held with it until the window ends. See docs/notes/budgets.md.
+// An instance draws chunks of a plan's budget, its allotments, from an object in the store by
+// conditional update, and spends only what it holds. The draws counted in the object never exceed
+// the budget, and what all instances have spent and hold never exceeds the draws. The budget is
+// therefore kept through any network partition, lost response or crash. What an instance holds
+// when it crashes can't be spent until the window ends.
 package budget
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -14,7 +14,7 @@
 	"foxhall/internal/store"
 )
 
-// Bounds of one draw.
+// Time bounds of a draw and its retries.
 const (
 	drawTimeout        = 5 * time.Second
 	conflictBackoffMin = 50 * time.Millisecond
@@ -22,7 +22,8 @@
 	readBackInterval   = 50 * time.Millisecond
 )
 
-// start begins a draw of a shard unless one is under way; then another follows it.
+// startDraw starts a draw of a shard, or has another draw follow the one that is running. The
+// channel is closed when the running draw has ended.
 func (al *Allocator) startDraw(s *shard) <-chan struct{} {
 	s.drawMu.Lock()
 	defer s.drawMu.Unlock()
@@ -35,7 +36,7 @@
 	return s.done
 }
 
-// run draws until no new need has come up meanwhile.
+// runDraws draws until no further draw was requested during the last one.
 func (al *Allocator) runDraws(s *shard) {
 	for {
 		ctx, cancel := context.WithTimeout(al.ctx, drawTimeout)
@@ -56,8 +57,8 @@
 	}
 }
 
-// noteOutage keeps the time before which the store is not asked again, with
-// backoff and jitter, so that an outage costs few calls and its end no rush.
+// recordOutage sets the time before which the store is not called again, with backoff and jitter,
+// so that an outage costs few calls and its end causes no burst of calls.
 func (al *Allocator) recordOutage(err error) {
 	al.outageMu.Lock()
 	defer al.outageMu.Unlock()
@@ -75,15 +76,14 @@
 	return max(0, al.retryAt.Sub(now))
 }
 
-// asked is what one allotment asks in a draw.
+// pendingDraw holds the requests of one allotment in a draw.
 type pendingDraw struct {
 	allotment  *allotment
 	generation int
 	requests   []drawRequest
 }
 
-// renew brings a shard's allotments in line with their wants by one
-// conditional update, tried again after conflicts.
+// renew refills and returns a shard's allotments by one conditional update, retried after conflicts.
 func (al *Allocator) renew(ctx context.Context, s *shard) error {
 	pending := al.collectRequests(s)
 	if len(pending) == 0 && len(s.lost) == 0 {
@@ -104,7 +104,8 @@
 	return err
 }
 
-// collect gathers what the shard's allotments ask for.
+// collectRequests collects the requests of the shard's allotments and withdraws the returned
+// amounts.
 func (al *Allocator) collectRequests(s *shard) []pendingDraw {
 	now := al.options.Now()
 	s.mu.RLock()
@@ -122,7 +123,7 @@
 	return pending
 }
 
-// takeBack undoes the returning of asks that have certainly not been written.
+// restorePending restores the returned amounts of requests that have certainly not been written.
 func restorePending(pending []pendingDraw) {
 	for _, p := range pending {
 		p.allotment.mu.Lock()
@@ -131,7 +132,7 @@
 	}
 }
 
-// lostWrite is a draw whose answer was lost and could not be read back.
+// lostWrite is a draw whose response was lost and whose outcome could not be read back.
 type lostWrite struct {
 	mark    writeMark
 	base    store.Version
@@ -139,13 +140,13 @@
 	results []drawResult
 }
 
-// errUnsettled says that the answer of a draw was lost and could not be read
-// back: it may take effect, also later. What it would have drawn is not held
-// and what it gave back is not spent, which is safe either way, until a later
-// read of the object tells.
+// errUnknownOutcome indicates that the response to a draw was lost and its outcome could not be
+// read back: the write may take effect, also later. Until a later read of the object shows the
+// outcome, the amount drawn is not held and the amount returned is not spent, which is safe in
+// both cases.
 var errUnknownOutcome = errors.New("budget: a draw's outcome is unknown")
 
-// update reads the shard's object, applies the asks and writes it.
+// update reads the shard's object, applies the requests and writes it.
 func (al *Allocator) update(ctx context.Context, s *shard, pending []pendingDraw) error {
 	key := store.Key{Kind: KindBudget, Name: fmt.Sprintf("%03d", s.number)}
 	b, base, err := al.read(ctx, key)
@@ -172,8 +173,8 @@
 	return nil
 }
 
-// resolveLost learns from a read of the object what became of lost writes.
-// While their base still stands they may yet take effect, and stay lost.
+// resolveLost determines the outcome of lost writes from a read of the object. While the object
+// still has their base version they may yet take effect, and stay lost.
 func (al *Allocator) resolveLost(s *shard, b *accountSet, version store.Version) {
 	kept := s.lost[:0]
 	for _, l := range s.lost {
@@ -202,9 +203,9 @@
 	return b, object.Version, err
 }
 
-// write updates the object. A lost answer is settled by reading back: the
-// write's id is there, or a write of others took its base, so that it can't
-// take effect any more, or the base still stands and it is written again.
+// write updates the object. After a lost response it reads the object back: either the write's id
+// is in it, or another write has replaced the base version, so that this one can no longer take
+// effect, or the base version is unchanged and the object is written again.
 func (al *Allocator) write(ctx context.Context, key store.Key, b *accountSet, base store.Version, m writeMark) error {
 	value, err := b.encode()
 	if err != nil {
@@ -238,7 +239,7 @@
 	}
 }
 
-// errNotWritten says that a write had no effect and can have none any more.
+// errNotWritten indicates that a write had no effect and can't have one later.
 var errNotWritten = errors.New("budget: not written")
 
 func (al *Allocator) readBack(ctx context.Context, key store.Key, value []byte, base store.Version, m writeMark) error {
@@ -247,7 +248,7 @@
 		return err
 	}
 	if version <= base {
-		// Not yet there, or an old read: writing it again ends it either way.
+		// The write has not taken effect, or the read is stale. Another write resolves both cases.
 		_, err := al.client.Put(ctx, key, value, base)
 		return err
 	}
@@ -262,7 +263,7 @@
 	}
 }
 
-// deliver hands the store's results to the allotments.
+// applyResults records the results in the allotments.
 func (al *Allocator) applyResults(pending []pendingDraw, results []drawResult) {
 	now := al.options.Now()
 	for _, p := range pending {
--- a/internal/budget/allocator.go
+++ b/internal/budget/keeper.go
@@ -15,47 +15,45 @@
 	"foxhall/internal/store"
 )
 
-// The sizes of allotments and the pace of draws. At the size of letter 1, 370
-// instances that each renew 32 objects every two minutes make 99 reads and as
-// many writes a second.
+// The sizes of allotments and the rate of draws. 370 instances that each renew 32 objects every two
+// minutes make 99 reads and 99 writes per second.
 const (
-	// DefaultShards is the number of objects that the plans' accounts are divided over.
+	// DefaultShards is the number of objects that hold the plans' accounts.
 	DefaultShards = 32
-	// DefaultHorizon is how much spending ahead an allotment is sized for, and
-	// so about how long an instance serves through an outage of the store.
+	// DefaultHorizon is the duration of future spending that an allotment covers, and thus about
+	// how long an instance can serve during an outage of the store.
 	DefaultHorizon = 5 * time.Minute
-	// DefaultShare is the part of what is left of a budget, as one of so many,
-	// up to which an instance holds ahead.
+	// DefaultShare is the divisor that bounds what an instance holds in advance: at most this
+	// fraction of the rest of a budget.
 	DefaultShare = 64
-	// DefaultLead is how long before a window's end the next one is drawn. It
-	// is above DefaultRenew, so that instances do not all draw at the boundary.
+	// DefaultLead is how long before the end of a window instances draw from the next one. It is
+	// longer than DefaultRenew, so that instances do not all draw at the boundary.
 	DefaultLead = 5 * time.Minute
-	// DefaultRenew is the mean time between two renewals of an object without
-	// a caller that waits. It is below a half of DefaultHorizon, so that an
-	// allotment that is spent evenly never runs out in between.
+	// DefaultRenew is the mean time between two renewals of an object while no caller waits. It is
+	// less than half of DefaultHorizon, so that an allotment that is spent evenly does not run out
+	// between renewals.
 	DefaultRenew = 2 * time.Minute
-	// DefaultStoreRate bounds the calls to the store, in calls a second.
+	// DefaultStoreRate bounds the calls to the store, in calls per second.
 	DefaultStoreRate = 20
 
-	// firstChunk is the number of calls that a first draw covers.
+	// firstDrawCalls is the number of calls that the first draw covers.
 	firstDrawCalls = 4
-	// refillPart and idleFactor bound what is held: where one of so many parts
-	// of what is wanted lacks it is refilled, above twice what is wanted the
-	// rest is returned.
+	// refillDivisor and maxHeldFactor bound the holdings: a holding is refilled when more than
+	// that fraction of its target is missing, and the amount above twice the target is returned.
 	refillDivisor = 4
 	maxHeldFactor = 2
-	// leadPart bounds the lead to a part of short windows.
+	// leadDivisor bounds the lead to a fraction of the window, for short windows.
 	leadDivisor = 5
-	// idleAfter is how long after its last use an allotment is returned.
+	// idleTimeout is how long after its last use an allotment is returned.
 	idleTimeout = 2 * time.Minute
 
-	// rateTick is the interval that metrics.EWMA is made for.
+	// rateInterval is the tick interval that metrics.EWMA requires.
 	rateInterval = 5 * time.Second
-	// drawWait bounds how long a call waits for a draw under way.
+	// maxDrawWait bounds how long a call waits for a draw.
 	maxDrawWait = time.Second
-	// believeExhausted is how long the store's answer that a budget is spent
-	// stands: others may return some.
-	// Each refusal of an exhausted plan would else cost a read.
+	// exhaustedRetention is how long the result that a budget is exhausted is used without another
+	// read, which each refusal would cost otherwise. It is bounded because other instances may
+	// return parts of the budget. outdatedRetention is the same for an outdated plan version.
 	exhaustedRetention = 30 * time.Second
 	outdatedRetention  = time.Second
 
@@ -63,14 +61,14 @@
 	storeBackoffMax = 5 * time.Second
 )
 
-// Plans is the list in force with its version.
+// Plans provides the list of plans in force and its version.
 type Plans interface {
 	Plans() (*plan.List, uint64)
-	// Changed is closed when a newer list is in force.
+	// Changed returns a channel that is closed when a newer list is in force.
 	Changed() <-chan struct{}
 }
 
-// Options are a keeper's surroundings. Zero values have defaults.
+// Options configures an Allocator. Zero values have defaults.
 type Options struct {
 	Shards    int
 	Horizon   time.Duration
@@ -84,8 +82,7 @@
 	Now func() time.Time
 }
 
-// Keeper holds an instance's allotments. Its methods may be called at once
-// from many goroutines.
+// Allocator manages an instance's allotments. It is safe for concurrent use.
 type Allocator struct {
 	client  *store.Limited
 	plans   Plans
@@ -103,22 +100,23 @@
 	metrics allocatorMetrics
 }
 
-// shard is the allotments of the plans that one object counts.
+// shard holds the allotments of the plans whose accounts are in one object.
 type shard struct {
 	number int
 
 	mu         sync.RWMutex
 	allotments map[string]*allotment
 
-	// drawing guards the draw under way, if any, and whether another is to follow.
+	// drawMu guards done, the channel of the running draw, drawAgain, which requests another draw
+	// after it, renewAt and unresolved.
 	drawMu    sync.Mutex
 	done      chan struct{}
 	drawAgain bool
-	// renewAt is when the background may draw again.
+	// renewAt is the earliest time of the next periodic draw.
 	renewAt time.Time
 
-	// lost are the writes whose outcome is not known yet. Only the draw under
-	// way uses them; unresolved says, under drawing, that there are some.
+	// lost holds the writes with an unknown outcome. Only the running draw uses it; unresolved
+	// reports, under drawMu, whether there are any.
 	lost       []lostWrite
 	unresolved bool
 }
@@ -130,7 +128,7 @@
 	overrun                                              metrics.Counter
 }
 
-// NewKeeper returns a keeper that holds nothing.
+// NewAllocator returns an Allocator without allotments.
 func NewAllocator(client store.Client, plans Plans, options Options) *Allocator {
 	options = options.withDefaults()
 	registry := options.Registry
@@ -186,8 +184,8 @@
 	return o
 }
 
-// Reservation is a cost set aside in the budget. Exactly one of Settle and
-// Release ends it; later calls of either do nothing.
+// Reservation is a cost reserved in the budget. The first call of Settle or Release ends it; later
+// calls of either do nothing.
 type Reservation struct {
 	allocator   *Allocator
 	allotment   *allotment
@@ -199,9 +197,9 @@
 	ended       atomic.Bool
 }
 
-// Reserve sets aside the worst cost of a call before it is placed. It does no
-// I/O; where too little is held it waits briefly for a draw. The error is a
-// *Refusal. The spending belongs to the window in which it was reserved.
+// Reserve reserves the highest possible cost of a call before the call is placed. It does no I/O
+// itself; if too little is held it waits for a draw, for at most maxDrawWait. The error is a
+// *Refusal. The spending counts in the window of the reservation.
 func (al *Allocator) Reserve(ctx context.Context, p *plan.Plan, cost Cost) (*Reservation, error) {
 	list, version := al.plans.Plans()
 	if list == nil || list.Lookup(p.Name) == nil {
@@ -224,7 +222,7 @@
 	return al.reserveAfterDraw(ctx, p.Name, cost)
 }
 
-// take reserves from what is held, or returns nil.
+// reserveHeld reserves from what is held. It returns nil if that is too little.
 func (al *Allocator) reserveHeld(name string, budget plan.Budget, version uint64, cost Cost) *Reservation {
 	a := al.lock(name, budget, version)
 	defer a.mu.Unlock()
@@ -235,9 +233,8 @@
 	return &Reservation{allocator: al, allotment: a, cost: cost, budget: budget, window: window, bothWindows: both, generation: a.generation}
 }
 
-// reserveAfterDraw draws because too little is held. The caller waits for the
-// draw, which may have been under way before and not have known this need, and
-// then for the one after it, within drawWait.
+// reserveAfterDraw starts a draw and reserves after it, within maxDrawWait. A draw that was already
+// running may not include this need; the next one does.
 func (al *Allocator) reserveAfterDraw(ctx context.Context, name string, cost Cost) (*Reservation, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxDrawWait)
 	defer cancel()
@@ -262,8 +259,8 @@
 	}
 }
 
-// draw has a need drawn, unless it is known already that it can't be. The
-// channel is closed when the draw under way, or beginning with this, has ended.
+// requestDraw requests a draw for a need, unless a refusal is already known. The channel is closed
+// when the running draw, or the one started here, has ended.
 func (al *Allocator) requestDraw(name string, budget plan.Budget, version uint64, need Cost) (<-chan struct{}, *Refusal) {
 	a := al.lock(name, budget, version)
 	refusal := al.knownRefusal(a)
@@ -277,7 +274,7 @@
 	return al.startDraw(al.shardOf(name)), nil
 }
 
-// standing returns the refusal that is known without asking the store again.
+// knownRefusal returns a refusal that is known without another call to the store, or nil.
 func (al *Allocator) knownRefusal(a *allotment) *Refusal {
 	now := al.options.Now()
 	if now.Before(a.refusedUntil) {
@@ -299,15 +296,15 @@
 	if both {
 		first = first.next()
 	}
-	// Past the boundary on every clock, when the new window alone is charged.
+	// The time after the boundary on every clock, when only the new window is charged.
 	return &Refusal{Plan: a.plan, Reason: Exhausted, RetryAfter: first.End().Add(MaxClockError).Sub(now)}
 }
 
-// Settle ends the reservation with what the call has cost; the rest is free
-// again. A cost above the reserved one is charged as far as something is held.
+// Settle ends the reservation with the actual cost of the call and frees the rest. The excess of a
+// cost above the reserved one is charged as far as the holding covers it.
 func (r *Reservation) Settle(actual Cost) { r.end(actual) }
 
-// Release ends the reservation of a call that cost nothing.
+// Release ends the reservation of a call without cost.
 func (r *Reservation) Release() { r.end(Cost{}) }
 
 func (r *Reservation) end(actual Cost) {
@@ -329,7 +326,7 @@
 	}
 }
 
-// settle releases what the cost leaves over, and charges what it exceeds.
+// settle releases the unused part of a reservation, and charges the excess of the actual cost.
 func (a *allotment) settle(w Window, reserved, actual Cost, generation int, now time.Time) {
 	a.release(w, reserved.minus(actual).atLeast(Cost{}), generation, now)
 	excess := actual.minus(reserved).atLeast(Cost{})
@@ -340,7 +337,7 @@
 
 func (al *Allocator) shardOf(name string) *shard { return al.shards[shardOf(name, len(al.shards))] }
 
-// lock returns the plan's allotment, brought to the budget in force and locked.
+// lock returns the plan's allotment, locked and updated to the budget in force.
 func (al *Allocator) lock(name string, budget plan.Budget, version uint64) *allotment {
 	s := al.shardOf(name)
 	for {
@@ -354,7 +351,7 @@
 	}
 }
 
-// allotment returns the plan's allotment, a new one if there is none.
+// allotment returns the plan's allotment and creates it if there is none.
 func (s *shard) allotment(name string, budget plan.Budget, version uint64) *allotment {
 	s.mu.RLock()
 	a := s.allotments[name]
--- a/internal/budget/refusal.go
+++ b/internal/budget/refusal.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Reason tells why a reservation was refused.
+// Reason is the reason why a reservation was refused.
 type Reason string
 
 // The reasons of refusals.
 const (
-	// Exhausted says that the budget of the window is spent or held elsewhere.
+	// Exhausted means that the budget of the window is spent, or held by other instances.
 	Exhausted Reason = "budget exhausted"
-	// TooLarge says that the cost exceeds the whole budget.
+	// TooLarge means that the cost exceeds the plan's full budget.
 	TooLarge Reason = "larger than the whole budget"
-	// StoreUnavailable says that nothing is held and the store can't be asked.
+	// StoreUnavailable means that too little is held and the store is unavailable.
 	StoreUnavailable Reason = "object API unavailable"
-	// Behind says that the plan was edited and this instance has not got the edit yet.
+	// PlanOutdated means that this instance has not received the last edit of the plan.
 	PlanOutdated Reason = "the plan's edit has not arrived yet"
-	// Removed says that the plan is not in the list in force.
+	// Removed means that the plan is not in the list in force.
 	Removed Reason = "plan removed"
-	// Busy says that a draw is under way and did not end soon enough.
+	// Busy means that no draw for the need ended in time.
 	Busy Reason = "draw under way"
-	// Closed says that the instance is stopping.
+	// Closed means that the instance is stopping.
 	Closed Reason = "shutting down"
 )
 
-// Refusal is the error of a reservation that was not made.
+// Refusal is the error of a refused reservation.
 type Refusal struct {
 	Plan   string
 	Reason Reason
-	// RetryAfter tells when asking again is of use; zero where it is not.
+	// RetryAfter is the time after which a retry may succeed; zero if none will.
 	RetryAfter time.Duration
 }
 
--- a/internal/budget/run.go
+++ b/internal/budget/run.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Run renews allotments in the background and follows edits of the plans until
-// ctx ends. It gives nothing back; Close does.
+// Run renews allotments in the background and applies edits of the plans until ctx ends. It does
+// not return the allotments to the store; Close does.
 func (al *Allocator) Run(ctx context.Context) error {
 	tick := time.NewTicker(rateInterval)
 	defer tick.Stop()
-	// The channel is kept until it is closed: one taken anew after each event
-	// would miss an edit that arrives while the event is handled, and a cut
-	// plan's allotment would not be returned.
+	// The channel is kept until it is closed. If it were fetched again after each event, an edit
+	// that arrives while the event is handled would be missed, and the allotment of a plan with a
+	// reduced budget would not be returned.
 	changed := al.plans.Changed()
 	for {
 		select {
@@ -29,7 +29,7 @@
 	}
 }
 
-// followEdit applies the list in force to everything that is held.
+// applyEdit applies the list in force to all allotments.
 func (al *Allocator) applyEdit() {
 	list, version := al.plans.Plans()
 	if list == nil || al.closed.Load() {
@@ -76,10 +76,10 @@
 	al.metrics.heldTokens.Update(held.Tokens)
 }
 
-// renewWhereDue starts a draw of each shard in which something is lacking or
-// to be returned. The draws are spread over a tick: after an edit all
-// instances have to update one object, and at once they would mostly meet
-// conflicts. An edit ends the spreading, and begins it anew.
+// startDueDraws starts a draw of each shard that has amounts to draw or to return. The draws are
+// spread over one rateInterval: after an edit all instances update the same object, and most of
+// their simultaneous updates would conflict. Another edit stops the sequence; Run then starts it
+// again.
 func (al *Allocator) startDueDraws(ctx context.Context, edited <-chan struct{}) {
 	if al.closed.Load() || al.untilRetry(al.options.Now()) > 0 {
 		return
@@ -105,8 +105,8 @@
 	}
 }
 
-// due reports whether the shard has anything to ask: what became of a lost
-// write and what was marked for return at once, anything else when it is time to renew.
+// isDue reports whether the shard needs a draw: immediately for a write with an unknown outcome or
+// an amount marked for return, from renewAt on for other requests.
 func (al *Allocator) isDue(s *shard) bool {
 	now := al.options.Now()
 	s.drawMu.Lock()
@@ -128,8 +128,8 @@
 	return false
 }
 
-// Close stops reserving and returns everything that is not reserved: the
-// planned stop, after the instance's calls have ended.
+// Close stops reservations and returns all unreserved amounts to the store. It is for a planned
+// stop, after the instance's calls have ended.
 func (al *Allocator) Close(ctx context.Context) error {
 	al.closed.Store(true)
 	defer al.draws.Wait()
@@ -154,7 +154,7 @@
 	if empty {
 		return nil
 	}
-	// One draw that was under way may have collected before; the next has not.
+	// A draw that was already running may have collected its requests before; the next one has not.
 	for range 2 {
 		select {
 		case <-al.startDraw(s):
--- a/internal/budget/window.go
+++ b/internal/budget/window.go
@@ -6,15 +6,14 @@
 	"foxhall/internal/plan"
 )
 
-// MaxClockError is the bound on how far an instance's clock may be from true
-// time. Within it of a window's boundary an instance cannot know which window
-// it is in, and a reservation is charged to both: whichever is the true one
-// has counted it. A clock that is further off may let a plan spend what it
-// holds of the next window early.
+// MaxClockError bounds the difference between an instance's clock and true time. Within this
+// distance of a window boundary an instance can't determine the present window, and a reservation
+// is charged to both windows, one of which is the true one. With a larger clock error a plan may
+// spend holdings of the next window early.
 const MaxClockError = time.Second
 
-// Window is one period of a budget. Windows are counted from the Unix epoch,
-// so that all instances agree on them; a window of 24h is a day of UTC.
+// Window is one period of a budget. Windows are numbered from the Unix epoch, so that all instances
+// agree on them; a window of 24h is a day in UTC.
 type Window struct {
 	Length time.Duration `json:"l"`
 	Index  int64         `json:"i"`
@@ -24,7 +23,7 @@
 	return Window{Length: length, Index: now.UnixNano() / int64(length)}
 }
 
-// Start and End return the window's bounds.
+// Start returns the first instant of the window.
 func (w Window) Start() time.Time { return time.Unix(0, w.Index*int64(w.Length)) }
 
 // End returns the first instant after the window.
@@ -32,10 +31,11 @@
 
 func (w Window) next() Window { return Window{Length: w.Length, Index: w.Index + 1} }
 
-// over reports whether the window has ended on every clock.
+// ended reports whether the window has ended on every clock.
 func (w Window) ended(now time.Time) bool { return now.Add(-2 * MaxClockError).After(w.End()) }
 
-// windowsAt returns the windows that true time may be in: one, or two near a boundary.
+// windowsAt returns the first window that true time may be in, and whether it may also be in the
+// next one, near a boundary.
 func windowsAt(now time.Time, length time.Duration) (first Window, both bool) {
 	first = windowAt(now.Add(-MaxClockError), length)
 	return first, windowAt(now.Add(MaxClockError), length) != first
