--- a/internal/limit/bench_test.go
+++ b/internal/limit/bench_test.go
@@ -9,8 +9,8 @@
 	"foxhall/internal/plan"
 )
 
-// BenchmarkEnter admits and ends steps that need not wait, with all
-// processors at once, of so many plans with limits.
+// BenchmarkAdmit measures steps that need not wait, from admission to release, on all processors in
+// parallel, for a number of plans with limits.
 func BenchmarkAdmit(b *testing.B) {
 	for _, count := range []int{1, 100, 1500} {
 		b.Run(fmt.Sprintf("plans=%d", count), func(b *testing.B) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkDispatch ends a step while steps of so many plans wait.
+// BenchmarkDispatch measures the dispatch of a step while steps of a number of plans wait.
 func BenchmarkDispatch(b *testing.B) {
 	for _, count := range []int{10, 100, 1500} {
 		b.Run(fmt.Sprintf("waiting=%d", count), func(b *testing.B) {
@@ -61,7 +61,8 @@
 	}
 }
 
-// BenchmarkDivide is an arbiter's answer to one of so many instances that all ask.
+// BenchmarkAllocate measures an arbiter's allocation for one of a number of instances that all send
+// requests.
 func BenchmarkAllocate(b *testing.B) {
 	for _, count := range []int{9, 74} {
 		b.Run(fmt.Sprintf("instances=%d", count), func(b *testing.B) {
@@ -82,7 +83,7 @@
 	}
 }
 
-// BenchmarkQuotaAdmit is what a quota costs a call, among many customers.
+// BenchmarkQuotaAdmit measures the quota check of a call with many customers.
 func BenchmarkQuotaAdmit(b *testing.B) {
 	q := NewQuotas("a", 1, tolerance)
 	quotas := map[string]Quota{}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -21,15 +21,15 @@
 	os.Exit(m.Run())
 }
 
-// used is what one instance uses by what it was last answered.
+// usedShare is the share that one instance received last.
 type usedShare struct {
 	share Share
 	ends  time.Time
 }
 
-// Instances of different sizes ask for more and less of one plan, some answers
-// get lost, some fall silent. What they use by the last answer that reached
-// each, or unasked once it has run out, is at no time more than the limits.
+// Guards against shares that add up to more than a plan's limits. Instances of different sizes
+// request varying shares, some responses are lost and some instances stop requesting. Each uses the
+// last share that it received, or the default share after that has expired.
 func TestSharesAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e"}
@@ -69,14 +69,14 @@
 					sum.Slots += share.Slots
 				}
 				if sum.Rate > limits.Rate*1.000001 || sum.Slots > limits.Concurrency {
-					rt.Fatalf("shares of %v and %d, limits %v", sum.Rate, sum.Slots, limits)
+					rt.Fatalf("shares add up to rate %v and %d slots, limits are %v", sum.Rate, sum.Slots, limits)
 				}
 			},
 		})
 	})
 }
 
-// centre is the gates of a data centre that arbitrate for each other.
+// dataCentre is a set of gates that are arbiters for each other.
 type dataCentre struct {
 	mu    sync.Mutex
 	gates map[string]*Gate
@@ -110,7 +110,7 @@
 	return gate.AllocateShares(m.name, demands), nil
 }
 
-// newCentre runs gates until the test's bubble ends with stop.
+// newDataCentre runs gates until stop is called.
 func newDataCentre(names ...string) (f *dataCentre, stop func()) {
 	f = &dataCentre{gates: map[string]*Gate{}}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -124,8 +124,8 @@
 	return f, func() { cancel(); group.Wait() }
 }
 
-// offer sends steps at an even pace, each taking service, and counts those
-// that were admitted. It returns when all have ended. One note is taken at a time.
+// offerSteps sends steps at even intervals of pace, each running for service if admitted. It calls
+// note with the result of each, one call at a time, and returns when all steps have ended.
 func offerSteps(g *Gate, p *plan.Plan, count int, pace, service time.Duration, note func(waited time.Duration, refusal *Refusal)) {
 	var group sync.WaitGroup
 	var noting sync.Mutex
@@ -147,8 +147,8 @@
 	group.Wait()
 }
 
-// All of a plan's steps arrive at one of five instances. Within a few seconds
-// that one has nearly the whole rate; when they move to another, that one does.
+// All of a plan's steps arrive at one of five instances. Within a few seconds that instance gets
+// nearly the full rate. When the steps move to another instance, that one gets it.
 func TestShareFollowsDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -168,8 +168,8 @@
 	})
 }
 
-// A plan with fewer slots than there are instances is still served by each of
-// them, also while the arbiters can't be reached.
+// A plan with fewer slots than there are instances is served by each instance, also while the
+// arbiters are unreachable.
 func TestFewSlotsAndNoArbiter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -184,16 +184,15 @@
 				release, refusal := g.Admit(context.Background(), p, time.Time{})
 				is.True(refusal == nil)
 				release()
-				time.Sleep(2 * shareLifetime) // its share ends
+				time.Sleep(2 * shareLifetime) // its share expires
 			}
 		}
 	})
 }
 
-// One customer floods an instance of eight slots with ten times what it can
-// do, another calls now and then. The second one waits for about the next slot
-// that comes free, with and without the flood; without fair queueing it would
-// stand behind the flood. The flood's own steps are refused at once, and told when.
+// One customer floods an instance of eight slots with ten times its capacity, another calls rarely.
+// The second customer waits at most for about the next free slot; without fair queueing its steps
+// would queue behind the flood. Most steps of the flood are refused, with a RetryAfter.
 func TestFloodDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -226,8 +225,8 @@
 	})
 }
 
-// A step whose deadline can't be met is refused on arrival, not near its
-// deadline; one that can be met waits. After RetryAfter a step is admitted.
+// A step that can't meet its deadline is refused on arrival, not near its deadline; a step that can
+// meet it waits. After RetryAfter a step is admitted.
 func TestShedsEarlyWithRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -249,15 +248,15 @@
 		time.Sleep(refusal.RetryAfter)
 		waited, refusal = enter(10 * time.Second)
 		is.True(refusal == nil)
-		is.Equal(waited, time.Duration(0)) // RetryAfter was true
+		is.Equal(waited, time.Duration(0)) // RetryAfter was exact
 		waited, refusal = enter(10 * time.Second)
 		is.True(refusal == nil)
 		is.True(waited <= time.Second+time.Millisecond)
 	})
 }
 
-// A caller goes away while its step waits: the step is never admitted, and its
-// place in the queue is free.
+// A caller disconnects while its step waits: the step is never admitted, and its place in the queue
+// is freed.
 func TestCallerGoneWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -278,9 +277,8 @@
 	})
 }
 
-// A customer comes back with a flood after a long time without steps. It has
-// not saved up credit for that time: the customer that was there all along
-// waits for about the next free slot, as before.
+// A customer floods the instance after a long idle time. It must not have accumulated credit for
+// that time: a customer with steady steps still waits at most for about the next free slot.
 func TestIdleTimeGivesNoCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -303,8 +301,8 @@
 	})
 }
 
-// The queue of an instance is full of one customer's steps when another's
-// arrives: the newest of the first one's has to go, and is told so at once.
+// The queue of an instance is full of one customer's steps when another customer's step arrives: the
+// newest step of the first customer is evicted and refused at once.
 func TestFullQueueEvictsTheLargest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -328,9 +326,9 @@
 	})
 }
 
-// Many plans' steps wait for their own rates while the instance has room. A
-// step of another plan waits for its own rate only, and its near deadline is no
-// reason to refuse it: nothing that waits stands before it.
+// Steps of many plans wait for their own rate limits while the instance has free capacity. A step of
+// another plan must wait for its own rate limit only, and must not be refused for its near deadline:
+// none of the waiting steps delays it.
 func TestOthersRateLimitsDoNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/limit/quota_test.go
+++ b/internal/limit/quota_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// manyCustomers are 83 customers of which a few are large, with two or three connections
-// each, and a demand of that part of their quotas.
+// addCustomers adds 83 customers, a few of them large, with two or three connections each and a
+// demand of that fraction of their quotas, and starts the instances.
 func addCustomers(w *quotaWorld, demand float64) {
 	for n := range 83 {
 		q := Quota{Rate: 3 + 270/float64(1+n*n)}
@@ -21,7 +21,7 @@
 	w.startIdle()
 }
 
-// warmUp is how long instances run before their callers come.
+// warmUpTime is how long instances run before the first calls.
 const warmUpTime = 5500 * time.Millisecond
 
 func (w *quotaWorld) startIdle() {
@@ -32,17 +32,18 @@
 	w.demand = demand
 }
 
-// demandAll sets all customers' demand to a part of their rates.
+// setDemand sets all customers' demand to a fraction of their rates.
 func (w *quotaWorld) setDemand(part float64) {
 	for name, q := range w.quotas {
 		w.demand[name] = part * q.Rate
 	}
 }
 
-// wasteMost is the part of the calls owed that may be refused where nothing is wrong.
+// maxLoss is the largest fraction of the calls within the quotas that may be refused without faults.
 const maxLoss = 0.001
 
-// Customers are refused below their quotas, as each instance knows only of its own part.
+// Guards against refusals of customers below their quotas, which come about when each instance
+// admits only its own part of a quota.
 func TestNobodyIsRefusedBelowTheQuota(t *testing.T) {
 	for _, size := range []int{1, 9, 81, 195, 370} {
 
@@ -57,7 +58,7 @@
 			w.resetCounts()
 			w.run(4 * time.Second)
 			all, worst := w.lossFractions()
-			t.Logf("%d of %d refused, lost %.4f of those owed, worst %.3f; %.4f at the start", total(w.refused), total(w.offered), all, worst, starting)
+			t.Logf("refused %d of %d calls; lost %.4f of those within the quotas, worst customer %.3f; %.4f at the start", total(w.refused), total(w.offered), all, worst, starting)
 			is.True(all <= maxLoss)
 			is.Equal(w.violations(), nil)
 		})
@@ -71,7 +72,7 @@
 	w.run(6 * time.Second)
 }
 
-// loads are patterns of the worst load.
+// loads are worst-case patterns of load and faults.
 var loads = map[string]func(w *quotaWorld){
 	"burst": func(w *quotaWorld) {
 		addCustomers(w, 0.625)
@@ -92,17 +93,17 @@
 		w.change("customer-5", Quota{Rate: 1, Burst: 1})
 		w.run(12 * time.Second)
 	},
-	"a data centre is cut off": func(w *quotaWorld) {
+	"a data centre is partitioned": func(w *quotaWorld) {
 		addCustomers(w, 0.8)
 		w.run(5 * time.Second)
 		w.partitionAndHeal(func(n int) bool { return n%dataCentres == 0 })
 	},
-	"a data centre is cut off under a flood": func(w *quotaWorld) {
+	"a data centre is partitioned under a flood": func(w *quotaWorld) {
 		addCustomers(w, 3)
 		w.run(5 * time.Second)
 		w.partitionAndHeal(func(n int) bool { return n%dataCentres == 0 })
 	},
-	"halves do not hear each other under a flood": func(w *quotaWorld) {
+	"halves are partitioned under a flood": func(w *quotaWorld) {
 		addCustomers(w, 3)
 		w.run(5 * time.Second)
 		w.partitionAndHeal(func(n int) bool { return n%2 == 0 })
@@ -117,7 +118,7 @@
 		w.setDemand(12)
 		w.run(7 * time.Second)
 	},
-	"callers leave one half as a cut heals": func(w *quotaWorld) {
+	"callers leave one half as a partition heals": func(w *quotaWorld) {
 		addCustomers(w, 3)
 		w.run(5 * time.Second)
 		w.partition(func(n int) bool { return n%2 == 0 })
@@ -148,7 +149,7 @@
 		}
 		w.run(7 * time.Second)
 	},
-	"instances freeze and wake": func(w *quotaWorld) {
+	"instances pause and resume": func(w *quotaWorld) {
 		addCustomers(w, 2)
 		w.run(5 * time.Second)
 		w.pause(func(n int) bool { return n%4 == 0 })
@@ -158,8 +159,8 @@
 	},
 }
 
-// A customer has more calls in some window than its quota allows, though each instance
-// keeps to what it knows.
+// Guards against a customer that has more calls in some window than its quota allows, although each
+// instance keeps to the quota by the calls that it knows.
 func TestQuotasHoldAtTheWorstLoad(t *testing.T) {
 	for load, play := range loads {
 		for _, size := range []int{9, 81} {
@@ -169,15 +170,15 @@
 				w := newQuotaWorld(11, size, newReporting)
 				play(w)
 				all, worst := w.lossFractions()
-				t.Logf("%d of %d refused, lost %.4f of those owed, worst %.3f", total(w.refused), total(w.offered), all, worst)
+				t.Logf("refused %d of %d calls; lost %.4f of those within the quotas, worst customer %.3f", total(w.refused), total(w.offered), all, worst)
 				is.Equal(w.violations(), nil)
 			})
 		}
 	}
 }
 
-// A customer is far beyond its quota before any instance knows: a flood begins at all of them
-// within one telling.
+// Guards against a customer that far exceeds its quota before any instance knows: a flood begins at
+// all instances within one round of reports.
 func TestFloodFromIdleEverywhere(t *testing.T) {
 	is := is.New(t)
 	w := newQuotaWorld(11, 81, newReporting)
@@ -190,28 +191,28 @@
 	is.Equal(w.violations(), nil)
 }
 
-// TestOtherWaysLoseMore compares the way of the product with fixed parts and with parts that
-// an arbiter divides by demand, at the loads that they answer.
+// TestAlternativesLoseMore compares Quotas with fixed parts of the quotas, and with parts that an
+// arbiter divides by demand.
 func TestAlternativesLoseMore(t *testing.T) {
-	for _, load := range []string{"burst", "one customer floods", "a data centre is cut off"} {
+	for _, load := range []string{"burst", "one customer floods", "a data centre is partitioned"} {
 		play := loads[load]
 		t.Run(load, func(t *testing.T) {
 			is := is.New(t)
 			lost := map[string]float64{}
-			for name, newWay := range map[string]func(*quotaWorld, string) admitter{"told": newReporting, "fixed": newFixed, "divided": newArbitrated()} {
+			for name, newWay := range map[string]func(*quotaWorld, string) admitter{"reporting": newReporting, "fixed": newFixed, "arbitrated": newArbitrated()} {
 				w := newQuotaWorld(11, 9, newWay)
 				play(w)
 				all, worst := w.lossFractions()
 				lost[name] = all
-				t.Logf("%s: lost %.4f of the calls owed, worst %.3f, %d broken", name, all, worst, len(w.violations()))
+				t.Logf("%s: lost %.4f of the calls within the quotas, worst customer %.3f, %d violations", name, all, worst, len(w.violations()))
 			}
-			is.True(lost["told"] < lost["fixed"])
-			is.True(lost["told"] < lost["divided"])
+			is.True(lost["reporting"] < lost["fixed"])
+			is.True(lost["reporting"] < lost["arbitrated"])
 		})
 	}
 }
 
-// TestQuotaMachine plays any faults and demands; no window may have more than is allowed.
+// TestQuotaMachine runs random faults and demands; no window may have more calls than allowed.
 func TestQuotaMachine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newQuotaWorld(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(1, 16).Draw(rt, "instances"), newReporting)
@@ -237,7 +238,7 @@
 	return q
 }
 
-// act does one thing to the world.
+// applyRandomEvent applies one random fault, change of demand or change of a quota.
 func (w *quotaWorld) applyRandomEvent(rt *rapid.T) {
 	chosen := rapid.SliceOfN(rapid.Bool(), len(w.instances), len(w.instances)).Draw(rt, "instances chosen")
 	among := func(n int) bool { return chosen[n] }
@@ -268,7 +269,8 @@
 	}
 }
 
-// A customer is refused for calls that never ran, or the others count them all the same.
+// Guards against a customer that is refused because of returned calls, which did not run, and
+// against reports that include them.
 func TestReturnedCallsDoNotCount(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -295,8 +297,8 @@
 	is.Equal(verdict, Admitted)
 }
 
-// A customer gets beyond its quota: calls that waited long and were refused leave the window
-// sooner than the credit for them.
+// Guards against a customer that exceeds its quota through returned calls: a call that waited long
+// leaves the window earlier than the credit for its return would.
 func TestCallsThatWaitedLongStayCounted(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -311,8 +313,8 @@
 	is.Equal(q.meters["c"].recent.sum, 0.0)
 }
 
-// An instance that was told all calls at its start takes the first calls of others, long
-// after, for ones that it was told of.
+// An instance receives the counts of the window at its start. Guards against mistaking the first
+// calls that another instance reports long after for calls among these counts.
 func TestFirstCallsOfOthersCountAfterAStart(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -332,7 +334,7 @@
 	is.Equal(m.recent.sum, 39.0)
 }
 
-// An instance's memory grows with all programs that ever made a call.
+// Guards against memory that grows with all programs that ever made a call.
 func TestProgramsThatAreOverAreForgotten(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -345,7 +347,8 @@
 	is.True(p.learnedCalls > 0)
 }
 
-// The parts of groups that do not hear each other are more than the whole.
+// Guards against groups of instances that do not reach each other and together get more than the
+// quota.
 func TestPartsOfGroupsAddUpToOneAtMost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		groups := rapid.SliceOfN(rapid.IntRange(1, 50), 1, 8).Draw(rt, "groups")
@@ -357,20 +360,20 @@
 			sum += groupFraction(n, all)
 		}
 		if sum > 1+1e-9 {
-			rt.Fatalf("%v: %v", groups, sum)
+			rt.Fatalf("fractions of groups %v add up to %v, want at most 1", groups, sum)
 		}
 	})
 }
 
-// agentProgram makes calls one after the other, and fails with a call refused three times.
+// agentProgram makes calls one after the other, and fails if a call is refused three times.
 type agentProgram struct {
 	name             string
 	remaining, tries int
 	nextCall         time.Time
 }
 
-// finished plays programs of a customer whose quota holds a part of them, and returns how
-// many came to their ends.
+// completedPrograms runs programs of a customer whose quota covers only a part of them, and returns
+// how many completed.
 func completedPrograms(t *testing.T, byProgram bool) int {
 	const calls, think, beginEvery = 20, 400 * time.Millisecond, 250 * time.Millisecond
 	now := time.Unix(1000, 0)
@@ -404,13 +407,13 @@
 	return completed
 }
 
-// A customer gets nothing of its quota: all its programs begin, and each is refused a call
-// in its middle.
+// Guards against a quota without completed programs: all of a customer's programs start, and each is
+// refused a call midway.
 func TestProgramsThatBeginAreFinished(t *testing.T) {
 	is := is.New(t)
 	byCall, byProgram := completedPrograms(t, false), completedPrograms(t, true)
 	t.Logf("finished: %d where calls are admitted alike, %d where programs under way go first", byCall, byProgram)
-	const capacity = (12*60 + 12) / 20 // programs that the quota holds
+	const capacity = (12*60 + 12) / 20 // programs that the quota covers
 	is.True(byProgram >= capacity*9/10)
 	is.True(byProgram > byCall)
 }
--- a/internal/limit/quota_world_test.go
+++ b/internal/limit/quota_world_test.go
@@ -13,34 +13,35 @@
 )
 
 const (
-	// tick is the step of the world's clock.
+	// tick is the step of the simulation's clock.
 	tick = 5 * time.Millisecond
-	// tellTick is how often an instance sends, to reach of its peers at once.
+	// reportTick is how often an instance sends reports, each time to fanout of its peers.
 	reportTick = 60 * time.Millisecond
 	fanout     = 24
-	// countTick is how often an instance counts those that it hears: not one of a data centre
-	// of which it heard nothing for deafAfter, nor one of which three datagrams are missing.
+	// fleetTick is how often an instance counts its reachable peers. Not counted are peers of a
+	// data centre that has sent nothing for silentAfter, and peers of which three datagrams are
+	// missing.
 	fleetTick   = 100 * time.Millisecond
 	silentAfter = 450 * time.Millisecond
 	dataCentres = 3
-	// moveAfter is when clients leave an instance that does not answer.
+	// clientMoveAfter is when clients move from an instance that does not respond.
 	clientMoveAfter = 2 * time.Second
 )
 
 var tolerance = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// allowed is the most calls of the customer that may run in any window.
+// windowAllowance returns the largest number of calls that a quota allows in any window.
 func windowAllowance(q Quota) float64 {
 	return (q.Rate*tolerance.Window.Seconds()+q.Burst)*(1+tolerance.Overage) + tolerance.Slack
 }
 
-// way is how an instance admits calls.
+// admitter is a strategy by which an instance admits calls.
 type admitter interface {
 	set(quotas map[string]Quota, now time.Time)
 	admit(customer string, now time.Time) bool
 }
 
-// toldWay is the one of the product.
+// reportingAdmitter is the strategy of the product, Quotas.
 type reportingAdmitter struct{ *Quotas }
 
 func (w reportingAdmitter) set(quotas map[string]Quota, now time.Time) { w.Set(quotas, now) }
@@ -50,7 +51,7 @@
 	return verdict == Admitted
 }
 
-// fixedWay gives each instance the same part of each quota.
+// fixedAdmitter gives each instance the same part of each quota.
 type fixedAdmitter struct {
 	instances int
 	limiters  map[string]*rate.Limiter
@@ -68,7 +69,7 @@
 	return l == nil || l.AllowN(now, 1)
 }
 
-// dividedWay has an arbiter divide each quota by demand, as it does plans of steps.
+// arbitratedAdmitter has an arbiter divide each quota by demand, as Gate does with plans' limits.
 type arbitratedAdmitter struct {
 	name    string
 	arbiter *arbiter
@@ -123,11 +124,11 @@
 	s.limiter.SetBurstAt(now, burst)
 }
 
-// quotaInstance is one instance of the world.
+// quotaInstance is one instance of the simulation.
 type quotaInstance struct {
 	name       string
 	dataCentre int
-	// side tells the halves of a cut apart.
+	// side is the side of a network partition that the instance is on.
 	side          int
 	admitter      admitter
 	downUntil     time.Time
@@ -150,13 +151,13 @@
 // quotaClient is one connection of a customer.
 type quotaClient struct {
 	customer string
-	// pace is the part of the customer's demand that comes through it.
+	// demandFraction is the fraction of the customer's demand that this connection carries.
 	demandFraction float64
 	instance       *quotaInstance
 	stuckSince     time.Time
 }
 
-// quotaWorld plays instances and clients of customers on a clock of its own.
+// quotaWorld simulates instances and customers' connections on a virtual clock.
 type quotaWorld struct {
 	random    *rand.Rand
 	now       time.Time
@@ -164,16 +165,17 @@
 	byName    map[string]*quotaInstance
 	clients   []*quotaClient
 	quotas    map[string]Quota
-	// changed says when a quota was changed last, former the highest one before.
+	// changedAt is the time of a quota's last change, former the highest quota before it.
 	changedAt map[string]time.Time
 	former    map[string]Quota
-	// demand is in calls a second, by customer.
+	// demand is in calls per second, by customer.
 	demand       map[string]float64
 	newAdmitter  func(w *quotaWorld, name string) admitter
 	incarnations uint64
 	lossRate     float64
 
-	// ideal is one bucket for the whole fleet, and owed the calls that it admits.
+	// ideal is one token bucket for all instances, by customer; idealAdmitted counts the calls that
+	// it admits.
 	ideal         map[string]*rate.Limiter
 	idealAdmitted map[string]int
 	admittedAt    map[string][]time.Time
@@ -211,7 +213,7 @@
 	return &fixedAdmitter{instances: len(w.instances), limiters: map[string]*rate.Limiter{}}
 }
 
-// divided returns the way of one arbiter that is never lost and answers at once.
+// newArbitrated returns the strategy with one arbiter that never fails and responds immediately.
 func newArbitrated() func(*quotaWorld, string) admitter {
 	shared := newArbiter()
 	return func(w *quotaWorld, name string) admitter {
@@ -223,8 +225,8 @@
 	}
 }
 
-// customer adds one with some clients, of which the first has most of the calls. The demand
-// is a part of the rate.
+// customer adds a customer with a number of connections, the first of which carries most of the
+// calls. The demand is a fraction of the rate.
 func (w *quotaWorld) customer(name string, q Quota, demand float64, clients int) {
 	w.quotas[name], w.demand[name] = q, demand*q.Rate
 	w.ideal[name] = rate.NewLimiter(rate.Limit(q.Rate), max(1, int(q.Burst)))
@@ -252,7 +254,7 @@
 	i.admitter.set(w.quotas, w.now)
 }
 
-// change sets a quota at all instances at once.
+// change sets a quota at all instances simultaneously.
 func (w *quotaWorld) change(name string, q Quota) {
 	former := w.quotas[name]
 	if w.now.Before(w.changedAt[name].Add(tolerance.Window)) {
@@ -272,14 +274,14 @@
 	i.admitter, i.downUntil = nil, w.now.Add(down)
 }
 
-// freeze stops the instances chosen, and wakes the others.
+// pause pauses the chosen instances and resumes the others.
 func (w *quotaWorld) pause(chosen func(n int) bool) {
 	for n, i := range w.instances {
 		i.paused = i.admitter != nil && chosen(n)
 	}
 }
 
-// cut puts the instances chosen on a side of their own.
+// partition separates the chosen instances from the others.
 func (w *quotaWorld) partition(chosen func(n int) bool) {
 	for n, i := range w.instances {
 		i.side = 0
@@ -289,7 +291,7 @@
 	}
 }
 
-// play lets time pass.
+// run runs the simulation for a duration.
 func (w *quotaWorld) run(d time.Duration) {
 	for until := w.now.Add(d); w.now.Before(until); w.now = w.now.Add(tick) {
 		for _, i := range w.instances {
@@ -301,7 +303,7 @@
 	}
 }
 
-// turn lets an instance receive and send.
+// stepInstance has an instance receive and send what is due.
 func (w *quotaWorld) stepInstance(i *quotaInstance) {
 	if i.admitter == nil {
 		if w.now.Before(i.downUntil) {
@@ -366,7 +368,7 @@
 	to.inbox = append(to.inbox, quotaDatagram{arrives: w.now.Add(delay), from: from, report: report})
 }
 
-// call sends what a client has to send within a tick.
+// stepClient sends the calls of a connection within one tick.
 func (w *quotaWorld) stepClient(c *quotaClient) {
 	if c.instance.admitter == nil || c.instance.paused || c.instance.side == 1 {
 		if c.stuckSince.IsZero() {
@@ -403,8 +405,8 @@
 	w.refused[c.customer]++
 }
 
-// lost is the part of the calls owed that were not admitted, over all customers and of the
-// one that lost most.
+// lossFractions returns the fraction of the calls admitted by the ideal buckets that the instances
+// refused: over all customers, and of the customer with the largest fraction.
 func (w *quotaWorld) lossFractions() (all, worst float64) {
 	missing, ideal := 0, 0
 	for name, due := range w.idealAdmitted {
@@ -417,12 +419,13 @@
 	return float64(missing) / float64(max(1, ideal)), worst
 }
 
-// countAnew forgets what was owed and refused.
+// resetCounts resets the counts of admitted and refused calls.
 func (w *quotaWorld) resetCounts() {
 	w.idealAdmitted, w.offered, w.refused, w.admittedAt = map[string]int{}, map[string]int{}, map[string]int{}, map[string][]time.Time{}
 }
 
-// worst returns the window of a customer with most calls beyond what is allowed.
+// worstWindow returns the largest number of a customer's calls in any window, and the time of the
+// first window that has more calls than allowed, if any.
 func (w *quotaWorld) worstWindow(name string) (calls int, at time.Time, over bool) {
 	times := w.admittedAt[name]
 	first := 0
@@ -439,7 +442,7 @@
 	return calls, at, over
 }
 
-// allowedFrom is the most calls of a customer in a window that begins then.
+// allowanceFrom returns the largest number of calls allowed in a window that begins at a time.
 func (w *quotaWorld) allowanceFrom(name string, begin time.Time) float64 {
 	allowance := windowAllowance(w.quotas[name])
 	if begin.Before(w.changedAt[name].Add(tolerance.Window)) {
@@ -448,7 +451,7 @@
 	return allowance
 }
 
-// broken tells of the customers that had more than is allowed.
+// violations describes the customers that had more calls in a window than allowed.
 func (w *quotaWorld) violations() []string {
 	var list []string
 	for name, q := range w.quotas {
@@ -462,7 +465,7 @@
 
 func names(quotas map[string]Quota) []string { return slices.Sorted(maps.Keys(quotas)) }
 
-// total sums counts up.
+// total returns the sum of the counts.
 func total(counts map[string]int) int {
 	n := 0
 	for _, c := range counts {
