--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -215,10 +215,10 @@
 	var out bytes.Buffer
 	w := gzip.NewWriter(&out)
 	if err := json.NewEncoder(w).Encode(b); err != nil {
-		return nil, errors.Wrap(err, "budget: encode")
+		return nil, errors.Wrap(err, "budget: encode accounts")
 	}
 	err := w.Close()
-	return out.Bytes(), errors.Wrap(err, "budget: encode")
+	return out.Bytes(), errors.Wrap(err, "budget: compress accounts")
 }
 
 func decodeAccounts(value []byte) (*accountSet, error) {
@@ -228,8 +228,8 @@
 	}
 	r, err := gzip.NewReader(bytes.NewReader(value))
 	if err != nil {
-		return nil, errors.Wrap(err, "budget: decode")
+		return nil, errors.Wrap(err, "budget: decompress accounts")
 	}
 	err = json.NewDecoder(io.LimitReader(r, 16*store.MaxValue)).Decode(b)
-	return b, errors.Wrap(err, "budget: decode")
+	return b, errors.Wrap(err, "budget: decode accounts")
 }
--- a/internal/budget/bench_test.go
+++ b/internal/budget/bench_test.go
@@ -13,7 +13,7 @@
 	"foxhall/internal/standin"
 )
 
-// manyPlans returns so many plans with a token budget each.
+// makePlans returns that many plans with a token budget each.
 func makePlans(count int, tokens int64) []plan.Plan {
 	plans := make([]plan.Plan, count)
 	for i := range plans {
@@ -31,8 +31,8 @@
 	return NewAllocator(s, l, Options{StoreRate: 1e6}), l
 }
 
-// BenchmarkReserve is a reservation and its settlement on what is held, with
-// all processors at once.
+// BenchmarkReserve measures a reservation from held amounts and its settlement, on all processors in
+// parallel.
 func BenchmarkReserve(b *testing.B) {
 	for _, count := range []int{1, 5000} {
 		b.Run(fmt.Sprintf("plans=%d", count), func(b *testing.B) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// BenchmarkDraw renews the allotments of one object's plans by one update.
+// BenchmarkDraw measures the renewal of the allotments of one object's plans by one update.
 func BenchmarkDraw(b *testing.B) {
 	for _, count := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("plans=%d", count), func(b *testing.B) {
@@ -91,10 +91,10 @@
 	}
 }
 
-// Eight instances spend one plan's budget until all are refused, with their
-// demand evenly spread, skewed by Zipf's law, nearly all at one, and moving.
-// What nobody can spend any more when the first call is refused is the
-// stranded part; most of it is spent by its holders before the window ends.
+// Eight instances spend one plan's budget until calls are refused, with the demand evenly spread,
+// skewed by Zipf's law, nearly all at one instance, and moving between instances. The part that is
+// unspent when the first call is refused is stranded; its holders spend most of it before the window
+// ends.
 func TestStrandedUnderSkew(t *testing.T) {
 	const budget, instances = 100_000, 8
 	skews := map[string]func(second int) int{
--- a/internal/budget/budget_fuzz_test.go
+++ b/internal/budget/budget_fuzz_test.go
@@ -10,7 +10,7 @@
 	"foxhall/internal/standin"
 )
 
-// open is a reservation under way, as the oracle knows it.
+// openReservation is a reservation that has not ended, as the oracle knows it.
 type openReservation struct {
 	node        int
 	reservation *Reservation
@@ -18,8 +18,8 @@
 	window      int64
 }
 
-// oracle counts what has truly been spent, by windows of true time. An open
-// reservation counts in full, as does that of an instance that has died.
+// oracle counts the true spending by windows of true time. Open reservations count in full, also
+// those of crashed instances.
 type oracle struct {
 	*world
 	budget  int64
@@ -29,11 +29,10 @@
 	granted int
 }
 
-// Instances whose clocks differ by the stated bound reserve, settle and
-// release, stop and die, while the plan's budget is raised, cut and removed
-// under them one after the other, and the store goes down, is slow, loses
-// answers and writes, and serves old reads. At each reservation the true spend
-// of the true window is within the largest budget that is in force anywhere.
+// Instances whose clocks differ by up to MaxClockError reserve, settle, release, stop and crash. At
+// the same time the plan's budget is raised, reduced and removed, one instance after the other, and
+// the store fails, is slow, loses responses and writes, and serves stale reads. At each reservation
+// the true spending of the true window must be within the largest budget in force on any instance.
 func TestBudgetAgainstOracle(t *testing.T) {
 	granted := 0
 	check(t, "120", func(rt *rapid.T) {
@@ -62,13 +61,12 @@
 		})
 	})
 	if granted == 0 {
-		t.Fatal("nothing was ever reserved")
+		t.Fatal("no reservation succeeded")
 	}
 	t.Logf("%d reservations", granted)
 }
 
-// burst has instances reserve one after the other, as long as each succeeds or
-// a few times more.
+// burst makes up to 25 reservations on random instances, one after the other.
 func (o *oracle) burst(rt *rapid.T) {
 	for range rapid.IntRange(1, 25).Draw(rt, "calls") {
 		o.reserve(rt)
@@ -87,11 +85,11 @@
 	o.spent[window] += tokens
 	o.open = append(o.open, openReservation{node: i, reservation: r, tokens: tokens, window: window})
 	if limit := o.largestBudget(); o.spent[window] > limit {
-		rt.Fatalf("spent %d of %d", o.spent[window], limit)
+		rt.Fatalf("spent %d tokens, budget is %d", o.spent[window], limit)
 	}
 }
 
-// largestBudget is the largest budget in force on any instance.
+// largestBudget returns the largest budget in force on any instance.
 func (o *oracle) largestBudget() int64 {
 	var largest int64
 	for _, n := range o.nodes {
@@ -155,7 +153,7 @@
 	n.link.set(rapid.IntRange(0, 2).Draw(rt, "cut") == 0, rapid.IntRange(0, 2).Draw(rt, "regressed") == 0)
 }
 
-// crash: the reservations of the instance stay open for ever.
+// crash crashes an instance, whose reservations are never settled, and restarts it.
 func (o *oracle) crash(rt *rapid.T) {
 	i := rapid.IntRange(0, len(o.nodes)-1).Draw(rt, "node")
 	o.nodes[i].crash()
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -240,7 +240,7 @@
 }
 
 // errNotWritten indicates that a write had no effect and can't have one later.
-var errNotWritten = errors.New("budget: not written")
+var errNotWritten = errors.New("budget: write had no effect")
 
 func (al *Allocator) readBack(ctx context.Context, key store.Key, value []byte, base store.Version, m writeMark) error {
 	b, version, err := al.read(ctx, key)
--- a/internal/budget/failure_test.go
+++ b/internal/budget/failure_test.go
@@ -42,11 +42,10 @@
 	time.Sleep(windowAt(now, testWindow).Start().Add(offset).Sub(now))
 }
 
-// Two instances hold parts of a budget of 400 when it is cut to 50, less than
-// they hold; 100 have been spent. From the edit on neither spends anything
-// more of what it held, not even an instance that had reserved before and now
-// settles for less; the refusal says when the window ends. In the next window
-// both together spend the new budget and no more.
+// Two instances hold parts of a budget of 400 when it is reduced to 50, less than they hold; 100
+// have been spent. From the edit on neither may spend its holdings, including the rest of a
+// reservation made before the edit and settled for less. The refusal's RetryAfter is the end of the
+// window. In the next window both together spend exactly the new budget.
 func TestCutBelowWhatIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -80,10 +79,10 @@
 	})
 }
 
-// The store goes down in the middle of a window and stays down over its end.
-// The instance spends what it holds and is then refused with the time of its
-// next try, not with the window's end: the next window brings nothing either
-// while the store is down. When it returns, the new window's budget is there.
+// The store fails in the middle of a window and stays down beyond its end. The instance spends its
+// holdings; then reservations are refused with the time of the next call to the store, not the
+// window's end, because the next window's budget can't be drawn either. When the store is back, the
+// new window's budget is available.
 func TestWindowRollsOverDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -93,10 +92,10 @@
 		sleepUntil(10 * time.Second)
 		before, refusal := n.spend(is, 20)
 		is.True(refusal == nil)
-		time.Sleep(4 * rateInterval) // the allotment is sized by what was spent
+		time.Sleep(4 * rateInterval) // the allotment is sized by the recent spending
 		w.store.SetFaults(standin.StoreFaults{Down: true})
 		during, refusal := n.spend(is, 400)
-		is.True(during > 0) // what is held is spent
+		is.True(during > 0) // holdings are spent
 		is.True(before+during <= 400)
 		is.Equal(refusal.Reason, StoreUnavailable)
 		is.True(refusal.RetryAfter > 0 && refusal.RetryAfter <= 2*storeBackoffMax)
@@ -112,9 +111,9 @@
 	})
 }
 
-// An instance dies with most of the budget in hand. What it held counts as
-// spent until the window ends, also for its next life; then the whole budget
-// is there again. A planned stop returns it at once.
+// An instance crashes while it holds a large part of the budget. Its holdings count as spent until
+// the window ends, also after its restart; then the full budget is available. A planned stop returns
+// the holdings immediately.
 func TestCrashAndPlannedStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -138,10 +137,10 @@
 	})
 }
 
-// A draw takes effect, its answer is lost and the store goes down before it
-// can be read back. What was drawn is not held, and what the same write
-// returned is not spent here either: it may be in other hands by now. When the
-// store is back the next read tells, and nothing is left stranded.
+// A draw takes effect, its response is lost and the store fails before the outcome can be read back.
+// The amount drawn must not be held, and the amount returned by the same write must not be spent:
+// other instances may hold it by now. When the store is back, the next read resolves the outcome and
+// nothing stays stranded.
 func TestDrawAnswerLostThenOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -153,7 +152,7 @@
 		is.NoErr(err)
 		r.Release()
 
-		// The edit makes it return all, by a write whose answer is lost.
+		// After the edit the instance returns all, by a write whose response is lost.
 		w.store.SetFaults(standin.StoreFaults{LoseAnswers: 1})
 		holder.link.afterPut = func() { w.store.SetFaults(standin.StoreFaults{Down: true}) }
 		holder.plans.set(onePlan(399), 2)
@@ -174,10 +173,10 @@
 	})
 }
 
-// An object has been written so often that it remembers no more writes. One
-// draw is lost without effect, and another instance's draw takes its base. The
-// write before both is remembered, so the object still tells that the lost one
-// had no effect: it is made again at once, and the caller is not refused.
+// An object has its maximum of recent writes. One draw is lost without effect, and another
+// instance's draw replaces its base version. The write before both is still among the recent writes,
+// so the object shows that the lost draw had no effect: it is repeated immediately, and the caller
+// is not refused.
 func TestLostDrawIsKnownInAFullObject(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -206,9 +205,9 @@
 	})
 }
 
-// An instance that has not got a cut yet asks for more by the old budget. The
-// store's account knows the cut: the instance is told that it is behind, and
-// gets its part as soon as the edit has arrived.
+// An instance that has not received a reduction of the budget draws under the old budget. The
+// account in the store has the new budget: the draw is refused as PlanOutdated, and succeeds as soon
+// as the edit has arrived.
 func TestInstanceBehindAnEdit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -229,8 +228,8 @@
 	})
 }
 
-// The window's length is edited from a minute to an hour when half of the
-// budget has been drawn: the first new window begins with that counted.
+// The window length is edited from a minute to an hour when half of the budget has been drawn: the
+// first new window must include that half.
 func TestWindowLengthEdited(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(10_000_000, 0)
@@ -246,13 +245,13 @@
 	q.need = Cost{Tokens: 200}
 	results, _ = b.apply([]drawRequest{q}, 1, now)
 	is.Equal(results[0].granted, Cost{Tokens: 200})
-	// The old length is now behind.
+	// A request with the old length is outdated now.
 	results, _ = b.apply([]drawRequest{{plan: "p", budget: before, version: 1, window: w, need: Cost{Tokens: 1}}}, 1, now)
 	is.Equal(results[0].refusal, PlanOutdated)
 }
 
-// lateStore holds a write back, says that its outcome is unknown, and lets it
-// take effect just before the next write.
+// lateStore defers a write, returns that its outcome is unknown, and has it take effect just before
+// the next write.
 type lateStore struct {
 	store.Client
 	deferWrites bool
@@ -271,10 +270,10 @@
 	return l.Client.Put(ctx, key, value, base)
 }
 
-// A write that returns an allotment is under way for so long that the keeper
-// gives up on its outcome; it takes effect after the keeper has read that it
-// has not, and just before the keeper's next write. Were it taken for dead by
-// that read, the same amount would be returned twice, and spent twice.
+// A write that returns an allotment is in flight so long that its outcome becomes unknown. It takes
+// effect after the allocator has read the unchanged object, and just before the allocator's next
+// write. If that read were taken as proof that the write had no effect, the same amount would be
+// returned twice, and spent twice.
 func TestReturnTakesEffectLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -305,10 +304,9 @@
 	})
 }
 
-// A hundred instances hold parts of a plan's budget when it is cut, and the
-// store takes 5 ms for a call. All return what they hold by updates of one
-// object; their calls must not pile up, and all must be back in force within
-// the bound of an edit.
+// A hundred instances hold parts of a plan's budget when it is reduced, and each store call takes
+// 5 ms. All return their holdings by updates of one object. Their calls must not accumulate, and all
+// must have applied the edit and returned their holdings within 10 s, the bound of an edit.
 func TestCutAcrossManyInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/budget/joint_fuzz_test.go
+++ b/internal/budget/joint_fuzz_test.go
@@ -13,8 +13,7 @@
 	"foxhall/internal/standin"
 )
 
-// site is an instance with a configuration of its own making: its source, and
-// the keeper that follows it.
+// site is an instance with its configuration source and the allocator that uses it.
 type site struct {
 	*config.Source
 	allocator *Allocator
@@ -24,7 +23,7 @@
 	stop      func()
 }
 
-// Sample implements config.Peers with all other sites that can be reached.
+// Sample implements config.Peers with all other reachable sites.
 func (s *site) Sample(int) []config.Peer {
 	var peers []config.Peer
 	for _, other := range *s.fleet {
@@ -35,7 +34,7 @@
 	return peers
 }
 
-// direct is a peer without a network between.
+// direct is a peer that is called without a network.
 type direct struct{ *site }
 
 func (d direct) Name() string                            { return "peer" }
@@ -68,11 +67,10 @@
 	}
 }
 
-// Operators edit one plan's budget through the store while instances follow
-// the edits by watch and by peers and spend by allotments. Versions never go
-// back; spending is within the largest budget in force on any instance; ten
-// seconds after all faults have ended the accepted budget is in force
-// everywhere and no more than it is spent in the next window.
+// Operators edit one plan's budget through the store, while instances receive the edits by watches
+// and from peers and spend allotments. Versions must never decrease, and the spending must be within
+// the largest budget in force on any instance. Ten seconds after all faults have ended the accepted
+// budget must be in force everywhere, and the spending in the next window must be within it.
 func TestEditsAndBudgetsTogether(t *testing.T) {
 	check(t, "25", func(rt *rapid.T) {
 		inBubble(t, func() {
@@ -132,7 +130,7 @@
 		r.Settle(Cost{Tokens: tokens})
 		j.spent[window] += tokens
 		if limit := j.largest(); j.spent[window] > limit {
-			rt.Fatalf("spent %d of %d", j.spent[window], limit)
+			rt.Fatalf("spent %d tokens, budget is %d", j.spent[window], limit)
 		}
 	}
 }
@@ -160,7 +158,7 @@
 func (j *jointModel) check(rt *rapid.T) {
 	for i, s := range j.fleet {
 		if s.Version() < j.minVersions[i] {
-			rt.Fatalf("site %d went back to version %d", i, s.Version())
+			rt.Fatalf("version of site %d decreased to %d", i, s.Version())
 		}
 		j.minVersions[i] = s.Version()
 	}
@@ -175,7 +173,7 @@
 	time.Sleep(10 * time.Second)
 	for i, s := range j.fleet {
 		if s.Version() < j.accepted {
-			rt.Fatalf("site %d has version %d, accepted is %d", i, s.Version(), j.accepted)
+			rt.Fatalf("site %d has version %d, want at least the accepted version %d", i, s.Version(), j.accepted)
 		}
 	}
 	sleepUntil(testWindow + 5*time.Second)
--- a/internal/budget/world_test.go
+++ b/internal/budget/world_test.go
@@ -18,7 +18,7 @@
 	"foxhall/internal/store"
 )
 
-// given are the flags on the command line.
+// flagsGiven is the set of flags on the command line.
 var flagsGiven = map[string]bool{}
 
 // TestMain fixes the seed unless the command line gives it.
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// check runs a property so many times unless the command line tells how often.
+// check runs a property that many times, unless the command line sets the number.
 func check(t *testing.T, checks string, property func(*rapid.T)) {
 	t.Helper()
 	if !flagsGiven["rapid.checks"] {
@@ -43,7 +43,7 @@
 	rapid.Check(t, property)
 }
 
-// lists is the configuration in force on one instance.
+// planSource provides the plans in force on one instance.
 type planSource struct {
 	mu      sync.Mutex
 	list    *plan.List
@@ -77,7 +77,7 @@
 // testWindow is the budget window of the tests.
 const testWindow = time.Minute
 
-// onePlan returns a list with one plan of so many tokens, or none for 0.
+// onePlan returns a list with one plan with that token budget, or an empty list for 0.
 func onePlan(tokens int64) *plan.List {
 	if tokens == 0 {
 		return plan.Restore(nil)
@@ -87,8 +87,8 @@
 	}})
 }
 
-// link is an instance's way to the store; regressed reads show the first
-// object that anybody read.
+// link is an instance's connection to the store. With staleReads, reads return the first object that
+// any instance read.
 type link struct {
 	store.Client
 	firstRead               map[store.Key]store.Object
@@ -138,7 +138,7 @@
 	l.partitioned, l.staleReads = partitioned, staleReads
 }
 
-// node is one instance's keeper through its lives.
+// node is one instance with its allocator, a new one after each restart.
 type node struct {
 	*Allocator
 	plans *planSource
@@ -183,7 +183,7 @@
 	}()
 }
 
-// crash ends the keeper's life without returning anything.
+// crash stops the allocator without returning its holdings.
 func (n *node) crash() {
 	n.stop()
 	n.Allocator.cancel()
@@ -203,8 +203,8 @@
 	return n.Allocator.Reserve(context.Background(), p, Cost{Tokens: tokens})
 }
 
-// inBubble runs f in virtual time and hands its panic, by which rapid reports
-// a failure, to the caller.
+// inBubble runs f in virtual time and passes a panic, by which rapid reports a failure, on to the
+// caller.
 func inBubble(t *testing.T, f func()) {
 	var caught any
 	synctest.Test(t, func(*testing.T) {
