--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -126,7 +126,7 @@
 
 // offerSteps sends steps at even intervals of pace, each running for service if admitted. It calls
 // note with the result of each, one call at a time, and returns when all steps have ended.
-func offerSteps(g *Gate, p *plan.Plan, count int, pace, service time.Duration, note func(waited time.Duration, refusal *Refusal)) {
+func offerSteps(g *Gate, p *plan.Plan, count int, interval, service time.Duration, note func(waited time.Duration, refusal *Refusal)) {
 	var group sync.WaitGroup
 	var noting sync.Mutex
 	for range count {
@@ -142,7 +142,7 @@
 				release()
 			}
 		})
-		time.Sleep(pace)
+		time.Sleep(interval)
 	}
 	group.Wait()
 }
--- a/internal/limit/meter.go
+++ b/internal/limit/meter.go
@@ -28,10 +28,11 @@
 	minWindow = time.Second
 	// idleCalls is the number of recent calls below which an instance is considered idle.
 	idleCalls = 0.5
-	// longReportRound is the duration of a round from which on instances with calls of the same
-	// customer are sent reports directly. That doubles the number of datagrams.
+	// longReportRound is the shortest duration of a round at which reports are also sent directly
+	// to instances with calls of the same customer. That doubles the number of datagrams.
 	longReportRound = 300 * time.Millisecond
-	// directReportTime is how long direct reports take: two datagrams, of which one may be lost.
+	// directReportTime is the time in which a direct report arrives: two datagrams are sent, of
+	// which one may be lost.
 	directReportTime = 120 * time.Millisecond
 )
 
@@ -141,14 +142,14 @@
 	}
 }
 
-// limit returns the number of calls that a fraction of the quota allows in a window. The time
-// observed is how long all calls have been known; it bounds the calls after a start.
+// limit returns the number of calls that a fraction of the quota allows in a window. observed is how
+// long all calls have been known; while that is less than a window, the limit is lower.
 func (m *meter) limit(fraction float64, observed time.Duration) float64 {
-	most := m.maxCalls
+	calls := m.maxCalls
 	if observed < m.window {
-		most = min(most, m.startLimit+m.startRate*observed.Seconds())
+		calls = min(calls, m.startLimit+m.startRate*observed.Seconds())
 	}
-	return most * fraction
+	return calls * fraction
 }
 
 // withinLocalShare reports whether this instance may admit a call while others may have admitted
@@ -178,11 +179,11 @@
 			}
 		}
 	}
-	pace := m.refillRate
+	rate := m.refillRate
 	if observed < m.window {
-		pace = m.startRate
+		rate = m.startRate
 	}
-	return max(minRetryAfter, min(m.window, time.Duration(float64(time.Second)/pace)))
+	return max(minRetryAfter, min(m.window, time.Duration(float64(time.Second)/rate)))
 }
 
 // recordOwn counts a call of this instance.
@@ -281,8 +282,9 @@
 	m.unreportedCurrent, m.rotatedAt = 0, now
 }
 
-// shouldReport reports whether the calls belong into a report now. They are reported for one
-// round; a report that is lost is made good by the report of the next calls.
+// shouldReport reports whether the next report includes the customer's calls. It does for one round
+// after enough new calls or enough time. A later report makes up for a lost one, because reports
+// carry totals.
 func (m *meter) shouldReport(now time.Time, round time.Duration) bool {
 	added := m.admitted - m.reported
 	if float64(added) >= max(1, m.burst/reportBurstDivisor) || added > 0 && now.Sub(m.reportedAt) >= reportInterval {
@@ -291,8 +293,8 @@
 	return now.Sub(m.reportedAt) < max(round, time.Millisecond)
 }
 
-// reportAgain has the calls reported again, for two rounds, because there may be no next calls to
-// make good a lost report.
+// reportAgain has the calls reported again, for two rounds: if there are no further calls, no later
+// report makes up for a lost one.
 func (m *meter) reportAgain(now time.Time, round time.Duration) {
 	if m.own.sum > 0 {
 		m.reported, m.reportedAt = m.admitted, now.Add(round)
--- a/internal/limit/quota.go
+++ b/internal/limit/quota.go
@@ -46,7 +46,7 @@
 	// settlingRounds is the number of rounds in which all calls are reported, including the
 	// repetition of lost reports.
 	settlingRounds = 3
-	// minRetryAfter is the shortest time after which a refused caller is told to retry.
+	// minRetryAfter is the shortest retry time; it keeps refused callers from retrying at once.
 	minRetryAfter = 50 * time.Millisecond
 	// maxReturnDelay is how long after its admission a call may be returned.
 	maxReturnDelay = 500 * time.Millisecond
@@ -88,14 +88,16 @@
 	// observedSince is the time since which all calls are known; zero until a majority of the
 	// instances is reachable.
 	observedSince time.Time
-	// countsReceived means that this instance has received the calls from before its start. Until
-	// countsCoverUntil the first reports of others consist of calls among these.
+	// countsReceived means that this instance has received the counts of the calls before its
+	// start. Calls that another instance reports for the first time before countsCoverUntil are
+	// included in these counts.
 	countsReceived   bool
 	countsCoverUntil time.Time
 	lastSweep        time.Time
-	// risingSince is when more instances became reachable than fraction accounts for; zero if none.
+	// risingSince is when the reachable instances began to allow a larger fraction; zero if they do
+	// not.
 	risingSince time.Time
-	// newInstances are the instances that need the calls of the window.
+	// newInstances are started instances to which the counts of the window are to be sent.
 	newInstances []string
 	fleetSize    int
 }
--- a/internal/limit/quota_test.go
+++ b/internal/limit/quota_test.go
@@ -33,9 +33,9 @@
 }
 
 // setDemand sets all customers' demand to a fraction of their rates.
-func (w *quotaWorld) setDemand(part float64) {
+func (w *quotaWorld) setDemand(fraction float64) {
 	for name, q := range w.quotas {
-		w.demand[name] = part * q.Rate
+		w.demand[name] = fraction * q.Rate
 	}
 }
 
@@ -199,8 +199,8 @@
 		t.Run(load, func(t *testing.T) {
 			is := is.New(t)
 			lost := map[string]float64{}
-			for name, newWay := range map[string]func(*quotaWorld, string) admitter{"reporting": newReporting, "fixed": newFixed, "arbitrated": newArbitrated()} {
-				w := newQuotaWorld(11, 9, newWay)
+			for name, newAdmitter := range map[string]func(*quotaWorld, string) admitter{"reporting": newReporting, "fixed": newFixed, "arbitrated": newArbitrated()} {
+				w := newQuotaWorld(11, 9, newAdmitter)
 				play(w)
 				all, worst := w.lossFractions()
 				lost[name] = all
@@ -373,9 +373,9 @@
 }
 
 // completedPrograms runs programs of a customer whose quota covers only a part of them, and returns
-// how many completed.
-func completedPrograms(t *testing.T, byProgram bool) int {
-	const calls, think, beginEvery = 20, 400 * time.Millisecond, 250 * time.Millisecond
+// how many completed. With preferActive a program's first call is marked as its start.
+func completedPrograms(t *testing.T, preferActive bool) int {
+	const calls, think, startInterval = 20, 400 * time.Millisecond, 250 * time.Millisecond
 	now := time.Unix(1000, 0)
 	q := NewQuotas("a", 1, tolerance)
 	q.Set(map[string]Quota{"c": {Rate: 12, Burst: 12}}, now)
@@ -384,14 +384,14 @@
 	var active []*agentProgram
 	completed := 0
 	for until := now.Add(60 * time.Second); now.Before(until); now = now.Add(tick) {
-		if now.UnixMilli()%beginEvery.Milliseconds() == 0 {
+		if now.UnixMilli()%startInterval.Milliseconds() == 0 {
 			active = append(active, &agentProgram{name: fmt.Sprint(now.UnixMilli()), remaining: calls, nextCall: now})
 		}
 		active = slices.DeleteFunc(active, func(p *agentProgram) bool {
 			if now.Before(p.nextCall) {
 				return false
 			}
-			verdict, after := q.Admit(Call{Customer: "c", Program: p.name, StartsProgram: byProgram && p.remaining == calls}, now)
+			verdict, after := q.Admit(Call{Customer: "c", Program: p.name, StartsProgram: preferActive && p.remaining == calls}, now)
 			if verdict != Admitted {
 				p.tries++
 				p.nextCall = now.Add(min(after, think))
@@ -411,9 +411,9 @@
 // refused a call midway.
 func TestProgramsThatBeginAreFinished(t *testing.T) {
 	is := is.New(t)
-	byCall, byProgram := completedPrograms(t, false), completedPrograms(t, true)
-	t.Logf("finished: %d where calls are admitted alike, %d where programs under way go first", byCall, byProgram)
+	equal, prioritized := completedPrograms(t, false), completedPrograms(t, true)
+	t.Logf("completed programs: %d with calls admitted equally, %d with active programs first", equal, prioritized)
 	const capacity = (12*60 + 12) / 20 // programs that the quota covers
-	is.True(byProgram >= capacity*9/10)
-	is.True(byProgram > byCall)
+	is.True(prioritized >= capacity*9/10)
+	is.True(prioritized > equal)
 }
--- a/internal/limit/quota_world_test.go
+++ b/internal/limit/quota_world_test.go
@@ -183,9 +183,9 @@
 	refused       map[string]int
 }
 
-func newQuotaWorld(seed uint64, instances int, newWay func(*quotaWorld, string) admitter) *quotaWorld {
+func newQuotaWorld(seed uint64, instances int, newAdmitter func(*quotaWorld, string) admitter) *quotaWorld {
 	w := &quotaWorld{
-		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), newAdmitter: newWay, lossRate: 0.01,
+		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), newAdmitter: newAdmitter, lossRate: 0.01,
 		quotas: map[string]Quota{}, changedAt: map[string]time.Time{}, former: map[string]Quota{}, demand: map[string]float64{},
 		byName: map[string]*quotaInstance{}, ideal: map[string]*rate.Limiter{}, admittedAt: map[string][]time.Time{},
 		idealAdmitted: map[string]int{}, offered: map[string]int{}, refused: map[string]int{},
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -127,20 +127,20 @@
 func (a *arbiter) allocate(from string, demand Demand, members fleet, now time.Time) Share {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	askers := a.plans[demand.Plan]
-	if askers == nil {
-		askers = map[string]*requester{}
-		a.plans[demand.Plan] = askers
+	requesters := a.plans[demand.Plan]
+	if requesters == nil {
+		requesters = map[string]*requester{}
+		a.plans[demand.Plan] = requesters
 	}
-	dropStaleRequesters(askers, members, now)
-	self := askers[from]
+	dropStaleRequesters(requesters, members, now)
+	self := requesters[from]
 	if self == nil {
 		self = &requester{}
-		askers[from] = self
+		requesters[from] = self
 	}
 	self.demand, self.lastRequest = demand, now
-	share := fairShare(from, demand.Limits, askers, members)
-	free := remaining(from, demand, askers, members, now)
+	share := fairShare(from, demand.Limits, requesters, members)
+	free := remaining(from, demand, requesters, members, now)
 	share.Rate = min(share.Rate, max(0, free.Rate))
 	share.Slots = min(share.Slots, max(0, free.Slots))
 	share.Plan = demand.Plan
@@ -172,16 +172,16 @@
 
 // dropStaleRequesters removes requesters that have sent no request for longer than shareLifetime or
 // are not in the fleet.
-func dropStaleRequesters(askers map[string]*requester, members fleet, now time.Time) {
-	for name, s := range askers {
+func dropStaleRequesters(requesters map[string]*requester, members fleet, now time.Time) {
+	for name, s := range requesters {
 		if _, lives := members.weights[name]; !lives || now.Sub(s.lastRequest) > shareLifetime {
-			delete(askers, name)
+			delete(requesters, name)
 		}
 	}
 }
 
 // remaining returns what the limits leave for one requester if all others use what they may.
-func remaining(from string, demand Demand, askers map[string]*requester, members fleet, now time.Time) Share {
+func remaining(from string, demand Demand, requesters map[string]*requester, members fleet, now time.Time) Share {
 	left := Share{Rate: demand.Limits.Rate, Slots: demand.Limits.Concurrency}
 	for name := range members.weights {
 		if name == from {
@@ -189,7 +189,7 @@
 		}
 		// At least the default share, which the instance uses when its share expires.
 		used := members.defaultShare(demand.Limits, name)
-		if s := askers[name]; s != nil {
+		if s := requesters[name]; s != nil {
 			used = used.atLeast(s.mayUse(now))
 		}
 		left.Rate -= used.Rate
@@ -200,11 +200,11 @@
 
 // fairShare returns one requester's part of the limits, divided max-min fairly by weight:
 // requesters that demand less than their part get their demand, the others divide the rest.
-func fairShare(from string, limits plan.Limits, askers map[string]*requester, members fleet) Share {
+func fairShare(from string, limits plan.Limits, requesters map[string]*requester, members fleet) Share {
 	pool := Share{Rate: limits.Rate, Slots: limits.Concurrency}
 	var claims []claim
 	for name, weight := range members.weights {
-		s := askers[name]
+		s := requesters[name]
 		if s == nil {
 			used := members.defaultShare(limits, name)
 			pool.Rate -= used.Rate
@@ -232,6 +232,7 @@
 // grow: an instance that uses its full share can't show a demand above it.
 const demandHeadroom = 1.5
 
+// claim is what one requester claims of the limits.
 type claim struct {
 	name        string
 	weight      float64
