--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -74,11 +74,11 @@
 func shardOf(name string, shards int) int { return int(xxhash.Sum64String(name) % uint64(shards)) }
 
 // apply applies requests to the accounts and reports whether an account has changed.
-func (b *accountSet) apply(asks []drawRequest, share int64, now time.Time) (results []drawResult, changed bool) {
+func (b *accountSet) apply(requests []drawRequest, share int64, now time.Time) (results []drawResult, changed bool) {
 	if b.Accounts == nil {
 		b.Accounts = map[string]*account{}
 	}
-	for _, a := range asks {
+	for _, a := range requests {
 		acc := b.Accounts[a.plan]
 		if acc == nil {
 			acc = &account{Budget: a.budget, Version: a.version, Drawn: map[int64]Cost{}}
--- a/internal/budget/allotment.go
+++ b/internal/budget/allotment.go
@@ -26,8 +26,8 @@
 	// earlier generation is returned, not spent: the draws may exceed the reduced budget.
 	generation int
 	holdings   []holding
-	// need is the largest cost that waits for a draw; zero if none. typical is the need of the last
-	// draw that had one.
+	// need is the largest cost that waits for a draw; zero if none. typical is the last need that
+	// was collected for a draw; the target is at least firstDrawCalls times it.
 	need, typical Cost
 	lastUse       time.Time
 	// retired means that nothing is to be held: the plan was removed or the instance stops.
@@ -151,29 +151,29 @@
 // drawRequests returns the requests for the next draw, without changing the allotment.
 func (a *allotment) drawRequests(horizon, lead time.Duration, now time.Time) []drawRequest {
 	want := a.target(horizon, now)
-	var asks []drawRequest
+	var requests []drawRequest
 	for i := range a.holdings {
-		asks = a.appendReturn(asks, &a.holdings[i], want, now)
+		requests = a.appendReturn(requests, &a.holdings[i], want, now)
 	}
 	if a.retired || a.need.isZero() && now.Before(a.refillAfter) {
-		return asks
+		return requests
 	}
 	for _, w := range a.windowsToHold(now, lead) {
-		asks = a.appendDraw(asks, w, want)
+		requests = a.appendDraw(requests, w, want)
 	}
-	return asks
+	return requests
 }
 
 // appendReturn appends a request that returns a part of a holding, if there is any to return.
-func (a *allotment) appendReturn(asks []drawRequest, h *holding, want Cost, now time.Time) []drawRequest {
+func (a *allotment) appendReturn(requests []drawRequest, h *holding, want Cost, now time.Time) []drawRequest {
 	q := drawRequest{plan: a.plan, budget: a.budget, version: a.version, window: h.window, returned: h.returning}
 	if h.window.Length == lengthOf(a.budget) && a.need.isZero() {
 		q.returned = q.returned.plus(h.free.minus(want.times(maxHeldFactor)).atLeast(Cost{}))
 	}
 	if q.returned.isZero() || h.window.ended(now) {
-		return asks
+		return requests
 	}
-	return append(asks, q)
+	return append(requests, q)
 }
 
 // mustReturn reports whether an amount has to be returned without delay.
@@ -188,8 +188,8 @@
 
 // withdraw removes the returned amounts from the holdings before the requests are written: if the
 // response to the write is lost, they must not be spent here as well.
-func (a *allotment) withdraw(asks []drawRequest) {
-	for _, q := range asks {
+func (a *allotment) withdraw(requests []drawRequest) {
+	for _, q := range requests {
 		if h := a.holdingFor(q.window, false); h != nil && !q.returned.isZero() {
 			h.free = h.free.minus(q.returned.minus(h.returning))
 			h.returning = Cost{}
@@ -203,8 +203,8 @@
 
 // restore undoes withdraw after a write that certainly had no effect. The amounts are returned by
 // the next draw and not spent, because they may have been marked for return.
-func (a *allotment) restore(asks []drawRequest) {
-	for _, q := range asks {
+func (a *allotment) restore(requests []drawRequest) {
+	for _, q := range requests {
 		if !q.returned.isZero() {
 			h := a.holdingFor(q.window, true)
 			h.returning = h.returning.plus(q.returned)
@@ -213,7 +213,7 @@
 }
 
 // appendDraw appends a request for the amount that is missing in a window, if any.
-func (a *allotment) appendDraw(asks []drawRequest, w Window, want Cost) []drawRequest {
+func (a *allotment) appendDraw(requests []drawRequest, w Window, want Cost) []drawRequest {
 	free := Cost{}
 	if h := a.holdingFor(w, false); h != nil {
 		free = h.free
@@ -223,14 +223,14 @@
 		need = Cost{}
 	}
 	if need.isZero() && free.covers(want.minus(want.dividedBy(refillDivisor))) {
-		return asks
+		return requests
 	}
 	// The need is for a single reservation: it must be met in full, together with the free amount.
 	q := drawRequest{
 		plan: a.plan, budget: a.budget, version: a.version, window: w,
 		need: need.minus(free).atLeast(Cost{}), want: want.minus(free).atLeast(Cost{}), held: free,
 	}
-	return append(asks, q)
+	return append(requests, q)
 }
 
 // windowsToHold returns the present window, and the next one from lead before the boundary.
--- a/internal/budget/bench_test.go
+++ b/internal/budget/bench_test.go
@@ -146,7 +146,7 @@
 	if spent > budget {
 		t.Errorf("spent %d of %d", spent, budget)
 	}
-	t.Logf("stranded at the first refusal %.1f%%, at the end %.1f%%; %d calls refused while %d more were served; %d store calls",
+	t.Logf("stranded at the first refusal: %.1f%%, at the end: %.1f%%; %d calls refused, %d served after the first refusal; %d store calls",
 		100-100*float64(atFirst)/float64(budget), 100-100*float64(spent)/float64(budget), refused, early,
 		s.Counts().Reads+s.Counts().Writes)
 	cancel()
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -22,8 +22,8 @@
 	readBackInterval   = 50 * time.Millisecond
 )
 
-// startDraw starts a draw of a shard, or has another draw follow the one that is running. The
-// channel is closed when the running draw has ended.
+// startDraw starts a draw of a shard. If one is running, it schedules another one after it. The
+// channel is closed when the draw that is running or was just started has ended.
 func (al *Allocator) startDraw(s *shard) <-chan struct{} {
 	s.drawMu.Lock()
 	defer s.drawMu.Unlock()
@@ -113,11 +113,11 @@
 	var pending []pendingDraw
 	for _, a := range s.allotments {
 		a.mu.Lock()
-		asks := a.drawRequests(al.options.Horizon, al.options.Lead, now)
-		if len(asks) > 0 {
-			pending = append(pending, pendingDraw{allotment: a, generation: a.generation, requests: asks})
+		requests := a.drawRequests(al.options.Horizon, al.options.Lead, now)
+		if len(requests) > 0 {
+			pending = append(pending, pendingDraw{allotment: a, generation: a.generation, requests: requests})
 		}
-		a.withdraw(asks)
+		a.withdraw(requests)
 		a.mu.Unlock()
 	}
 	return pending
--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -23,8 +23,8 @@
 	// DefaultHorizon is the duration of future spending that an allotment covers, and thus about
 	// how long an instance can serve during an outage of the store.
 	DefaultHorizon = 5 * time.Minute
-	// DefaultShare is the divisor that bounds what an instance holds in advance: at most this
-	// fraction of the rest of a budget.
+	// DefaultShare is the divisor that bounds what an instance holds in advance: at most one
+	// DefaultShare-th of what is left of a budget.
 	DefaultShare = 64
 	// DefaultLead is how long before the end of a window instances draw from the next one. It is
 	// longer than DefaultRenew, so that instances do not all draw at the boundary.
@@ -38,8 +38,8 @@
 
 	// firstDrawCalls is the number of calls that the first draw covers.
 	firstDrawCalls = 4
-	// refillDivisor and maxHeldFactor bound the holdings: a holding is refilled when more than
-	// that fraction of its target is missing, and the amount above twice the target is returned.
+	// refillDivisor and maxHeldFactor bound the holdings: a holding is refilled when more than a
+	// quarter of its target is missing, and the amount above twice the target is returned.
 	refillDivisor = 4
 	maxHeldFactor = 2
 	// leadDivisor bounds the lead to a fraction of the window, for short windows.
