--- a/internal/budget/failure_test.go
+++ b/internal/budget/failure_test.go
@@ -42,11 +42,10 @@
 	time.Sleep(windowAt(now, testWindow).Start().Add(offset).Sub(now))
 }
 
-// Two instances hold parts of a budget of 400 when it is cut to 50, less than
-// they hold; 100 have been spent. From the edit on neither spends anything
-// more of what it held, not even an instance that had reserved before and now
-// settles for less; the refusal says when the window ends. In the next window
-// both together spend the new budget and no more.
+// Two instances hold parts of a budget of 400 when it is reduced to 50, less than they hold; 100
+// have been spent. From the edit on neither may spend its holdings, including the rest of a
+// reservation made before the edit and settled for less. The refusal's RetryAfter is the end of the
+// window. In the next window both together spend exactly the new budget.
 func TestCutBelowWhatIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,12 +56,12 @@
 			_, refusal := n.spend(is, 50)
 			is.True(refusal == nil)
 		}
-		under, err := w.nodes[0].reserve(20)
+		inFlight, err := w.nodes[0].reserve(20)
 		is.NoErr(err)
 		for _, n := range w.nodes {
-			n.lists.set(onePlan(50), 2)
+			n.plans.set(onePlan(50), 2)
 		}
-		under.Settle(Cost{Tokens: 1})
+		inFlight.Settle(Cost{Tokens: 1})
 		for range 3 {
 			for _, n := range w.nodes {
 				spent, refusal := n.spend(is, 400)
@@ -80,10 +79,10 @@
 	})
 }
 
-// The store goes down in the middle of a window and stays down over its end.
-// The instance spends what it holds and is then refused with the time of its
-// next try, not with the window's end: the next window brings nothing either
-// while the store is down. When it returns, the new window's budget is there.
+// The store fails in the middle of a window and stays down beyond its end. The instance spends its
+// holdings; then reservations are refused with the time of the next call to the store, not the
+// window's end, because the next window's budget can't be drawn either. When the store is back, the
+// new window's budget is available.
 func TestWindowRollsOverDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -93,28 +92,28 @@
 		sleepUntil(10 * time.Second)
 		before, refusal := n.spend(is, 20)
 		is.True(refusal == nil)
-		time.Sleep(4 * rateTick) // the allotment is sized by what was spent
+		time.Sleep(4 * rateInterval) // the allotment is sized by the recent spending
 		w.store.SetFaults(standin.StoreFaults{Down: true})
 		during, refusal := n.spend(is, 400)
-		is.True(during > 0) // what is held is spent
+		is.True(during > 0) // holdings are spent
 		is.True(before+during <= 400)
 		is.Equal(refusal.Reason, StoreUnavailable)
-		is.True(refusal.RetryAfter > 0 && refusal.RetryAfter <= 2*storeRetryMax)
+		is.True(refusal.RetryAfter > 0 && refusal.RetryAfter <= 2*storeBackoffMax)
 		sleepUntil(testWindow + 5*time.Second)
 		spent, refusal := n.spend(is, 400)
 		is.Equal(spent, int64(0))
 		is.Equal(refusal.Reason, StoreUnavailable)
 		w.store.SetFaults(standin.StoreFaults{})
-		time.Sleep(2 * storeRetryMax)
+		time.Sleep(2 * storeBackoffMax)
 		spent, refusal = n.spend(is, 500)
 		is.Equal(spent, int64(400))
 		is.Equal(refusal.Reason, Exhausted)
 	})
 }
 
-// An instance dies with most of the budget in hand. What it held counts as
-// spent until the window ends, also for its next life; then the whole budget
-// is there again. A planned stop returns it at once.
+// An instance crashes while it holds a large part of the budget. Its holdings count as spent until
+// the window ends, also after its restart; then the full budget is available. A planned stop returns
+// the holdings immediately.
 func TestCrashAndPlannedStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -138,10 +137,10 @@
 	})
 }
 
-// A draw takes effect, its answer is lost and the store goes down before it
-// can be read back. What was drawn is not held, and what the same write
-// returned is not spent here either: it may be in other hands by now. When the
-// store is back the next read tells, and nothing is left stranded.
+// A draw takes effect, its response is lost and the store fails before the outcome can be read back.
+// The amount drawn must not be held, and the amount returned by the same write must not be spent:
+// other instances may hold it by now. When the store is back, the next read resolves the outcome and
+// nothing stays stranded.
 func TestDrawAnswerLostThenOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -153,20 +152,20 @@
 		is.NoErr(err)
 		r.Release()
 
-		// The edit makes it return all, by a write whose answer is lost.
+		// After the edit the instance returns all, by a write whose response is lost.
 		w.store.SetFaults(standin.StoreFaults{LoseAnswers: 1})
 		holder.link.afterPut = func() { w.store.SetFaults(standin.StoreFaults{Down: true}) }
-		holder.lists.set(onePlan(399), 2)
-		other.lists.set(onePlan(399), 2)
-		time.Sleep(3 * drawTime)
-		is.Equal(holder.Allocator.metrics.unsettled.Count(), int64(1))
+		holder.plans.set(onePlan(399), 2)
+		other.plans.set(onePlan(399), 2)
+		time.Sleep(3 * drawTimeout)
+		is.Equal(holder.Allocator.metrics.unknownOutcomes.Count(), int64(1))
 		spent, refusal := holder.spend(is, 1)
 		is.Equal(spent, int64(0))
 		is.Equal(refusal.Reason, StoreUnavailable)
 
 		holder.link.afterPut = nil
 		w.store.SetFaults(standin.StoreFaults{})
-		time.Sleep(2 * storeRetryMax)
+		time.Sleep(2 * storeBackoffMax)
 		more, _ := holder.spend(is, 100)
 		all, _ := other.spend(is, 500)
 		rest, _ := holder.spend(is, 500)
@@ -174,10 +173,10 @@
 	})
 }
 
-// An object has been written so often that it remembers no more writes. One
-// draw is lost without effect, and another instance's draw takes its base. The
-// write before both is remembered, so the object still tells that the lost one
-// had no effect: it is made again at once, and the caller is not refused.
+// An object has its maximum of recent writes. One draw is lost without effect, and another
+// instance's draw replaces its base version. The write before both is still among the recent writes,
+// so the object shows that the lost draw had no effect: it is repeated immediately, and the caller
+// is not refused.
 func TestLostDrawIsKnownInAFullObject(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -185,8 +184,8 @@
 		defer w.close()
 		sleepUntil(5 * time.Second)
 		full := &accountSet{}
-		for i := range 2 * recentWrites {
-			full.note(fmt.Sprint(i))
+		for i := range 2 * maxRecentWrites {
+			full.recordWrite(fmt.Sprint(i))
 		}
 		value, err := full.encode()
 		is.NoErr(err)
@@ -202,35 +201,35 @@
 		}
 		_, err = w.nodes[0].reserve(1)
 		is.NoErr(err)
-		is.Equal(w.nodes[0].Allocator.metrics.unsettled.Count(), int64(0))
+		is.Equal(w.nodes[0].Allocator.metrics.unknownOutcomes.Count(), int64(0))
 	})
 }
 
-// An instance that has not got a cut yet asks for more by the old budget. The
-// store's account knows the cut: the instance is told that it is behind, and
-// gets its part as soon as the edit has arrived.
+// An instance that has not received a reduction of the budget draws under the old budget. The
+// account in the store has the new budget: the draw is refused as PlanOutdated, and succeeds as soon
+// as the edit has arrived.
 func TestInstanceBehindAnEdit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(400, 0, 0)
 		defer w.close()
 		sleepUntil(5 * time.Second)
-		w.nodes[0].lists.set(onePlan(50), 2)
+		w.nodes[0].plans.set(onePlan(50), 2)
 		r, err := w.nodes[0].reserve(1)
 		is.NoErr(err)
 		r.Release()
 		_, err = w.nodes[1].reserve(1)
 		refusal := refusalOf(is, err)
 		is.Equal(refusal.Reason, PlanOutdated)
-		is.True(refusal.RetryAfter <= believeBehind)
-		w.nodes[1].lists.set(onePlan(50), 2)
+		is.True(refusal.RetryAfter <= outdatedRetention)
+		w.nodes[1].plans.set(onePlan(50), 2)
 		_, err = w.nodes[1].reserve(1)
 		is.NoErr(err)
 	})
 }
 
-// The window's length is edited from a minute to an hour when half of the
-// budget has been drawn: the first new window begins with that counted.
+// The window length is edited from a minute to an hour when half of the budget has been drawn: the
+// first new window must include that half.
 func TestWindowLengthEdited(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(10_000_000, 0)
@@ -238,77 +237,76 @@
 	after := plan.Budget{Tokens: 400, Window: plan.Duration(time.Hour)}
 	b := &accountSet{}
 	w := windowAt(now, testWindow)
-	b.apply([]ask{{plan: "p", budget: before, version: 1, window: w, need: Cost{Tokens: 200}, want: Cost{Tokens: 200}}}, 1, now)
+	b.apply([]drawRequest{{plan: "p", budget: before, version: 1, window: w, need: Cost{Tokens: 200}, want: Cost{Tokens: 200}}}, 1, now)
 	hour := windowAt(now, time.Hour)
-	q := ask{plan: "p", budget: after, version: 2, window: hour, need: Cost{Tokens: 201}}
-	results, _ := b.apply([]ask{q}, 1, now)
+	q := drawRequest{plan: "p", budget: after, version: 2, window: hour, need: Cost{Tokens: 201}}
+	results, _ := b.apply([]drawRequest{q}, 1, now)
 	is.Equal(results[0].refusal, Exhausted)
 	q.need = Cost{Tokens: 200}
-	results, _ = b.apply([]ask{q}, 1, now)
+	results, _ = b.apply([]drawRequest{q}, 1, now)
 	is.Equal(results[0].granted, Cost{Tokens: 200})
-	// The old length is now behind.
-	results, _ = b.apply([]ask{{plan: "p", budget: before, version: 1, window: w, need: Cost{Tokens: 1}}}, 1, now)
+	// A request with the old length is outdated now.
+	results, _ = b.apply([]drawRequest{{plan: "p", budget: before, version: 1, window: w, need: Cost{Tokens: 1}}}, 1, now)
 	is.Equal(results[0].refusal, PlanOutdated)
 }
 
-// lateStore holds a write back, says that its outcome is unknown, and lets it
-// take effect just before the next write.
+// lateStore defers a write, returns that its outcome is unknown, and has it take effect just before
+// the next write.
 type lateStore struct {
 	store.Client
-	hold bool
-	held func()
+	deferWrites bool
+	deferred    func()
 }
 
 func (l *lateStore) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
-	if l.hold {
-		l.held = func() { _, _ = l.Client.Put(context.Background(), key, value, base) }
+	if l.deferWrites {
+		l.deferred = func() { _, _ = l.Client.Put(context.Background(), key, value, base) }
 		return 0, store.ErrUnknown
 	}
-	if l.held != nil {
-		l.held()
-		l.held = nil
+	if l.deferred != nil {
+		l.deferred()
+		l.deferred = nil
 	}
 	return l.Client.Put(ctx, key, value, base)
 }
 
-// A write that returns an allotment is under way for so long that the keeper
-// gives up on its outcome; it takes effect after the keeper has read that it
-// has not, and just before the keeper's next write. Were it taken for dead by
-// that read, the same amount would be returned twice, and spent twice.
+// A write that returns an allotment is in flight so long that its outcome becomes unknown. It takes
+// effect after the allocator has read the unchanged object, and just before the allocator's next
+// write. If that read were taken as proof that the write had no effect, the same amount would be
+// returned twice, and spent twice.
 func TestReturnTakesEffectLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		late := &lateStore{Client: standin.NewStore()}
-		l := &lists{changed: make(chan struct{})}
+		deferring := &lateStore{Client: standin.NewStore()}
+		l := &planSource{changed: make(chan struct{})}
 		l.set(onePlan(400), 1)
-		k := NewAllocator(late, l, Options{Shards: 1, Share: 4})
+		al := NewAllocator(deferring, l, Options{Shards: 1, Share: 4})
 		sleepUntil(10 * time.Second)
 		drawn := func() int64 {
-			b, _, err := k.read(context.Background(), store.Key{Kind: KindBudget, Name: "000"})
+			b, _, err := al.read(context.Background(), store.Key{Kind: KindBudget, Name: "000"})
 			is.NoErr(err)
 			return b.Accounts["p"].Drawn[windowAt(time.Now(), testWindow).Index].Tokens
 		}
-		r, err := k.Reserve(context.Background(), &plan.Plan{Name: "p"}, Cost{Tokens: 25})
+		r, err := al.Reserve(context.Background(), &plan.Plan{Name: "p"}, Cost{Tokens: 25})
 		is.NoErr(err)
 		is.Equal(drawn(), int64(100))
-		k.shards[0].allotments["p"].end() // 75 are free
-		late.hold = true
-		<-k.start(k.shards[0])
-		late.hold = false
-		time.Sleep(2 * storeRetryMax)
+		al.shards[0].allotments["p"].retire() // 75 are free
+		deferring.deferWrites = true
+		<-al.startDraw(al.shards[0])
+		deferring.deferWrites = false
+		time.Sleep(2 * storeBackoffMax)
 		r.Settle(Cost{Tokens: 5}) // and now 20
 		for range 3 {
-			<-k.start(k.shards[0])
+			<-al.startDraw(al.shards[0])
 		}
 		is.Equal(drawn(), int64(5)) // what has been spent
-		k.cancel()
+		al.cancel()
 	})
 }
 
-// A hundred instances hold parts of a plan's budget when it is cut, and the
-// store takes 5 ms for a call. All return what they hold by updates of one
-// object; their calls must not pile up, and all must be back in force within
-// the bound of an edit.
+// A hundred instances hold parts of a plan's budget when it is reduced, and each store call takes
+// 5 ms. All return their holdings by updates of one object. Their calls must not accumulate, and all
+// must have applied the edit and returned their holdings within 10 s, the bound of an edit.
 func TestCutAcrossManyInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -323,24 +321,24 @@
 		}
 		before := w.store.Counts()
 		for _, n := range w.nodes {
-			n.lists.set(onePlan(50_000), 2)
+			n.plans.set(onePlan(50_000), 2)
 		}
 		start := time.Now()
-		held := func() (count int) {
+		pending := func() (count int) {
 			for _, n := range w.nodes {
 				a := n.shards[0].allotments["p"]
 				a.mu.Lock()
-				busy := a.version < 2 || a.urgent()
+				busy := a.version < 2 || a.mustReturn()
 				a.mu.Unlock()
-				n.shards[0].drawing.Lock()
+				n.shards[0].drawMu.Lock()
 				if busy || n.shards[0].done != nil {
 					count++
 				}
-				n.shards[0].drawing.Unlock()
+				n.shards[0].drawMu.Unlock()
 			}
 			return count
 		}
-		for held() > 0 && time.Since(start) < time.Minute {
+		for pending() > 0 && time.Since(start) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
 		}
 		took, after := time.Since(start), w.store.Counts()
--- a/internal/limit/bench_test.go
+++ b/internal/limit/bench_test.go
@@ -9,9 +9,9 @@
 	"foxhall/internal/plan"
 )
 
-// BenchmarkEnter admits and ends steps that need not wait, with all
-// processors at once, of so many plans with limits.
-func BenchmarkEnter(b *testing.B) {
+// BenchmarkAdmit measures steps that need not wait, from admission to release, on all processors in
+// parallel, for a number of plans with limits.
+func BenchmarkAdmit(b *testing.B) {
 	for _, count := range []int{1, 100, 1500} {
 		b.Run(fmt.Sprintf("plans=%d", count), func(b *testing.B) {
 			g := NewGate(Options{Capacity: 1 << 20})
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkDispatch ends a step while steps of so many plans wait.
+// BenchmarkDispatch measures the dispatch of a step while steps of a number of plans wait.
 func BenchmarkDispatch(b *testing.B) {
 	for _, count := range []int{10, 100, 1500} {
 		b.Run(fmt.Sprintf("waiting=%d", count), func(b *testing.B) {
@@ -48,21 +48,22 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				f := g.next(now)
+				f := g.nextFlow(now)
 				w := f.queue[0]
 				g.dispatch(now)
 				f.queue = append(f.queue[:0], w)
 				g.backlog[f] = struct{}{}
 				g.waiting++
 				f.running, g.running = 0, 0
-				<-w.decided
+				<-w.decision
 			}
 		})
 	}
 }
 
-// BenchmarkDivide is an arbiter's answer to one of so many instances that all ask.
-func BenchmarkDivide(b *testing.B) {
+// BenchmarkAllocate measures an arbiter's allocation for one of a number of instances that all send
+// requests.
+func BenchmarkAllocate(b *testing.B) {
 	for _, count := range []int{9, 74} {
 		b.Run(fmt.Sprintf("instances=%d", count), func(b *testing.B) {
 			a, weights := newArbiter(), map[string]float64{}
@@ -76,13 +77,13 @@
 			for b.Loop() {
 				i++
 				now = now.Add(time.Second / time.Duration(count))
-				a.divide(fmt.Sprint("i", i%count), Demand{Plan: "p", Rate: float64(i % 7), Slots: i % 5, Limits: limits}, members, now)
+				a.allocate(fmt.Sprint("i", i%count), Demand{Plan: "p", Rate: float64(i % 7), Slots: i % 5, Limits: limits}, members, now)
 			}
 		})
 	}
 }
 
-// BenchmarkQuotaAdmit is what a quota costs a call, among many customers.
+// BenchmarkQuotaAdmit measures the quota check of a call with many customers.
 func BenchmarkQuotaAdmit(b *testing.B) {
 	q := NewQuotas("a", 1, tolerance)
 	quotas := map[string]Quota{}
@@ -93,7 +94,7 @@
 	}
 	now := time.Unix(1000, 0)
 	q.Set(quotas, now)
-	q.SetFleet(1, 1, tellTick, now)
+	q.SetFleet(1, 1, reportTick, now)
 	now = now.Add(tolerance.Window)
 	b.ReportAllocs()
 	n := 0
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -21,15 +21,15 @@
 	os.Exit(m.Run())
 }
 
-// used is what one instance uses by what it was last answered.
-type used struct {
+// usedShare is the share that one instance received last.
+type usedShare struct {
 	share Share
 	ends  time.Time
 }
 
-// Instances of different sizes ask for more and less of one plan, some answers
-// get lost, some fall silent. What they use by the last answer that reached
-// each, or unasked once it has run out, is at no time more than the limits.
+// Guards against shares that add up to more than a plan's limits. Instances of different sizes
+// request varying shares, some responses are lost and some instances stop requesting. Each uses the
+// last share that it received, or the default share after that has expired.
 func TestSharesAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e"}
@@ -42,7 +42,7 @@
 			Rate:        float64(rapid.IntRange(1, 100).Draw(rt, "rate")),
 			Concurrency: rapid.IntRange(1, 40).Draw(rt, "concurrency"),
 		}
-		now, arbiter, uses := time.Unix(1000, 0), newArbiter(), map[string]used{}
+		now, arbiter, uses := time.Unix(1000, 0), newArbiter(), map[string]usedShare{}
 		rt.Repeat(map[string]func(*rapid.T){
 			"ask": func(rt *rapid.T) {
 				name := rapid.SampledFrom(names).Draw(rt, "name")
@@ -50,9 +50,9 @@
 					Plan: "p", Limits: limits, Rate: float64(rapid.IntRange(0, 100).Draw(rt, "offered")),
 					Slots: rapid.IntRange(0, 30).Draw(rt, "slots"),
 				}
-				share := arbiter.divide(name, demand, members, now)
+				share := arbiter.allocate(name, demand, members, now)
 				if rapid.IntRange(0, 3).Draw(rt, "lost") > 0 {
-					uses[name] = used{share: share, ends: now.Add(shareTime)}
+					uses[name] = usedShare{share: share, ends: now.Add(shareLifetime)}
 				}
 			},
 			"time": func(rt *rapid.T) {
@@ -61,7 +61,7 @@
 			"": func(rt *rapid.T) {
 				var sum Share
 				for _, name := range names {
-					share := members.unasked(limits, name)
+					share := members.defaultShare(limits, name)
 					if u, ok := uses[name]; ok && now.Before(u.ends) {
 						share = u.share
 					}
@@ -69,50 +69,50 @@
 					sum.Slots += share.Slots
 				}
 				if sum.Rate > limits.Rate*1.000001 || sum.Slots > limits.Concurrency {
-					rt.Fatalf("shares of %v and %d, limits %v", sum.Rate, sum.Slots, limits)
+					rt.Fatalf("shares add up to rate %v and %d slots, limits are %v", sum.Rate, sum.Slots, limits)
 				}
 			},
 		})
 	})
 }
 
-// centre is the gates of a data centre that arbitrate for each other.
-type centre struct {
+// dataCentre is a set of gates that are arbiters for each other.
+type dataCentre struct {
 	mu    sync.Mutex
 	gates map[string]*Gate
 	down  bool
 }
 
 type member struct {
-	centre *centre
-	name   string
+	dataCentre *dataCentre
+	name       string
 }
 
 func (m member) Self() string { return m.name }
 
 func (m member) Weights() map[string]float64 {
-	m.centre.mu.Lock()
-	defer m.centre.mu.Unlock()
+	m.dataCentre.mu.Lock()
+	defer m.dataCentre.mu.Unlock()
 	weights := map[string]float64{}
-	for name := range m.centre.gates {
+	for name := range m.dataCentre.gates {
 		weights[name] = 1
 	}
 	return weights
 }
 
 func (m member) RequestShares(_ context.Context, instance string, demands []Demand) ([]Share, error) {
-	m.centre.mu.Lock()
-	gate, down := m.centre.gates[instance], m.centre.down
-	m.centre.mu.Unlock()
+	m.dataCentre.mu.Lock()
+	gate, down := m.dataCentre.gates[instance], m.dataCentre.down
+	m.dataCentre.mu.Unlock()
 	if down {
 		return nil, errors.New("partition")
 	}
 	return gate.AllocateShares(m.name, demands), nil
 }
 
-// newCentre runs gates until the test's bubble ends with stop.
-func newCentre(names ...string) (f *centre, stop func()) {
-	f = &centre{gates: map[string]*Gate{}}
+// newDataCentre runs gates until stop is called.
+func newDataCentre(names ...string) (f *dataCentre, stop func()) {
+	f = &dataCentre{gates: map[string]*Gate{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	for _, name := range names {
 		f.gates[name] = NewGate(Options{Members: member{f, name}, Arbiters: member{f, name}})
@@ -124,9 +124,9 @@
 	return f, func() { cancel(); group.Wait() }
 }
 
-// offer sends steps at an even pace, each taking service, and counts those
-// that were admitted. It returns when all have ended. One note is taken at a time.
-func offer(g *Gate, p *plan.Plan, count int, pace, service time.Duration, note func(waited time.Duration, refusal *Refusal)) {
+// offerSteps sends steps at even intervals of pace, each running for service if admitted. It calls
+// note with the result of each, one call at a time, and returns when all steps have ended.
+func offerSteps(g *Gate, p *plan.Plan, count int, interval, service time.Duration, note func(waited time.Duration, refusal *Refusal)) {
 	var group sync.WaitGroup
 	var noting sync.Mutex
 	for range count {
@@ -142,25 +142,25 @@
 				release()
 			}
 		})
-		time.Sleep(pace)
+		time.Sleep(interval)
 	}
 	group.Wait()
 }
 
-// All of a plan's steps arrive at one of five instances. Within a few seconds
-// that one has nearly the whole rate; when they move to another, that one does.
+// All of a plan's steps arrive at one of five instances. Within a few seconds that instance gets
+// nearly the full rate. When the steps move to another instance, that one gets it.
 func TestShareFollowsDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f, stop := newCentre("a", "b", "c", "d", "e")
+		f, stop := newDataCentre("a", "b", "c", "d", "e")
 		defer stop()
 		p := &plan.Plan{Name: "p", Limits: plan.Limits{Rate: 20, Burst: 5}}
 		for _, name := range []string{"b", "d"} {
 			g := f.gates[name]
 			nothing := func(time.Duration, *Refusal) {}
-			offer(g, p, 300, 20*time.Millisecond, time.Millisecond, nothing)
+			offerSteps(g, p, 300, 20*time.Millisecond, time.Millisecond, nothing)
 			before := g.admitted.Count()
-			offer(g, p, 500, 20*time.Millisecond, time.Millisecond, nothing)
+			offerSteps(g, p, 500, 20*time.Millisecond, time.Millisecond, nothing)
 			admitted := float64(g.admitted.Count()-before) / 10
 			t.Logf("%s admits %.1f a second of 20", name, admitted)
 			is.True(admitted >= 0.8*20 && admitted <= 1.5*20)
@@ -168,12 +168,12 @@
 	})
 }
 
-// A plan with fewer slots than there are instances is still served by each of
-// them, also while the arbiters can't be reached.
+// A plan with fewer slots than there are instances is served by each instance, also while the
+// arbiters are unreachable.
 func TestFewSlotsAndNoArbiter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f, stop := newCentre("a", "b", "c", "d", "e")
+		f, stop := newDataCentre("a", "b", "c", "d", "e")
 		defer stop()
 		p := &plan.Plan{Name: "p", Limits: plan.Limits{Concurrency: 2}}
 		for _, down := range []bool{false, true} {
@@ -184,17 +184,16 @@
 				release, refusal := g.Admit(context.Background(), p, time.Time{})
 				is.True(refusal == nil)
 				release()
-				time.Sleep(2 * shareTime) // its share ends
+				time.Sleep(2 * shareLifetime) // its share expires
 			}
 		}
 	})
 }
 
-// One customer floods an instance of eight slots with ten times what it can
-// do, another calls now and then. The second one waits for about the next slot
-// that comes free, with and without the flood; without fair queueing it would
-// stand behind the flood. The flood's own steps are refused at once, and told when.
-func TestFloodLeavesTheOthersWaits(t *testing.T) {
+// One customer floods an instance of eight slots with ten times its capacity, another calls rarely.
+// The second customer waits at most for about the next free slot; without fair queueing its steps
+// would queue behind the flood. Most steps of the flood are refused, with a RetryAfter.
+func TestFloodDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const service = 100 * time.Millisecond
@@ -204,7 +203,7 @@
 		var worst time.Duration
 		var group sync.WaitGroup
 		group.Go(func() {
-			offer(g, flood, 8000, 1250*time.Microsecond, service, func(waited time.Duration, refusal *Refusal) {
+			offerSteps(g, flood, 8000, 1250*time.Microsecond, service, func(waited time.Duration, refusal *Refusal) {
 				floodSeen++
 				if refusal != nil {
 					floodRefused++
@@ -214,7 +213,7 @@
 		})
 		time.Sleep(time.Second)
 		group.Go(func() {
-			offer(g, calm, 40, 200*time.Millisecond, service, func(waited time.Duration, refusal *Refusal) {
+			offerSteps(g, calm, 40, 200*time.Millisecond, service, func(waited time.Duration, refusal *Refusal) {
 				is.True(refusal == nil)
 				worst = max(worst, waited)
 			})
@@ -226,9 +225,9 @@
 	})
 }
 
-// A step whose deadline can't be met is refused on arrival, not near its
-// deadline; one that can be met waits. After RetryAfter a step is admitted.
-func TestShedsEarlyAndTellsWhen(t *testing.T) {
+// A step that can't meet its deadline is refused on arrival, not near its deadline; a step that can
+// meet it waits. After RetryAfter a step is admitted.
+func TestShedsEarlyWithRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := NewGate(Options{})
@@ -249,15 +248,15 @@
 		time.Sleep(refusal.RetryAfter)
 		waited, refusal = enter(10 * time.Second)
 		is.True(refusal == nil)
-		is.Equal(waited, time.Duration(0)) // RetryAfter was true
+		is.Equal(waited, time.Duration(0)) // RetryAfter was exact
 		waited, refusal = enter(10 * time.Second)
 		is.True(refusal == nil)
 		is.True(waited <= time.Second+time.Millisecond)
 	})
 }
 
-// A caller goes away while its step waits: the step is never admitted, and its
-// place in the queue is free.
+// A caller disconnects while its step waits: the step is never admitted, and its place in the queue
+// is freed.
 func TestCallerGoneWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -278,9 +277,8 @@
 	})
 }
 
-// A customer comes back with a flood after a long time without steps. It has
-// not saved up credit for that time: the customer that was there all along
-// waits for about the next free slot, as before.
+// A customer floods the instance after a long idle time. It must not have accumulated credit for
+// that time: a customer with steady steps still waits at most for about the next free slot.
 func TestIdleTimeGivesNoCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -288,13 +286,13 @@
 		g := NewGate(Options{Capacity: 8})
 		back, steady := &plan.Plan{Name: "back"}, &plan.Plan{Name: "steady"}
 		nothing := func(time.Duration, *Refusal) {}
-		offer(g, back, 1, 0, service, nothing)
-		offer(g, steady, 400, 25*time.Millisecond, service, nothing)
+		offerSteps(g, back, 1, 0, service, nothing)
+		offerSteps(g, steady, 400, 25*time.Millisecond, service, nothing)
 		var group sync.WaitGroup
-		group.Go(func() { offer(g, back, 500, time.Millisecond, service, nothing) })
+		group.Go(func() { offerSteps(g, back, 500, time.Millisecond, service, nothing) })
 		time.Sleep(service)
 		var worst time.Duration
-		offer(g, steady, 10, service, service, func(waited time.Duration, refusal *Refusal) {
+		offerSteps(g, steady, 10, service, service, func(waited time.Duration, refusal *Refusal) {
 			is.True(refusal == nil)
 			worst = max(worst, waited)
 		})
@@ -303,8 +301,8 @@
 	})
 }
 
-// The queue of an instance is full of one customer's steps when another's
-// arrives: the newest of the first one's has to go, and is told so at once.
+// The queue of an instance is full of one customer's steps when another customer's step arrives: the
+// newest step of the first customer is evicted and refused at once.
 func TestFullQueueEvictsTheLargest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -313,7 +311,7 @@
 		var group sync.WaitGroup
 		refused := 0
 		group.Go(func() {
-			offer(g, flood, 11, 0, time.Second, func(waited time.Duration, refusal *Refusal) {
+			offerSteps(g, flood, 11, 0, time.Second, func(waited time.Duration, refusal *Refusal) {
 				if refusal != nil {
 					refused++
 					is.Equal(refusal.Reason, Overloaded)
@@ -322,15 +320,15 @@
 			})
 		})
 		time.Sleep(time.Millisecond)
-		offer(g, calm, 1, 0, time.Second, func(_ time.Duration, refusal *Refusal) { is.True(refusal == nil) })
+		offerSteps(g, calm, 1, 0, time.Second, func(_ time.Duration, refusal *Refusal) { is.True(refusal == nil) })
 		group.Wait()
 		is.Equal(refused, 1)
 	})
 }
 
-// Many plans' steps wait for their own rates while the instance has room. A
-// step of another plan waits for its own rate only, and its near deadline is no
-// reason to refuse it: nothing that waits stands before it.
+// Steps of many plans wait for their own rate limits while the instance has free capacity. A step of
+// another plan must wait for its own rate limit only, and must not be refused for its near deadline:
+// none of the waiting steps delays it.
 func TestOthersRateLimitsDoNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -338,7 +336,7 @@
 		var group sync.WaitGroup
 		for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 			p := &plan.Plan{Name: name, Priority: 9, Limits: plan.Limits{Rate: 1, Burst: 1}}
-			group.Go(func() { offer(g, p, 3, 0, 0, func(time.Duration, *Refusal) {}) })
+			group.Go(func() { offerSteps(g, p, 3, 0, 0, func(time.Duration, *Refusal) {}) })
 		}
 		time.Sleep(100 * time.Millisecond)
 		is.True(g.queued.Value() > 0)
--- a/internal/limit/quota.go
+++ b/internal/limit/quota.go
@@ -7,108 +7,115 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Quota bounds a customer's calls over the whole fleet.
+// Quota bounds a customer's calls over all instances.
 type Quota struct {
-	// Rate is in calls a second; 0 for no limit.
+	// Rate is in calls per second; 0 for no limit.
 	Rate float64
 	// Burst is the number of calls that may come at once beyond the rate.
 	Burst float64
 }
 
-// Limited reports whether there is a limit.
+// Limited reports whether the quota sets a limit.
 func (q Quota) Limited() bool { return q.Rate > 0 }
 
-// Tolerance is how far a customer may be let beyond its quota in any window, since instances
-// learn of each other's calls late.
+// Tolerance is how far a customer may exceed its quota in any window, because instances learn of
+// each other's calls with a delay.
 type Tolerance struct {
 	Window time.Duration
-	// Overage is a part of what the quota allows in a window, Slack a number of calls.
+	// Overage is a fraction of what the quota allows in a window, Slack a number of calls.
 	Overage, Slack float64
 }
 
 const (
-	// useMemory is the time over which an instance's part of a customer's calls is taken.
-	useMemory = 2 * time.Second
-	// newcomersPart is the part of the room that is left to instances that begin to have
-	// calls of the customer, newcomersLeast the number of those who may do so at once.
-	newcomersPart  = 0.5
-	newcomersLeast = 2
-	// tellPart is the part of a burst from which on admitted calls are told at once;
-	// tellEvery is when fewer are.
-	tellPart  = 64
-	tellEvery = 500 * time.Millisecond
-	// partKnown is the part of a quota below which most instances are not heard.
-	partKnown = 0.5
-	// riseLeast is the rise of the part from which on it shows that a cut has healed.
-	riseLeast = 0.05
-	// tellingRounds is the number of rounds in which all is told, and made good if lost.
-	tellingRounds = 3
-	// refillLeast keeps a caller that is refused from coming back at once.
-	refillLeast = 50 * time.Millisecond
-	// returnWithin is how long after its admission a call may be given back.
-	returnWithin = 500 * time.Millisecond
-	// forgetAfter is how long what a peer told of a customer is remembered: far longer than
-	// a datagram may be on its way, so that a late one does not count anew.
-	forgetAfter = 20 * time.Second
+	// shareDecayTime is the time constant of the decaying counts that give an instance's fraction
+	// of a customer's calls.
+	shareDecayTime = 2 * time.Second
+	// newcomerFraction is the fraction of the free calls that is reserved for instances that begin
+	// to have calls of the customer. It is divided by at least minNewcomers instances.
+	newcomerFraction = 0.5
+	minNewcomers     = 2
+	// reportBurstDivisor sets the number of admitted calls that are reported immediately, as a
+	// fraction of the burst. Fewer calls are reported every reportInterval.
+	reportBurstDivisor = 64
+	reportInterval     = 500 * time.Millisecond
+	// majorityFraction is the fraction of a quota that only a group of more than half of all
+	// instances exceeds.
+	majorityFraction = 0.5
+	// minFractionRise is the rise of the fraction that indicates a healed network partition.
+	minFractionRise = 0.05
+	// settlingRounds is the number of rounds in which all calls are reported, including the
+	// repetition of lost reports.
+	settlingRounds = 3
+	// minRetryAfter is the shortest retry time; it keeps refused callers from retrying at once.
+	minRetryAfter = 50 * time.Millisecond
+	// maxReturnDelay is how long after its admission a call may be returned.
+	maxReturnDelay = 500 * time.Millisecond
+	// peerUsageRetention is how long a peer's count for a customer is kept: far longer than a
+	// datagram may be in flight, so that a late one is not counted twice.
+	peerUsageRetention = 20 * time.Second
 )
 
-// Quotas holds customers to their quotas over all instances.
+// Quotas enforces customers' quotas over all instances.
 //
-// Each instance counts every customer's calls of the last window by itself: its own at once,
-// and those of the others when they tell of them. The failures that it guards against are a
-// customer that has its quota once at each instance, and one that is refused though others
-// of its instances are idle.
+// Each instance counts every customer's calls of the last window: its own immediately, those of
+// the others when they report them. Quotas guards against two failures: a customer that gets its
+// full quota at each instance, and a customer that is refused at one instance while its part of
+// the quota at the others is unused.
 //
-//   - Where a customer has had half of its calls, an instance admits no more between two
-//     tellings than its part of the room, by the calls it had lately. Parts add up to the
-//     whole. Instances tell all others by turns, and where that takes long, at once those
-//     that have calls of the same customer.
-//   - Instances that hear only some of the others have only a part of the quota, see partOf.
-//     The parts of groups that do not hear each other add up to one at most.
-//   - One that starts is told by the others what it does not know. Where all have started,
-//     nobody knows of the calls before, and the quota opens slowly for a window.
+//   - After a customer has used half of a window's calls, an instance admits between two reports
+//     at most its share of the free calls, according to its recent calls. The shares add up to
+//     one. Instances send their reports to all others in rounds. If a round takes long, they also
+//     send them directly to the instances that have calls of the same customer.
+//   - A group of instances that reaches only some of the others has a fraction of the quota, see
+//     groupFraction. The fractions of groups that do not reach each other add up to at most one.
+//   - An instance that starts receives the calls of the last window from the others. If all have
+//     started, the calls before are unknown, and the admitted rate rises slowly for one window.
 type Quotas struct {
-	tolerance Tolerance
-	name      string
-	run       uint64
+	tolerance   Tolerance
+	name        string
+	incarnation uint64
 
-	mu     sync.Mutex
-	meters map[string]*meter
-	hashes map[uint64]*meter
-	peers  map[string]*peer
-	// part is what this group of instances may use of each quota; alone says that there is
-	// no other instance.
-	part  float64
-	alone bool
-	// round is how long it takes an instance to tell all others.
-	round time.Duration
-	// knows is since when all calls are known; zero before most instances were heard.
-	knows time.Time
-	// counted says that this instance was told all calls from before its start, and
-	// countedUntil until when others still tell of those for the first time.
-	counted      bool
-	countedUntil time.Time
-	swept        time.Time
-	// rising is since when more instances are heard than part says; zero while they are not.
-	rising time.Time
-	// started are instances that are to be told all calls of the window.
-	started []string
-	all     int
+	mu           sync.Mutex
+	meters       map[string]*meter
+	metersByHash map[uint64]*meter
+	peers        map[string]*peer
+	// fraction is the part of each quota that this group of instances may use. singleInstance
+	// means that there is no other instance.
+	fraction       float64
+	singleInstance bool
+	// reportRound is how long it takes an instance to send its report to all others.
+	reportRound time.Duration
+	// observedSince is the time since which all calls are known; zero until a majority of the
+	// instances is reachable.
+	observedSince time.Time
+	// countsReceived means that this instance has received the counts of the calls before its
+	// start. Calls that another instance reports for the first time before countsCoverUntil are
+	// included in these counts.
+	countsReceived   bool
+	countsCoverUntil time.Time
+	lastSweep        time.Time
+	// risingSince is when the reachable instances began to allow a larger fraction; zero if they do
+	// not.
+	risingSince time.Time
+	// newInstances are started instances to which the counts of the window are to be sent.
+	newInstances []string
+	fleetSize    int
 }
 
-// NewQuotas returns quotas of nobody, at the instance; the run tells its starts apart.
-func NewQuotas(name string, run uint64, t Tolerance) *Quotas {
-	return &Quotas{name: name, run: run, tolerance: t, meters: map[string]*meter{}, hashes: map[uint64]*meter{}, peers: map[string]*peer{}}
+// NewQuotas returns the Quotas of an instance, without any quota set. The incarnation distinguishes
+// the starts of the instance.
+func NewQuotas(name string, incarnation uint64, t Tolerance) *Quotas {
+	return &Quotas{name: name, incarnation: incarnation, tolerance: t, meters: map[string]*meter{}, metersByHash: map[uint64]*meter{}, peers: map[string]*peer{}}
 }
 
-// Set puts customers' quotas in force; those not named have none.
+// Set sets the customers' quotas. Customers that are not in the map are not limited.
 func (q *Quotas) Set(quotas map[string]Quota, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for name, m := range q.meters {
 		if !quotas[name].Limited() {
 			delete(q.meters, name)
-			delete(q.hashes, m.hash)
+			delete(q.metersByHash, m.hash)
 		}
 	}
 	for name, quota := range quotas {
@@ -118,35 +125,36 @@
 		m := q.meters[name]
 		if m == nil {
 			m = newMeter(xxhash.Sum64String(name), quota, q.tolerance, now)
-			q.meters[name], q.hashes[m.hash] = m, m
+			q.meters[name], q.metersByHash[m.hash] = m, m
 		}
 		m.advance(now)
-		m.size(quota, q.tolerance)
+		m.setQuota(quota, q.tolerance)
 	}
 }
 
-// Verdict is what became of a call at its customer's quota.
+// Verdict is the result of checking a call against its customer's quota.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Admitted Verdict = iota
-	// Over says that the customer has had what its quota allows.
+	// OverQuota means that the customer's quota is exhausted.
 	OverQuota
-	// Unknown says that too few other instances are heard to tell.
+	// Undetermined means that too few other instances are reachable to decide.
 	Undetermined
 )
 
-// Call is a call that asks to be admitted.
+// Call is a call to be admitted.
 type Call struct {
 	Customer string
-	// Program is empty for a call that belongs to none. Head says that the call may begin it.
+	// Program is empty for a call that belongs to none. StartsProgram means that the call may be
+	// the program's first.
 	Program       string
 	StartsProgram bool
 }
 
-// Admit admits a call, or tells when it is worth to come again. Where the quota is nearly
-// used up, a program that begins is refused, and not one under way.
+// Admit admits a call, or refuses it and returns the time after which to retry. When the quota is
+// nearly exhausted, it refuses programs that start, not programs that have started.
 func (q *Quotas) Admit(c Call, now time.Time) (Verdict, time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -155,117 +163,119 @@
 		return Admitted, 0
 	}
 	m.advance(now)
-	m.rotate(now, q.round)
-	known := q.known(now)
-	limit := m.limit(q.part, known)
-	begins := c.StartsProgram && !m.programs.knows(c.Program)
-	telling := m.tellingTime(now, q.round)
-	full := m.recent.sum+1 > limit || m.level < 1 || begins && !m.mayBegin(now, limit)
+	m.rotateUnreported(now, q.reportRound)
+	observed := q.observedFor(now)
+	limit := m.limit(q.fraction, observed)
+	starting := c.StartsProgram && !m.programs.contains(c.Program)
+	delay := m.reportDelay(now, q.reportRound)
+	full := m.recent.sum+1 > limit || m.bucket < 1 || starting && !m.canStartProgram(now, limit)
 	switch {
-	case full && q.part < partKnown:
-		return Undetermined, m.wait(q.part, known)
+	case full && q.fraction < majorityFraction:
+		return Undetermined, m.retryAfter(q.fraction, observed)
 	case full:
-		return OverQuota, m.wait(q.part, known)
-	case !q.alone && !m.mayRace(limit, telling):
-		return OverQuota, max(refillLeast, telling)
+		return OverQuota, m.retryAfter(q.fraction, observed)
+	case !q.singleInstance && !m.withinLocalShare(limit, delay):
+		return OverQuota, max(minRetryAfter, delay)
 	}
-	m.take(now)
+	m.recordOwn(now)
 	if c.Program != "" {
-		m.programs.called(c.Program, now, m.window)
+		m.programs.recordCall(c.Program, now, m.window)
 	}
 	return Admitted, 0
 }
 
-// known is for how long all calls are known; the lock is held.
-func (q *Quotas) known(now time.Time) time.Duration {
-	if q.knows.IsZero() {
+// observedFor returns how long all calls have been known; the lock is held.
+func (q *Quotas) observedFor(now time.Time) time.Duration {
+	if q.observedSince.IsZero() {
 		return 0
 	}
-	return now.Sub(q.knows)
+	return now.Sub(q.observedSince)
 }
 
-// Return gives an admission back whose call has not run. One that waited for long stays
-// counted: later calls would take its place while it has left the window already.
+// Return takes back the admission of a call that did not run. A call that waited longer than
+// maxReturnDelay stays counted: it leaves the window earlier than the credit for it would, and the
+// customer would exceed its quota.
 func (q *Quotas) Return(customer string, admitted, now time.Time) {
-	if now.Sub(admitted) > returnWithin {
+	if now.Sub(admitted) > maxReturnDelay {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if m := q.meters[customer]; m != nil {
 		m.advance(now)
-		m.giveBack(admitted)
+		m.returnCall(admitted)
 	}
 }
 
-func (q *Quotas) window() time.Duration { return max(q.tolerance.Window, shortestWindow) }
+func (q *Quotas) window() time.Duration { return max(q.tolerance.Window, minWindow) }
 
-// Fleet takes in how many of all instances are heard, this one included, and how long it
-// takes to tell them all. An instance that is not heard may have calls of its own; while it
-// is not known which instances there are, none is heard.
-func (q *Quotas) SetFleet(heard, all int, round time.Duration, now time.Time) {
+// SetFleet sets the number of reachable instances, including this one, the number of all
+// instances, and the duration of a round of reports. An unreachable instance may admit calls that
+// are not known here. While the set of instances is unknown, reachable is 0.
+func (q *Quotas) SetFleet(reachable, total int, round time.Duration, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.alone, q.all, q.round = all == 1, all, round
-	q.adopt(partOf(heard, all), now)
-	if q.knows.IsZero() && q.part > partKnown {
-		q.knows = now
-		if q.counted {
-			q.knows = now.Add(-q.window())
+	q.singleInstance, q.fleetSize, q.reportRound = total == 1, total, round
+	q.setFraction(groupFraction(reachable, total), now)
+	if q.observedSince.IsZero() && q.fraction > majorityFraction {
+		q.observedSince = now
+		if q.countsReceived {
+			q.observedSince = now.Add(-q.window())
 		}
 	}
-	if now.Sub(q.swept) >= forgetAfter {
-		q.swept = now
-		q.forget(now)
+	if now.Sub(q.lastSweep) >= peerUsageRetention {
+		q.lastSweep = now
+		q.dropStaleUsage(now)
 	}
 }
 
-// adopt takes in the part of the quotas that may be used; the lock is held. A larger one
-// counts once the instances that are heard again had time to tell of their calls.
-func (q *Quotas) adopt(part float64, now time.Time) {
+// setFraction sets the fraction of the quotas that may be used; the lock is held. A larger one
+// takes effect after the instances that are reachable again have had time to report their calls.
+func (q *Quotas) setFraction(fraction float64, now time.Time) {
 	switch {
-	case part <= q.part || q.alone:
-		q.rising = time.Time{}
-	case q.rising.IsZero():
-		q.rising = now
-		if part-q.part > riseLeast {
-			q.tellAgain(now)
+	case fraction <= q.fraction || q.singleInstance:
+		q.risingSince = time.Time{}
+	case q.risingSince.IsZero():
+		q.risingSince = now
+		if fraction-q.fraction > minFractionRise {
+			q.reportAgain(now)
 		}
 		return
-	case now.Sub(q.rising) < q.settling():
+	case now.Sub(q.risingSince) < q.settlingTime():
 		return
 	}
-	q.part = part
+	q.fraction = fraction
 }
 
-// settling is how long instances that are heard anew have to tell of their calls. After a
-// start little is admitted in any case; the lock is held.
-func (q *Quotas) settling() time.Duration {
-	if q.knows.IsZero() {
-		return q.round
+// settlingTime returns how long newly reachable instances have to report their calls; the lock is
+// held. One round is enough after a start, when few calls are admitted in any case.
+func (q *Quotas) settlingTime() time.Duration {
+	if q.observedSince.IsZero() {
+		return q.reportRound
 	}
-	return tellingRounds * q.round
+	return settlingRounds * q.reportRound
 }
 
-// tellAgain has all calls of the window told to those that are heard again; the lock is held.
-func (q *Quotas) tellAgain(now time.Time) {
+// reportAgain has all calls of the window reported to instances that are reachable again; the lock
+// is held.
+func (q *Quotas) reportAgain(now time.Time) {
 	for _, m := range q.meters {
 		m.advance(now)
-		m.tellAgain(now, q.round)
+		m.reportAgain(now, q.reportRound)
 	}
 }
 
-// partOf is the part of each quota that a group of instances may use that hear each other
-// and nobody else. For any groups of a fleet the parts add up to one at most; most of it is
-// for a group of more than half, to which callers are sent.
-func partOf(heard, all int) float64 {
+// groupFraction returns the fraction of each quota for a group of instances that reach each other
+// and no other instance. The fractions of disjoint groups add up to at most one. A group of more
+// than half of the instances, to which callers are routed, gets most of the quota.
+func groupFraction(reachable, total int) float64 {
 	switch {
-	case heard == 0:
+	case reachable == 0:
 		return 0
-	case heard >= all:
+	case reachable >= total:
 		return 1
 	}
-	x := float64(heard) / float64(all)
-	in, out := x*x*x, (1-x)*(1-x)*(1-x)
-	return in / (in + out)
+	x := float64(reachable) / float64(total)
+	own, rest := x*x*x, (1-x)*(1-x)*(1-x)
+	return own / (own + rest)
 }
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// shareTime is how long a share holds after it was granted. An instance
-	// renews it each askInterval.
-	shareTime = 3 * time.Second
-	// unaskedPart is the part of an instance's weight that it uses without
-	// asking, as one of so many.
-	unaskedPart = 2
+	// shareLifetime is how long a share is valid after its grant. An instance renews it every
+	// requestInterval.
+	shareLifetime = 3 * time.Second
+	// defaultShareDivisor sets the default share, which an instance uses without a request, as a
+	// fraction of its part by weight.
+	defaultShareDivisor = 2
 )
 
 // Demand is what one instance would use of a plan's limits.
 type Demand struct {
 	Plan string
-	// Rate is in steps a second; Slots in steps at once, of which Running are under way.
+	// Rate is in steps per second. Slots is the number of concurrent steps, of which Running are
+	// running.
 	Rate           float64
 	Slots, Running int
-	// Limits are the plan's, as the asker knows them.
+	// Limits are the plan's limits as the requester knows them.
 	Limits plan.Limits
 }
 
@@ -40,21 +41,21 @@
 	return Share{Plan: s.Plan, Rate: max(s.Rate, t.Rate), Slots: max(s.Slots, t.Slots)}
 }
 
-// Members tells the living instances of the data centre.
+// Members lists the live instances of the data centre.
 type Members interface {
-	// Weights returns the living instances' sizes by name, this one included.
+	// Weights returns the live instances' sizes by name, including this instance.
 	Weights() map[string]float64
 	// Self returns this instance's name.
 	Self() string
 }
 
-// fleet is the living instances of the data centre with their sizes.
+// fleet is the set of live instances of the data centre with their sizes.
 type fleet struct {
 	weights map[string]float64
 	total   float64
 }
 
-// minWeight keeps an instance without a stated size from dividing by zero.
+// minWeight prevents a division by zero for instances without a configured size.
 const minWeight = 1e-6
 
 func newFleet(weights map[string]float64) fleet {
@@ -65,9 +66,9 @@
 	return f
 }
 
-// arbiterOf returns the instance that divides a plan's limits: the highest
-// hash of instance and plan (rendezvous hashing, Thaler and Ravishankar 1996),
-// so that a change of members moves few plans.
+// arbiterOf returns the instance that divides a plan's limits: the one with the highest hash of
+// instance and plan (rendezvous hashing, Thaler and Ravishankar 1996), so that a change of members
+// moves few plans.
 func (f fleet) arbiterOf(planName string) string {
 	var best string
 	var top uint64
@@ -80,8 +81,8 @@
 	return best
 }
 
-// base returns an instance's part of the limits by weight.
-func (f fleet) base(limits plan.Limits, name string) (rate, slots float64) {
+// weightedLimits returns an instance's part of the limits by weight.
+func (f fleet) weightedLimits(limits plan.Limits, name string) (rate, slots float64) {
 	if f.total == 0 {
 		return limits.Rate, float64(limits.Concurrency)
 	}
@@ -89,111 +90,107 @@
 	return limits.Rate * part, float64(limits.Concurrency) * part
 }
 
-// unasked is what an instance uses without a share.
-func (f fleet) unasked(limits plan.Limits, name string) Share {
-	rate, slots := f.base(limits, name)
+// defaultShare returns what an instance may use without a granted share.
+func (f fleet) defaultShare(limits plan.Limits, name string) Share {
+	rate, slots := f.weightedLimits(limits, name)
 	if len(f.weights) < 2 {
 		return Share{Rate: rate, Slots: int(slots)}
 	}
-	return Share{Rate: rate / unaskedPart, Slots: int(slots / unaskedPart)}
+	return Share{Rate: rate / defaultShareDivisor, Slots: int(slots / defaultShareDivisor)}
 }
 
-// arbiter divides the limits of those plans that hash to this instance. What
-// it knows is soft: a new arbiter learns it anew from the askers within one
-// interval, and counts for every instance it has not heard of what that
-// instance uses unasked.
+// arbiter divides the limits of the plans that hash to this instance. Its state is soft: a new
+// arbiter rebuilds it from the requests of one interval, and assumes the default share for
+// instances that have sent none.
 type arbiter struct {
 	mu    sync.Mutex
-	plans map[string]map[string]*asker
+	plans map[string]map[string]*requester
 }
 
-// asker is one instance's last demand and what it may be using by the shares
-// that it was granted.
-type asker struct {
-	demand Demand
-	seen   time.Time
-	// grants are the shares that may still be in use, the last one last: an
-	// answer that lowers a share may get lost, and then the one before holds
-	// until it ends.
+// requester holds one instance's last demand and the shares granted to it.
+type requester struct {
+	demand      Demand
+	lastRequest time.Time
+	// grants are the shares that may still be in use, newest last. A response that lowers a share
+	// may be lost; the instance then uses the share before it until that expires.
 	grants []grant
 }
 
 type grant struct {
-	share Share
-	ends  time.Time
+	share   Share
+	expires time.Time
 }
 
-func newArbiter() *arbiter { return &arbiter{plans: map[string]map[string]*asker{}} }
+func newArbiter() *arbiter { return &arbiter{plans: map[string]map[string]*requester{}} }
 
-// divide answers one instance's demand.
-func (a *arbiter) divide(from string, demand Demand, members fleet, now time.Time) Share {
+// allocate returns a share for one instance's demand.
+func (a *arbiter) allocate(from string, demand Demand, members fleet, now time.Time) Share {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	askers := a.plans[demand.Plan]
-	if askers == nil {
-		askers = map[string]*asker{}
-		a.plans[demand.Plan] = askers
+	requesters := a.plans[demand.Plan]
+	if requesters == nil {
+		requesters = map[string]*requester{}
+		a.plans[demand.Plan] = requesters
 	}
-	forget(askers, members, now)
-	self := askers[from]
+	dropStaleRequesters(requesters, members, now)
+	self := requesters[from]
 	if self == nil {
-		self = &asker{}
-		askers[from] = self
+		self = &requester{}
+		requesters[from] = self
 	}
-	self.demand, self.seen = demand, now
-	share := fairShare(from, demand.Limits, askers, members)
-	free := remaining(from, demand, askers, members, now)
+	self.demand, self.lastRequest = demand, now
+	share := fairShare(from, demand.Limits, requesters, members)
+	free := remaining(from, demand, requesters, members, now)
 	share.Rate = min(share.Rate, max(0, free.Rate))
 	share.Slots = min(share.Slots, max(0, free.Slots))
 	share.Plan = demand.Plan
-	self.note(share, now)
+	self.recordGrant(share, now)
 	return share
 }
 
-// note adds a share to those in use, in place of those that it covers.
-func (s *asker) note(share Share, now time.Time) {
+// recordGrant adds a share to the grants and removes expired ones and those that it covers.
+func (s *requester) recordGrant(share Share, now time.Time) {
 	kept := s.grants[:0]
 	for _, g := range s.grants {
-		if now.Before(g.ends) && (g.share.Rate > share.Rate || g.share.Slots > share.Slots) {
+		if now.Before(g.expires) && (g.share.Rate > share.Rate || g.share.Slots > share.Slots) {
 			kept = append(kept, g)
 		}
 	}
-	s.grants = append(kept, grant{share: share, ends: now.Add(shareTime)})
+	s.grants = append(kept, grant{share: share, expires: now.Add(shareLifetime)})
 }
 
-// inUse returns the most that the asker may be using.
-func (s *asker) inUse(now time.Time) Share {
+// mayUse returns the maximum that the requester may be using.
+func (s *requester) mayUse(now time.Time) Share {
 	used := Share{Slots: s.demand.Running}
 	for _, g := range s.grants {
-		if now.Before(g.ends) {
+		if now.Before(g.expires) {
 			used = used.atLeast(g.share)
 		}
 	}
 	return used
 }
 
-// forget drops askers that have not asked for longer than a share holds, or
-// have left.
-func forget(askers map[string]*asker, members fleet, now time.Time) {
-	for name, s := range askers {
-		if _, lives := members.weights[name]; !lives || now.Sub(s.seen) > shareTime {
-			delete(askers, name)
+// dropStaleRequesters removes requesters that have sent no request for longer than shareLifetime or
+// are not in the fleet.
+func dropStaleRequesters(requesters map[string]*requester, members fleet, now time.Time) {
+	for name, s := range requesters {
+		if _, lives := members.weights[name]; !lives || now.Sub(s.lastRequest) > shareLifetime {
+			delete(requesters, name)
 		}
 	}
 }
 
-// remaining returns what the limits have left for one asker, when all others
-// use what they may.
-func remaining(from string, demand Demand, askers map[string]*asker, members fleet, now time.Time) Share {
+// remaining returns what the limits leave for one requester if all others use what they may.
+func remaining(from string, demand Demand, requesters map[string]*requester, members fleet, now time.Time) Share {
 	left := Share{Rate: demand.Limits.Rate, Slots: demand.Limits.Concurrency}
 	for name := range members.weights {
 		if name == from {
 			continue
 		}
-		// Never less than what the instance falls back to when its share ends.
-		used := members.unasked(demand.Limits, name)
-		if s := askers[name]; s != nil {
-			used = used.atLeast(s.inUse(now))
+		// At least the default share, which the instance uses when its share expires.
+		used := members.defaultShare(demand.Limits, name)
+		if s := requesters[name]; s != nil {
+			used = used.atLeast(s.mayUse(now))
 		}
 		left.Rate -= used.Rate
 		left.Slots -= used.Slots
@@ -201,28 +198,28 @@
 	return left
 }
 
-// fairShare divides the limits between the askers, max-min fair by weight: who
-// asks for less than its part gets that, and the others divide the rest.
-func fairShare(from string, limits plan.Limits, askers map[string]*asker, members fleet) Share {
+// fairShare returns one requester's part of the limits, divided max-min fairly by weight:
+// requesters that demand less than their part get their demand, the others divide the rest.
+func fairShare(from string, limits plan.Limits, requesters map[string]*requester, members fleet) Share {
 	pool := Share{Rate: limits.Rate, Slots: limits.Concurrency}
 	var claims []claim
 	for name, weight := range members.weights {
-		s := askers[name]
+		s := requesters[name]
 		if s == nil {
-			used := members.unasked(limits, name)
+			used := members.defaultShare(limits, name)
 			pool.Rate -= used.Rate
 			pool.Slots -= used.Slots
 			continue
 		}
-		least := members.unasked(limits, name)
+		least := members.defaultShare(limits, name)
 		claims = append(claims, claim{
 			name: name, weight: max(weight, minWeight),
-			rate: max(least.Rate, s.demand.Rate*headroom), slots: float64(max(least.Slots, s.demand.Slots)),
+			rate: max(least.Rate, s.demand.Rate*demandHeadroom), slots: float64(max(least.Slots, s.demand.Slots)),
 		})
 	}
 	sort.Slice(claims, func(i, j int) bool { return claims[i].name < claims[j].name })
 	rates := waterFill(claims, pool.Rate, func(c claim) float64 { return c.rate })
-	slots := wholeSlots(waterFill(claims, float64(pool.Slots), func(c claim) float64 { return c.slots }), claims, pool.Slots)
+	slots := roundSlots(waterFill(claims, float64(pool.Slots), func(c claim) float64 { return c.slots }), claims, pool.Slots)
 	for i, c := range claims {
 		if c.name == from {
 			return Share{Rate: rates[i], Slots: slots[i]}
@@ -231,18 +228,19 @@
 	return Share{}
 }
 
-// headroom lets a share grow: an instance that uses its whole share can't
-// offer more than it to be counted.
-const headroom = 1.5
+// demandHeadroom is the factor by which the allocated rate may exceed the demand. It lets a share
+// grow: an instance that uses its full share can't show a demand above it.
+const demandHeadroom = 1.5
 
+// claim is what one requester claims of the limits.
 type claim struct {
 	name        string
 	weight      float64
 	rate, slots float64
 }
 
-// waterFill divides the pool max-min fair. What is left when all are satisfied
-// goes to all by weight.
+// waterFill divides the pool max-min fairly. The surplus after all claims are met goes to all by
+// weight.
 func waterFill(claims []claim, pool float64, want func(claim) float64) []float64 {
 	shares := make([]float64, len(claims))
 	order := make([]int, len(claims))
@@ -267,9 +265,9 @@
 	return shares
 }
 
-// wholeSlots rounds down and hands what is left to the largest fractions, so
-// that a concurrency below the number of instances is still given out whole.
-func wholeSlots(shares []float64, claims []claim, pool int) []int {
+// roundSlots rounds shares down to whole slots and gives the remaining slots to the largest
+// fractions, so that a concurrency below the number of instances is still fully allocated.
+func roundSlots(shares []float64, claims []claim, pool int) []int {
 	slots := make([]int, len(shares))
 	order := make([]int, len(shares))
 	left := max(0, pool)
