--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -45,7 +45,7 @@
 		al.recordOutage(err)
 		s.drawMu.Lock()
 		s.unresolved = len(s.lost) > 0
-		s.renewAt = al.options.Now().Add(al.options.Renew/2 + rand.N(al.options.Renew))
+		s.renewAt = al.options.Now().Add(al.options.RenewInterval/2 + rand.N(al.options.RenewInterval))
 		close(s.done)
 		if !s.drawAgain || err != nil {
 			s.done, s.drawAgain = nil, false
@@ -158,7 +158,7 @@
 	for _, p := range pending {
 		all = append(all, p.requests...)
 	}
-	results, changed := b.apply(all, int64(al.options.Share), al.options.Now())
+	results, changed := b.apply(all, int64(al.options.ShareDivisor), al.options.Now())
 	if changed {
 		m := b.recordWrite(cryptorand.Text()[:12])
 		err := al.write(ctx, key, b, base, m)
--- a/internal/budget/failure_test.go
+++ b/internal/budget/failure_test.go
@@ -280,7 +280,7 @@
 		deferring := &lateStore{Client: standin.NewStore()}
 		l := &planSource{changed: make(chan struct{})}
 		l.set(onePlan(400), 1)
-		al := NewAllocator(deferring, l, Options{Shards: 1, Share: 4})
+		al := NewAllocator(deferring, l, Options{Shards: 1, ShareDivisor: 4})
 		sleepUntil(10 * time.Second)
 		drawn := func() int64 {
 			b, _, err := al.read(context.Background(), store.Key{Kind: KindBudget, Name: "000"})
--- a/internal/budget/joint_fuzz_test.go
+++ b/internal/budget/joint_fuzz_test.go
@@ -49,7 +49,7 @@
 func newSite(l *link, fleet *[]*site) *site {
 	s := &site{link: l, fleet: fleet}
 	s.Source = config.NewSource(l, config.Options{Peers: s})
-	s.allocator = NewAllocator(l, s.Source, Options{Shards: 1, Horizon: 20 * time.Second, Share: 4, Lead: 5 * time.Second, Renew: 5 * time.Second})
+	s.allocator = NewAllocator(l, s.Source, Options{Shards: 1, Horizon: 20 * time.Second, ShareDivisor: 4, Lead: 5 * time.Second, RenewInterval: 5 * time.Second})
 	return s
 }
 
--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -23,16 +23,16 @@
 	// DefaultHorizon is the duration of future spending that an allotment covers, and thus about
 	// how long an instance can serve during an outage of the store.
 	DefaultHorizon = 5 * time.Minute
-	// DefaultShare is the divisor that bounds what an instance holds in advance: at most one
-	// DefaultShare-th of what is left of a budget.
-	DefaultShare = 64
+	// DefaultShareDivisor is the divisor that bounds what an instance holds in advance: at most one
+	// 1/DefaultShareDivisor of what is left of a budget.
+	DefaultShareDivisor = 64
 	// DefaultLead is how long before the end of a window instances draw from the next one. It is
 	// longer than DefaultRenew, so that instances do not all draw at the boundary.
 	DefaultLead = 5 * time.Minute
-	// DefaultRenew is the mean time between two renewals of an object while no caller waits. It is
+	// DefaultRenewInterval is the mean time between two renewals of an object while no caller waits. It is
 	// less than half of DefaultHorizon, so that an allotment that is spent evenly does not run out
 	// between renewals.
-	DefaultRenew = 2 * time.Minute
+	DefaultRenewInterval = 2 * time.Minute
 	// DefaultStoreRate bounds the calls to the store, in calls per second.
 	DefaultStoreRate = 20
 
@@ -70,14 +70,14 @@
 
 // Options configures an Allocator. Zero values have defaults.
 type Options struct {
-	Shards    int
-	Horizon   time.Duration
-	Share     int
-	Lead      time.Duration
-	Renew     time.Duration
-	StoreRate float64
-	Registry  metrics.Registry
-	Log       log.Interface
+	Shards        int
+	Horizon       time.Duration
+	ShareDivisor  int
+	Lead          time.Duration
+	RenewInterval time.Duration
+	StoreRate     float64
+	Registry      metrics.Registry
+	Log           log.Interface
 	// Now is the instance's clock; time.Now unless a test sets it.
 	Now func() time.Time
 }
@@ -160,14 +160,14 @@
 	if o.Horizon == 0 {
 		o.Horizon = DefaultHorizon
 	}
-	if o.Share == 0 {
-		o.Share = DefaultShare
+	if o.ShareDivisor == 0 {
+		o.ShareDivisor = DefaultShareDivisor
 	}
 	if o.Lead == 0 {
 		o.Lead = DefaultLead
 	}
-	if o.Renew == 0 {
-		o.Renew = DefaultRenew
+	if o.RenewInterval == 0 {
+		o.RenewInterval = DefaultRenewInterval
 	}
 	if o.StoreRate == 0 {
 		o.StoreRate = DefaultStoreRate
--- a/internal/budget/world_test.go
+++ b/internal/budget/world_test.go
@@ -169,7 +169,7 @@
 
 func (n *node) start() {
 	n.Allocator = NewAllocator(n.link, n.plans, Options{
-		Shards: 1, Horizon: 20 * time.Second, Share: 4, Lead: 5 * time.Second, Renew: 5 * time.Second,
+		Shards: 1, Horizon: 20 * time.Second, ShareDivisor: 4, Lead: 5 * time.Second, RenewInterval: 5 * time.Second,
 		Now: func() time.Time { return time.Now().Add(n.skew) },
 	})
 	allocator := n.Allocator
--- a/internal/dispatch/model.go
+++ b/internal/dispatch/model.go
@@ -66,12 +66,12 @@
 	grant := m.grant
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	grant.Sent()
+	grant.MarkSent()
 	patience := time.AfterFunc(grant.ProgressTimeout, func() { cancel(errPatience) })
 	defer patience.Stop()
 	answer, err := m.executor.o.Engines.Complete(attemptCtx, grant.Address, m.engineRequest(), func(c engine.Chunk) error {
 		patience.Reset(grant.ProgressTimeout)
-		grant.FirstToken()
+		grant.RecordFirstToken()
 		m.begun = true
 		return m.pass(sink, c)
 	})
--- a/internal/dispatch/tool.go
+++ b/internal/dispatch/tool.go
@@ -116,7 +116,7 @@
 }
 
 func (t *toolStep) call(ctx context.Context, grant *scheduler.Grant, results chan<- attempt) {
-	grant.Sent()
+	grant.MarkSent()
 	begin := time.Now()
 	answer, err := t.executor.o.Tools.Call(ctx, tool.Call{
 		Address:    grant.Address,
--- a/internal/experiment/entry.go
+++ b/internal/experiment/entry.go
@@ -65,8 +65,8 @@
 func (e *modelEntry) place(p *program, out int, tried []int) (*choice, bool) {
 	e.turn++
 	step := placement.Step{
-		Prompt: p.prompt, Output: out, LatencyWeight: 1, CacheWeight: 0.5,
-		Key: uint64(p.number), Turn: e.turn, Random: e.random.Uint64(),
+		PromptTokens: p.prompt, OutputTokens: out, LatencyWeight: 1, CacheWeight: 0.5,
+		ProgramHash: uint64(p.number), DecisionNumber: e.turn, Random: e.random.Uint64(),
 	}
 	cells := e.table.Snapshot().Model(modelName)
 	e.view.Lookup(p.blocks, &e.found)
@@ -75,7 +75,7 @@
 		u := cell.Upstream
 		c := placement.Candidate{
 			Index: i, ID: u.ID, Slots: u.Slots, Load: u.Load(e.clock.now.UnixNano()), Speed: cell.Speed(),
-			Cached: min(p.prompt, e.found.Depth(u.ID)*blockTokens),
+			CachedTokens: min(p.prompt, e.found.Depth(u.ID)*blockTokens),
 		}
 		if isTried(u, tried) {
 			c.Rejection = placement.Tried
@@ -95,7 +95,7 @@
 	c := &choice{
 		trial:  trial,
 		engine: engineOf(cell.Upstream), cell: cell, step: step, estimate: d.Estimate,
-		batch: chosen.Load.Total + 1, cached: chosen.Cached, sent: e.clock.now,
+		batch: chosen.Load.Total + 1, cached: chosen.CachedTokens, sent: e.clock.now,
 	}
 	cell.Upstream.Begin(e.clock.now.UnixNano(), c.uncached(), patience)
 	e.view.RecordSent(cell.Upstream.ID, p.blocks)
@@ -119,7 +119,7 @@
 	return false
 }
 
-func (c *choice) uncached() int { return max(0, c.step.Prompt-c.cached) }
+func (c *choice) uncached() int { return max(0, c.step.PromptTokens-c.cached) }
 
 // began notes the first token.
 func (e *modelEntry) began(c *choice) {
@@ -150,7 +150,7 @@
 	total := now.Sub(c.sent)
 	u.ObserveLatency(now, total, c.estimate.ExpectedDuration(&c.step, made))
 	c.cell.Learn(upstream.Sample{
-		Uncached: c.step.Prompt - cached, Output: made, Batch: min(c.batch, u.Slots), FirstToken: first, Total: total,
+		Uncached: c.step.PromptTokens - cached, Output: made, Batch: min(c.batch, u.Slots), FirstToken: first, Total: total,
 	})
 	e.view.ObserveCached(u.ID, c.cached, cached)
 }
--- a/internal/gateway/attempts_machine_test.go
+++ b/internal/gateway/attempts_machine_test.go
@@ -102,7 +102,7 @@
 		// response immediately.
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0))
 		route := []routing.Route{
-			{Kind: routing.Once}, {Kind: routing.Idempotent},
+			{Kind: routing.AtMostOnce}, {Kind: routing.Idempotent},
 			{Kind: routing.Stream}, {Kind: routing.Stream, Resumable: true},
 		}[random.IntN(4)]
 		route.Attempts = 1 + random.IntN(3)
@@ -138,7 +138,7 @@
 		if got.result.Outcome == NotRun && total > 0 {
 			fail("reported as not run, but ran")
 		}
-		if got.result.Outcome == Answered && got.body != "whole" && got.body != event(1)+event(2) {
+		if got.result.Outcome == Completed && got.body != "whole" && got.body != event(1)+event(2) {
 			fail("unexpected response body " + got.body)
 		}
 	})
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -70,7 +70,7 @@
 	got := serveWithSilence(t, fallsSilentAfter(300*time.Millisecond), route, Call{}, nil,
 		streamsSlowly(200*time.Millisecond, event(1), event(2), event(3), event(4)), streams(nil, event(9)))
 	is.Equal(countDistinct(got.targets), 1)
-	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.result.Outcome, Completed)
 	is.Equal(got.body, event(1)+event(2)+event(3)+event(4))
 
 	idempotent := routing.Route{Kind: routing.Idempotent, Attempts: 1}
@@ -143,7 +143,7 @@
 	is := is.New(t)
 	route := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}
 	got := serveWithSilence(t, fallsSilentAfter(300*time.Millisecond), route, Call{ID: "r"}, nil, streamsSlowly(time.Second, event(1), event(2)), streams(nil, event(2)))
-	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.result.Outcome, Completed)
 	line := got.logFields("attempt failed")
 	is.Equal(line["request"], "r")
 	is.Equal(line["replica"], got.targets[0])
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -66,8 +66,8 @@
 
 // The outcomes.
 const (
-	// Answered: a replica's complete response was forwarded.
-	Answered Outcome = iota
+	// Completed: a replica's complete response was forwarded.
+	Completed Outcome = iota
 	// NotRun: the call has not run and will not run.
 	NotRun
 	// Unknown: the call may have run, and no part of a response was forwarded.
@@ -92,7 +92,7 @@
 	NoRoute                Reason = "no_route"
 	UnknownKey             Reason = "key_unknown"
 	OverQuota              Reason = "over_quota"
-	QuotaUnknown           Reason = "quota_unknown"
+	QuotaUndetermined      Reason = "quota_unknown"
 	BadRequest             Reason = "bad_request"
 	TooLarge               Reason = "too_large"
 	BudgetExhausted        Reason = "budget_spent"
--- a/internal/gateway/customer_test.go
+++ b/internal/gateway/customer_test.go
@@ -39,16 +39,16 @@
 		customer string
 		priority int
 	}{
-		{"first key of a customer", digestOf("k1"), false, Answered, "one", 0},
-		{"second key of a customer", digestOf("k3"), false, Answered, "two", 4},
+		{"first key of a customer", digestOf("k1"), false, Completed, "one", 0},
+		{"second key of a customer", digestOf("k3"), false, Completed, "two", 4},
 		{"unknown key", digestOf("gone"), false, NotRun, "", 0},
 		{"no key", nil, false, NotRun, "", 0},
-		{"no key on a public route", nil, true, Answered, "", 4},
-		{"key on a public route", digestOf("k2"), true, Answered, "two", 4},
+		{"no key on a public route", nil, true, Completed, "", 4},
+		{"key on a public route", digestOf("k2"), true, Completed, "two", 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			route := routing.Route{Kind: routing.Once, Attempts: 1, Priority: 4, Public: c.public}
+			route := routing.Route{Kind: routing.AtMostOnce, Attempts: 1, Priority: 4, Public: c.public}
 			got := serveWith(t, customers, Settings{}, route, Call{ID: "r", Key: c.key}, nil, succeedsWith("done"))
 			is.Equal(got.result.Outcome, c.outcome)
 			if c.outcome == NotRun {
@@ -70,7 +70,7 @@
 	call.Key = digestOf("k1")
 	turns := &fakeTurns{}
 	got := serveWith(t, customers, Settings{}, turnRoute, call, turns, streams(nil, event(1), event(2)))
-	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.result.Outcome, Completed)
 	is.Equal(turns.settlements[0].Customer, "one")
 }
 
@@ -91,7 +91,7 @@
 // Guards against calls over their customer's quota that run, or that wait before they are refused.
 func TestCallsOverQuotaAreRefusedImmediately(t *testing.T) {
 	customers := newCustomers(t, routing.Customer{Name: "one", Keys: []routing.KeyDigest{*digestOf("k1")}})
-	for verdict, reason := range map[limit.Verdict]Reason{limit.OverQuota: OverQuota, limit.Undetermined: QuotaUnknown} {
+	for verdict, reason := range map[limit.Verdict]Reason{limit.OverQuota: OverQuota, limit.Undetermined: QuotaUndetermined} {
 		is := is.New(t)
 		quotas, turns := &fakeQuotas{verdict: verdict}, &fakeTurns{}
 		call := turnCall()
@@ -110,7 +110,7 @@
 // Guards against quotas that are used up by calls that were refused and have not run.
 func TestCallsThatDidNotRunAreReturnedToTheQuota(t *testing.T) {
 	customers := newCustomers(t, routing.Customer{Name: "one", Keys: []routing.KeyDigest{*digestOf("k1")}})
-	route := routing.Route{Kind: routing.Once, Attempts: 1}
+	route := routing.Route{Kind: routing.AtMostOnce, Attempts: 1}
 	for _, c := range []struct {
 		script   script
 		returned int
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -159,7 +159,7 @@
 	if v := classifyResponse(response); v != complete {
 		return response, nil, v
 	}
-	state.grant.FirstToken()
+	state.grant.RecordFirstToken()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		state.err = err
@@ -238,5 +238,5 @@
 			return f.result(CallerGone, CallerDisconnected, response.Status)
 		}
 	}
-	return f.result(Answered, "", response.Status)
+	return f.result(Completed, "", response.Status)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -87,7 +87,7 @@
 func (g *Gateway) Serve(ctx context.Context, call *Call, caller Caller) Result {
 	f := &inFlightCall{gateway: g, call: call, caller: caller, callerCtx: ctx}
 	result := f.serve(ctx)
-	if ctx.Err() != nil && result.Outcome != Answered {
+	if ctx.Err() != nil && result.Outcome != Completed {
 		result.Outcome, result.Reason = CallerGone, CallerDisconnected
 	}
 	g.latency.Update(time.Since(call.Arrived).Microseconds())
@@ -186,7 +186,7 @@
 	}
 	reason := OverQuota
 	if verdict == limit.Undetermined {
-		reason = QuotaUnknown
+		reason = QuotaUndetermined
 	}
 	result := refused(reason, after)
 	return &result
@@ -258,7 +258,7 @@
 		Tried:              f.triedReplicas,
 		MaxTokens:          f.call.MaxOutput,
 		OutputHint:         min(f.call.OutputHint, f.call.MaxOutput),
-		Blocks:             f.blocks,
+		BlockHashes:        f.blocks,
 		PromptTokens:       f.call.PromptTokens,
 		Plan:               f.route.Name,
 		LastUpstream:       f.lastUpstream,
@@ -307,7 +307,7 @@
 func (f *inFlightCall) sendTo(ctx context.Context, g *scheduler.Grant, resumeAfter string) (*Response, error) {
 	f.lastReplica = g.Upstream
 	f.attempts++
-	g.Sent()
+	g.MarkSent()
 	attempt := &Attempt{
 		Call:           f.call,
 		Target:         Target{ID: g.Upstream, Address: g.Address},
@@ -399,18 +399,18 @@
 	}
 }
 
-// MaxHeader returns the largest request header that callers may send, in bytes. Without a
+// MaxHeaderBytes returns the largest request header that callers may send, in bytes. Without a
 // configured limit only the server's own limit applies.
-func (g *Gateway) MaxHeader() int {
+func (g *Gateway) MaxHeaderBytes() int {
 	if t := g.settings.Table(); t != nil && t.Limits.MaxHeaderBytes > 0 {
 		return t.Limits.MaxHeaderBytes
 	}
 	return math.MaxInt
 }
 
-// MaxBody returns the largest request body that callers may send, in bytes, or the value of
+// MaxBodyBytes returns the largest request body that callers may send, in bytes, or the value of
 // otherwise if no limit is configured.
-func (g *Gateway) MaxBody(otherwise int64) int64 {
+func (g *Gateway) MaxBodyBytes(otherwise int64) int64 {
 	if t := g.settings.Table(); t != nil && t.Limits.MaxBodyBytes > 0 {
 		return t.Limits.MaxBodyBytes
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -232,7 +232,7 @@
 		respondsWith(Response{Status: 200, Verified: true, Executed: true, BodyAltered: true}, "packed"),
 	} {
 		is := is.New(t)
-		got := serve(t, routing.Route{Kind: routing.Once, Attempts: 3}, Call{ID: "r"}, nil, script, succeedsWith("second"))
+		got := serve(t, routing.Route{Kind: routing.AtMostOnce, Attempts: 3}, Call{ID: "r"}, nil, script, succeedsWith("second"))
 		is.Equal(got.result.Outcome, Unknown)
 		is.Equal(len(got.targets), 1)
 		is.Equal(got.body, "")
@@ -244,8 +244,8 @@
 func TestCallThatDidNotRunIsRetriedOnAnotherReplica(t *testing.T) {
 	for _, script := range []script{failsWith(httpconn.ErrNotSent), refuses, respondsWith(Response{Status: 421, Executed: true, Misdirected: true}, "")} {
 		is := is.New(t)
-		got := serve(t, routing.Route{Kind: routing.Once, Attempts: 1}, Call{ID: "r"}, nil, script, succeedsWith("second"))
-		is.Equal(got.result.Outcome, Answered)
+		got := serve(t, routing.Route{Kind: routing.AtMostOnce, Attempts: 1}, Call{ID: "r"}, nil, script, succeedsWith("second"))
+		is.Equal(got.result.Outcome, Completed)
 		is.Equal(got.body, "second")
 		is.True(got.targets[0] != got.targets[1])
 	}
@@ -274,7 +274,7 @@
 // Guards against callers that wait past the route's timeout.
 func TestRouteTimeoutEndsTheCall(t *testing.T) {
 	is := is.New(t)
-	got := serve(t, routing.Route{Kind: routing.Once, Attempts: 1, Timeout: 700 * time.Millisecond}, Call{ID: "r"}, nil, hangs)
+	got := serve(t, routing.Route{Kind: routing.AtMostOnce, Attempts: 1, Timeout: 700 * time.Millisecond}, Call{ID: "r"}, nil, hangs)
 	is.Equal(got.result, Result{Outcome: Unknown, Reason: TimedOut, Replica: got.targets[0], Attempts: 1})
 	is.Equal(got.duration, 700*time.Millisecond)
 }
@@ -286,7 +286,7 @@
 	is := is.New(t)
 	broken := streams(io.ErrUnexpectedEOF, event(1), event(2), "id: 3\ndata: d")
 	got := serve(t, routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 1}, Call{ID: "r"}, nil, broken, streams(nil, event(3), event(4)))
-	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.result.Outcome, Completed)
 	is.Equal(got.body, event(1)+event(2)+event(3)+event(4))
 	is.Equal(got.targets[0], got.targets[1])
 }
@@ -316,7 +316,7 @@
 		body = string(s.Body)
 		return streams(nil, event(1), event(2))(ctx, s)
 	})
-	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.result.Outcome, Completed)
 	is.Equal(body, "oldx\ny\nnew")
 	is.Equal(len(turns.settlements), 1)
 	is.Equal(turns.settlements[0].OutputTokens, 4)
@@ -342,7 +342,7 @@
 	route := turnRoute
 	route.RetainsTurns = false
 	got := serve(t, route, turnCall(), turns, streams(nil, event(1), event(2)))
-	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.result.Outcome, Completed)
 	is.True(got.duration < turns.settleDelay)
 	is.Equal(len(turns.settlements), 1)
 	is.Equal(turns.settlements[0].OutputTokens, 4)
@@ -388,19 +388,19 @@
 	is := is.New(t)
 	route := routing.Route{Kind: routing.Idempotent, Attempts: 2, Timeout: timeout}
 	got := serveWithSilence(t, fallsSilentAfter(silenceAfter), route, Call{}, nil, hangs, succeedsWith("done"))
-	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.result.Outcome, Completed)
 	is.Equal(got.duration, silenceAfter)
 
 	stream := routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2, Timeout: timeout}
 	got = serveWithSilence(t, fallsSilentAfter(silenceAfter), stream, Call{}, nil, hangsAfterOneEvent, streams(nil, event(2)))
-	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.result.Outcome, Completed)
 	is.Equal(got.body, event(1)+event(2))
 	is.Equal(got.duration, silenceAfter)
 
 	for _, notFailingOver := range []routing.Route{
 		{Kind: routing.Idempotent, Attempts: 1, Timeout: timeout},
 		{Kind: routing.Stream, Resumable: true, Attempts: 1, Timeout: timeout},
-		{Kind: routing.Once, Attempts: 2, Timeout: timeout},
+		{Kind: routing.AtMostOnce, Attempts: 2, Timeout: timeout},
 	} {
 		got = serveWithSilence(t, fallsSilentAfter(silenceAfter), notFailingOver, Call{}, nil, hangs, hangs, succeedsWith("twice"))
 		is.Equal(got.duration, timeout)
@@ -471,5 +471,5 @@
 	got := serve(t, turnRoute, turnCall(), &fakeTurns{}, respondsWith(Response{Status: 500, Verified: true, Executed: true}, "broken"))
 	is.Equal(got.status, 500)
 	is.Equal(got.body, "broken")
-	is.Equal(got.result.Outcome, Answered)
+	is.Equal(got.result.Outcome, Completed)
 }
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -81,7 +81,7 @@
 		return noFreeConnection
 	case errors.Is(err, httpconn.ErrNotSent):
 		return notSent
-	case cancelledBySilence(ctx), errors.Is(err, httpconn.ErrUnresponsive), netdial.Unresponsive(err):
+	case cancelledBySilence(ctx), errors.Is(err, httpconn.ErrUnresponsive), netdial.IsUnresponsive(err):
 		return unresponsive
 	default:
 		return responseLost
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -146,9 +146,9 @@
 			if len(events) > 0 {
 				if firstEventTime == 0 {
 					firstEventTime = time.Since(state.began)
-					state.grant.FirstToken()
+					state.grant.RecordFirstToken()
 				}
-				state.grant.Progress()
+				state.grant.RecordProgress()
 				watchdog.recordProgress()
 			}
 			if !f.forwardEvents(response, events, rec) {
@@ -164,7 +164,7 @@
 		}
 		outputTokens := (rec.eventCount - countBefore) * f.tokensPerEvent()
 		state.grant.Done(scheduler.Feedback{
-			Prompt: f.call.PromptTokens, Cached: state.grant.Cached(), Output: outputTokens,
+			Prompt: f.call.PromptTokens, CachedTokens: state.grant.Cached(), Output: outputTokens,
 			FirstToken: firstEventTime, Total: time.Since(state.began),
 		})
 		return complete, f.finishStream(response, rec)
@@ -224,7 +224,7 @@
 	if rec.settle != nil && !rec.settle() {
 		return f.result(Truncated, TurnNotRetained, response.Status)
 	}
-	return f.result(Answered, "", response.Status)
+	return f.result(Completed, "", response.Status)
 }
 
 func (f *inFlightCall) tokensPerEvent() int {
--- a/internal/gateway/turn.go
+++ b/internal/gateway/turn.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return f.refuseTurn(err)
 	}
-	f.lastUpstream = reserved.Replica
+	f.lastUpstream = reserved.LastUpstream
 	f.body = joinChain(reserved.Chain, f.call.Body)
 	rec := &streamRecord{retainData: f.route.RetainsTurns}
 	var foreignChain []Turn
--- a/internal/gateway/turns.go
+++ b/internal/gateway/turns.go
@@ -45,8 +45,8 @@
 	Chain []Turn
 	// ForeignChain is set if the chain belongs to another program.
 	ForeignChain bool
-	// Replica is the engine that most likely has the prompt cached; empty if unknown.
-	Replica string
+	// LastUpstream is the engine that most likely has the prompt cached; empty if unknown.
+	LastUpstream string
 }
 
 // Settlement settles a reservation.
--- a/internal/history/client.go
+++ b/internal/history/client.go
@@ -26,8 +26,8 @@
 	releaseTimeout = 20 * time.Second
 )
 
-// ErrKeepersUnreachable indicates that no keeper of the shard gave a result in time.
-var ErrKeepersUnreachable = errors.New("history: no keeper of the shard gave a result in time")
+// ErrNoKeeperResult indicates that no keeper of the shard gave a result in time.
+var ErrNoKeeperResult = errors.New("history: no keeper of the shard gave a result in time")
 
 // Keepers calls keepers by name.
 type Keepers interface {
@@ -122,7 +122,7 @@
 		sleep(ctx, retryInterval)
 	}
 	role := c.roleOf(shardID)
-	return errors.Wrapf(ErrKeepersUnreachable, "shard %d in epoch %d: primary %s, backups %v", shardID, role.Epoch, role.Primary, role.Backups)
+	return errors.Wrapf(ErrNoKeeperResult, "shard %d in epoch %d: primary %s, backups %v", shardID, role.Epoch, role.Primary, role.Backups)
 }
 
 // callKeeper calls one keeper. The call is cancelled if the keeper becomes unresponsive: the next
@@ -179,7 +179,7 @@
 		return gateway.Reserved{}, gateway.ErrNoSuchTurn
 	}
 	if response.Verdict != historypb.Verdict_NO_TURN {
-		return gateway.Reserved{Chain: decodeTurns(response.Chain), Replica: response.Replica}, verdictError(response.Verdict)
+		return gateway.Reserved{Chain: decodeTurns(response.Chain), LastUpstream: response.Replica}, verdictError(response.Verdict)
 	}
 	chain, err := c.findChain(ctx, r.Customer, r.Previous)
 	if err != nil {
@@ -190,9 +190,9 @@
 	if err != nil {
 		return gateway.Reserved{}, err
 	}
-	reserved := gateway.Reserved{Chain: decodeTurns(chain), ForeignChain: true, Replica: response.Replica}
+	reserved := gateway.Reserved{Chain: decodeTurns(chain), ForeignChain: true, LastUpstream: response.Replica}
 	if last := chain[len(chain)-1]; last.Replica != "" {
-		reserved.Replica = last.Replica
+		reserved.LastUpstream = last.Replica
 	}
 	return reserved, verdictError(response.Verdict)
 }
@@ -212,7 +212,7 @@
 	case historypb.Verdict_NO_TURN:
 		return gateway.ErrNoSuchTurn
 	default:
-		return ErrKeepersUnreachable
+		return ErrNoKeeperResult
 	}
 }
 
@@ -323,7 +323,7 @@
 		}
 		sleep(ctx, retryInterval)
 	}
-	return nil, ErrKeepersUnreachable
+	return nil, ErrNoKeeperResult
 }
 
 // holdersToAsk returns the keepers of the shards that are not in absent.
--- a/internal/history/failure_test.go
+++ b/internal/history/failure_test.go
@@ -124,7 +124,7 @@
 			Slice: ShardOf("p"), Program: "p", Turn: "three", Most: 40, Budget: 100,
 		})
 		if err != nil || response.Verdict == historypb.Verdict_DONE {
-			fail(ErrKeepersUnreachable)
+			fail(ErrNoKeeperResult)
 		}
 	})
 }
--- a/internal/history/holders.go
+++ b/internal/history/holders.go
@@ -183,7 +183,7 @@
 	return false
 }
 
-func (k *Keeper) isDraining() bool { return k.draining || k.settings.Retiring(k.settings.Name) }
+func (k *Keeper) isDraining() bool { return k.draining || k.settings.IsRetiring(k.settings.Name) }
 
 // mustReassign reports whether this keeper should propose other holders for a shard: as its
 // primary, or because it can replace a primary that failed. The lock is held.
--- a/internal/history/keeper.go
+++ b/internal/history/keeper.go
@@ -39,9 +39,9 @@
 	BroadcastStatus(status *historypb.StatusResponse)
 	Fetch(ctx context.Context, name string, r *historypb.FetchRequest) (*historypb.FetchResponse, error)
 	List(ctx context.Context, name string, r *historypb.ListRequest) (*historypb.ListResponse, error)
-	// Witnesses asks entries of each data centre whether they have contact with a keeper. Entries
+	// QueryWitnesses asks entries of each data centre whether they have contact with a keeper. Entries
 	// that do not respond or do not know yet are left out.
-	Witnesses(ctx context.Context, name string) []Witness
+	QueryWitnesses(ctx context.Context, name string) []Witness
 }
 
 // Assignments reads and changes the assignment in the platform's store.
@@ -60,15 +60,15 @@
 	DataCentre string
 	// DataCentres is how many data centres there are.
 	DataCentres int
-	// Folder is the directory of the log.
-	Folder string
+	// LogDir is the directory of the log.
+	LogDir string
 	// MaxDiskFailures is the number of disks that may fail at once without loss of data.
 	MaxDiskFailures int
 	// Keepers returns the registered keepers, including this one.
 	Keepers func() []Candidate
-	// Retiring reports whether operators want a keeper drained.
-	Retiring func(name string) bool
-	Logger   log.Interface
+	// IsRetiring reports whether operators want a keeper drained.
+	IsRetiring func(name string) bool
+	Logger     log.Interface
 }
 
 // Keeper stores shards on this instance's disk. It is safe for concurrent use.
@@ -179,7 +179,7 @@
 	for i := range k.shards {
 		k.shards[i] = &shard{id: uint32(i), state: newState(), streams: map[string]*backupStream{}}
 	}
-	l, err := openLog(s.Folder, k.replay)
+	l, err := openLog(s.LogDir, k.replay)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/history/opinion.go
+++ b/internal/history/opinion.go
@@ -47,7 +47,7 @@
 		booted := now.Sub(k.started) > startupGrace
 		refusing := v.refusedConnections >= minRefusedConnections && booted
 		unresponsive := refusing || v.unresponsive(now) && booted
-		o.ineligible = refusing || unresponsive && k.quorumContact.isEstablished(now) || k.settings.Retiring(name)
+		o.ineligible = refusing || unresponsive && k.quorumContact.isEstablished(now) || k.settings.IsRetiring(name)
 		if v.status != nil {
 			o.live, o.lastContact = !unresponsive, v.lastContact
 			o.disk, o.supportsOptionalBackups = v.status.Disk, v.status.Spares
--- a/internal/history/telling_test.go
+++ b/internal/history/telling_test.go
@@ -62,7 +62,7 @@
 func TestWordOfAnEditionThatWasNotToldCountsForNothing(t *testing.T) {
 	is := is.New(t)
 	began := time.Now()
-	k := &Keeper{settings: Settings{Name: "a", Retiring: func(string) bool { return false }}, views: map[string]*peerView{}, wakeReconciler: make(chan struct{}, 1)}
+	k := &Keeper{settings: Settings{Name: "a", IsRetiring: func(string) bool { return false }}, views: map[string]*peerView{}, wakeReconciler: make(chan struct{}, 1)}
 	told := func(edition uint64, slices ...*historypb.SliceMark) {
 		k.ObserveStatus(&historypb.StatusResponse{Name: "b", Disk: "b1", Edition: edition, Slices: slices})
 	}
--- a/internal/history/witness.go
+++ b/internal/history/witness.go
@@ -91,7 +91,7 @@
 }
 
 func (k *Keeper) queryWitnesses(ctx context.Context, name string) {
-	witnesses := k.peers.Witnesses(ctx, name)
+	witnesses := k.peers.QueryWitnesses(ctx, name)
 	unheard := !anyHears(witnesses)
 	reachable := k.reachableShare(witnesses)
 	k.mu.Lock()
--- a/internal/history/world_test.go
+++ b/internal/history/world_test.go
@@ -151,10 +151,10 @@
 		Name:            m.name,
 		DataCentre:      m.dataCentre,
 		DataCentres:     len(w.dataCentres()),
-		Folder:          m.folder,
+		LogDir:          m.folder,
 		MaxDiskFailures: w.disksLost,
 		Keepers:         w.candidates,
-		Retiring:        w.isRetiring,
+		IsRetiring:      w.isRetiring,
 		Logger:          w.logger(m.name),
 	}, m, m)
 	if err != nil {
@@ -411,8 +411,8 @@
 	return names
 }
 
-// Witnesses implements Peers.
-func (m *machine) Witnesses(ctx context.Context, name string) []Witness {
+// QueryWitnesses implements Peers.
+func (m *machine) QueryWitnesses(ctx context.Context, name string) []Witness {
 	if m.pass(ctx) != nil {
 		return nil
 	}
--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -120,8 +120,8 @@
 	return p.openedCount
 }
 
-// Idle reports whether the pool has an idle connection that has not reached its idle timeout.
-func (p *Pool) Idle() bool {
+// HasIdleConnection reports whether the pool has an idle connection that has not reached its idle timeout.
+func (p *Pool) HasIdleConnection() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
@@ -303,7 +303,7 @@
 }
 
 func responseLost(err error) error {
-	if netdial.Unresponsive(err) {
+	if netdial.IsUnresponsive(err) {
 		return errors.Wrap(ErrUnresponsive, err.Error())
 	}
 	return errors.Wrap(ErrResponseLost, err.Error())
--- a/internal/instance/budget.go
+++ b/internal/instance/budget.go
@@ -29,7 +29,7 @@
 func (p plansInForce) Changed() <-chan struct{} { return p.source.Changed() }
 
 // budgets implements dispatch.Budget.
-type budgets struct{ keeper *budget.Allocator }
+type budgets struct{ allocator *budget.Allocator }
 
 // reservation implements dispatch.Reservation.
 type reservation struct{ *budget.Reservation }
@@ -39,7 +39,7 @@
 
 // Reserve implements dispatch.Budget.
 func (b budgets) Reserve(ctx context.Context, p *plan.Plan, cost dispatch.Cost) (dispatch.Reservation, *step.Result) {
-	reserved, err := b.keeper.Reserve(ctx, p, budget.Cost(cost))
+	reserved, err := b.allocator.Reserve(ctx, p, budget.Cost(cost))
 	if err == nil {
 		return reservation{reserved}, nil
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -235,7 +235,7 @@
 		Logger:        log.Log,
 		Random:        rand.Uint64,
 		Mover:         i.engines,
-		Release:       i.duties.releases.Release,
+		ReleaseCache:  i.duties.releases.Release,
 	}, i.table, cache.New(cache.DefaultOptions))
 }
 
--- a/internal/instance/memory.go
+++ b/internal/instance/memory.go
@@ -10,7 +10,7 @@
 )
 
 // released gives back what engines hold for a program that is gone.
-func (i *Instance) released(id program.ID) { i.scheduler.End(string(id)) }
+func (i *Instance) released(id program.ID) { i.scheduler.EndProgram(string(id)) }
 
 // living implements duty.Living: it asks the owners which programs are gone.
 type living struct{ instance *Instance }
--- a/internal/instance/pause.go
+++ b/internal/instance/pause.go
@@ -36,7 +36,7 @@
 }
 
 func newPauseGuard(i *Instance) *pauseGuard {
-	p := &pauseGuard{instance: i, longest: i.settings.Peers.SuspectTimeout.Std(), clock: wake.Boot}
+	p := &pauseGuard{instance: i, longest: i.settings.Peers.SuspectTimeout.Std(), clock: wake.BootTime}
 	if i.network != nil {
 		// On a network of a test time is the test's too.
 		began := time.Now()
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -43,9 +43,9 @@
 	return config.Listen(ctx, "tcp", address)
 }
 
-// Unresponsive reports whether a connection failed because the peer sends nothing at all, as after
+// IsUnresponsive reports whether a connection failed because the peer sends nothing at all, as after
 // a power failure or behind a network partition.
-func Unresponsive(err error) bool {
+func IsUnresponsive(err error) bool {
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.EHOSTUNREACH)
 }
 
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -130,7 +130,7 @@
 		Name:       f.settings.Instance,
 		IP:         f.settings.IP,
 		DataCentre: f.settings.DataCentre,
-		Entry:      f.settings.Callers != "",
+		Entry:      f.settings.CallersAddress != "",
 		Keeper:     f.settings.DataFolder != "",
 	}
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -19,7 +19,7 @@
 // newTestFleet returns the fleet as seen by one entry, with its load exchange.
 func newTestFleet(t *testing.T, members ...member) (*fleet, *peerload.Exchange) {
 	is := is.New(t)
-	s := &Settings{Instance: "me", IP: "10.0.0.1", DataCentre: "a", Callers: "10.0.0.1:1", PeerPort: 7}
+	s := &Settings{Instance: "me", IP: "10.0.0.1", DataCentre: "a", CallersAddress: "10.0.0.1:1", PeerPort: 7}
 	m := mirror.New()
 	d := mirror.Delta{Kind: mirror.Fleet, Full: true, AsOf: 9}
 	for i, member := range members {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -166,7 +166,7 @@
 	if n.keeper != nil {
 		n.load.OnKeeperStatus(n.receiveKeeperStatus)
 	}
-	if s.Callers != "" {
+	if s.CallersAddress != "" {
 		n.load.SetQuotas(n.quotas)
 	}
 	n.fleet.isReachable = func(name string) bool { return n.load.HeardOrUnknown(name, partitionTimeout) }
@@ -205,10 +205,10 @@
 		Name:            n.settings.Instance,
 		DataCentre:      n.settings.DataCentre,
 		DataCentres:     len(n.settings.DataCentres),
-		Folder:          n.settings.DataFolder,
+		LogDir:          n.settings.DataFolder,
 		MaxDiskFailures: n.settings.MaxDiskFailures,
 		Keepers:         n.fleet.candidates,
-		Retiring:        n.isRetiring,
+		IsRetiring:      n.isRetiring,
 		Logger:          n.logger,
 	}, n.fleet, n.fleet)
 	n.keeper = k
@@ -241,11 +241,11 @@
 	group.Go(func() error { n.relay.Run(serving, n.settings.isSeed(), !n.settings.FirstStart); return nil })
 	group.Go(func() error { n.runRefresh(serving); return nil })
 	group.Go(func() error {
-		wake.Watch(serving, wake.Boot, pauseCheckInterval, maxHarmlessPause, n.afterPause(serving))
+		wake.Watch(serving, wake.BootTime, pauseCheckInterval, maxHarmlessPause, n.afterPause(serving))
 		return nil
 	})
 	group.Go(func() error { return n.fleet.register(serving) })
-	if n.settings.Callers != "" {
+	if n.settings.CallersAddress != "" {
 		// Keepers receive no load datagrams and can't detect unresponsive instances.
 		group.Go(func() error { n.fleet.removeStale(serving, n.relay.Following, n.load.HeardWithin); return nil })
 	}
@@ -257,13 +257,13 @@
 	}
 	group.Go(func() error {
 		defer stop()
-		if n.settings.Callers == "" {
+		if n.settings.CallersAddress == "" {
 			return n.handOff(ctx)
 		}
 		return n.serveEntry(ctx, serving)
 	})
 	group.Go(func() error { return n.exchangeLoad(serving) })
-	if n.settings.Callers != "" {
+	if n.settings.CallersAddress != "" {
 		group.Go(func() error { n.reportFleetSize(serving); return nil })
 	}
 	group.Go(func() error {
@@ -338,7 +338,7 @@
 	mux := http.NewServeMux()
 	relay := mirrorpb.NewRelayServer(n.relay)
 	mux.Handle(relay.PathPrefix(), relay)
-	if n.settings.Callers != "" {
+	if n.settings.CallersAddress != "" {
 		mux.HandleFunc(viaPath, n.fleet.forwardToKeeper)
 		witness := historypb.NewWitnessServer(n.fleet)
 		mux.Handle(witness.PathPrefix(), witness)
@@ -432,9 +432,9 @@
 	}
 	ready := &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: headerTimeout}
 	var group errgroup.Group
-	group.Go(func() error { return n.listen(serving, ready, n.settings.Ready) })
+	group.Go(func() error { return n.listen(serving, ready, n.settings.ReadyAddress) })
 	group.Go(func() error {
-		return n.listenWrapped(serving, callers, n.settings.Callers, func(l net.Listener) net.Listener {
+		return n.listenWrapped(serving, callers, n.settings.CallersAddress, func(l net.Listener) net.Listener {
 			return &callerListener{Listener: l, limits: n.limits}
 		})
 	})
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -43,7 +43,7 @@
 		},
 		Callers: func(*gateway.Gateway, func() bool) http.Handler { return http.NotFoundHandler() },
 	}
-	s := Settings{Instance: "me", IP: "10.0.0.1", DataCentre: "a", Callers: "10.0.0.1:1", PeerPort: 7}
+	s := Settings{Instance: "me", IP: "10.0.0.1", DataCentre: "a", CallersAddress: "10.0.0.1:1", PeerPort: 7}
 	n, err := New(s, adapter, &log.Logger{Handler: discard.Default}, metrics.NewRegistry())
 	is.New(t).NoErr(err)
 	n.mirror.Apply(mirror.Delta{Kind: mirror.Config, Full: true, AsOf: 1, Entries: []mirror.Entry{{Name: mirror.ConfigName, Revision: 1}}})
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -19,9 +19,9 @@
 	// DataCentre is the instance's own data centre, DataCentres are all of them.
 	DataCentre  string
 	DataCentres []string
-	// Callers and Ready are the listening addresses of an entry for callers and for readiness
+	// CallersAddress and ReadyAddress are the listening addresses of an entry for callers and for readiness
 	// probes.
-	Callers, Ready string
+	CallersAddress, ReadyAddress string
 	// PeerPort is the port for traffic between instances, the same on all of them.
 	PeerPort int
 	// Seeds are IP addresses of other instances, which may be out of date.
@@ -38,8 +38,8 @@
 	Memory int64
 	// Grace is the time allowed from the order to stop until the process exits.
 	Grace time.Duration
-	// Store is the address of the platform's object store.
-	Store string
+	// StoreAddress is the address of the platform's object store.
+	StoreAddress string
 }
 
 // peerAddress returns the address at which the instance with an IP address listens for other
--- a/internal/node/witness.go
+++ b/internal/node/witness.go
@@ -25,8 +25,8 @@
 	return &historypb.HearsResponse{Known: known, Hears: !silent, DataCentre: f.settings.DataCentre}, nil
 }
 
-// Witnesses implements history.Peers.
-func (f *fleet) Witnesses(ctx context.Context, keeper string) []history.Witness {
+// QueryWitnesses implements history.Peers.
+func (f *fleet) QueryWitnesses(ctx context.Context, keeper string) []history.Witness {
 	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
 	defer cancel()
 	var mu sync.Mutex
--- a/internal/placement/baseline.go
+++ b/internal/placement/baseline.go
@@ -13,7 +13,7 @@
 			continue
 		}
 		if remaining == 0 {
-			d.Chosen, d.Wait = i, candidates[i].Rejection == Full
+			d.Chosen, d.ShouldWait = i, candidates[i].Rejection == Full
 			return
 		}
 		remaining--
@@ -25,7 +25,7 @@
 }
 
 func chooseLongestPrefix(candidates []Candidate, s *Step, d *Decision) {
-	chooseBest(candidates, s, d, func(c *Candidate) int { return c.Cached })
+	chooseBest(candidates, s, d, func(c *Candidate) int { return c.CachedTokens })
 }
 
 // chooseBest chooses a free candidate with the highest score, at random among equals.
@@ -51,6 +51,6 @@
 		}
 	}
 	if d.Chosen < 0 && d.Rejections[Full] > 0 {
-		d.Wait = true
+		d.ShouldWait = true
 	}
 }
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -26,13 +26,13 @@
 // Redundant prefill is the prefill of tokens that some allowed candidate has cached.
 func EstimateCost(c *Candidate, s *Step, bestCached int) Estimate {
 	moved := movedTokens(c, s, bestCached)
-	uncached := float64(max(0, s.Prompt-c.Cached-moved))
+	uncached := float64(max(0, s.PromptTokens-c.CachedTokens-moved))
 	batch := min(c.Load.Total+1, max(1, c.Slots))
 	tokenTime := c.Speed.TokenTime(batch)
 	e := Estimate{Slowness: c.Load.Slowness, MovedTokens: moved}
 	e.Wait = moveTime(moved, s) + c.RTT.Seconds() + c.ConnectCost.Seconds() + c.Load.Slowness*(queueTime(c)+float64(c.Load.Backlog)/c.Speed.Prefill)
 	e.Prefill = c.Load.Slowness * uncached / c.Speed.Prefill
-	e.Decode = c.Load.Slowness*float64(s.Output)*tokenTime + serviceCallTime(c, s)
+	e.Decode = c.Load.Slowness*float64(s.OutputTokens)*tokenTime + serviceCallTime(c, s)
 	e.CoRunnerCost = coRunnerTime(c, s, e.Prefill)
 	e.RedundantPrefill = c.Load.Slowness * redundantTokens(c, s, bestCached) / c.Speed.Prefill
 	e.Cost = s.LatencyWeight*(e.Total()+coRunnerWeight*e.CoRunnerCost+expectedErrorCost(c)) + s.CacheWeight*e.RedundantPrefill
@@ -71,7 +71,7 @@
 // movedTokens returns the number of tokens that are faster to fetch from the engine that has them
 // cached than to prefill again.
 func movedTokens(c *Candidate, s *Step, bestCached int) int {
-	missing := min(bestCached, s.Prompt) - c.Cached
+	missing := min(bestCached, s.PromptTokens) - c.CachedTokens
 	if missing < minMovedTokens || s.MoveTokensPerSecond <= c.Speed.Prefill {
 		return 0
 	}
@@ -99,20 +99,20 @@
 // batch delays each of their tokens, and each call is delayed by half of the prefill time.
 func coRunnerTime(c *Candidate, s *Step, prefill float64) float64 {
 	running := float64(min(c.Load.Total, c.Slots))
-	return running * (c.Speed.TokenPerCall*float64(s.Output) + 0.5*prefill) * c.Load.Slowness
+	return running * (c.Speed.TokenPerCall*float64(s.OutputTokens) + 0.5*prefill) * c.Load.Slowness
 }
 
 func redundantTokens(c *Candidate, s *Step, bestCached int) float64 {
 	if movedTokens(c, s, bestCached) > 0 {
 		return 0
 	}
-	missing := float64(max(0, min(bestCached, s.Prompt)-c.Cached))
+	missing := float64(max(0, min(bestCached, s.PromptTokens)-c.CachedTokens))
 	if s.WantedCopies <= 0 {
 		return missing
 	}
 	// More copies of a popular shared prefix are wanted. Later programs use a new copy, so only a
 	// fraction of its prefill counts as redundant.
-	shared := float64(max(0, min(s.SharedTokens, bestCached)-c.Cached))
+	shared := float64(max(0, min(s.SharedTokens, bestCached)-c.CachedTokens))
 	return missing - (1-wantedCopyWeight)*min(shared, missing)
 }
 
@@ -131,7 +131,7 @@
 	}
 	switch {
 	case worthWaiting(candidates, best, bestFull, s):
-		d.Chosen, d.Wait = bestFull, true
+		d.Chosen, d.ShouldWait = bestFull, true
 	case best < 0:
 		return
 	default:
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -33,8 +33,8 @@
 	Slots int
 	Load  upstream.Load
 	Speed upstream.Speed
-	// Cached is the number of the prompt's tokens that the upstream has cached.
-	Cached int
+	// CachedTokens is the number of the prompt's tokens that the upstream has cached.
+	CachedTokens int
 	// RTT is the round-trip time to the upstream's data centre; 0 in this data centre.
 	RTT time.Duration
 	// ViewAge is the age of the view of the upstream's data centre; 0 in this data centre.
@@ -71,8 +71,8 @@
 
 // Step is the step to be placed.
 type Step struct {
-	// Prompt is the length of the prompt and Output the expected length of the output, in tokens.
-	Prompt, Output int
+	// PromptTokens is the length of the prompt and OutputTokens the expected length of the output, in tokens.
+	PromptTokens, OutputTokens int
 	// MeanCall is the mean duration of a call to the service, in seconds; 0 for a model call.
 	MeanCall float64
 	// LatencyWeight is the weight of a second of waiting, and CacheWeight that of a second of
@@ -80,8 +80,8 @@
 	LatencyWeight, CacheWeight float64
 	// LastUpstream is the identity of the upstream of the program's last step; 0 if none.
 	LastUpstream uint32
-	// Key is a hash of the program and Turn counts decisions. Both are used by the baselines.
-	Key, Turn uint64
+	// ProgramHash is a hash of the program and DecisionNumber counts decisions. Both are used by the baselines.
+	ProgramHash, DecisionNumber uint64
 	// Random is uniformly distributed bits, used to break ties.
 	Random uint64
 	// Waited is how long the step has waited in the queue.
@@ -105,9 +105,9 @@
 type Decision struct {
 	// Chosen is the index of the chosen candidate in the slice passed to Decide, or -1.
 	Chosen int
-	// Wait reports whether the step should wait for the chosen candidate, which is full.
-	Wait     bool
-	Estimate Estimate
+	// ShouldWait reports whether the step should wait for the chosen candidate, which is full.
+	ShouldWait bool
+	Estimate   Estimate
 	// Ties is the number of candidates among which the choice was random.
 	Ties int
 	// BestCached is the largest number of the prompt's tokens that an allowed or full candidate
@@ -147,8 +147,8 @@
 		return 0
 	}
 	decode := e.Decode
-	if s.Output > 0 {
-		decode *= float64(outputTokens) / float64(s.Output)
+	if s.OutputTokens > 0 {
+		decode *= float64(outputTokens) / float64(s.OutputTokens)
 	}
 	return time.Duration((e.Wait + e.Prefill + decode) / e.Slowness * float64(time.Second))
 }
@@ -165,7 +165,7 @@
 		}
 		d.Rejections[c.Rejection]++
 		if c.Rejection == Allowed || c.Rejection == Full {
-			d.BestCached = max(d.BestCached, c.Cached)
+			d.BestCached = max(d.BestCached, c.CachedTokens)
 		}
 	}
 }
@@ -195,9 +195,9 @@
 	Filter(candidates, s.MaxViewAge, &d)
 	switch policy {
 	case RoundRobin:
-		chooseNth(candidates, s.Turn, &d)
+		chooseNth(candidates, s.DecisionNumber, &d)
 	case ProgramHash:
-		chooseNth(candidates, s.Key, &d)
+		chooseNth(candidates, s.ProgramHash, &d)
 	case LeastInFlight:
 		chooseLeastInFlight(candidates, s, &d)
 	case PrefixOnly:
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -25,10 +25,10 @@
 			Condition: rapid.SampledFrom([]upstream.Condition{upstream.Usable, upstream.Usable, upstream.Full, upstream.Stalled, upstream.CircuitOpen, upstream.Draining}).Draw(t, "condition"),
 			Own:       total, Total: total, Slowness: rapid.Float64Range(0.5, 20).Draw(t, "slowness"),
 		},
-		Speed:     upstream.Speed{Prefill: rapid.Float64Range(10, 1e4).Draw(t, "prefill"), TokenBase: rapid.Float64Range(0.001, 0.1).Draw(t, "token"), Call: 2},
-		Cached:    64 * rapid.IntRange(0, 40).Draw(t, "cached"),
-		ViewAge:   time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second,
-		Rejection: rapid.SampledFrom([]Reason{Allowed, Allowed, Allowed, NotGranted, Tried, NotLoaded}).Draw(t, "refused"),
+		Speed:        upstream.Speed{Prefill: rapid.Float64Range(10, 1e4).Draw(t, "prefill"), TokenBase: rapid.Float64Range(0.001, 0.1).Draw(t, "token"), Call: 2},
+		CachedTokens: 64 * rapid.IntRange(0, 40).Draw(t, "cached"),
+		ViewAge:      time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second,
+		Rejection:    rapid.SampledFrom([]Reason{Allowed, Allowed, Allowed, NotGranted, Tried, NotLoaded}).Draw(t, "refused"),
 	}
 }
 
@@ -41,8 +41,8 @@
 		for i := range candidates {
 			candidates[i] = drawCandidate(t, i)
 		}
-		s := &Step{Prompt: 3000, Output: 100, LatencyWeight: rapid.Float64Range(0, 2).Draw(t, "latency"), CacheWeight: rapid.Float64Range(0, 2).Draw(t, "cache"),
-			Random: rapid.Uint64().Draw(t, "random"), Turn: rapid.Uint64().Draw(t, "turn"), Key: rapid.Uint64().Draw(t, "key")}
+		s := &Step{PromptTokens: 3000, OutputTokens: 100, LatencyWeight: rapid.Float64Range(0, 2).Draw(t, "latency"), CacheWeight: rapid.Float64Range(0, 2).Draw(t, "cache"),
+			Random: rapid.Uint64().Draw(t, "random"), DecisionNumber: rapid.Uint64().Draw(t, "turn"), ProgramHash: rapid.Uint64().Draw(t, "key")}
 		for _, policy := range Policies {
 			first := append([]Candidate(nil), candidates...)
 			d := Decide(policy, first, s)
@@ -56,10 +56,10 @@
 				continue
 			}
 			chosen := &first[d.Chosen]
-			if want := map[bool]Reason{false: Allowed, true: Full}[d.Wait]; chosen.Rejection != want {
+			if want := map[bool]Reason{false: Allowed, true: Full}[d.ShouldWait]; chosen.Rejection != want {
 				t.Fatalf("%s: chose an upstream that is %v", policy, chosen.Rejection)
 			}
-			if policy == Cost && !d.Wait {
+			if policy == Cost && !d.ShouldWait {
 				checkCheapest(t, first, &d)
 			}
 		}
@@ -78,7 +78,7 @@
 func twoCandidates() []Candidate {
 	speed := upstream.Speed{Prefill: 1000, TokenBase: 0.02, TokenPerCall: 0.001, Call: 2}
 	load := upstream.Load{Slowness: 1, Limit: 9}
-	return []Candidate{{ID: 1, Slots: 8, Load: load, Speed: speed, Cached: 4096}, {ID: 2, Slots: 8, Load: load, Speed: speed}}
+	return []Candidate{{ID: 1, Slots: 8, Load: load, Speed: speed, CachedTokens: 4096}, {ID: 2, Slots: 8, Load: load, Speed: speed}}
 }
 
 // A program's history is cached on one engine, and that engine fills up. Steps are sent there until
@@ -90,7 +90,7 @@
 		for running := range 40 {
 			c := twoCandidates()
 			c[0].Load.Total = running
-			if d := Decide(Cost, c, &Step{Prompt: 4200, Output: 100, LatencyWeight: 1, CacheWeight: cacheWeight}); d.Chosen == 1 {
+			if d := Decide(Cost, c, &Step{PromptTokens: 4200, OutputTokens: 100, LatencyWeight: 1, CacheWeight: cacheWeight}); d.Chosen == 1 {
 				return running
 			}
 		}
@@ -111,7 +111,7 @@
 		for i := range c {
 			c[i] = twoCandidates()[1]
 		}
-		d := Decide(Cost, c, &Step{Prompt: 100, Output: 10, LatencyWeight: 1, Random: uint64(random) << 32})
+		d := Decide(Cost, c, &Step{PromptTokens: 100, OutputTokens: 10, LatencyWeight: 1, Random: uint64(random) << 32})
 		counts[d.Chosen]++
 	}
 	is.Equal(len(counts), 10)
@@ -128,7 +128,7 @@
 	choose := func(wanted int) int {
 		c := twoCandidates()
 		c[0].Load.Total = 7
-		return Decide(Cost, c, &Step{Prompt: 4200, Output: 400, LatencyWeight: 0.4, CacheWeight: 1, WantedCopies: wanted, SharedTokens: 4096}).Chosen
+		return Decide(Cost, c, &Step{PromptTokens: 4200, OutputTokens: 400, LatencyWeight: 0.4, CacheWeight: 1, WantedCopies: wanted, SharedTokens: 4096}).Chosen
 	}
 	is.Equal(choose(0), 0)
 	is.Equal(choose(3), 1)
@@ -166,7 +166,7 @@
 func TestOutputLengthDoesNotCountAsSlowness(t *testing.T) {
 	is := is.New(t)
 	e := Estimate{Wait: 0.2, Prefill: 0.2, Decode: 0.4, Slowness: 2}
-	model := &Step{Output: 20}
+	model := &Step{OutputTokens: 20}
 	is.Equal(e.ExpectedDuration(model, 20), 400*time.Millisecond)
 	is.Equal(e.ExpectedDuration(model, 60), 800*time.Millisecond)
 	fast := Estimate{Decode: 0.2, Slowness: 0.5}
@@ -183,7 +183,7 @@
 	}
 	busy := withErrorRate(0)
 	busy.Load.Total = 3
-	step := &Step{LatencyWeight: 1, Prompt: 600, Output: 10}
+	step := &Step{LatencyWeight: 1, PromptTokens: 600, OutputTokens: 10}
 	is.Equal(Decide(Cost, []Candidate{withErrorRate(0.25), busy}, step).Chosen, 0)
 	is.Equal(Decide(Cost, []Candidate{withErrorRate(0.58), busy}, step).Chosen, 1)
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -15,8 +15,8 @@
 
 // The kinds of route.
 const (
-	// Once: a call runs at most once.
-	Once Kind = iota
+	// AtMostOnce: a call runs at most once.
+	AtMostOnce Kind = iota
 	// Idempotent: a call may run more than once.
 	Idempotent
 	// Stream: the response is a stream of events. A stream runs at most once unless its route is
--- a/internal/scheduler/agent_test.go
+++ b/internal/scheduler/agent_test.go
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithDeadline(ctx, a.abandonAt)
 	defer cancel()
 	verdict := a.runTurns(ctx)
-	a.instance.End(a.name)
+	a.instance.EndProgram(a.name)
 	if a.child {
 		return
 	}
@@ -198,7 +198,7 @@
 // callEngine sends one step and records how many cached prefix tokens were prefilled again.
 func (a *agent) callEngine(ctx context.Context, g *Grant, output int) (done bool, err error) {
 	a.bench.recordSent(g.Upstream)
-	g.Sent()
+	g.MarkSent()
 	best := 0
 	for _, e := range a.bench.fleet {
 		best = max(best, e.Cached(testModel, a.conversation))
@@ -210,7 +210,7 @@
 	request := &engine.Request{Chat: &chat.Request{Model: testModel, Messages: a.conversation, MaxTokens: output, Stream: true}, Program: a.name, Priority: g.Priority}
 	response, err := a.bench.fleet.Complete(callCtx, g.Address, request, func(engine.Chunk) error {
 		progressTimer.Reset(g.ProgressTimeout)
-		g.FirstToken()
+		g.RecordFirstToken()
 		return nil
 	})
 	feedback := FeedbackOf(response, err)
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -78,12 +78,12 @@
 	endpoint := endpoints[i]
 	u := endpoint.Upstream
 	c := placement.Candidate{
-		Index:  i,
-		ID:     u.ID,
-		Slots:  max(1, u.Slots),
-		Load:   u.Load(now.UnixNano()),
-		Speed:  p.learnedOrMeanSpeed(endpoint, endpoints, now),
-		Cached: p.matches.Depth(u.ID) * engine.BlockTokens,
+		Index:        i,
+		ID:           u.ID,
+		Slots:        max(1, u.Slots),
+		Load:         u.Load(now.UnixNano()),
+		Speed:        p.learnedOrMeanSpeed(endpoint, endpoints, now),
+		CachedTokens: p.matches.Depth(u.ID) * engine.BlockTokens,
 	}
 	if idle := p.scheduler.settings.HasIdleConnection; idle != nil && !idle(u.Name, u.Address) {
 		c.ConnectCost = p.scheduler.settings.ConnectCost
--- a/internal/scheduler/grant.go
+++ b/internal/scheduler/grant.go
@@ -66,8 +66,8 @@
 	Cancelled bool
 	// Failure is set if there is no complete response.
 	Failure *upstream.Failure
-	// Prompt, Output and Cached are the token counts of the response.
-	Prompt, Output, Cached int
+	// Prompt, Output and CachedTokens are the token counts of the response.
+	Prompt, Output, CachedTokens int
 	// FirstToken and Total are the times until the first token and until the end.
 	FirstToken, Total time.Duration
 	// Message is the message of the response, which the engine now has in its cache.
@@ -81,12 +81,12 @@
 		return Feedback{Failure: &failure}
 	}
 	return Feedback{
-		Prompt:     a.Usage.PromptTokens,
-		Output:     a.Usage.CompletionTokens,
-		Cached:     a.CachedTokens(),
-		FirstToken: a.FirstToken,
-		Total:      a.Total,
-		Message:    &a.Message,
+		Prompt:       a.Usage.PromptTokens,
+		Output:       a.Usage.CompletionTokens,
+		CachedTokens: a.CachedTokens(),
+		FirstToken:   a.FirstToken,
+		Total:        a.Total,
+		Message:      &a.Message,
 	}
 }
 
@@ -107,7 +107,7 @@
 		waiter:          w,
 		sentAt:          now,
 		batchSize:       c.Load.Total + 1,
-		cachedTokens:    c.Cached,
+		cachedTokens:    c.CachedTokens,
 	}
 	if w.request.Service != "" && w.request.Repeatable {
 		g.HedgeAfter = time.Duration(hedgeFactor * endpoint.Speed().Call * float64(time.Second))
@@ -143,7 +143,7 @@
 		return
 	}
 	for i := range p.candidates {
-		if c := &p.candidates[i]; c.ID == g.waiter.step.LastUpstream && c.Cached == d.BestCached {
+		if c := &p.candidates[i]; c.ID == g.waiter.step.LastUpstream && c.CachedTokens == d.BestCached {
 			g.moveFrom = p.scheduler.endpoints(p.key)[c.Index].Upstream.Address
 			g.movedTokens = d.Estimate.MovedTokens
 		}
@@ -179,23 +179,23 @@
 	s.moveRates.learn(float64(g.movedTokens)/max(1e-3, time.Since(begin).Seconds()), time.Now())
 }
 
-// Sent records that the step is about to be sent. Time spent between Acquire and Sent does not
+// MarkSent records that the step is about to be sent. Time spent between Acquire and MarkSent does not
 // count against the upstream.
-func (g *Grant) Sent() {
+func (g *Grant) MarkSent() {
 	g.sentAt = time.Now()
 	g.endpoint.Upstream.Progress(g.sentAt.UnixNano())
 }
 
-// FirstToken records that the response has begun.
-func (g *Grant) FirstToken() {
-	g.Progress()
+// RecordFirstToken records that the response has begun.
+func (g *Grant) RecordFirstToken() {
+	g.RecordProgress()
 	if g.prefillDone.CompareAndSwap(false, true) {
 		g.endpoint.Upstream.Prefilled(g.uncachedTokens())
 	}
 }
 
-// Progress records that a part of the response has arrived.
-func (g *Grant) Progress() { g.endpoint.Upstream.Progress(time.Now().UnixNano()) }
+// RecordProgress records that a part of the response has arrived.
+func (g *Grant) RecordProgress() { g.endpoint.Upstream.Progress(time.Now().UnixNano()) }
 
 // Done releases the slot and records the outcome of the step. Only the first call has an effect.
 func (g *Grant) Done(f Feedback) {
@@ -240,7 +240,7 @@
 	r := g.waiter.request
 	g.endpoint.Upstream.ObserveLatency(now, f.Total, g.Decision.Estimate.ExpectedDuration(&g.waiter.step, f.Output))
 	sample := upstream.Sample{
-		Uncached: f.Prompt - f.Cached, Output: f.Output, Batch: min(g.batchSize, max(1, g.endpoint.Upstream.Slots)),
+		Uncached: f.Prompt - f.CachedTokens, Output: f.Output, Batch: min(g.batchSize, max(1, g.endpoint.Upstream.Slots)),
 		FirstToken: f.FirstToken, Total: f.Total,
 	}
 	g.endpoint.Learn(sample)
@@ -251,7 +251,7 @@
 	for _, address := range s.programs.dropOtherHolders(r.programKey(), g.Address, now) {
 		s.release(address, r.Program)
 	}
-	s.view.ObserveCached(g.endpoint.Upstream.ID, g.cachedTokens, f.Cached)
+	s.view.ObserveCached(g.endpoint.Upstream.ID, g.cachedTokens, f.CachedTokens)
 	if f.Message != nil {
 		messages := append(append([]chat.Message(nil), r.Messages...), *f.Message)
 		s.view.RecordSent(g.endpoint.Upstream.ID, engine.Blocks(nil, g.waiter.seed, messages)[len(g.waiter.blockHashes):])
--- a/internal/scheduler/log.go
+++ b/internal/scheduler/log.go
@@ -52,7 +52,7 @@
 		"plan":        w.request.Plan,
 		"policy":      string(s.settings.Policy),
 		"prompt":      w.promptTokens,
-		"output":      w.step.Output,
+		"output":      w.step.OutputTokens,
 		"best_cached": d.BestCached,
 	}
 	if w.request.Model != "" {
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -76,14 +76,14 @@
 	w := &waiter{request: r, enqueued: now, granted: make(chan *Grant, 1), refused: make(chan *Refusal, 1)}
 	if r.Model != "" {
 		w.seed = s.seed(r.Model)
-		w.blockHashes, w.promptTokens = r.Blocks, r.PromptTokens
+		w.blockHashes, w.promptTokens = r.BlockHashes, r.PromptTokens
 		if w.blockHashes == nil {
 			w.blockHashes = engine.Blocks(nil, w.seed, r.Messages)
 			w.promptTokens = engine.PromptTokens(r.Messages)
 		}
-		w.step.Output = r.OutputHint
-		if w.step.Output == 0 {
-			w.step.Output = s.outputLengths.expect(r.Plan, r.Model, r.MaxTokens)
+		w.step.OutputTokens = r.OutputHint
+		if w.step.OutputTokens == 0 {
+			w.step.OutputTokens = s.outputLengths.expect(r.Plan, r.Model, r.MaxTokens)
 		}
 	}
 	s.prepareStep(w, now)
@@ -107,12 +107,12 @@
 // prepareStep sets the inputs of the placement decision and the criteria of the queue.
 func (s *Scheduler) prepareStep(w *waiter, now time.Time) {
 	r := w.request
-	w.step.Prompt = w.promptTokens
+	w.step.PromptTokens = w.promptTokens
 	w.step.MaxViewAge = s.settings.MaxViewAge
 	w.step.LatencyWeight, w.step.CacheWeight = weights(r)
-	w.step.Key = programHash(r)
+	w.step.ProgramHash = programHash(r)
 	w.step.Random = s.random()
-	w.step.Turn = s.decisionCount.Add(1)
+	w.step.DecisionNumber = s.decisionCount.Add(1)
 	attained, steps := s.programs.attained(rootOf(r), now)
 	w.step.LastUpstream = s.programs.lastUpstream(r.programKey(), now)
 	w.criteria = queue.Criteria{
@@ -256,7 +256,7 @@
 		w.refused <- refusal
 		return true, false
 	}
-	if d.Chosen >= 0 && !d.Wait {
+	if d.Chosen >= 0 && !d.ShouldWait {
 		endpoint := endpoints[p.candidates[d.Chosen].Index]
 		if trial, ok := endpoint.Upstream.TakeTrial(); ok {
 			g := p.grant(endpoint, w, &d, now)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -45,8 +45,8 @@
 	MaxViewAge time.Duration
 	// Mover moves programs' caches between engines; nil for no moves.
 	Mover Mover
-	// Release asks an engine to release a program's cache memory; nil for none. It must not block.
-	Release func(address string, program string)
+	// ReleaseCache asks an engine to release a program's cache memory; nil for none. It must not block.
+	ReleaseCache func(address string, program string)
 }
 
 // Mover makes an engine fetch a program's cache from another engine. engine.Client implements it.
@@ -75,9 +75,9 @@
 	Priority int
 	// Messages is the complete conversation of a model call.
 	Messages []chat.Message
-	// Blocks are the chained block hashes of the prompt and PromptTokens is its length. They
+	// BlockHashes are the chained block hashes of the prompt and PromptTokens is its length. They
 	// replace Messages for a caller that has only the hashes.
-	Blocks       []uint64
+	BlockHashes  []uint64
 	PromptTokens int
 	// LastUpstream is the upstream that ran the program's last step according to other instances,
 	// and LastUpstreamBlocks is how many blocks of the prompt it had cached.
@@ -250,16 +250,16 @@
 	return demand
 }
 
-// End removes a program's state and releases its cache memory on the engines that hold it.
-func (s *Scheduler) End(program string) {
+// EndProgram removes a program's state and releases its cache memory on the engines that hold it.
+func (s *Scheduler) EndProgram(program string) {
 	for _, address := range s.programs.remove(program) {
 		s.release(address, program)
 	}
 }
 
 func (s *Scheduler) release(address, program string) {
-	if s.settings.Release != nil {
-		s.settings.Release(address, program)
+	if s.settings.ReleaseCache != nil {
+		s.settings.ReleaseCache(address, program)
 	}
 }
 
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -195,7 +195,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		released := map[string]int{}
-		s, table := newTestScheduler(Settings{Release: func(address, program string) { released[address+" "+program]++ }}, engineAt("e", "a", 4), engineAt("f", "a", 4))
+		s, table := newTestScheduler(Settings{ReleaseCache: func(address, program string) { released[address+" "+program]++ }}, engineAt("e", "a", 4), engineAt("f", "a", 4))
 		g, _ := s.Acquire(t.Context(), testRequest("p"))
 		g.Done(Feedback{Total: time.Second, FirstToken: time.Second})
 		table.Snapshot().Upstream(g.Upstream).MarkDraining(time.Now())
@@ -204,7 +204,7 @@
 		is.Equal(len(released), 0)
 		h.Done(Feedback{Total: time.Second, FirstToken: time.Second})
 		is.Equal(released[g.Upstream+" p"], 1)
-		s.End("p")
+		s.EndProgram("p")
 		is.Equal(released[h.Upstream+" p"], 1)
 		is.Equal(len(s.Programs()), 0)
 	})
--- a/internal/scheduler/start_test.go
+++ b/internal/scheduler/start_test.go
@@ -48,7 +48,7 @@
 			r := testRequest("p")
 			r.Messages = nil
 			for i := range uint64(100) {
-				r.Blocks = append(r.Blocks, 1000+i)
+				r.BlockHashes = append(r.BlockHashes, 1000+i)
 			}
 			r.PromptTokens, r.LastUpstream, r.LastUpstreamBlocks = 6400, lastUpstream, 90
 			g, refusal := s.Acquire(t.Context(), r)
--- a/internal/scheduler/stateful_test.go
+++ b/internal/scheduler/stateful_test.go
@@ -85,7 +85,7 @@
 		o.draining[a.grant.Upstream] = true
 	}
 	if rapid.Bool().Draw(t, "first token") {
-		a.grant.FirstToken()
+		a.grant.RecordFirstToken()
 	}
 	a.grant.Done(f)
 	a.grant.Done(f)
--- a/internal/scheduler/workload_test.go
+++ b/internal/scheduler/workload_test.go
@@ -147,7 +147,7 @@
 			defer mu.Unlock()
 			return random.Uint64()
 		},
-		Release: func(address, program string) {
+		ReleaseCache: func(address, program string) {
 			_ = b.fleet.Order(context.Background(), address, engine.Order{Kind: engine.OrderRelease, Programs: []string{program}})
 		},
 	}, table, cache.New(cache.DefaultOptions))
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -12,10 +12,10 @@
 // Clock returns the time since a fixed moment.
 type Clock func() time.Duration
 
-// Boot is the clock that includes the time in which the machine was suspended. The monotonic clock
+// BootTime is the clock that includes the time in which the machine was suspended. The monotonic clock
 // behind time.Since excludes it, so that information received before a suspension would seem recent
 // afterwards.
-func Boot() time.Duration {
+func BootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic("wake: reading CLOCK_BOOTTIME failed: " + err.Error())
--- a/internal/wake/wake_test.go
+++ b/internal/wake/wake_test.go
@@ -39,7 +39,7 @@
 // The clock must be positive and never go back.
 func TestBootClockIsMonotonic(t *testing.T) {
 	is := is.New(t)
-	first := Boot()
+	first := BootTime()
 	is.True(first > 0)
-	is.True(Boot() >= first)
+	is.True(BootTime() >= first)
 }
