--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -23,15 +23,15 @@
 	// DefaultHorizon is the duration of future spending that an allotment covers, and thus about
 	// how long an instance can serve during an outage of the store.
 	DefaultHorizon = 5 * time.Minute
-	// DefaultShareDivisor is the divisor that bounds what an instance holds in advance: at most one
-	// 1/DefaultShareDivisor of what is left of a budget.
+	// DefaultShareDivisor bounds what an instance holds in advance: at most 1/DefaultShareDivisor of
+	// what is left of a budget.
 	DefaultShareDivisor = 64
 	// DefaultLead is how long before the end of a window instances draw from the next one. It is
-	// longer than DefaultRenew, so that instances do not all draw at the boundary.
+	// longer than DefaultRenewInterval, so that instances do not all draw at the boundary.
 	DefaultLead = 5 * time.Minute
-	// DefaultRenewInterval is the mean time between two renewals of an object while no caller waits. It is
-	// less than half of DefaultHorizon, so that an allotment that is spent evenly does not run out
-	// between renewals.
+	// DefaultRenewInterval is the mean time between two renewals of an object while no caller waits.
+	// It is less than half of DefaultHorizon, so that an allotment that is spent evenly does not run
+	// out between renewals.
 	DefaultRenewInterval = 2 * time.Minute
 	// DefaultStoreRate bounds the calls to the store, in calls per second.
 	DefaultStoreRate = 20
