--- a/internal/upstream/breaker.go
+++ b/internal/upstream/breaker.go
@@ -10,17 +10,17 @@
 const (
 	// tripAfter is the number of failures in a row that open the breaker. A
 	// refused connection opens it at once, since nothing else can follow.
-	tripAfter = 3
+	tripThreshold = 3
 	// The breaker stays open from openMin to openMax, growing with each failed trial.
 	openMin = 500 * time.Millisecond
 	openMax = 15 * time.Second
 	// probedOpen is how long it stays open for refused connections where probes
 	// go. They find out when the engine is back, at no step's cost.
-	probedOpen = time.Minute
+	openWhileProbed = time.Minute
 	// rampTime is how long a recovered upstream takes from rampStart of its
 	// limit to all of it, so that the backlog does not fall on a cold engine.
-	rampTime  = 10 * time.Second
-	rampStart = 0.2
+	rampDuration = 10 * time.Second
+	rampStart    = 0.2
 	// overcommit is how far beyond its slots an engine is filled. The rest
 	// waits in foxhall's queue, where whole programs are ordered; the little
 	// beyond keeps the batch full between two decisions.
@@ -34,12 +34,12 @@
 	open     bool
 	// refused says that connections were refused; then an answered probe is
 	// news, where calls were lost it is none.
-	refused bool
-	delay   *backoff.ExponentialBackOff
+	unreachable bool
+	delay       *backoff.ExponentialBackOff
 }
 
 // closedFor reports that the breaker keeps new calls away.
-func (u *Upstream) closedFor(now int64) bool {
+func (u *Upstream) breakerRejects(now int64) bool {
 	until := u.openUntil.Load()
 	return until != 0 && (now < until || u.trial.Load() != 0)
 }
@@ -58,12 +58,12 @@
 // Succeeded notes a call that was answered.
 func (u *Upstream) Succeeded(now time.Time) {
 	u.Progress(now.UnixNano())
-	if u.openUntil.Load() == 0 && !u.failing() && u.erring.share.Load() == 0 {
+	if u.openUntil.Load() == 0 && !u.hasFailures() && u.errorRate.share.Load() == 0 {
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.erring.note(now.UnixNano(), false)
+	u.errorRate.record(now.UnixNano(), false)
 	if u.breaker.open {
 		u.rampFrom.Store(now.UnixNano())
 	}
@@ -72,7 +72,7 @@
 	u.trial.Store(0)
 }
 
-func (u *Upstream) failing() bool {
+func (u *Upstream) hasFailures() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.breaker.failures > 0
@@ -91,11 +91,11 @@
 	defer u.mu.Unlock()
 	if f.Kind == Errored {
 		u.Progress(now.UnixNano())
-		u.erring.note(now.UnixNano(), true)
+		u.errorRate.record(now.UnixNano(), true)
 	}
 	u.breaker.failures++
-	u.breaker.refused = f.Kind == NotSent || f.Kind == Unresponsive
-	if u.breaker.open || u.breaker.failures >= tripAfter || u.breaker.refused {
+	u.breaker.unreachable = f.Kind == NotSent || f.Kind == Unresponsive
+	if u.breaker.open || u.breaker.failures >= tripThreshold || u.breaker.unreachable {
 		u.trip(now)
 	}
 }
@@ -118,8 +118,8 @@
 	}
 	b.open = true
 	open := b.delay.NextBackOff()
-	if b.refused && u.probedAt.Load() != 0 {
-		open = probedOpen
+	if b.unreachable && u.probedAt.Load() != 0 {
+		open = openWhileProbed
 	}
 	u.openUntil.Store(now.Add(open).UnixNano())
 	u.trial.Store(0)
@@ -133,8 +133,8 @@
 	}
 	limit := slots + overcommit
 	from := u.rampFrom.Load()
-	if age := now - from; from != 0 && age < int64(rampTime) {
-		share := rampStart + (1-rampStart)*float64(age)/float64(rampTime)
+	if age := now - from; from != 0 && age < int64(rampDuration) {
+		share := rampStart + (1-rampStart)*float64(age)/float64(rampDuration)
 		limit = max(1, int(share*float64(limit)))
 	}
 	return limit
--- a/internal/upstream/leaving.go
+++ b/internal/upstream/drain.go
@@ -11,10 +11,10 @@
 // lagging list, by its own answers and by peers. Leaving wins: one sign is
 // enough, at once. It is taken back only by the upstream itself saying, after
 // the hold and while the list does not contradict, that it is there.
-type departure struct {
-	signed   bool
-	lastSign time.Time
-	listed   ListState
+type drainState struct {
+	signalled  bool
+	lastSignal time.Time
+	listed     ListState
 }
 
 // ListState is what the platform's list says of an upstream.
@@ -29,38 +29,38 @@
 	ListedDraining
 )
 
-func (d *departure) leaving() bool { return d.signed || d.listed == ListedDraining }
+func (d *drainState) draining() bool { return d.signalled || d.listed == ListedDraining }
 
-func (d *departure) sign(at time.Time) {
-	if at.After(d.lastSign) {
-		d.lastSign = at
+func (d *drainState) recordSignal(at time.Time) {
+	if at.After(d.lastSignal) {
+		d.lastSignal = at
 	}
-	d.signed = true
+	d.signalled = true
 }
 
-func (d *departure) list(state ListState, at time.Time) {
+func (d *drainState) recordListState(state ListState, at time.Time) {
 	if state == ListedDraining {
-		d.sign(at)
+		d.recordSignal(at)
 	}
 	d.listed = state
 }
 
-func (d *departure) present(at time.Time) {
-	if d.signed && d.listed != ListedDraining && at.Sub(d.lastSign) >= DrainHold {
-		d.signed = false
+func (d *drainState) recordAlive(at time.Time) {
+	if d.signalled && d.listed != ListedDraining && at.Sub(d.lastSignal) >= DrainHold {
+		d.signalled = false
 	}
 }
 
 // sign notes a sign of leaving; the caller holds the lock.
-func (u *Upstream) sign(at time.Time) {
-	u.departure.sign(at)
-	u.leaving.Store(u.departure.leaving())
+func (u *Upstream) recordDrainSignal(at time.Time) {
+	u.drain.recordSignal(at)
+	u.draining.Store(u.drain.draining())
 }
 
 // present notes that the upstream said it is there; the caller holds the lock.
-func (u *Upstream) present(at time.Time) {
-	u.departure.present(at)
-	if was := u.leaving.Swap(u.departure.leaving()); was && !u.departure.leaving() {
+func (u *Upstream) recordAlive(at time.Time) {
+	u.drain.recordAlive(at)
+	if was := u.draining.Swap(u.drain.draining()); was && !u.drain.draining() {
 		u.rampFrom.Store(at.UnixNano())
 	}
 }
@@ -69,7 +69,7 @@
 func (u *Upstream) MarkDraining(at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.sign(at)
+	u.recordDrainSignal(at)
 }
 
 // PeerSaidLeaving notes that a peer saw it leave, age ago. What is older than
@@ -80,16 +80,16 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.sign(now.Add(-age))
+	u.recordDrainSignal(now.Add(-age))
 }
 
 // ListSays notes what the platform's list says.
 func (u *Upstream) SetListState(state ListState, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if state == Unlisted && u.departure.listed != Unlisted {
+	if state == Unlisted && u.drain.listed != Unlisted {
 		state = ListedDraining
 	}
-	u.departure.list(state, at)
-	u.leaving.Store(u.departure.leaving())
+	u.drain.recordListState(state, at)
+	u.draining.Store(u.drain.draining())
 }
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -9,35 +9,35 @@
 const (
 	// reportLife is how long a load report counts. Past it only own calls are
 	// known: an old report that says "busy" must not keep an engine empty.
-	reportLife = 3 * time.Second
+	reportLifetime = 3 * time.Second
 	// ownSamples is the length of the history of own in-flight calls.
-	ownSamples = 64
+	historySamples = 64
 	// ownGrain is the shortest time between two samples of it.
-	ownGrain = 25 * time.Millisecond
+	historyInterval = 25 * time.Millisecond
 )
 
 // ownHistory remembers how many own calls were in flight when, so that a
 // lagging report can be split into own calls and others'.
-type ownHistory struct {
-	at    [ownSamples]int64
-	calls [ownSamples]int32
+type inFlightHistory struct {
+	at    [historySamples]int64
+	calls [historySamples]int32
 	next  int
 }
 
-func (h *ownHistory) note(now int64, calls int32) {
-	last := (h.next + ownSamples - 1) % ownSamples
-	if h.at[last] != 0 && now-h.at[last] < int64(ownGrain) {
+func (h *inFlightHistory) record(now int64, calls int32) {
+	last := (h.next + historySamples - 1) % historySamples
+	if h.at[last] != 0 && now-h.at[last] < int64(historyInterval) {
 		h.calls[last] = calls
 		return
 	}
 	h.at[h.next], h.calls[h.next] = now, calls
-	h.next = (h.next + 1) % ownSamples
+	h.next = (h.next + 1) % historySamples
 }
 
 // before returns the own calls in flight at the time, or the oldest that is known.
-func (h *ownHistory) before(at int64) int32 {
-	for i := 1; i <= ownSamples; i++ {
-		slot := (h.next + ownSamples - i) % ownSamples
+func (h *inFlightHistory) callsAt(at int64) int32 {
+	for i := 1; i <= historySamples; i++ {
+		slot := (h.next + historySamples - i) % historySamples
 		if h.at[slot] == 0 {
 			return 0
 		}
@@ -55,20 +55,20 @@
 func (u *Upstream) Report(now time.Time, l engine.Load) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	own := u.own.before(now.Add(-l.Age()).UnixNano())
-	u.others.Store(max(0, int32(l.Running+l.Waiting)-own))
-	u.othersUntil.Store(now.Add(reportLife - l.Age()).UnixNano())
+	own := u.ownCalls.callsAt(now.Add(-l.Age()).UnixNano())
+	u.remoteCalls.Store(max(0, int32(l.Running+l.Waiting)-own))
+	u.remoteUntil.Store(now.Add(reportLifetime - l.Age()).UnixNano())
 	if l.Draining {
-		u.sign(now)
+		u.recordDrainSignal(now)
 		return
 	}
-	u.present(now)
+	u.recordAlive(now)
 }
 
 // OthersHave notes what other instances have there by their own word, which
 // counts until then.
 func (u *Upstream) SetRemoteLoad(calls, backlog int, until time.Time) {
-	u.others.Store(int32(calls))
-	u.othersBacklog.Store(int64(backlog))
-	u.othersUntil.Store(until.UnixNano())
+	u.remoteCalls.Store(int32(calls))
+	u.remoteBacklog.Store(int64(backlog))
+	u.remoteUntil.Store(until.UnixNano())
 }
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -16,7 +16,7 @@
 	// probeTimeout bounds one probe.
 	probeTimeout = time.Second
 	// probesAtOnce bounds the probes under way.
-	probesAtOnce = 32
+	maxConcurrentProbes = 32
 )
 
 // Reporter reads an engine's load; engine.Client is one.
@@ -35,14 +35,14 @@
 		switch {
 		case u.DataCentre != dataCentre:
 		case u.Service != "":
-			u.tryAgain(now)
+			u.endExpiredDrain(now)
 		default:
 			due = append(due, u)
 		}
 	}
 	slices.SortStableFunc(due, func(a, b *Upstream) int { return cmp.Compare(b.probeAge(now), a.probeAge(now)) })
 	var group errgroup.Group
-	group.SetLimit(probesAtOnce)
+	group.SetLimit(maxConcurrentProbes)
 	for _, u := range due[:min(limit, len(due))] {
 		u.probedAt.Store(now.UnixNano())
 		group.Go(func() error {
@@ -56,10 +56,10 @@
 const (
 	// inUseFactor is how much sooner an engine is probed that has or lately had
 	// own calls, or that is out and may have come back.
-	inUseFactor = 4
+	inUseProbeFactor = 4
 	// inUseFor is how long an engine counts as in use after its last answer. An
 	// engine that dies loses its calls at once and must not count as idle then.
-	inUseFor = 10 * time.Second
+	inUseDuration = 10 * time.Second
 )
 
 // probeAge is the time since the last probe, by which engines are chosen.
@@ -68,9 +68,9 @@
 	if u.probedAt.Load() == 0 {
 		return math.MaxInt64
 	}
-	lately := now.UnixNano()-u.lastProgress.Load() < int64(inUseFor)
-	if lately || u.inFlight.Load() > 0 || u.openUntil.Load() != 0 || u.leaving.Load() {
-		return age * inUseFactor
+	recentlyUsed := now.UnixNano()-u.lastProgress.Load() < int64(inUseDuration)
+	if recentlyUsed || u.inFlight.Load() > 0 || u.openUntil.Load() != 0 || u.draining.Load() {
+		return age * inUseProbeFactor
 	}
 	return age
 }
@@ -84,27 +84,27 @@
 		return
 	}
 	u.Report(time.Now(), load)
-	u.reachable(time.Now())
+	u.recordReachable(time.Now())
 }
 
 // tryAgain brings a service back when the hold is over. A service has no load
 // report; if it still drains, it says so to the next call, which did not run.
-func (u *Upstream) tryAgain(now time.Time) {
-	if !u.leaving.Load() {
+func (u *Upstream) endExpiredDrain(now time.Time) {
+	if !u.draining.Load() {
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.present(now)
+	u.recordAlive(now)
 }
 
 // reachable lets the next call try an upstream whose connections were refused.
 // It does not close the breaker, and does nothing for one that lost its calls:
 // an engine that hangs goes on to report its load and runs nothing.
-func (u *Upstream) reachable(now time.Time) {
+func (u *Upstream) recordReachable(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.breaker.open && u.breaker.refused {
+	if u.breaker.open && u.breaker.unreachable {
 		u.openUntil.Store(min(u.openUntil.Load(), now.UnixNano()))
 	}
 }
--- a/internal/upstream/retry.go
+++ b/internal/upstream/retry.go
@@ -9,11 +9,11 @@
 
 const (
 	// retryShare is the number of retries allowed for each first attempt.
-	retryShare = 0.1
+	retriesPerAttempt = 0.1
 	// retryReserve bounds the retries that can be saved up.
-	retryReserve = 20
+	maxSavedRetries = 20
 	// retryFloor allows a few retries a second where there is little traffic.
-	retryFloor = 1
+	minRetriesPerSecond = 1
 )
 
 // RetryBudget bounds retries to a share of the first attempts, so that retries
@@ -27,14 +27,14 @@
 
 // NewRetryBudget returns a budget with nothing saved.
 func NewRetryBudget() *RetryBudget {
-	return &RetryBudget{floor: rate.NewLimiter(retryFloor, retryFloor)}
+	return &RetryBudget{floor: rate.NewLimiter(minRetriesPerSecond, minRetriesPerSecond)}
 }
 
 // Attempt notes a first attempt.
 func (b *RetryBudget) Attempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(retryReserve, b.saved+retryShare)
+	b.saved = min(maxSavedRetries, b.saved+retriesPerAttempt)
 }
 
 // Take reports whether a retry may be made now, and takes it.
--- a/internal/upstream/signal.go
+++ b/internal/upstream/signal.go
@@ -47,7 +47,7 @@
 func (t *Table) Signals(now time.Time) []Signal {
 	var signals []Signal
 	for _, u := range t.Snapshot().All {
-		if !u.leaving.Load() && u.openUntil.Load() == 0 {
+		if !u.draining.Load() && u.openUntil.Load() == 0 {
 			continue
 		}
 		if s, ok := u.signal(now); ok {
@@ -60,10 +60,10 @@
 func (u *Upstream) signal(now time.Time) (Signal, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s := Signal{Upstream: u.Name, Address: u.Address, Kind: SignalDraining, Age: max(0, now.Sub(u.departure.lastSign))}
-	if u.departure.leaving() {
+	s := Signal{Upstream: u.Name, Address: u.Address, Kind: SignalDraining, Age: max(0, now.Sub(u.drain.lastSignal))}
+	if u.drain.draining() {
 		return s, s.Age < DrainHold
 	}
 	s.Kind, s.Age = SignalUnreachable, 0
-	return s, u.breaker.open && u.breaker.refused
+	return s, u.breaker.open && u.breaker.unreachable
 }
--- a/internal/upstream/speed.go
+++ b/internal/upstream/speed.go
@@ -33,15 +33,15 @@
 	// The time to the first token holds also waiting, so it gives a lower
 	// bound of the prefill speed: the estimate rises fast to a higher sample
 	// and sinks slowly to a lower one.
-	prefillRise = 0.3
-	prefillFall = 0.03
+	prefillRiseWeight = 0.3
+	prefillFallWeight = 0.03
 	// decodeKeep is the weight of earlier samples at each new one.
-	decodeKeep = 0.95
-	callWeight = 0.1
+	decodeDecay = 0.95
+	callWeight  = 0.1
 	// priorWeight is the weight of the prior in the first fits. It gives the
 	// line a slope before batches of several sizes were seen, and no more: an
 	// engine three times as fast would else look slow for its first ten answers.
-	priorWeight = 0.2
+	defaultWeight = 0.2
 )
 
 // Sample is what one answer tells.
@@ -51,14 +51,14 @@
 	FirstToken, Total       time.Duration
 }
 
-type speedCell struct {
+type learnedSpeed struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Speed]
 	// Decaying sums of the line through (batch, time of a token).
 	n, x, y, xx, xy float64
 }
 
-func (c *speedCell) load() Speed {
+func (c *learnedSpeed) load() Speed {
 	if s := c.current.Load(); s != nil {
 		return *s
 	}
@@ -66,17 +66,17 @@
 }
 
 // Learn takes in one answer.
-func (c *Endpoint) Learn(s Sample) {
-	c.speed.mu.Lock()
-	defer c.speed.mu.Unlock()
-	next := c.speed.load()
+func (e *Endpoint) Learn(s Sample) {
+	e.speed.mu.Lock()
+	defer e.speed.mu.Unlock()
+	next := e.speed.load()
 	next.Samples++
 	learnPrefill(&next, s)
-	c.speed.learnDecode(&next, s)
+	e.speed.learnDecode(&next, s)
 	// The first answers outweigh the prior, which may be far off.
 	weight := max(callWeight, 1/float64(next.Samples))
 	next.Call += weight * (s.Total.Seconds() - next.Call)
-	c.speed.current.Store(&next)
+	e.speed.current.Store(&next)
 }
 
 func learnPrefill(next *Speed, s Sample) {
@@ -84,9 +84,9 @@
 		return
 	}
 	rate := float64(s.Uncached) / s.FirstToken.Seconds()
-	weight := prefillFall
+	weight := prefillFallWeight
 	if rate > next.Prefill {
-		weight = prefillRise
+		weight = prefillRiseWeight
 	}
 	// The prior is a guess about all engines; the first answers outweigh it.
 	weight = max(weight, 1/float64(next.Samples))
@@ -94,16 +94,16 @@
 }
 
 // learnDecode fits the time of a token as a line over the batch size.
-func (c *speedCell) learnDecode(next *Speed, s Sample) {
+func (c *learnedSpeed) learnDecode(next *Speed, s Sample) {
 	if s.Output < 2 || s.Total <= s.FirstToken {
 		return
 	}
 	if c.n == 0 {
-		c.addDecode(1, DefaultSpeed.TokenTime(1), priorWeight)
-		c.addDecode(16, DefaultSpeed.TokenTime(16), priorWeight)
+		c.addDecode(1, DefaultSpeed.TokenTime(1), defaultWeight)
+		c.addDecode(16, DefaultSpeed.TokenTime(16), defaultWeight)
 	}
 	perToken := (s.Total - s.FirstToken).Seconds() / float64(s.Output-1)
-	c.n, c.x, c.y, c.xx, c.xy = c.n*decodeKeep, c.x*decodeKeep, c.y*decodeKeep, c.xx*decodeKeep, c.xy*decodeKeep
+	c.n, c.x, c.y, c.xx, c.xy = c.n*decodeDecay, c.x*decodeDecay, c.y*decodeDecay, c.xx*decodeDecay, c.xy*decodeDecay
 	c.addDecode(float64(s.Batch), perToken, 1)
 	spread := c.n*c.xx - c.x*c.x
 	slope := 0.0
@@ -117,7 +117,7 @@
 	next.TokenBase, next.TokenPerCall = base, slope
 }
 
-func (c *speedCell) addDecode(batch, perToken, weight float64) {
+func (c *learnedSpeed) addDecode(batch, perToken, weight float64) {
 	c.n += weight
 	c.x += weight * batch
 	c.y += weight * perToken
@@ -132,7 +132,7 @@
 	slownessMax    = 50
 	// slownessHalf is the half-life of a slowness without new samples, so that
 	// an upstream that was slow is tried again.
-	slownessHalf = 20 * time.Second
+	slownessHalfLife = 20 * time.Second
 )
 
 // Compare takes in how long a call took against what was expected. It follows
@@ -144,19 +144,19 @@
 	ratio := min(slownessMax, max(0.2, measured.Seconds()/expected.Seconds()))
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	old := u.slow(now.UnixNano())
+	old := u.currentSlowness(now.UnixNano())
 	u.slowness.Store(int64(slownessUnit * (old + slownessWeight*(ratio-old))))
 	u.slownessAt.Store(now.UnixNano())
 }
 
 // slow returns the slowness, drawn towards 1 with its age.
-func (u *Upstream) slow(now int64) float64 {
+func (u *Upstream) currentSlowness(now int64) float64 {
 	at := u.slownessAt.Load()
 	if at == 0 {
 		return 1
 	}
 	excess := float64(u.slowness.Load())/slownessUnit - 1
-	age := float64(now-at) / float64(slownessHalf)
+	age := float64(now-at) / float64(slownessHalfLife)
 	return 1 + excess/(1+max(0, age))
 }
 
--- a/internal/upstream/table.go
+++ b/internal/upstream/table.go
@@ -12,7 +12,7 @@
 
 // Table holds the upstreams of the usage list that this instance may reach.
 type Table struct {
-	members atomic.Pointer[Snapshot]
+	snapshot atomic.Pointer[Snapshot]
 
 	mu     sync.Mutex
 	nextID uint32
@@ -21,30 +21,30 @@
 // Members is an immutable snapshot of the table.
 type Snapshot struct {
 	// All is in the order of the usage list.
-	All    []*Upstream
-	byName map[string]*Upstream
-	models map[string][]*Endpoint
-	tools  map[string][]*Endpoint
+	All      []*Upstream
+	byName   map[string]*Upstream
+	models   map[string][]*Endpoint
+	services map[string][]*Endpoint
 }
 
 // Model returns the engines that have or may load the model.
-func (m *Snapshot) Model(name string) []*Endpoint { return m.models[name] }
+func (s *Snapshot) Model(name string) []*Endpoint { return s.models[name] }
 
 // Service returns the replicas of the service.
-func (m *Snapshot) Service(name string) []*Endpoint { return m.tools[name] }
+func (s *Snapshot) Service(name string) []*Endpoint { return s.services[name] }
 
 // Upstream returns the upstream of that name, or nil.
-func (m *Snapshot) Upstream(name string) *Upstream { return m.byName[name] }
+func (s *Snapshot) Upstream(name string) *Upstream { return s.byName[name] }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
 	t := &Table{}
-	t.members.Store(&Snapshot{})
+	t.snapshot.Store(&Snapshot{})
 	return t
 }
 
 // Members returns the present snapshot.
-func (t *Table) Snapshot() *Snapshot { return t.members.Load() }
+func (t *Table) Snapshot() *Snapshot { return t.snapshot.Load() }
 
 // Apply puts the usage list's upstreams in force. An upstream whose entry did
 // not change keeps all that is known of it; one whose address changed is a new one.
@@ -52,8 +52,8 @@
 func (t *Table) Apply(listed []usage.Upstream, now time.Time) []*Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	old := t.members.Load()
-	next := &Snapshot{byName: map[string]*Upstream{}, models: map[string][]*Endpoint{}, tools: map[string][]*Endpoint{}}
+	old := t.snapshot.Load()
+	next := &Snapshot{byName: map[string]*Upstream{}, models: map[string][]*Endpoint{}, services: map[string][]*Endpoint{}}
 	for _, entry := range listed {
 		u := old.byName[entry.Name]
 		if u == nil || !sameUpstream(&u.Upstream, &entry) {
@@ -62,8 +62,8 @@
 		}
 		next.add(u, old)
 	}
-	t.members.Store(next)
-	return removed(old, next, now)
+	t.snapshot.Store(next)
+	return drainRemoved(old, next, now)
 }
 
 func sameUpstream(a, b *usage.Upstream) bool {
@@ -72,19 +72,19 @@
 		a.Fenced == b.Fenced && slices.Equal(a.Models, b.Models)
 }
 
-func (m *Snapshot) add(u *Upstream, old *Snapshot) {
-	m.All = append(m.All, u)
-	m.byName[u.Name] = u
+func (s *Snapshot) add(u *Upstream, old *Snapshot) {
+	s.All = append(s.All, u)
+	s.byName[u.Name] = u
 	if u.Kind == usage.KindService {
-		m.tools[u.Service] = append(m.tools[u.Service], cellOf(old.tools[u.Service], u, u.Service))
+		s.services[u.Service] = append(s.services[u.Service], reuseEndpoint(old.services[u.Service], u, u.Service))
 		return
 	}
 	for _, model := range u.Models {
-		m.models[model] = append(m.models[model], cellOf(old.models[model], u, model))
+		s.models[model] = append(s.models[model], reuseEndpoint(old.models[model], u, model))
 	}
 }
 
-func cellOf(old []*Endpoint, u *Upstream, name string) *Endpoint {
+func reuseEndpoint(old []*Endpoint, u *Upstream, name string) *Endpoint {
 	for _, c := range old {
 		if c.Upstream == u {
 			return c
@@ -93,25 +93,25 @@
 	return &Endpoint{Upstream: u, Name: name}
 }
 
-func removed(old, next *Snapshot, now time.Time) []*Upstream {
-	var gone []*Upstream
+func drainRemoved(old, next *Snapshot, now time.Time) []*Upstream {
+	var removed []*Upstream
 	for _, u := range old.All {
 		if next.byName[u.Name] != u {
 			u.MarkDraining(now)
-			gone = append(gone, u)
+			removed = append(removed, u)
 		}
 	}
-	return gone
+	return removed
 }
 
 // ApplyList takes in the platform's lagging list of one data centre: the names
 // of the live and of the leaving upstreams.
-func (t *Table) ApplyList(dataCentre string, live, leaving []string, now time.Time) {
+func (t *Table) ApplyList(dataCentre string, live, draining []string, now time.Time) {
 	states := map[string]ListState{}
 	for _, name := range live {
 		states[name] = Listed
 	}
-	for _, name := range leaving {
+	for _, name := range draining {
 		states[name] = ListedDraining
 	}
 	for _, u := range t.Snapshot().All {
@@ -122,4 +122,4 @@
 }
 
 // ModelNames returns the models that some engine has or may load, in order.
-func (m *Snapshot) ModelNames() []string { return slices.Sorted(maps.Keys(m.models)) }
+func (s *Snapshot) ModelNames() []string { return slices.Sorted(maps.Keys(s.models)) }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -25,19 +25,19 @@
 	backlog atomic.Int64
 	// others is the number of calls that other instances have there, by the
 	// last report or their own word, and othersBacklog their prompt tokens.
-	others        atomic.Int32
-	othersBacklog atomic.Int64
-	othersUntil   atomic.Int64
+	remoteCalls   atomic.Int32
+	remoteBacklog atomic.Int64
+	remoteUntil   atomic.Int64
 	// lastProgress and patience are in nanoseconds; see stalled.
-	lastProgress atomic.Int64
-	patience     atomic.Int64
+	lastProgress    atomic.Int64
+	progressTimeout atomic.Int64
 	// slowness is the ratio of measured to expected time, in thousandths.
 	slowness   atomic.Int64
 	slownessAt atomic.Int64
 
-	erring erring
+	errorRate errorRate
 
-	leaving   atomic.Bool
+	draining  atomic.Bool
 	probedAt  atomic.Int64
 	openUntil atomic.Int64
 	rampFrom  atomic.Int64
@@ -45,10 +45,10 @@
 	trial  atomic.Uint64
 	trials atomic.Uint64
 
-	mu        sync.Mutex
-	departure departure
-	breaker   breaker
-	own       ownHistory
+	mu       sync.Mutex
+	drain    drainState
+	breaker  breaker
+	ownCalls inFlightHistory
 }
 
 // Cell joins an upstream with one model or service that it serves.
@@ -57,7 +57,7 @@
 	// Name is the model's or service's name.
 	Name string
 
-	speed   speedCell
+	speed   learnedSpeed
 	serving atomic.Pointer[Serving]
 }
 
@@ -69,18 +69,18 @@
 
 // Serving returns how the model is served; until the engine's state is known
 // it is taken to be loaded under its own name.
-func (c *Endpoint) Serving() Serving {
-	if s := c.serving.Load(); s != nil {
+func (e *Endpoint) Serving() Serving {
+	if s := e.serving.Load(); s != nil {
 		return *s
 	}
-	return Serving{Name: c.Name, Ready: true}
+	return Serving{Name: e.Name, Ready: true}
 }
 
 // SetServing replaces what is known of how the model is served.
-func (c *Endpoint) SetServing(s Serving) { c.serving.Store(&s) }
+func (e *Endpoint) SetServing(s Serving) { e.serving.Store(&s) }
 
 // Speed returns the learned speed of the cell.
-func (c *Endpoint) Speed() Speed { return c.speed.load() }
+func (e *Endpoint) Speed() Speed { return e.speed.load() }
 
 // Condition tells whether an upstream may get new work.
 type Condition uint8
@@ -124,10 +124,10 @@
 	own := int(u.inFlight.Load())
 	total := own
 	backlog := int(u.backlog.Load())
-	l := Load{Own: own, Limit: u.limit(now), OwnBacklog: backlog, Slowness: u.slow(now), ErrorRate: u.erring.now(now)}
-	if now < u.othersUntil.Load() {
-		total += int(u.others.Load())
-		backlog += int(u.othersBacklog.Load())
+	l := Load{Own: own, Limit: u.limit(now), OwnBacklog: backlog, Slowness: u.currentSlowness(now), ErrorRate: u.errorRate.current(now)}
+	if now < u.remoteUntil.Load() {
+		total += int(u.remoteCalls.Load())
+		backlog += int(u.remoteBacklog.Load())
 	}
 	l.Total, l.Backlog = total, backlog
 	l.Condition = u.condition(now, l)
@@ -136,9 +136,9 @@
 
 func (u *Upstream) condition(now int64, l Load) Condition {
 	switch {
-	case u.leaving.Load():
+	case u.draining.Load():
 		return Draining
-	case u.closedFor(now):
+	case u.breakerRejects(now):
 		return CircuitOpen
 	case u.stalled(now, l.Own):
 		return Stalled
@@ -153,21 +153,21 @@
 // long as the most patient of them allows. An engine that hangs still accepts
 // calls and may still report its load, so only missing progress shows it.
 func (u *Upstream) stalled(now int64, own int) bool {
-	return own > 0 && now-u.lastProgress.Load() > u.patience.Load()
+	return own > 0 && now-u.lastProgress.Load() > u.progressTimeout.Load()
 }
 
 // Begin notes a call of so many uncached prompt tokens that is about to be
 // sent and is expected to make progress within patience.
-func (u *Upstream) Begin(now int64, tokens int, patience time.Duration) {
+func (u *Upstream) Begin(now int64, tokens int, progressTimeout time.Duration) {
 	if u.inFlight.Add(1) == 1 {
 		u.lastProgress.Store(now)
-		u.patience.Store(int64(patience))
-	} else if int64(patience) > u.patience.Load() {
-		u.patience.Store(int64(patience))
+		u.progressTimeout.Store(int64(progressTimeout))
+	} else if int64(progressTimeout) > u.progressTimeout.Load() {
+		u.progressTimeout.Store(int64(progressTimeout))
 	}
 	u.backlog.Add(int64(tokens))
 	u.mu.Lock()
-	u.own.note(now, u.inFlight.Load())
+	u.ownCalls.record(now, u.inFlight.Load())
 	u.mu.Unlock()
 }
 
@@ -181,6 +181,6 @@
 func (u *Upstream) Finish(now int64) {
 	u.inFlight.Add(-1)
 	u.mu.Lock()
-	u.own.note(now, u.inFlight.Load())
+	u.ownCalls.record(now, u.inFlight.Load())
 	u.mu.Unlock()
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -32,19 +32,19 @@
 // oracle keeps all that was said and allows new work only where no sign of
 // leaving is younger than the hold, the list does not say leaving, and a sign
 // of life followed the last sign of leaving by the hold.
-func TestLeavingWinsAgainstOracle(t *testing.T) {
+func TestDrainSignalsAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		table, u := oneEngine(now)
-		var lastSign, lastLife time.Time
-		listLeaving, wasListed := false, false
-		sign := func(at time.Time) {
-			if at.After(lastSign) {
-				lastSign = at
+		var lastSignal, lastLife time.Time
+		listDraining, wasListed := false, false
+		drainSignal := func(at time.Time) {
+			if at.After(lastSignal) {
+				lastSignal = at
 			}
 		}
-		life := func(at time.Time) {
-			if !listLeaving {
+		signOfLife := func(at time.Time) {
+			if !listDraining {
 				lastLife = at
 			}
 		}
@@ -54,35 +54,35 @@
 			},
 			"drainAnswer": func(*rapid.T) {
 				u.Failed(now, FailureOf(&engine.Error{Class: engine.ErrNotRun, Draining: true}))
-				sign(now)
+				drainSignal(now)
 			},
 			"peer": func(t *rapid.T) {
 				age := time.Duration(rapid.IntRange(0, 60000).Draw(t, "ms")) * time.Millisecond
 				table.ApplySignal(now, Signal{Upstream: "e", Address: "e", Kind: SignalDraining, Age: age})
 				if age < DrainHold {
-					sign(now.Add(-age))
+					drainSignal(now.Add(-age))
 				}
 			},
 			"peerCannotReach":  func(*rapid.T) { table.ApplySignal(now, Signal{Upstream: "e", Address: "e", Kind: SignalUnreachable}) },
 			"peerAboutAnother": func(*rapid.T) { table.ApplySignal(now, Signal{Upstream: "e", Address: "old", Kind: SignalDraining}) },
-			"listLive":         func(*rapid.T) { table.ApplyList("a", []string{"e"}, nil, now); listLeaving, wasListed = false, true },
+			"listLive":         func(*rapid.T) { table.ApplyList("a", []string{"e"}, nil, now); listDraining, wasListed = false, true },
 			"listLeaving": func(*rapid.T) {
 				table.ApplyList("a", nil, []string{"e"}, now)
-				listLeaving, wasListed = true, true
-				sign(now)
+				listDraining, wasListed = true, true
+				drainSignal(now)
 			},
 			"listDrops": func(*rapid.T) {
 				table.ApplyList("a", nil, nil, now)
 				if wasListed {
-					listLeaving = true
-					sign(now)
+					listDraining = true
+					drainSignal(now)
 				}
 			},
-			"report":        func(*rapid.T) { u.Report(now, engine.Load{}); life(now) },
-			"reportLeaving": func(*rapid.T) { u.Report(now, engine.Load{Draining: true}); sign(now) },
+			"report":        func(*rapid.T) { u.Report(now, engine.Load{}); signOfLife(now) },
+			"reportLeaving": func(*rapid.T) { u.Report(now, engine.Load{Draining: true}); drainSignal(now) },
 			"success":       func(*rapid.T) { u.Succeeded(now) },
 			"": func(t *rapid.T) {
-				mayWork := !listLeaving && (lastSign.IsZero() || lastLife.Sub(lastSign) >= DrainHold)
+				mayWork := !listDraining && (lastSignal.IsZero() || lastLife.Sub(lastSignal) >= DrainHold)
 				got := u.Load(now.UnixNano()).Condition != Draining
 				if got != mayWork {
 					t.Fatalf("gets new work: %t, oracle says %t", got, mayWork)
@@ -135,7 +135,7 @@
 // Every connection to an engine is refused. After the first refusal no call
 // goes there; when the breaker is due, one trial goes and not a herd; after
 // its success the limit rises slowly from a part of the slots.
-func TestBreakerLetsOneTrialThrough(t *testing.T) {
+func TestBreakerAllowsOneTrial(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	_, u := oneEngine(now)
@@ -150,20 +150,20 @@
 	is.Equal(u.Load(now.UnixNano()).Condition, CircuitOpen) // for all but the trial
 	u.Succeeded(now)
 	is.Equal(u.Load(now.UnixNano()).Limit, 1)
-	now = now.Add(rampTime)
+	now = now.Add(rampDuration)
 	is.Equal(u.Load(now.UnixNano()).Limit, 4+overcommit)
 }
 
 // A probed engine refuses connections. No step is spent on finding out when it
 // is back: probes do, and the first that is answered lets one step try. Where
 // calls were lost, an answered probe says nothing: a hanging engine answers too.
-func TestProbeBringsARefusingEngineBack(t *testing.T) {
+func TestProbeReadmitsUnreachableEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for _, kind := range []Kind{NotSent, Lost} {
 			table, u := oneEngine(time.Now())
 			table.Probe(t.Context(), "a", reporter{}, 1)
-			for range tripAfter {
+			for range tripThreshold {
 				u.Failed(time.Now(), Failure{Kind: kind})
 			}
 			is.Equal(u.Load(time.Now().UnixNano()).Condition, CircuitOpen)
@@ -197,7 +197,7 @@
 // instance's; one of those has ended since. Counted naively the engine would
 // seem to have four calls; it has the other instance's one and the own one.
 // An engine that reports nothing can't hide the own calls.
-func TestLaggingReportIsSplit(t *testing.T) {
+func TestLaggingReportExcludesOwnCalls(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	_, u := oneEngine(now)
@@ -218,7 +218,7 @@
 
 // All calls fail for a minute at 100 a second. Retries must stay a share of
 // the first attempts, or the failure becomes an overload.
-func TestRetriesStayAShare(t *testing.T) {
+func TestRetriesStayWithinShare(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	b := NewRetryBudget()
@@ -230,13 +230,13 @@
 			retries++
 		}
 	}
-	is.True(retries <= 6000/10+60+retryReserve+1)
+	is.True(retries <= 6000/10+60+maxSavedRetries+1)
 	is.True(retries >= 6000/10)
 }
 
 // The usage list changes around an engine. What was learned of it stays; an
 // engine under a new address is a new one; one taken out gets no more work.
-func TestApplyKeepsWhatIsKnown(t *testing.T) {
+func TestApplyKeepsLearnedState(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	table, u := oneEngine(now)
@@ -247,8 +247,8 @@
 	is.Equal(table.Snapshot().Model("m")[1].Speed().Samples, 1)
 	moved := u.Upstream
 	moved.Address = "elsewhere"
-	gone := table.Apply([]usage.Upstream{moved}, now)
-	is.Equal(len(gone), 2)
+	removed := table.Apply([]usage.Upstream{moved}, now)
+	is.Equal(len(removed), 2)
 	is.Equal(u.Load(now.UnixNano()).Condition, Draining)
 	is.True(table.Snapshot().Upstream("e").ID != u.ID)
 }
@@ -256,7 +256,7 @@
 // An engine that fails all its calls at once draws ever more of them. Its share of
 // failures must rise with its first ones, be told to others, fall with successes,
 // and be forgotten with time, so that it is tried again.
-func TestShareOfFailuresRisesFastAndIsForgotten(t *testing.T) {
+func TestErrorRateRisesFastAndDecays(t *testing.T) {
 	is := is.New(t)
 	u := &Upstream{}
 	now := time.Now()
@@ -267,13 +267,13 @@
 	is.True(!u.HasHighErrorRate(now))
 	u.Failed(now, Failure{Kind: Errored})
 	is.True(u.HasHighErrorRate(now))
-	now = now.Add(erringHalf)
+	now = now.Add(errorRateHalfLife)
 	is.True(!u.HasHighErrorRate(now))
 	before := share()
 	u.Succeeded(now)
 	is.True(share() < before)
 	u.PeerReportedErrors(now.Add(time.Second))
-	is.Equal(share(), erringTold)
+	is.Equal(share(), highErrorRate)
 	now = now.Add(2 * time.Second)
-	is.True(share() < erringTold)
+	is.True(share() < highErrorRate)
 }
