--- a/internal/upstream/breaker.go
+++ b/internal/upstream/breaker.go
@@ -6,47 +6,50 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// The rules of the circuit breaker and of slow start.
+// The parameters of the circuit breaker and of slow start.
 const (
-	// tripAfter is the number of failures in a row that open the breaker. A
-	// refused connection opens it at once, since nothing else can follow.
+	// tripThreshold is the number of consecutive failures that open the breaker. A refused
+	// connection opens it at once, since further calls would be refused too.
 	tripThreshold = 3
-	// The breaker stays open from openMin to openMax, growing with each failed trial.
+	// openMin and openMax bound the time that the breaker stays open; it grows with each failed
+	// trial.
 	openMin = 500 * time.Millisecond
 	openMax = 15 * time.Second
-	// probedOpen is how long it stays open for refused connections where probes
-	// go. They find out when the engine is back, at no step's cost.
+	// openWhileProbed is how long the breaker stays open for an unreachable upstream that is probed.
+	// Probes detect its recovery without putting a program's step at risk.
 	openWhileProbed = time.Minute
-	// rampTime is how long a recovered upstream takes from rampStart of its
-	// limit to all of it, so that the backlog does not fall on a cold engine.
+	// rampDuration is the time of slow start: the limit of a recovered upstream rises from rampStart
+	// of its full value to all of it, so that the backlog does not overload a cold engine.
 	rampDuration = 10 * time.Second
 	rampStart    = 0.2
-	// overcommit is how far beyond its slots an engine is filled. The rest
-	// waits in foxhall's queue, where whole programs are ordered; the little
-	// beyond keeps the batch full between two decisions.
+	// overcommit is the number of calls that an engine gets beyond its slots. They keep the batch
+	// full between two placement decisions; all others wait in foxhall's queue, which orders calls
+	// by program.
 	overcommit = 1
-	// defaultSlots is the limit where the usage list gives none.
+	// defaultSlots is the number of slots where the usage list gives none.
 	defaultSlots = 16
 )
 
+// breaker is the state of an upstream's circuit breaker.
 type breaker struct {
+	// failures counts consecutive failures.
 	failures int
 	open     bool
-	// refused says that connections were refused; then an answered probe is
-	// news, where calls were lost it is none.
+	// unreachable reports whether the last failure was a refused connection or an unresponsive
+	// upstream. A successful probe then allows a trial, which it does not after lost calls.
 	unreachable bool
 	delay       *backoff.ExponentialBackOff
 }
 
-// closedFor reports that the breaker keeps new calls away.
+// breakerRejects reports whether the breaker rejects new calls at now, in Unix nanoseconds.
 func (u *Upstream) breakerRejects(now int64) bool {
 	until := u.openUntil.Load()
 	return until != 0 && (now < until || u.trial.Load() != 0)
 }
 
-// TakeTrial claims the one call that may test an upstream whose breaker is
-// due, and returns the trial's number. Without an open breaker it always
-// succeeds with 0.
+// TakeTrial claims the half-open trial, the single call that may test an upstream whose breaker has
+// been open long enough, and returns the trial's number. If the breaker is closed, it always
+// succeeds and returns 0.
 func (u *Upstream) TakeTrial() (trial uint64, ok bool) {
 	if u.openUntil.Load() == 0 {
 		return 0, true
@@ -55,7 +58,7 @@
 	return trial, u.trial.CompareAndSwap(0, trial)
 }
 
-// Succeeded notes a call that was answered.
+// Succeeded records a successful call. It closes the breaker; if it was open, slow start begins.
 func (u *Upstream) Succeeded(now time.Time) {
 	u.Progress(now.UnixNano())
 	if u.openUntil.Load() == 0 && !u.hasFailures() && u.errorRate.share.Load() == 0 {
@@ -72,14 +75,15 @@
 	u.trial.Store(0)
 }
 
+// hasFailures reports whether the breaker has counted a failure since the last success.
 func (u *Upstream) hasFailures() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.breaker.failures > 0
 }
 
-// Failed notes a failed call. A refusal counts for what it says: leaving marks
-// the upstream, an invalid request and a full queue say nothing against it.
+// Failed records a failed call. A drain signal marks the upstream as draining. Refusals, such as
+// those for a full queue, and invalid requests do not count against the upstream's health.
 func (u *Upstream) Failed(now time.Time, f Failure) {
 	if f.Draining {
 		u.MarkDraining(now)
@@ -100,15 +104,16 @@
 	}
 }
 
-// ReleaseTrial ends a trial, which may have had no result. It does nothing for
-// 0 or a trial that is over: were any call's end to release it, a herd would
-// follow the trial to an upstream that is still out.
+// ReleaseTrial ends a trial, with or without a result. It has no effect for 0 or a trial that has
+// already ended: if the end of any call released the current trial, many calls at once would follow
+// it to an upstream that is still failing.
 func (u *Upstream) ReleaseTrial(trial uint64) {
 	if trial != 0 {
 		u.trial.CompareAndSwap(trial, 0)
 	}
 }
 
+// trip opens the breaker, or keeps it open after a failed trial.
 func (u *Upstream) trip(now time.Time) {
 	b := &u.breaker
 	if b.delay == nil {
@@ -125,7 +130,7 @@
 	u.trial.Store(0)
 }
 
-// limit is the number of calls that the upstream may have at present.
+// limit returns the number of calls that the upstream may have in flight at now (Unix nanoseconds).
 func (u *Upstream) limit(now int64) int {
 	slots := u.Slots
 	if slots == 0 {
--- a/internal/upstream/failure.go
+++ b/internal/upstream/failure.go
@@ -8,37 +8,36 @@
 	"foxhall/internal/engine"
 )
 
-// Kind is what a failed call says about the upstream.
+// Kind is the kind of a failure, which determines its effect on the upstream's health.
 type Kind uint8
 
 // The kinds of failure.
 const (
-	// Lost says that the call may have run and its answer is missing.
+	// Lost indicates that the call may have run and its response is missing.
 	Lost Kind = iota
-	// NotSent says that the upstream could not be reached: no byte left.
+	// NotSent indicates that the upstream could not be reached: no byte of the call was sent.
 	NotSent
-	// Refused says that the upstream itself said that it did not run the call.
+	// Refused indicates that the upstream itself reported that it did not run the call.
 	Refused
-	// Invalid says that the request was at fault, and nothing about the upstream.
+	// Invalid indicates an invalid request, which has no bearing on the upstream's health.
 	Invalid
-	// Silent says that the upstream stopped answering anything: the call may
-	// have run, and others sent there now would be lost like it.
+	// Unresponsive indicates that the upstream stopped responding to anything: the call may have
+	// run, and other calls sent now would be lost as well.
 	Unresponsive
-	// Erred says that the upstream ran the call and answered with a failure of
-	// its own.
+	// Errored indicates that the upstream ran the call and responded with an error of its own.
 	Errored
 )
 
-// Failure is a failed call as the table sees it.
+// Failure describes a failed call to the table.
 type Failure struct {
 	Kind Kind
-	// Leaving says that the upstream drains.
+	// Draining indicates that the upstream drains.
 	Draining bool
-	// NotLoaded says that the engine does not hold the model.
+	// NotLoaded indicates that the engine has not loaded the model.
 	NotLoaded bool
 }
 
-// FailureOf returns the failure that an error of the engine client stands for.
+// FailureOf converts an error of the engine client to a failure.
 func FailureOf(err error) Failure {
 	var f Failure
 	var failure *engine.Error
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// reportLife is how long a load report counts. Past it only own calls are
-	// known: an old report that says "busy" must not keep an engine empty.
+	// reportLifetime is how long a load report is valid. After that only own calls are counted, so
+	// that an outdated report of a busy engine does not keep the engine empty.
 	reportLifetime = 3 * time.Second
-	// ownSamples is the length of the history of own in-flight calls.
+	// historySamples is the number of samples in the history of own calls in flight.
 	historySamples = 64
-	// ownGrain is the shortest time between two samples of it.
+	// historyInterval is the shortest time between two samples.
 	historyInterval = 25 * time.Millisecond
 )
 
-// ownHistory remembers how many own calls were in flight when, so that a
-// lagging report can be split into own calls and others'.
+// inFlightHistory is a ring buffer of the number of own calls in flight over time. It is used to
+// split a lagging load report into own calls and those of other instances.
 type inFlightHistory struct {
+	// at is in Unix nanoseconds; 0 marks an unused slot.
 	at    [historySamples]int64
 	calls [historySamples]int32
 	next  int
 }
 
+// record adds a sample, or updates the last one if that is younger than historyInterval.
 func (h *inFlightHistory) record(now int64, calls int32) {
 	last := (h.next + historySamples - 1) % historySamples
 	if h.at[last] != 0 && now-h.at[last] < int64(historyInterval) {
@@ -34,7 +36,8 @@
 	h.next = (h.next + 1) % historySamples
 }
 
-// before returns the own calls in flight at the time, or the oldest that is known.
+// callsAt returns the number of own calls in flight at the given time, or the oldest sample if the
+// history does not reach back that far.
 func (h *inFlightHistory) callsAt(at int64) int32 {
 	for i := 1; i <= historySamples; i++ {
 		slot := (h.next + historySamples - i) % historySamples
@@ -48,10 +51,10 @@
 	return h.calls[h.next]
 }
 
-// Report takes in an engine's lagging load report. The calls of others are
-// what it reports beyond the own calls of that time. A report below the own
-// calls is wrong and counts as no others; own calls are never taken from it,
-// so an engine that lies about its load can at most hide other instances' calls.
+// Report applies an engine's lagging load report. The calls of other instances are those reported
+// beyond the own calls in flight at the time of the report. A report with fewer calls than the own
+// ones is wrong and counts as no remote calls. The number of own calls is never taken from a
+// report, so an engine that misreports its load can hide only other instances' calls.
 func (u *Upstream) Report(now time.Time, l engine.Load) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -65,8 +68,8 @@
 	u.recordAlive(now)
 }
 
-// OthersHave notes what other instances have there by their own word, which
-// counts until then.
+// SetRemoteLoad sets the load that other instances report to have placed on the upstream, in calls
+// and in prompt tokens not yet prefilled. It is valid until the given time.
 func (u *Upstream) SetRemoteLoad(calls, backlog int, until time.Time) {
 	u.remoteCalls.Store(int32(calls))
 	u.remoteBacklog.Store(int64(backlog))
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -15,19 +15,18 @@
 const (
 	// probeTimeout bounds one probe.
 	probeTimeout = time.Second
-	// probesAtOnce bounds the probes under way.
+	// maxConcurrentProbes bounds the probes in flight.
 	maxConcurrentProbes = 32
 )
 
-// Reporter reads an engine's load; engine.Client is one.
+// Reporter reads an engine's load report. engine.Client implements it.
 type Reporter interface {
 	Load(ctx context.Context, addr string) (engine.Load, error)
 }
 
-// Probe asks at most limit engines of the data centre for their load. It is
-// the active half of the health checks: it finds engines that died while idle,
-// and brings back those that answer again. The limit keeps an instance's
-// control traffic the same whatever the size of the fleet.
+// Probe asks at most limit engines of the data centre for their load. It is the active part of the
+// health checks: it detects engines that crashed while idle and readmits those that respond again.
+// The limit keeps an instance's control traffic independent of the size of the fleet.
 func (t *Table) Probe(ctx context.Context, dataCentre string, r Reporter, limit int) {
 	now := time.Now()
 	var due []*Upstream
@@ -54,15 +53,17 @@
 }
 
 const (
-	// inUseFactor is how much sooner an engine is probed that has or lately had
-	// own calls, or that is out and may have come back.
+	// inUseProbeFactor is the factor on the probe rate of an engine that has or recently had own
+	// calls, or that is unavailable and may have recovered.
 	inUseProbeFactor = 4
-	// inUseFor is how long an engine counts as in use after its last answer. An
-	// engine that dies loses its calls at once and must not count as idle then.
+	// inUseDuration is how long an engine counts as in use after its last progress. An engine that
+	// crashes loses its calls at once and must not count as idle then.
 	inUseDuration = 10 * time.Second
 )
 
-// probeAge is the time since the last probe, by which engines are chosen.
+// probeAge returns the priority of an engine for the next probe: the nanoseconds since its last
+// one, times inUseProbeFactor if the engine is in use or unavailable. An engine that was never
+// probed comes first.
 func (u *Upstream) probeAge(now time.Time) int64 {
 	age := now.UnixNano() - u.probedAt.Load()
 	if u.probedAt.Load() == 0 {
@@ -87,8 +88,8 @@
 	u.recordReachable(time.Now())
 }
 
-// tryAgain brings a service back when the hold is over. A service has no load
-// report; if it still drains, it says so to the next call, which did not run.
+// endExpiredDrain readmits a draining replica of a service once DrainHold has passed. A service has
+// no load report; if it still drains, it refuses the next call with that signal and does not run it.
 func (u *Upstream) endExpiredDrain(now time.Time) {
 	if !u.draining.Load() {
 		return
@@ -98,9 +99,9 @@
 	u.recordAlive(now)
 }
 
-// reachable lets the next call try an upstream whose connections were refused.
-// It does not close the breaker, and does nothing for one that lost its calls:
-// an engine that hangs goes on to report its load and runs nothing.
+// recordReachable allows the next call as a half-open trial of an upstream that was unreachable. It
+// does not close the breaker, and has no effect on an upstream whose breaker opened because calls
+// were lost: an engine that hangs still reports its load but runs nothing.
 func (u *Upstream) recordReachable(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/upstream/retry.go
+++ b/internal/upstream/retry.go
@@ -8,36 +8,35 @@
 )
 
 const (
-	// retryShare is the number of retries allowed for each first attempt.
+	// retriesPerAttempt is the number of retries allowed for each first attempt.
 	retriesPerAttempt = 0.1
-	// retryReserve bounds the retries that can be saved up.
+	// maxSavedRetries bounds the retries that can be saved up.
 	maxSavedRetries = 20
-	// retryFloor allows a few retries a second where there is little traffic.
+	// minRetriesPerSecond is the rate of retries allowed under little traffic.
 	minRetriesPerSecond = 1
 )
 
-// RetryBudget bounds retries to a share of the first attempts, so that retries
-// do not multiply an overload: when every call fails, the load rises by a
-// tenth and not by a factor.
+// RetryBudget limits retries to a share of the first attempts, so that retries do not multiply an
+// overload: when every call fails, the load rises by a tenth instead of by a factor.
 type RetryBudget struct {
 	mu    sync.Mutex
 	saved float64
 	floor *rate.Limiter
 }
 
-// NewRetryBudget returns a budget with nothing saved.
+// NewRetryBudget returns a budget without saved retries.
 func NewRetryBudget() *RetryBudget {
 	return &RetryBudget{floor: rate.NewLimiter(minRetriesPerSecond, minRetriesPerSecond)}
 }
 
-// Attempt notes a first attempt.
+// Attempt records a first attempt.
 func (b *RetryBudget) Attempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.saved = min(maxSavedRetries, b.saved+retriesPerAttempt)
 }
 
-// Take reports whether a retry may be made now, and takes it.
+// Take reports whether a retry is allowed now and, if so, counts it against the budget.
 func (b *RetryBudget) Take(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/upstream/signal.go
+++ b/internal/upstream/signal.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// SignalKind is what a signal says of an upstream.
+// SignalKind is the state of an upstream that a signal reports.
 type SignalKind string
 
 // The kinds of signal.
 const (
-	// SaysLeaving says that the upstream itself said that it leaves.
+	// SignalDraining reports the upstream's own signal that it drains.
 	SignalDraining SignalKind = "leaving"
-	// SaysUnreachable says that connections to it were refused.
+	// SignalUnreachable reports that connections to the upstream were refused.
 	SignalUnreachable SignalKind = "unreachable"
 )
 
-// Signal is what one instance tells the others of its data centre about an upstream.
+// Signal is a report about an upstream that an instance sends to the other instances of its data
+// centre.
 type Signal struct {
 	Upstream string
-	// Address guards against a name that meanwhile stands for another process.
+	// Address is the address of the upstream. A signal whose address differs from the table's is
+	// ignored, since the name stands for another process by now.
 	Address string
 	Kind    SignalKind
-	// Age is how long ago it was seen.
+	// Age is the time since the state was observed.
 	Age time.Duration
 }
 
-// ApplySignal takes in a peer's signal. Leaving is believed at once, as the
-// upstream's own word. Unreachable is checked by a probe in the next round and
-// not believed, since the peer's network may be at fault.
+// ApplySignal applies a peer's signal. SignalDraining takes effect at once, since it originates from
+// the upstream itself. SignalUnreachable only makes the upstream due for a probe in the next round,
+// since the peer's network may be at fault.
 func (t *Table) ApplySignal(now time.Time, s Signal) {
 	u := t.Snapshot().Upstream(s.Upstream)
 	if u == nil || u.Address != s.Address {
@@ -41,9 +43,9 @@
 	}
 }
 
-// Signals returns what peers should hear, every second or sooner: the upstreams
-// that are leaving or out of reach. It is bounded by the table's size and empty
-// on an ordinary day.
+// Signals returns the signals to send to peers, every second or more often: one for each upstream
+// that is draining or unreachable. The size of the table bounds their number; in normal operation
+// there are none.
 func (t *Table) Signals(now time.Time) []Signal {
 	var signals []Signal
 	for _, u := range t.Snapshot().All {
@@ -57,6 +59,7 @@
 	return signals
 }
 
+// signal returns the signal for the upstream and whether there is one to send.
 func (u *Upstream) signal(now time.Time) (Signal, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/upstream/speed.go
+++ b/internal/upstream/speed.go
@@ -6,55 +6,60 @@
 	"time"
 )
 
-// Speed is what has been learned of an upstream's speed with one model or service.
+// Speed is the learned speed of an upstream with one model or service.
 type Speed struct {
-	// Prefill is in tokens a second.
+	// Prefill is in tokens per second.
 	Prefill float64
-	// A decoded token takes TokenBase + TokenPerCall * batch, in seconds.
+	// TokenBase and TokenPerCall are in seconds: one decoded token takes TokenBase + TokenPerCall *
+	// batch size.
 	TokenBase, TokenPerCall float64
-	// Call is the mean time of a whole call in seconds.
+	// Call is the mean duration of a complete call in seconds.
 	Call float64
-	// Samples is the number of answers learned from.
+	// Samples is the number of responses learned from.
 	Samples int
 }
 
-// TokenTime returns the time of one decoded token in a batch, in seconds.
+// TokenTime returns the time to decode one token in a batch of the given size, in seconds.
 func (s Speed) TokenTime(batch int) float64 {
 	return s.TokenBase + s.TokenPerCall*float64(batch)
 }
 
-// Prior is the speed assumed before the first answer: a middling engine.
+// DefaultSpeed is the speed assumed before the first response: that of an average engine.
 var DefaultSpeed = Speed{Prefill: 6000, TokenBase: 0.02, TokenPerCall: 0.001, Call: 2}
 
-// The rules of learning.
+// The parameters of learning.
 const (
-	// minPrefillSample is the least number of prefilled tokens that tells a speed.
+	// minPrefillSample is the least number of prefilled tokens from which a speed is learned.
 	minPrefillSample = 128
-	// The time to the first token holds also waiting, so it gives a lower
-	// bound of the prefill speed: the estimate rises fast to a higher sample
-	// and sinks slowly to a lower one.
+	// prefillRiseWeight and prefillFallWeight are the weights of a sample above and below the
+	// estimate. The time to the first token includes queueing, so a sample is a lower bound of the
+	// prefill speed: the estimate rises fast to a higher sample and falls slowly to a lower one.
 	prefillRiseWeight = 0.3
 	prefillFallWeight = 0.03
-	// decodeKeep is the weight of earlier samples at each new one.
+	// decodeDecay is the factor on the weight of all earlier samples at each new one.
 	decodeDecay = 0.95
-	callWeight  = 0.1
-	// priorWeight is the weight of the prior in the first fits. It gives the
-	// line a slope before batches of several sizes were seen, and no more: an
-	// engine three times as fast would else look slow for its first ten answers.
+	// callWeight is the least weight of a sample in the mean duration of a call.
+	callWeight = 0.1
+	// defaultWeight is the weight of DefaultSpeed in the first fits. It is just enough to give the
+	// line a slope before batches of several sizes have been seen: with more weight, an engine three
+	// times as fast would appear slow for its first ten responses.
 	defaultWeight = 0.2
 )
 
-// Sample is what one answer tells.
+// Sample is the measurement of one response.
 type Sample struct {
-	// Uncached and Output count tokens; Batch is the batch that it ran in.
+	// Uncached and Output are numbers of tokens; Batch is the size of the batch that the call ran in.
 	Uncached, Output, Batch int
-	FirstToken, Total       time.Duration
+	// FirstToken is the time to the first token, Total that to the end of the response.
+	FirstToken, Total time.Duration
 }
 
+// learnedSpeed is the speed learned from the responses of one endpoint.
 type learnedSpeed struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Speed]
-	// Decaying sums of the line through (batch, time of a token).
+	// Decaying sums of the linear regression of the time per token over the batch size; n is the sum
+	// of the weights.
 	n, x, y, xx, xy float64
 }
 
@@ -65,7 +70,7 @@
 	return DefaultSpeed
 }
 
-// Learn takes in one answer.
+// Learn updates the learned speed with one response.
 func (e *Endpoint) Learn(s Sample) {
 	e.speed.mu.Lock()
 	defer e.speed.mu.Unlock()
@@ -73,7 +78,7 @@
 	next.Samples++
 	learnPrefill(&next, s)
 	e.speed.learnDecode(&next, s)
-	// The first answers outweigh the prior, which may be far off.
+	// The first responses outweigh the default, which may be far from the true value.
 	weight := max(callWeight, 1/float64(next.Samples))
 	next.Call += weight * (s.Total.Seconds() - next.Call)
 	e.speed.current.Store(&next)
@@ -88,12 +93,12 @@
 	if rate > next.Prefill {
 		weight = prefillRiseWeight
 	}
-	// The prior is a guess about all engines; the first answers outweigh it.
+	// The default is a guess about all engines; the first responses outweigh it.
 	weight = max(weight, 1/float64(next.Samples))
 	next.Prefill += weight * (rate - next.Prefill)
 }
 
-// learnDecode fits the time of a token as a line over the batch size.
+// learnDecode fits the time per token as a linear function of the batch size.
 func (c *learnedSpeed) learnDecode(next *Speed, s Sample) {
 	if s.Output < 2 || s.Total <= s.FirstToken {
 		return
@@ -126,17 +131,19 @@
 }
 
 const (
-	// slownessUnit is a slowness of 1.
-	slownessUnit   = 1000
+	// slownessUnit is the stored value of a slowness of 1.
+	slownessUnit = 1000
+	// slownessWeight is the weight of one sample in the moving average.
 	slownessWeight = 0.3
-	slownessMax    = 50
-	// slownessHalf is the half-life of a slowness without new samples, so that
-	// an upstream that was slow is tried again.
+	// slownessMax bounds the ratio of one sample.
+	slownessMax = 50
+	// slownessHalfLife is the half-life of the excess over 1 without new samples, so that an
+	// upstream that was slow is tried again.
 	slownessHalfLife = 20 * time.Second
 )
 
-// Compare takes in how long a call took against what was expected. It follows
-// a sudden slow-down within a few answers, where the learned speeds take long.
+// ObserveLatency updates the slowness with the measured and the expected duration of a call. It
+// follows a sudden slow-down within a few responses, where the learned speeds adapt slowly.
 func (u *Upstream) ObserveLatency(now time.Time, measured, expected time.Duration) {
 	if expected <= 0 || measured <= 0 {
 		return
@@ -149,7 +156,7 @@
 	u.slownessAt.Store(now.UnixNano())
 }
 
-// slow returns the slowness, drawn towards 1 with its age.
+// currentSlowness returns the slowness at now (Unix nanoseconds), decayed towards 1 with its age.
 func (u *Upstream) currentSlowness(now int64) float64 {
 	at := u.slownessAt.Load()
 	if at == 0 {
@@ -160,7 +167,7 @@
 	return 1 + excess/(1+max(0, age))
 }
 
-// WithoutSamples returns the speed as that of an upstream that has not answered.
+// WithoutSamples returns the speed with the sample count of an upstream that has not responded yet.
 func (s Speed) WithoutSamples() Speed {
 	s.Samples = 0
 	return s
--- a/internal/upstream/table.go
+++ b/internal/upstream/table.go
@@ -10,7 +10,7 @@
 	"foxhall/internal/usage"
 )
 
-// Table holds the upstreams of the usage list that this instance may reach.
+// Table is the set of upstreams in the usage list that this instance may call.
 type Table struct {
 	snapshot atomic.Pointer[Snapshot]
 
@@ -18,7 +18,7 @@
 	nextID uint32
 }
 
-// Members is an immutable snapshot of the table.
+// Snapshot is an immutable view of the table.
 type Snapshot struct {
 	// All is in the order of the usage list.
 	All      []*Upstream
@@ -43,12 +43,12 @@
 	return t
 }
 
-// Members returns the present snapshot.
+// Snapshot returns the current snapshot.
 func (t *Table) Snapshot() *Snapshot { return t.snapshot.Load() }
 
-// Apply puts the usage list's upstreams in force. An upstream whose entry did
-// not change keeps all that is known of it; one whose address changed is a new one.
-// It returns the upstreams that are no longer in the list, now leaving.
+// Apply replaces the table's upstreams by those of the usage list. An upstream whose entry did not
+// change keeps its state; one whose entry changed, as by a new address, starts as a new upstream.
+// Apply marks the upstreams that are no longer in the list as draining and returns them.
 func (t *Table) Apply(listed []usage.Upstream, now time.Time) []*Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,6 +84,7 @@
 	}
 }
 
+// reuseEndpoint returns the endpoint of the upstream in old, or a new one.
 func reuseEndpoint(old []*Endpoint, u *Upstream, name string) *Endpoint {
 	for _, c := range old {
 		if c.Upstream == u {
@@ -93,6 +94,7 @@
 	return &Endpoint{Upstream: u, Name: name}
 }
 
+// drainRemoved marks the upstreams of old that are not in next as draining and returns them.
 func drainRemoved(old, next *Snapshot, now time.Time) []*Upstream {
 	var removed []*Upstream
 	for _, u := range old.All {
@@ -104,8 +106,8 @@
 	return removed
 }
 
-// ApplyList takes in the platform's lagging list of one data centre: the names
-// of the live and of the leaving upstreams.
+// ApplyList applies the platform's lagging list of one data centre: the names of the live and of
+// the draining upstreams.
 func (t *Table) ApplyList(dataCentre string, live, draining []string, now time.Time) {
 	states := map[string]ListState{}
 	for _, name := range live {
@@ -121,5 +123,5 @@
 	}
 }
 
-// ModelNames returns the models that some engine has or may load, in order.
+// ModelNames returns the sorted names of the models that some engine has or may load.
 func (s *Snapshot) ModelNames() []string { return slices.Sorted(maps.Keys(s.models)) }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,9 +1,8 @@
-// Package upstream holds the aggregate of a data centre's upstreams: model
-// engines and replicas of services, with their health, their load and their
-// learned speeds.
+// Package upstream keeps the table of a data centre's upstreams (model engines and replicas of
+// services) with their health, load and learned speed.
 //
-// The traffic path reads atomics and takes at most the short lock of one
-// upstream; no lock covers the whole table.
+// The request path reads atomics and takes at most the lock of one upstream, for a short time; no
+// lock covers the whole table.
 package upstream
 
 import (
@@ -17,31 +16,35 @@
 // Upstream is one model engine or replica of a service.
 type Upstream struct {
 	usage.Upstream
-	// ID is a small number, unique in the table as long as the upstream is in it.
+	// ID is a small number, unique among the upstreams in the table.
 	ID uint32
 
 	inFlight atomic.Int32
-	// backlog is the number of prompt tokens sent and not yet prefilled.
+	// backlog is the number of this instance's prompt tokens sent and not yet prefilled.
 	backlog atomic.Int64
-	// others is the number of calls that other instances have there, by the
-	// last report or their own word, and othersBacklog their prompt tokens.
+	// remoteCalls is the number of calls that other instances have in flight at the upstream,
+	// according to its last load report or to those instances; remoteBacklog is the number of their
+	// prompt tokens not yet prefilled. Both count until remoteUntil, in Unix nanoseconds.
 	remoteCalls   atomic.Int32
 	remoteBacklog atomic.Int64
 	remoteUntil   atomic.Int64
-	// lastProgress and patience are in nanoseconds; see stalled.
+	// lastProgress is in Unix nanoseconds, progressTimeout in nanoseconds; see stalled.
 	lastProgress    atomic.Int64
 	progressTimeout atomic.Int64
-	// slowness is the ratio of measured to expected time, in thousandths.
+	// slowness is the ratio of measured to expected time, in thousandths, as of slownessAt
+	// (Unix nanoseconds).
 	slowness   atomic.Int64
 	slownessAt atomic.Int64
 
 	errorRate errorRate
 
-	draining  atomic.Bool
+	draining atomic.Bool
+	// probedAt, openUntil and rampFrom are in Unix nanoseconds; 0 stands for never probed, for a
+	// closed breaker and for no slow start.
 	probedAt  atomic.Int64
 	openUntil atomic.Int64
 	rampFrom  atomic.Int64
-	// trial is the number of the trial under way, 0 for none; trials counts them.
+	// trial is the number of the half-open trial in progress, 0 for none; trials counts all trials.
 	trial  atomic.Uint64
 	trials atomic.Uint64
 
@@ -51,7 +54,7 @@
 	ownCalls inFlightHistory
 }
 
-// Cell joins an upstream with one model or service that it serves.
+// Endpoint is an upstream's offer of one model or service.
 type Endpoint struct {
 	Upstream *Upstream
 	// Name is the model's or service's name.
@@ -61,14 +64,14 @@
 	serving atomic.Pointer[Serving]
 }
 
-// Serving tells under which name an engine serves a model, and whether it is loaded.
+// Serving describes how an engine serves a model: under which name, and whether it is loaded.
 type Serving struct {
 	Name  string
 	Ready bool
 }
 
-// Serving returns how the model is served; until the engine's state is known
-// it is taken to be loaded under its own name.
+// Serving returns how the model is served. Until the engine's state is known, the model is assumed
+// to be loaded under its own name.
 func (e *Endpoint) Serving() Serving {
 	if s := e.serving.Load(); s != nil {
 		return *s
@@ -76,46 +79,47 @@
 	return Serving{Name: e.Name, Ready: true}
 }
 
-// SetServing replaces what is known of how the model is served.
+// SetServing sets how the model is served.
 func (e *Endpoint) SetServing(s Serving) { e.serving.Store(&s) }
 
-// Speed returns the learned speed of the cell.
+// Speed returns the learned speed of the endpoint.
 func (e *Endpoint) Speed() Speed { return e.speed.load() }
 
-// Condition tells whether an upstream may get new work.
+// Condition is the state that decides whether an upstream may get new work.
 type Condition uint8
 
-// The conditions of an upstream, the worst that applies.
+// The conditions of an upstream. Where several apply, the last in this list counts.
 const (
+	// Usable is the condition of an upstream that may get new work.
 	Usable Condition = iota
-	// Full says that it runs as many calls as it may at present.
+	// Full is the condition of an upstream with as many calls in flight as its present limit.
 	Full
-	// Stalled says that its calls make no progress.
+	// Stalled is the condition of an upstream whose calls make no progress.
 	Stalled
-	// Broken says that the circuit breaker is open.
+	// CircuitOpen is the condition of an upstream whose circuit breaker rejects calls.
 	CircuitOpen
-	// Leaving says that it drains or is gone.
+	// Draining is the condition of an upstream that drains or has been removed.
 	Draining
 )
 
-// String returns the condition's name in log lines.
+// String returns the condition's name as used in log lines.
 func (c Condition) String() string {
 	return [...]string{"usable", "full", "stalled", "broken", "leaving"}[c]
 }
 
-// Load is what is known of an upstream's load at one moment.
+// Load is the known load of an upstream at one moment.
 type Load struct {
 	Condition Condition
-	// Own is the number of this instance's calls there; Total includes the others'.
+	// Own is the number of this instance's calls in flight; Total includes those of other instances.
 	Own, Total int
-	// Limit is the number of calls that it may have at present.
+	// Limit is the number of calls that the upstream may have in flight at present.
 	Limit int
-	// OwnBacklog is the number of this instance's prompt tokens not yet
-	// prefilled; Backlog includes the others' where they tell it.
+	// OwnBacklog is the number of this instance's prompt tokens not yet prefilled; Backlog includes
+	// those of other instances that report them.
 	OwnBacklog, Backlog int
-	// Slowness multiplies expected times; 1 is as expected.
+	// Slowness is the factor on expected times; 1 means as fast as expected.
 	Slowness float64
-	// Erring is the share of calls that are answered with a failure.
+	// ErrorRate is the share of calls, from 0 to 1, that the upstream fails with an error of its own.
 	ErrorRate float64
 }
 
@@ -149,15 +153,15 @@
 	}
 }
 
-// stalled reports that calls are under way and none has made progress for as
-// long as the most patient of them allows. An engine that hangs still accepts
-// calls and may still report its load, so only missing progress shows it.
+// stalled reports whether own calls are in flight and none has made progress within the longest of
+// their progress timeouts. An engine that hangs still accepts calls and may still report its load,
+// so only missing progress reveals it.
 func (u *Upstream) stalled(now int64, own int) bool {
 	return own > 0 && now-u.lastProgress.Load() > u.progressTimeout.Load()
 }
 
-// Begin notes a call of so many uncached prompt tokens that is about to be
-// sent and is expected to make progress within patience.
+// Begin records a call that is about to be sent. tokens is the number of its uncached prompt
+// tokens; the call is expected to make progress within progressTimeout.
 func (u *Upstream) Begin(now int64, tokens int, progressTimeout time.Duration) {
 	if u.inFlight.Add(1) == 1 {
 		u.lastProgress.Store(now)
@@ -171,13 +175,13 @@
 	u.mu.Unlock()
 }
 
-// Progress notes that a call there made progress: a first token, a chunk or an end.
+// Progress records that a call to the upstream made progress: a first token, a chunk or its end.
 func (u *Upstream) Progress(now int64) { u.lastProgress.Store(now) }
 
-// Prefilled notes that so many prompt tokens are no longer waiting.
+// Prefilled removes prompt tokens from the backlog.
 func (u *Upstream) Prefilled(tokens int) { u.backlog.Add(-int64(tokens)) }
 
-// Finish notes that a call is over.
+// Finish records the end of a call.
 func (u *Upstream) Finish(now int64) {
 	u.inFlight.Add(-1)
 	u.mu.Lock()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -28,10 +28,9 @@
 	return t, t.Snapshot().Upstream("e")
 }
 
-// List, answers, reports and peers contradict each other in any order. The
-// oracle keeps all that was said and allows new work only where no sign of
-// leaving is younger than the hold, the list does not say leaving, and a sign
-// of life followed the last sign of leaving by the hold.
+// The platform's list, responses, load reports and peers contradict each other in any order. The
+// oracle records all of them. It allows new work only if the list does not name the upstream as
+// draining and, after a drain signal, a sign of life has come at least DrainHold later.
 func TestDrainSignalsAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -85,16 +84,16 @@
 				mayWork := !listDraining && (lastSignal.IsZero() || lastLife.Sub(lastSignal) >= DrainHold)
 				got := u.Load(now.UnixNano()).Condition != Draining
 				if got != mayWork {
-					t.Fatalf("gets new work: %t, oracle says %t", got, mayWork)
+					t.Fatalf("upstream gets new work: got %t, oracle expects %t", got, mayWork)
 				}
 			},
 		})
 	})
 }
 
-// The fleet grows to hundreds of engines. Asked all at once and often, each
-// would get more probes than work; an instance asks a few a round, those it
-// uses more often, and leaves none out.
+// In a fleet of hundreds of engines, probing all of them in every round would cost each engine more
+// requests than its work. An instance probes a few engines a round, those in use more often, and
+// reaches all of them in time.
 func TestProbesAreBoundedAndReachAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -132,9 +131,9 @@
 	return engine.Load{}, nil
 }
 
-// Every connection to an engine is refused. After the first refusal no call
-// goes there; when the breaker is due, one trial goes and not a herd; after
-// its success the limit rises slowly from a part of the slots.
+// Every connection to an engine is refused. After the first refusal the engine gets no calls. When
+// the breaker becomes half-open, it admits a single trial; after the trial's success the limit rises
+// slowly from a part of the slots.
 func TestBreakerAllowsOneTrial(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -147,16 +146,16 @@
 	is.True(ok && trial != 0)
 	_, ok = u.TakeTrial()
 	is.True(!ok)
-	is.Equal(u.Load(now.UnixNano()).Condition, CircuitOpen) // for all but the trial
+	is.Equal(u.Load(now.UnixNano()).Condition, CircuitOpen) // for all calls but the trial
 	u.Succeeded(now)
 	is.Equal(u.Load(now.UnixNano()).Limit, 1)
 	now = now.Add(rampDuration)
 	is.Equal(u.Load(now.UnixNano()).Limit, 4+overcommit)
 }
 
-// A probed engine refuses connections. No step is spent on finding out when it
-// is back: probes do, and the first that is answered lets one step try. Where
-// calls were lost, an answered probe says nothing: a hanging engine answers too.
+// A probed engine refuses connections. No step is risked to detect its recovery: the first
+// successful probe allows one trial. After lost calls a successful probe has no such effect, since a
+// hanging engine responds to probes too.
 func TestProbeReadmitsUnreachableEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -178,9 +177,9 @@
 	})
 }
 
-// An engine hangs: it accepts calls and reports its load, and nothing comes
-// back. Callers would wait for ever and new calls would follow them there;
-// missing progress takes it out, and any progress brings it back.
+// An engine hangs: it accepts calls and reports its load but sends no response. Callers would wait
+// for ever and the engine would get further calls. Missing progress makes it stalled; any progress
+// makes it usable again.
 func TestHangingEngineIsStalled(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -193,10 +192,9 @@
 	is.Equal(u.Load(now.UnixNano()).Condition, Usable)
 }
 
-// A report is a second old and holds three calls, two of which are this
-// instance's; one of those has ended since. Counted naively the engine would
-// seem to have four calls; it has the other instance's one and the own one.
-// An engine that reports nothing can't hide the own calls.
+// A load report is one second old and counts three calls, two of them this instance's; one of the
+// two has ended since. Adding the reported and the own calls would give four; the engine has two,
+// one own and one of another instance. A report of zero calls does not hide the own calls.
 func TestLaggingReportExcludesOwnCalls(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -213,11 +211,11 @@
 	is.Equal(u.Load(now.UnixNano()).Total, 1)
 	u.Report(now.Add(600*time.Millisecond), engine.Load{Running: 9})
 	now = now.Add(time.Minute)
-	is.Equal(u.Load(now.UnixNano()).Total, 1) // an old report counts no more
+	is.Equal(u.Load(now.UnixNano()).Total, 1) // an expired report does not count
 }
 
-// All calls fail for a minute at 100 a second. Retries must stay a share of
-// the first attempts, or the failure becomes an overload.
+// All calls fail for a minute at 100 calls a second. Retries must stay within a share of the first
+// attempts; otherwise the failure turns into an overload.
 func TestRetriesStayWithinShare(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -234,8 +232,8 @@
 	is.True(retries >= 6000/10)
 }
 
-// The usage list changes around an engine. What was learned of it stays; an
-// engine under a new address is a new one; one taken out gets no more work.
+// The usage list changes. An engine with an unchanged entry keeps its learned state, one with a new
+// address starts as a new upstream, and a removed one gets no more work.
 func TestApplyKeepsLearnedState(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -253,9 +251,9 @@
 	is.True(table.Snapshot().Upstream("e").ID != u.ID)
 }
 
-// An engine that fails all its calls at once draws ever more of them. Its share of
-// failures must rise with its first ones, be told to others, fall with successes,
-// and be forgotten with time, so that it is tried again.
+// An engine that fails all its calls at once attracts more and more of them, since it is idle. Its
+// error rate must rise with the first failures, be reported to other instances, fall with successes
+// and decay with time, so that the engine is tried again.
 func TestErrorRateRisesFastAndDecays(t *testing.T) {
 	is := is.New(t)
 	u := &Upstream{}
