--- a/internal/cache/match.go
+++ b/internal/cache/match.go
@@ -97,7 +97,7 @@
 	for low < high {
 		middle := (low + high) / 2
 		hash := chain[v.position(m, middle)]
-		if v.shard(hash).heldByMore(hash, v, known) {
+		if v.shard(hash).heldByMoreThan(hash, v, known) {
 			low = middle + 1
 		} else {
 			high = middle
@@ -109,7 +109,7 @@
 // collect adds the holders at a position that are not yet found.
 func (v *View) collect(chain []uint64, m *Matches, position int) {
 	at := v.position(m, position)
-	m.ids = v.shard(chain[at]).owners(chain[at], v, m.ids[:0])
+	m.ids = v.shard(chain[at]).appendHolders(chain[at], v, m.ids[:0])
 	for _, id := range m.ids {
 		m.add(id, at+1)
 	}
--- a/internal/cache/shard.go
+++ b/internal/cache/shard.go
@@ -7,14 +7,14 @@
 
 // inlineHolders is the number of holders that a block keeps without an
 // allocation; only prefixes shared by many programs have more.
-const inlineHolders = 4
+const maxInlineHolders = 4
 
 type block struct {
-	hash uint64
-	more []uint16
-	few  [inlineHolders]uint16
-	n    uint8
-	used bool
+	hash        uint64
+	overflow    []uint16
+	inline      [maxInlineHolders]uint16
+	inlineCount uint8
+	referenced  bool
 }
 
 // shard is a part of the blocks, evicted by the clock algorithm.
@@ -42,7 +42,7 @@
 		at = s.insert(hash)
 	}
 	b := &s.blocks[at]
-	b.used = true
+	b.referenced = true
 	b.add(slot, v)
 }
 
@@ -52,8 +52,8 @@
 		s.index[hash] = uint32(len(s.blocks) - 1)
 		return uint32(len(s.blocks) - 1)
 	}
-	for s.blocks[s.hand].used {
-		s.blocks[s.hand].used = false
+	for s.blocks[s.hand].referenced {
+		s.blocks[s.hand].referenced = false
 		s.hand = (s.hand + 1) % len(s.blocks)
 	}
 	at := uint32(s.hand)
@@ -73,12 +73,12 @@
 	}
 	b := &s.blocks[at]
 	b.remove(slot)
-	if b.n == 0 && len(b.more) == 0 {
-		s.drop(at)
+	if b.inlineCount == 0 && len(b.overflow) == 0 {
+		s.deleteBlock(at)
 	}
 }
 
-func (s *shard) drop(at uint32) {
+func (s *shard) deleteBlock(at uint32) {
 	last := uint32(len(s.blocks) - 1)
 	delete(s.index, s.blocks[at].hash)
 	if at != last {
@@ -93,7 +93,7 @@
 }
 
 // owners appends the upstreams that hold the block to dst.
-func (s *shard) owners(hash uint64, v *View, dst []uint32) []uint32 {
+func (s *shard) appendHolders(hash uint64, v *View, dst []uint32) []uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, ok := s.index[hash]
@@ -101,18 +101,18 @@
 		return dst
 	}
 	b := &s.blocks[at]
-	b.used = true
-	for _, slot := range b.few[:b.n] {
-		dst = v.appendOwner(dst, slot)
+	b.referenced = true
+	for _, slot := range b.inline[:b.inlineCount] {
+		dst = v.appendUpstream(dst, slot)
 	}
-	for _, slot := range b.more {
-		dst = v.appendOwner(dst, slot)
+	for _, slot := range b.overflow {
+		dst = v.appendUpstream(dst, slot)
 	}
 	return dst
 }
 
 // heldByMore reports whether more than n engines hold the block.
-func (s *shard) heldByMore(hash uint64, v *View, n int) bool {
+func (s *shard) heldByMoreThan(hash uint64, v *View, n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, ok := s.index[hash]
@@ -120,42 +120,42 @@
 		return false
 	}
 	b := &s.blocks[at]
-	b.used = true
-	if int(b.n)+len(b.more) <= n {
+	b.referenced = true
+	if int(b.inlineCount)+len(b.overflow) <= n {
 		return false
 	}
-	return countLive(b.few[:b.n], v, n)+countLive(b.more, v, n) > n
+	return countLive(b.inline[:b.inlineCount], v, n)+countLive(b.overflow, v, n) > n
 }
 
 // countLive counts the slots that are not dead, up to one more than enough.
-func countLive(slots []uint16, v *View, enough int) int {
+func countLive(slots []uint16, v *View, limit int) int {
 	live := 0
 	for _, slot := range slots {
-		if v.owners[slot].Load() != 0 {
+		if v.slotUpstreams[slot].Load() != 0 {
 			live++
 		}
-		if live > enough {
+		if live > limit {
 			break
 		}
 	}
 	return live
 }
 
-func (v *View) appendOwner(dst []uint32, slot uint16) []uint32 {
-	if id := v.owners[slot].Load(); id != 0 {
+func (v *View) appendUpstream(dst []uint32, slot uint16) []uint32 {
+	if id := v.slotUpstreams[slot].Load(); id != 0 {
 		return append(dst, id)
 	}
 	return dst
 }
 
-func (s *shard) prune(v *View) {
+func (s *shard) removeDeadSlots(v *View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for at := 0; at < len(s.blocks); {
 		b := &s.blocks[at]
-		b.prune(v)
-		if b.n == 0 && len(b.more) == 0 {
-			s.drop(uint32(at))
+		b.removeDeadSlots(v)
+		if b.inlineCount == 0 && len(b.overflow) == 0 {
+			s.deleteBlock(uint32(at))
 			continue
 		}
 		at++
@@ -163,38 +163,38 @@
 }
 
 func (b *block) has(slot uint16) bool {
-	return slices.Contains(b.few[:b.n], slot) || slices.Contains(b.more, slot)
+	return slices.Contains(b.inline[:b.inlineCount], slot) || slices.Contains(b.overflow, slot)
 }
 
 func (b *block) add(slot uint16, v *View) {
 	if b.has(slot) {
 		return
 	}
-	if b.n == inlineHolders {
-		b.prune(v)
+	if b.inlineCount == maxInlineHolders {
+		b.removeDeadSlots(v)
 	}
-	if b.n < inlineHolders {
-		b.few[b.n] = slot
-		b.n++
+	if b.inlineCount < maxInlineHolders {
+		b.inline[b.inlineCount] = slot
+		b.inlineCount++
 		return
 	}
-	b.more = append(b.more, slot)
+	b.overflow = append(b.overflow, slot)
 }
 
 func (b *block) remove(slot uint16) {
-	if i := slices.Index(b.few[:b.n], slot); i >= 0 {
-		b.n--
-		b.few[i] = b.few[b.n]
+	if i := slices.Index(b.inline[:b.inlineCount], slot); i >= 0 {
+		b.inlineCount--
+		b.inline[i] = b.inline[b.inlineCount]
 		return
 	}
-	if i := slices.Index(b.more, slot); i >= 0 {
-		b.more = slices.Delete(b.more, i, i+1)
+	if i := slices.Index(b.overflow, slot); i >= 0 {
+		b.overflow = slices.Delete(b.overflow, i, i+1)
 	}
 }
 
 // prune removes the slots that are dead.
-func (b *block) prune(v *View) {
-	dead := func(slot uint16) bool { return v.owners[slot].Load() == 0 }
-	b.n = uint8(len(slices.DeleteFunc(b.few[:b.n], dead)))
-	b.more = slices.DeleteFunc(b.more, dead)
+func (b *block) removeDeadSlots(v *View) {
+	dead := func(slot uint16) bool { return v.slotUpstreams[slot].Load() == 0 }
+	b.inlineCount = uint8(len(slices.DeleteFunc(b.inline[:b.inlineCount], dead)))
+	b.overflow = slices.DeleteFunc(b.overflow, dead)
 }
--- a/internal/cache/view.go
+++ b/internal/cache/view.go
@@ -29,16 +29,16 @@
 	// of the memory and finds depths to about four blocks.
 	mask uint64
 	// owners maps a slot to the upstream that has it, 0 where it is dead.
-	owners [slotCount]atomic.Uint32
+	slotUpstreams [slotCount]atomic.Uint32
 
 	mu      sync.Mutex
-	holders map[uint32]*holder
+	streams map[uint32]*eventStream
 	// free are slots that no block names; dead ones may still be named.
 	free, dead []uint16
 }
 
 // holder is the state of one engine's event stream.
-type holder struct {
+type eventStream struct {
 	slot uint16
 	boot string
 	seq  uint64
@@ -61,7 +61,7 @@
 
 // New returns an empty view.
 func New(o Options) *View {
-	v := &View{mask: 1<<o.SampleBits - 1, holders: map[uint32]*holder{}}
+	v := &View{mask: 1<<o.SampleBits - 1, streams: map[uint32]*eventStream{}}
 	for slot := uint16(slotCount - 1); slot > 0; slot-- {
 		v.free = append(v.free, slot)
 	}
@@ -74,10 +74,10 @@
 // Sent notes that the engine was sent a prompt with this chain of blocks.
 func (v *View) RecordSent(id uint32, chain []uint64) {
 	slot := v.slotOf(id)
-	v.addAll(slot, chain)
+	v.addBlocks(slot, chain)
 }
 
-func (v *View) addAll(slot uint16, chain []uint64) {
+func (v *View) addBlocks(slot uint16, chain []uint64) {
 	for _, hash := range chain {
 		if hash&v.mask == 0 {
 			v.shard(hash).add(hash, slot, v)
@@ -100,12 +100,12 @@
 func (v *View) Drop(id uint32) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	h := v.holders[id]
-	if h == nil {
+	stream := v.streams[id]
+	if stream == nil {
 		return
 	}
-	v.retire(h.slot)
-	delete(v.holders, id)
+	v.retireSlot(stream.slot)
+	delete(v.streams, id)
 }
 
 // Apply takes in a cache event. It returns true where the engine's state must
@@ -114,35 +114,35 @@
 // of anything, and later events are ignored until Resync.
 func (v *View) Apply(id uint32, event engine.Event) (resync bool) {
 	v.mu.Lock()
-	h := v.holder(id)
-	if h.boot == "" && event.Seq == 1 {
-		h.boot, h.trusted = event.Boot, true
+	stream := v.stream(id)
+	if stream.boot == "" && event.Seq == 1 {
+		stream.boot, stream.trusted = event.Boot, true
 	}
-	sameBoot := h.boot == event.Boot
+	sameBoot := stream.boot == event.Boot
 	switch {
-	case sameBoot && event.Seq <= h.seq:
+	case sameBoot && event.Seq <= stream.seq:
 		v.mu.Unlock()
 		return false
-	case !h.trusted:
+	case !stream.trusted:
 		v.mu.Unlock()
 		return true
-	case !sameBoot || event.Seq != h.seq+1:
-		v.renew(id, h)
-		h.trusted = false
+	case !sameBoot || event.Seq != stream.seq+1:
+		v.replaceSlot(id, stream)
+		stream.trusted = false
 		v.mu.Unlock()
 		return true
 	}
-	h.seq = event.Seq
-	slot := h.slot
+	stream.seq = event.Seq
+	slot := stream.slot
 	v.mu.Unlock()
-	v.change(id, slot, event)
+	v.applyChange(id, slot, event)
 	return false
 }
 
-func (v *View) change(id uint32, slot uint16, event engine.Event) {
+func (v *View) applyChange(id uint32, slot uint16, event engine.Event) {
 	switch event.Kind {
 	case engine.Stored:
-		v.addAll(slot, event.Blocks)
+		v.addBlocks(slot, event.Blocks)
 	case engine.Evicted:
 		for _, hash := range event.Blocks {
 			if hash&v.mask == 0 {
@@ -152,7 +152,7 @@
 	case engine.Cleared:
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		v.renew(id, v.holder(id))
+		v.replaceSlot(id, v.stream(id))
 	}
 }
 
@@ -160,16 +160,16 @@
 // events go on. A state older than events already applied is ignored.
 func (v *View) Resync(id uint32, s engine.State) {
 	v.mu.Lock()
-	h := v.holder(id)
-	if h.trusted && h.boot == s.Boot && s.Seq < h.seq {
+	stream := v.stream(id)
+	if stream.trusted && stream.boot == s.Boot && s.Seq < stream.seq {
 		v.mu.Unlock()
 		return
 	}
-	v.renew(id, h)
-	h.boot, h.seq, h.trusted = s.Boot, s.Seq, true
-	slot := h.slot
+	v.replaceSlot(id, stream)
+	stream.boot, stream.seq, stream.trusted = s.Boot, s.Seq, true
+	slot := stream.slot
 	v.mu.Unlock()
-	v.addAll(slot, s.Blocks)
+	v.addBlocks(slot, s.Blocks)
 }
 
 const (
@@ -177,7 +177,7 @@
 	missTokens = 4 * engine.BlockTokens
 	// missLimit is the number of misses in a row after which the view of the
 	// engine is dropped: its events are lost without a gap being seen yet.
-	missLimit = 4
+	maxMisses = 4
 )
 
 // Compare takes in how many tokens an engine had cached against what the view
@@ -186,18 +186,18 @@
 func (v *View) ObserveCached(id uint32, expected, cached int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	h := v.holder(id)
+	stream := v.stream(id)
 	if cached+missTokens >= expected {
-		h.misses = 0
+		stream.misses = 0
 		return
 	}
-	h.misses++
-	if h.misses < missLimit {
+	stream.misses++
+	if stream.misses < maxMisses {
 		return
 	}
-	h.misses = 0
-	h.trusted = false
-	v.renew(id, h)
+	stream.misses = 0
+	stream.trusted = false
+	v.replaceSlot(id, stream)
 }
 
 // Position returns the boot and number of the last event applied for the
@@ -205,58 +205,58 @@
 func (v *View) Position(id uint32) (boot string, seq uint64, trusted bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	h := v.holder(id)
-	return h.boot, h.seq, h.trusted
+	stream := v.stream(id)
+	return stream.boot, stream.seq, stream.trusted
 }
 
 func (v *View) slotOf(id uint32) uint16 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.holder(id).slot
+	return v.stream(id).slot
 }
 
-func (v *View) holder(id uint32) *holder {
-	h := v.holders[id]
-	if h == nil {
-		h = &holder{}
-		v.holders[id] = h
-		v.assign(id, h)
+func (v *View) stream(id uint32) *eventStream {
+	stream := v.streams[id]
+	if stream == nil {
+		stream = &eventStream{}
+		v.streams[id] = stream
+		v.assignSlot(id, stream)
 	}
-	return h
+	return stream
 }
 
 // renew gives the engine a new slot, which drops its part of the view at once
 // and without visiting it.
-func (v *View) renew(id uint32, h *holder) {
-	v.retire(h.slot)
-	v.assign(id, h)
+func (v *View) replaceSlot(id uint32, stream *eventStream) {
+	v.retireSlot(stream.slot)
+	v.assignSlot(id, stream)
 }
 
-func (v *View) retire(slot uint16) {
-	v.owners[slot].Store(0)
+func (v *View) retireSlot(slot uint16) {
+	v.slotUpstreams[slot].Store(0)
 	v.dead = append(v.dead, slot)
 }
 
 // assign gives the engine a slot that no block names. A slot that died since
 // the last compaction is not used: its old blocks would pass for the engine's.
 // With more engines than slots the last ones get slot 0, which owns nothing.
-func (v *View) assign(id uint32, h *holder) {
+func (v *View) assignSlot(id uint32, stream *eventStream) {
 	if len(v.free) == 0 {
-		v.compact()
+		v.freeDeadSlots()
 	}
-	h.slot = 0
+	stream.slot = 0
 	if len(v.free) == 0 {
 		return
 	}
-	h.slot = v.free[len(v.free)-1]
+	stream.slot = v.free[len(v.free)-1]
 	v.free = v.free[:len(v.free)-1]
-	v.owners[h.slot].Store(id)
+	v.slotUpstreams[stream.slot].Store(id)
 }
 
 // compact removes the dead slots from all blocks and frees them.
-func (v *View) compact() {
+func (v *View) freeDeadSlots() {
 	for i := range v.shards {
-		v.shards[i].prune(v)
+		v.shards[i].removeDeadSlots(v)
 	}
 	for _, slot := range v.dead {
 		if slot != 0 {
--- a/internal/cache/view_test.go
+++ b/internal/cache/view_test.go
@@ -28,19 +28,19 @@
 }
 
 // model is an engine as the oracle knows it: what it holds, and the events that it sent.
-type model struct {
+type fakeEngine struct {
 	boot   int
 	seq    uint64
 	held   map[uint64]bool
 	events []engine.Event
 }
 
-func (m *model) emit(kind engine.EventKind, blocks ...uint64) {
+func (m *fakeEngine) emit(kind engine.EventKind, blocks ...uint64) {
 	m.seq++
 	m.events = append(m.events, engine.Event{Boot: fmt.Sprint("b", m.boot), Seq: m.seq, Kind: kind, Blocks: blocks})
 }
 
-func (m *model) state() engine.State {
+func (m *fakeEngine) state() engine.State {
 	s := engine.State{Boot: fmt.Sprint("b", m.boot), Seq: m.seq}
 	for hash := range m.held {
 		s.Blocks = append(s.Blocks, hash)
@@ -54,7 +54,7 @@
 func TestViewAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := New(Options{MaxBlocks: 1 << 16})
-		engines := []*model{{held: map[uint64]bool{}}, {held: map[uint64]bool{}}}
+		engines := []*fakeEngine{{held: map[uint64]bool{}}, {held: map[uint64]bool{}}}
 		next := []int{0, 0}
 		pick := func() int { return rapid.IntRange(0, 1).Draw(t, "engine") }
 		apply := func(i int, event engine.Event) {
@@ -95,7 +95,7 @@
 			},
 			"restart": func(t *rapid.T) {
 				i := pick()
-				engines[i] = &model{boot: engines[i].boot + 1, held: map[uint64]bool{}}
+				engines[i] = &fakeEngine{boot: engines[i].boot + 1, held: map[uint64]bool{}}
 				next[i] = 0
 			},
 			"deliver": func(t *rapid.T) {
@@ -127,7 +127,7 @@
 				for i, m := range engines {
 					boot, seq, trusted := view.Position(uint32(i + 1))
 					if trusted && boot == fmt.Sprint("b", m.boot) && seq == m.seq {
-						compare(t, view, uint32(i+1), m)
+						checkView(t, view, uint32(i+1), m)
 					}
 				}
 			},
@@ -140,7 +140,7 @@
 	for n := range 32 {
 		chain := chainOf(n)
 		for depth := len(chain) - 1; depth >= 0; depth-- {
-			if held[chain[depth]] && !anyBehind(held, n, depth) {
+			if held[chain[depth]] && !hasSuccessor(held, n, depth) {
 				return chain[depth]
 			}
 		}
@@ -148,7 +148,7 @@
 	return 0
 }
 
-func anyBehind(held map[uint64]bool, n, depth int) bool {
+func hasSuccessor(held map[uint64]bool, n, depth int) bool {
 	for other := range 32 {
 		chain := chainOf(other)
 		if chain[depth] == chainOf(n)[depth] && depth+1 < len(chain) && held[chain[depth+1]] {
@@ -158,7 +158,7 @@
 	return false
 }
 
-func compare(t *rapid.T, view *View, id uint32, m *model) {
+func checkView(t *rapid.T, view *View, id uint32, m *fakeEngine) {
 	var matches Matches
 	for n := range 32 {
 		chain := chainOf(n)
@@ -182,7 +182,7 @@
 // An engine restarts again and again, and each time its part of the view is
 // dropped by taking a new slot. When the slots have run out, a used one comes
 // back; blocks that once named it must not become the engine's.
-func TestViewSlotsAreCleanedBeforeReuse(t *testing.T) {
+func TestSlotsAreClearedBeforeReuse(t *testing.T) {
 	is := is.New(t)
 	view := New(Options{MaxBlocks: 1 << 16})
 	chainAt := func(i int) []uint64 { return []uint64{uint64(i+1) * 0x9e3779b97f4a7c15} }
