--- a/internal/cache/bench_test.go
+++ b/internal/cache/bench_test.go
@@ -7,7 +7,7 @@
 	"foxhall/internal/engine"
 )
 
-// BenchmarkApply measures cache events of 16 blocks each, half of them evictions.
+// BenchmarkApply measures applying cache events of 16 blocks each, half of them evictions.
 func BenchmarkApply(b *testing.B) {
 	const blocks = 16
 	view := New(Options{MaxBlocks: 1 << 20})
@@ -33,7 +33,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "events/s")
 }
 
-// BenchmarkBlockMemory measures the memory of a cached block.
+// BenchmarkBlockMemory measures the memory that the view needs per block.
 func BenchmarkBlockMemory(b *testing.B) {
 	const blocks = 1 << 20
 	for range b.N {
--- a/internal/cache/event_test.go
+++ b/internal/cache/event_test.go
@@ -7,8 +7,8 @@
 	"foxhall/internal/engine"
 )
 
-// Whatever an engine sends as cache events: the view takes it or asks to read
-// the engine's state anew, and it never claims a block it was told is gone.
+// FuzzApply feeds arbitrary cache events of an engine to the view. The view must apply each event or
+// request a resync, and must not show a block after its eviction.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{"boot":"a","seq":1,"kind":"stored","blocks":[1,2]}`), []byte(`{"boot":"a","seq":2,"kind":"evicted","blocks":[2]}`))
 	f.Add([]byte(`{"boot":"a","seq":1,"kind":"stored","blocks":[1]}`), []byte(`{"boot":"b","seq":9,"kind":"cleared"}`))
@@ -22,7 +22,7 @@
 			}
 			_, before, _ := v.Position(1)
 			resync := v.Apply(1, event)
-			// An event with a number that was seen is a repeat and changes nothing.
+			// An event with a sequence number already seen is a duplicate and has no effect.
 			if resync || event.Seq <= before || event.Kind != engine.Evicted {
 				continue
 			}
@@ -30,7 +30,7 @@
 				var m Matches
 				v.Lookup([]uint64{block}, &m)
 				if m.Depth(1) > 0 {
-					t.Fatalf("block %d is held after %s", block, data)
+					t.Fatalf("block %d is still in the view after its eviction by %s", block, data)
 				}
 			}
 		}
--- a/internal/cache/match.go
+++ b/internal/cache/match.go
@@ -1,22 +1,24 @@
 package cache
 
-// Match is the depth to which one engine holds a chain.
+// Match is the part of a chain of blocks that one engine holds.
 type Match struct {
+	// Upstream is the id of the engine.
 	Upstream uint32
-	// Blocks is the number of leading blocks held.
+	// Blocks is the number of leading blocks of the chain that the engine holds.
 	Blocks int
 }
 
-// Matches is the result of a lookup with its scratch space; it is reused so
-// that a lookup allocates nothing. The zero value is ready.
+// Matches is the result of a lookup together with its scratch space. It is meant to be reused, so
+// that lookups do not allocate. The zero value is ready to use.
 type Matches struct {
-	// Found is in order of falling depth.
+	// Found is sorted by depth, deepest first.
 	Found []Match
 
+	// positions are the indices of the sampled blocks in the chain.
 	positions []int32
 	ids       []uint32
-	// depths holds the depth for each upstream's id, 0 for those not found.
-	// Ids are small numbers, so an array beats a map on this path.
+	// depths is indexed by upstream id and gives the depth, 0 for upstreams not found. The ids are
+	// small numbers, so a slice is faster than a map here.
 	depths []int32
 }
 
@@ -47,12 +49,12 @@
 	m.Found = append(m.Found, Match{Upstream: upstream, Blocks: blocks})
 }
 
-// Lookup finds which engines hold how much of the chain.
+// Lookup finds the engines that hold leading blocks of the chain, and how many each holds.
 //
-// Engines evict a chain from its end, so the holders of a block hold what lies
-// before it, and the set of holders only shrinks with depth. Lookup searches
-// the few depths at which it shrinks by bisection, which takes some dozens of
-// map accesses for a prompt of 120,000 tokens instead of thousands.
+// Engines evict a chain from its end, so an engine that holds a block also holds all blocks before
+// it, and the set of holders only shrinks with depth. Lookup finds the few depths at which it
+// shrinks by bisection, which takes a few dozen map accesses for a prompt of 120,000 tokens instead
+// of thousands.
 func (v *View) Lookup(chain []uint64, m *Matches) {
 	m.reset()
 	end := v.sample(chain, m)
@@ -70,8 +72,8 @@
 	}
 }
 
-// sample notes where the kept blocks of the chain stand and returns their
-// number; without sampling every block is kept and nothing is noted.
+// sample records the positions of the chain's sampled blocks in m and returns their number. Without
+// sampling every block counts and nothing is recorded.
 func (v *View) sample(chain []uint64, m *Matches) int {
 	if v.mask == 0 {
 		return len(chain)
@@ -84,6 +86,7 @@
 	return len(m.positions)
 }
 
+// position returns the index in the chain of the sampled block n.
 func (v *View) position(m *Matches, n int) int {
 	if v.mask == 0 {
 		return n
@@ -91,7 +94,8 @@
 	return int(m.positions[n])
 }
 
-// bisect returns the deepest sampled position before end with more than known holders, or -1.
+// bisect returns the deepest sampled position before end whose block has more than known holders, or
+// -1 if there is none.
 func (v *View) bisect(chain []uint64, m *Matches, end, known int) int {
 	low, high := 0, end
 	for low < high {
@@ -106,7 +110,7 @@
 	return low - 1
 }
 
-// collect adds the holders at a position that are not yet found.
+// collect adds the holders of the block at a sampled position that have not been found yet.
 func (v *View) collect(chain []uint64, m *Matches, position int) {
 	at := v.position(m, position)
 	m.ids = v.shard(chain[at]).appendHolders(chain[at], v, m.ids[:0])
--- a/internal/cache/shard.go
+++ b/internal/cache/shard.go
@@ -5,10 +5,11 @@
 	"sync"
 )
 
-// inlineHolders is the number of holders that a block keeps without an
-// allocation; only prefixes shared by many programs have more.
+// maxInlineHolders is the number of holders that a block stores without an allocation. Only
+// prefixes shared by many programs have more.
 const maxInlineHolders = 4
 
+// block is a block of the prefix caches with the slots of the engines that hold it.
 type block struct {
 	hash        uint64
 	overflow    []uint16
@@ -17,7 +18,8 @@
 	referenced  bool
 }
 
-// shard is a part of the blocks, evicted by the clock algorithm.
+// shard is a part of the blocks. It evicts them by the clock algorithm: hand is the clock hand,
+// block.referenced the reference bit.
 type shard struct {
 	mu     sync.Mutex
 	index  map[uint64]uint32
@@ -46,6 +48,7 @@
 	b.add(slot, v)
 }
 
+// insert adds a block and returns its index; a full shard evicts another block for it.
 func (s *shard) insert(hash uint64) uint32 {
 	if len(s.blocks) < s.limit {
 		s.blocks = append(s.blocks, block{hash: hash})
@@ -78,6 +81,7 @@
 	}
 }
 
+// deleteBlock removes the block at an index and moves the last block to that index.
 func (s *shard) deleteBlock(at uint32) {
 	last := uint32(len(s.blocks) - 1)
 	delete(s.index, s.blocks[at].hash)
@@ -92,7 +96,7 @@
 	}
 }
 
-// owners appends the upstreams that hold the block to dst.
+// appendHolders appends the ids of the upstreams that hold the block to dst.
 func (s *shard) appendHolders(hash uint64, v *View, dst []uint32) []uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +115,7 @@
 	return dst
 }
 
-// heldByMore reports whether more than n engines hold the block.
+// heldByMoreThan reports whether more than n engines hold the block.
 func (s *shard) heldByMoreThan(hash uint64, v *View, n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +131,7 @@
 	return countLive(b.inline[:b.inlineCount], v, n)+countLive(b.overflow, v, n) > n
 }
 
-// countLive counts the slots that are not dead, up to one more than enough.
+// countLive returns the number of slots that are not dead. It stops counting at limit + 1.
 func countLive(slots []uint16, v *View, limit int) int {
 	live := 0
 	for _, slot := range slots {
@@ -148,6 +152,7 @@
 	return dst
 }
 
+// removeDeadSlots removes the dead slots from all blocks, and the blocks that have no slot left.
 func (s *shard) removeDeadSlots(v *View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +197,7 @@
 	}
 }
 
-// prune removes the slots that are dead.
+// removeDeadSlots removes the dead slots from the block.
 func (b *block) removeDeadSlots(v *View) {
 	dead := func(slot uint16) bool { return v.slotUpstreams[slot].Load() == 0 }
 	b.inlineCount = uint8(len(slices.DeleteFunc(b.inline[:b.inlineCount], dead)))
--- a/internal/cache/view.go
+++ b/internal/cache/view.go
@@ -1,9 +1,9 @@
-// Package cache holds an instance's view of the engines' prefix caches: which
-// engine holds which hashed blocks. It is built from what was sent and
-// corrected by the engines' late cache events.
+// Package cache maintains an instance's view of the engines' prefix caches: which engine has which
+// blocks, identified by their hashes. The view is built from the prompts that were sent and
+// corrected by the engines' cache events, which arrive late.
 //
-// The view is an estimate for placement; a wrong entry costs a repeated
-// prefill and never a wrong answer. Its memory is bounded.
+// The view is an estimate for placement: a wrong entry costs a redundant prefill but never affects a
+// response. Its memory is bounded.
 package cache
 
 import (
@@ -14,49 +14,52 @@
 )
 
 const (
+	// shardCount is the number of independently locked shards; see View.shard.
 	shardCount = 64
-	// slotCount is the number of holder slots; an engine takes a new one each
-	// time its part of the view is dropped.
+	// slotCount is the number of slots, by which blocks refer to the engines that hold them. An
+	// engine gets a new slot each time its part of the view is dropped.
 	slotCount = 1 << 14
 )
 
-// View is the prefix view of one data centre's engines. It is safe for
-// concurrent use; each lookup takes one shard's lock for one map access.
+// View is the view of the prefix caches of one data centre's engines. It is safe for concurrent use;
+// a lookup takes one shard's lock at a time, for one map access.
 type View struct {
 	shards [shardCount]shard
-	// mask selects the blocks that are kept: those whose hash has none of its
-	// bits. Engines' hashes are sampled alike, so a mask of 3 keeps a quarter
-	// of the memory and finds depths to about four blocks.
+	// mask selects the blocks that are stored: those whose hash has none of its bits set. The hashes
+	// of all engines are sampled alike, so a mask of 3 needs a quarter of the memory and finds
+	// depths to within about four blocks.
 	mask uint64
-	// owners maps a slot to the upstream that has it, 0 where it is dead.
+	// slotUpstreams maps a slot to the id of the upstream that has it, 0 for a dead slot.
 	slotUpstreams [slotCount]atomic.Uint32
 
 	mu      sync.Mutex
 	streams map[uint32]*eventStream
-	// free are slots that no block names; dead ones may still be named.
+	// free lists the slots that no block refers to. dead lists those that no engine has any more but
+	// blocks may still refer to.
 	free, dead []uint16
 }
 
-// holder is the state of one engine's event stream.
+// eventStream is the state of one engine's stream of cache events, with the engine's slot.
 type eventStream struct {
 	slot uint16
+	// boot and seq identify the last event applied.
 	boot string
 	seq  uint64
-	// trusted is false from a gap to the next resync.
+	// trusted is false from a gap in the events to the next resync.
 	trusted bool
-	// misses counts answers in a row that showed much less cached than the view had.
+	// misses counts consecutive responses with far fewer cached tokens than the view expected.
 	misses int
 }
 
-// Options bound a view.
+// Options limit the size of a view.
 type Options struct {
-	// MaxBlocks bounds the blocks that are kept.
+	// MaxBlocks bounds the number of blocks stored.
 	MaxBlocks int
-	// SampleBits is the number of hash bits that must be zero for a block to be kept.
+	// SampleBits is the number of hash bits that must be zero for a block to be stored.
 	SampleBits int
 }
 
-// DefaultOptions are for a data centre of some dozens of engines.
+// DefaultOptions suit a data centre with a few dozen engines.
 var DefaultOptions = Options{MaxBlocks: 1 << 20}
 
 // New returns an empty view.
@@ -71,7 +74,7 @@
 	return v
 }
 
-// Sent notes that the engine was sent a prompt with this chain of blocks.
+// RecordSent records that a prompt with this chain of blocks was sent to the engine.
 func (v *View) RecordSent(id uint32, chain []uint64) {
 	slot := v.slotOf(id)
 	v.addBlocks(slot, chain)
@@ -85,8 +88,9 @@
 	}
 }
 
-// Lost notes that an answer showed the engine to hold only the first part of
-// the chain: what lies behind was evicted without our hearing of it.
+// MarkEvicted removes the chain's blocks from index kept on from the engine's part of the view. It
+// is called when a response shows that the engine has only the first kept blocks of the chain: the
+// others were evicted and no event has reported it yet.
 func (v *View) MarkEvicted(id uint32, chain []uint64, kept int) {
 	slot := v.slotOf(id)
 	for _, hash := range chain[min(kept, len(chain)):] {
@@ -96,7 +100,7 @@
 	}
 }
 
-// Drop forgets what the engine holds.
+// Drop removes the engine and its part of the view.
 func (v *View) Drop(id uint32) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -108,10 +112,10 @@
 	delete(v.streams, id)
 }
 
-// Apply takes in a cache event. It returns true where the engine's state must
-// be read again: events are missing, or the engine has restarted. Its part of
-// the view is then dropped at once, since the missing events may be evictions
-// of anything, and later events are ignored until Resync.
+// Apply applies a cache event. It reports whether the engine's state must be read again because
+// events are missing or the engine has restarted. In that case the engine's part of the view is
+// dropped at once, since the missing events may have evicted any block, and later events are
+// ignored until Resync.
 func (v *View) Apply(id uint32, event engine.Event) (resync bool) {
 	v.mu.Lock()
 	stream := v.stream(id)
@@ -156,8 +160,8 @@
 	}
 }
 
-// Resync replaces the engine's part of the view by its state, from which the
-// events go on. A state older than events already applied is ignored.
+// Resync replaces the engine's part of the view by the engine's state, which later events continue.
+// A state older than the events already applied is ignored.
 func (v *View) Resync(id uint32, s engine.State) {
 	v.mu.Lock()
 	stream := v.stream(id)
@@ -173,16 +177,16 @@
 }
 
 const (
-	// missTokens is by how much an answer must fall short to count as a miss.
+	// missTokens is the shortfall of cached tokens from which a response counts as a miss.
 	missTokens = 4 * engine.BlockTokens
-	// missLimit is the number of misses in a row after which the view of the
-	// engine is dropped: its events are lost without a gap being seen yet.
+	// maxMisses is the number of consecutive misses at which the engine's part of the view is
+	// dropped: its events are being lost although no gap has been detected yet.
 	maxMisses = 4
 )
 
-// Compare takes in how many tokens an engine had cached against what the view
-// expected. A single miss is ordinary, since blocks are evicted between a
-// decision and the call; a row of them means that events are being lost.
+// ObserveCached compares the number of tokens that an engine had cached for a call with the number
+// that the view expected. A single miss is normal, since blocks are evicted between a placement
+// decision and the call; several in a row mean that events are being lost.
 func (v *View) ObserveCached(id uint32, expected, cached int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -200,8 +204,8 @@
 	v.replaceSlot(id, stream)
 }
 
-// Position returns the boot and number of the last event applied for the
-// engine, and whether its part of the view is trusted.
+// Position returns the boot and sequence number of the last event applied for the engine, and
+// whether its part of the view is trusted.
 func (v *View) Position(id uint32) (boot string, seq uint64, trusted bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -215,6 +219,7 @@
 	return v.stream(id).slot
 }
 
+// stream returns the engine's stream, creating it if needed. The caller holds the lock.
 func (v *View) stream(id uint32) *eventStream {
 	stream := v.streams[id]
 	if stream == nil {
@@ -225,8 +230,8 @@
 	return stream
 }
 
-// renew gives the engine a new slot, which drops its part of the view at once
-// and without visiting it.
+// replaceSlot gives the engine a new slot. This drops its part of the view at once, without visiting
+// the blocks.
 func (v *View) replaceSlot(id uint32, stream *eventStream) {
 	v.retireSlot(stream.slot)
 	v.assignSlot(id, stream)
@@ -237,9 +242,9 @@
 	v.dead = append(v.dead, slot)
 }
 
-// assign gives the engine a slot that no block names. A slot that died since
-// the last compaction is not used: its old blocks would pass for the engine's.
-// With more engines than slots the last ones get slot 0, which owns nothing.
+// assignSlot gives the engine a slot that no block refers to. It does not use a dead slot, since the
+// blocks that still refer to it would count as the engine's. If there are more engines than slots,
+// the excess engines get slot 0, which never has an upstream.
 func (v *View) assignSlot(id uint32, stream *eventStream) {
 	if len(v.free) == 0 {
 		v.freeDeadSlots()
@@ -253,7 +258,7 @@
 	v.slotUpstreams[stream.slot].Store(id)
 }
 
-// compact removes the dead slots from all blocks and frees them.
+// freeDeadSlots removes the dead slots from all blocks and adds them to the free ones.
 func (v *View) freeDeadSlots() {
 	for i := range v.shards {
 		v.shards[i].removeDeadSlots(v)
@@ -268,7 +273,7 @@
 
 func (v *View) shard(hash uint64) *shard { return &v.shards[hash>>58] }
 
-// Blocks returns the number of blocks that the view keeps.
+// Blocks returns the number of blocks stored in the view.
 func (v *View) Blocks() int {
 	n := 0
 	for i := range v.shards {
--- a/internal/cache/view_test.go
+++ b/internal/cache/view_test.go
@@ -17,7 +17,7 @@
 	os.Exit(m.Run())
 }
 
-// chainOf returns the blocks of one of a few prompts that share prefixes.
+// chainOf returns the block hashes of prompt n of 32 prompts that share prefixes.
 func chainOf(n int) []uint64 {
 	chain := []uint64{}
 	for depth := range 6 {
@@ -27,7 +27,8 @@
 	return chain
 }
 
-// model is an engine as the oracle knows it: what it holds, and the events that it sent.
+// fakeEngine is the oracle's model of an engine: the blocks that it holds and the events that it has
+// sent.
 type fakeEngine struct {
 	boot   int
 	seq    uint64
@@ -48,9 +49,9 @@
 	return s
 }
 
-// Events come late, lost, doubled, out of order and over restarts. Whatever
-// came, once the view is trusted and has all events, it shows exactly what the
-// engine holds; and after a gap it shows nothing of what stood before it.
+// Events are delayed, lost, duplicated and reordered, and engines restart. Whenever the view is
+// trusted and has all events, it must show exactly the blocks that the engine holds. After a gap it
+// must show none of the blocks known before the gap.
 func TestViewAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := New(Options{MaxBlocks: 1 << 16})
@@ -65,7 +66,7 @@
 					view.Lookup(chainOf(n), &m)
 					for _, f := range m.Found {
 						if f.Upstream == uint32(i+1) {
-							t.Fatal("the view still shows blocks across a gap")
+							t.Fatal("the view shows blocks from before a gap in the events")
 						}
 					}
 				}
@@ -135,7 +136,7 @@
 	})
 }
 
-// leaf returns a held block that no other held block stands behind.
+// leaf returns a held block that no other held block follows in a chain, or 0.
 func leaf(held map[uint64]bool) uint64 {
 	for n := range 32 {
 		chain := chainOf(n)
@@ -179,9 +180,9 @@
 	}
 }
 
-// An engine restarts again and again, and each time its part of the view is
-// dropped by taking a new slot. When the slots have run out, a used one comes
-// back; blocks that once named it must not become the engine's.
+// An engine restarts over and over, and each restart drops its part of the view by giving it a new
+// slot. When no free slots are left, dead ones are reused; blocks that referred to a reused slot
+// must not count as the engine's.
 func TestSlotsAreClearedBeforeReuse(t *testing.T) {
 	is := is.New(t)
 	view := New(Options{MaxBlocks: 1 << 16})
