--- a/internal/engine/assemble.go
+++ b/internal/engine/assemble.go
@@ -11,13 +11,13 @@
 
 // assembler builds the message of a streamed answer from its chunks.
 type assembler struct {
-	content   strings.Builder
-	refusal   strings.Builder
-	calls     []toolCall
-	reason    string
-	usage     chat.Usage
-	usageSeen bool
-	begun     bool
+	content      strings.Builder
+	refusal      strings.Builder
+	toolCalls    []toolCall
+	finishReason string
+	usage        chat.Usage
+	hasUsage     bool
+	started      bool
 }
 
 type toolCall struct {
@@ -62,35 +62,35 @@
 	}
 	if chunk.Usage != nil {
 		a.usage = *chunk.Usage
-		a.usageSeen = true
+		a.hasUsage = true
 	}
 	for _, choice := range chunk.Choices {
 		if choice.Index != 0 {
 			continue
 		}
-		a.begun = true
+		a.started = true
 		a.content.WriteString(choice.Delta.Content)
 		a.refusal.WriteString(choice.Delta.Refusal)
 		for _, part := range choice.Delta.ToolCalls {
-			if err := a.addCall(part.Index, part.toolCall); err != nil {
+			if err := a.addToolCall(part.Index, part.toolCall); err != nil {
 				return false, err
 			}
 		}
 		if choice.FinishReason != "" {
-			a.reason = choice.FinishReason
+			a.finishReason = choice.FinishReason
 		}
 	}
 	return len(chunk.Choices) == 0 && chunk.Usage != nil, nil
 }
 
-func (a *assembler) addCall(index int, part toolCall) error {
+func (a *assembler) addToolCall(index int, part toolCall) error {
 	if index < 0 || index >= maxToolCalls {
 		return errors.Errorf("tool call index %d", index)
 	}
-	for len(a.calls) <= index {
-		a.calls = append(a.calls, toolCall{Type: "function"})
+	for len(a.toolCalls) <= index {
+		a.toolCalls = append(a.toolCalls, toolCall{Type: "function"})
 	}
-	call := &a.calls[index]
+	call := &a.toolCalls[index]
 	call.ID += part.ID
 	if part.Type != "" {
 		call.Type = part.Type
@@ -102,8 +102,8 @@
 
 // answer returns what has been assembled; without a finish reason or usage the
 // stream was not whole.
-func (a *assembler) answer() (*Response, error) {
-	if a.reason == "" || !a.usageSeen {
+func (a *assembler) response() (*Response, error) {
+	if a.finishReason == "" || !a.hasUsage {
 		return nil, errTruncated
 	}
 	message := struct {
@@ -111,13 +111,13 @@
 		Content   *string    `json:"content"`
 		Refusal   string     `json:"refusal,omitempty"`
 		ToolCalls []toolCall `json:"tool_calls,omitempty"`
-	}{Role: "assistant", Refusal: a.refusal.String(), ToolCalls: a.calls}
-	if content := a.content.String(); content != "" || len(a.calls) == 0 {
+	}{Role: "assistant", Refusal: a.refusal.String(), ToolCalls: a.toolCalls}
+	if content := a.content.String(); content != "" || len(a.toolCalls) == 0 {
 		message.Content = &content
 	}
 	raw, err := json.Marshal(message)
 	if err != nil {
 		return nil, errors.Wrap(err, "message")
 	}
-	return &Response{Message: chat.Message{Role: "assistant", Raw: raw}, FinishReason: a.reason, Usage: a.usage}, nil
+	return &Response{Message: chat.Message{Role: "assistant", Raw: raw}, FinishReason: a.finishReason, Usage: a.usage}, nil
 }
--- a/internal/engine/blocks.go
+++ b/internal/engine/blocks.go
@@ -33,7 +33,7 @@
 }
 
 // epochMark separates a served model's name from the epoch of its load order.
-const epochMark = "#"
+const epochSeparator = "#"
 
 // ServedName returns the name under which a load order makes an engine serve a
 // model: it carries the version and the epoch of the order, so that an old
@@ -46,13 +46,13 @@
 	if adapter != "" {
 		name += "+" + adapter
 	}
-	return name + epochMark + strconv.FormatUint(epoch, 10)
+	return name + epochSeparator + strconv.FormatUint(epoch, 10)
 }
 
 // CacheName returns the part of a served name on which cached blocks depend:
 // the same weights loaded in another epoch have the same blocks.
 func CacheName(served string) string {
-	name, _, _ := strings.Cut(served, epochMark)
+	name, _, _ := strings.Cut(served, epochSeparator)
 	return name
 }
 
@@ -69,30 +69,30 @@
 }
 
 type hasher struct {
-	digest xxhash.Digest
-	chain  uint64
-	filled int
-	dst    []uint64
+	digest      xxhash.Digest
+	chain       uint64
+	blockFilled int
+	dst         []uint64
 }
 
 func (h *hasher) write(data []byte) {
 	for len(data) > 0 {
-		n := min(len(data), blockBytes-h.filled)
+		n := min(len(data), blockBytes-h.blockFilled)
 		_, _ = h.digest.Write(data[:n])
 		data = data[n:]
-		h.filled += n
-		if h.filled == blockBytes {
-			h.seal()
+		h.blockFilled += n
+		if h.blockFilled == blockBytes {
+			h.endBlock()
 		}
 	}
 }
 
-func (h *hasher) seal() {
+func (h *hasher) endBlock() {
 	var previous [8]byte
 	binary.LittleEndian.PutUint64(previous[:], h.chain)
 	_, _ = h.digest.Write(previous[:])
 	h.chain = h.digest.Sum64()
 	h.dst = append(h.dst, h.chain)
 	h.digest.Reset()
-	h.filled = 0
+	h.blockFilled = 0
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -20,9 +20,9 @@
 	// maxIdlePerEngine keeps enough connections for an engine's whole batch.
 	maxIdlePerEngine = 64
 	// maxAnswer bounds an answer that is not streamed, in bytes.
-	maxAnswer = 16 << 20
+	maxResponseBytes = 16 << 20
 	// maxMessage bounds what is kept of an engine's error message, in bytes.
-	maxMessage = 512
+	maxErrorMessageBytes = 512
 )
 
 // Client calls engines over HTTP. It is safe for concurrent use.
@@ -65,30 +65,30 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	var answer *Response
+	var response *Response
 	if r.Chat.Stream {
-		answer, err = readStreamed(resp.Body, begin, onChunk)
+		response, err = readStreamed(resp.Body, begin, onChunk)
 	} else {
-		answer, err = readWhole(resp.Body, begin)
+		response, err = readNonStreaming(resp.Body, begin)
 	}
 	if err != nil {
 		return nil, err
 	}
-	answer.Total = time.Since(begin)
-	return answer, nil
+	response.Total = time.Since(begin)
+	return response, nil
 }
 
-func readWhole(r io.Reader, begin time.Time) (*Response, error) {
-	body, err := readBounded(r, maxAnswer)
+func readNonStreaming(r io.Reader, begin time.Time) (*Response, error) {
+	body, err := readBounded(r, maxResponseBytes)
 	if err != nil {
 		return nil, &Error{Class: ErrUnknown, Cause: err}
 	}
-	answer, err := decodeCompletion(body)
+	response, err := decodeCompletion(body)
 	if err != nil {
 		return nil, &Error{Class: ErrUnknown, Cause: err}
 	}
-	answer.FirstToken = time.Since(begin)
-	return answer, nil
+	response.FirstToken = time.Since(begin)
+	return response, nil
 }
 
 func readStreamed(r io.Reader, begin time.Time, onChunk func(Chunk) error) (*Response, error) {
@@ -108,14 +108,14 @@
 		return onChunk(Chunk{Data: data, UsageOnly: usageOnly})
 	})
 	if err != nil {
-		return nil, &Error{Class: ErrUnknown, Partial: a.begun, Cause: err}
+		return nil, &Error{Class: ErrUnknown, Partial: a.started, Cause: err}
 	}
-	answer, err := a.answer()
+	response, err := a.response()
 	if err != nil {
-		return nil, &Error{Class: ErrUnknown, Partial: a.begun, Cause: err}
+		return nil, &Error{Class: ErrUnknown, Partial: a.started, Cause: err}
 	}
-	answer.FirstToken = firstToken
-	return answer, nil
+	response.FirstToken = firstToken
+	return response, nil
 }
 
 // send performs one request and returns a response with status 200, or an *Error.
@@ -145,11 +145,11 @@
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	return nil, refusal(resp)
+	return nil, errorFromResponse(resp)
 }
 
-func refusal(resp *http.Response) *Error {
-	message, _ := io.ReadAll(io.LimitReader(resp.Body, maxMessage))
+func errorFromResponse(resp *http.Response) *Error {
+	message, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorMessageBytes))
 	e := &Error{
 		Class:      ErrUnknown,
 		Status:     resp.StatusCode,
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -69,11 +69,11 @@
 }
 
 // CachedTokens returns the prompt tokens that the engine found in its cache.
-func (a *Response) CachedTokens() int {
-	if a.Usage.Details == nil {
+func (r *Response) CachedTokens() int {
+	if r.Usage.Details == nil {
 		return 0
 	}
-	return a.Usage.Details.CachedTokens
+	return r.Usage.Details.CachedTokens
 }
 
 // Load is what an engine reports of its load. It lags.
--- a/internal/engine/sse.go
+++ b/internal/engine/sse.go
@@ -9,23 +9,23 @@
 )
 
 // MaxEvent is the largest event of a stream, in bytes.
-const MaxEvent = 1 << 20
+const MaxEventBytes = 1 << 20
 
 // errTruncated says that a stream ended before its end mark.
 var errTruncated = errors.New("stream ended early")
 
 var (
 	dataField = []byte("data:")
-	doneMark  = []byte("[DONE]")
+	doneData  = []byte("[DONE]")
 )
 
 // readStream calls each with the data of every server-sent event until the
 // end mark. Lines of an event are bounded by MaxEvent, so that a broken engine
 // cannot fill the memory. A stream without the end mark is an error, since an
 // answer cut off in the middle must not pass for a whole one.
-func readStream(r io.Reader, each func(data []byte) error) error {
+func readStream(r io.Reader, onEvent func(data []byte) error) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 4096), MaxEvent)
+	scanner.Buffer(make([]byte, 0, 4096), MaxEventBytes)
 	var event []byte
 	for scanner.Scan() {
 		line := scanner.Bytes()
@@ -39,10 +39,10 @@
 		if len(event) == 0 {
 			continue
 		}
-		if bytes.Equal(event, doneMark) {
+		if bytes.Equal(event, doneData) {
 			return nil
 		}
-		if err := each(event); err != nil {
+		if err := onEvent(event); err != nil {
 			return err
 		}
 		event = event[:0]
@@ -50,7 +50,7 @@
 	if err := scanner.Err(); err != nil {
 		return err
 	}
-	if bytes.Equal(event, doneMark) {
+	if bytes.Equal(event, doneData) {
 		return nil
 	}
 	return errTruncated
@@ -66,7 +66,7 @@
 	if len(event) > 0 {
 		event = append(event, '\n')
 	}
-	if len(event)+len(data) > MaxEvent {
+	if len(event)+len(data) > MaxEventBytes {
 		return nil, bufio.ErrTooLong
 	}
 	return append(event, data...), nil
--- a/internal/engine/sse_test.go
+++ b/internal/engine/sse_test.go
@@ -14,21 +14,21 @@
 // An engine dies in the middle of a streamed answer. The bytes that came are
 // well formed, and the stream simply ends. The reader must see an error, or a
 // caller would take half an answer for the whole one.
-func TestStreamCutOffIsNotWhole(t *testing.T) {
+func TestTruncatedStreamIsAnError(t *testing.T) {
 	is := is.New(t)
-	whole := "data: {\"a\":1}\n\ndata: {\"a\":2}\n\ndata: [DONE]\n\n"
-	for cut := range len(whole) - len("\n\n") {
-		err := readStream(strings.NewReader(whole[:cut]), func([]byte) error { return nil })
+	complete := "data: {\"a\":1}\n\ndata: {\"a\":2}\n\ndata: [DONE]\n\n"
+	for cut := range len(complete) - len("\n\n") {
+		err := readStream(strings.NewReader(complete[:cut]), func([]byte) error { return nil })
 		is.True(err != nil) // no end mark
 	}
-	is.NoErr(readStream(strings.NewReader(whole), func([]byte) error { return nil }))
+	is.NoErr(readStream(strings.NewReader(complete), func([]byte) error { return nil }))
 }
 
 // A broken engine sends a line without end. The reader must give up at its
 // bound instead of growing until the instance runs out of memory.
 func TestStreamLineIsBounded(t *testing.T) {
 	is := is.New(t)
-	endless := "data: " + strings.Repeat("x", 2*MaxEvent)
+	endless := "data: " + strings.Repeat("x", 2*MaxEventBytes)
 	is.True(readStream(strings.NewReader(endless), func([]byte) error { return nil }) != nil)
 	lines := strings.Repeat("data: "+strings.Repeat("x", 1<<16)+"\n", 32)
 	is.True(readStream(strings.NewReader(lines), func([]byte) error { return nil }) != nil)
@@ -41,17 +41,17 @@
 	f.Fuzz(func(t *testing.T, input []byte) {
 		var a assembler
 		err := readStream(bytes.NewReader(input), func(data []byte) error {
-			if len(data) > MaxEvent {
+			if len(data) > MaxEventBytes {
 				t.Fatalf("event of %d bytes", len(data))
 			}
 			_, err := a.add(data)
 			return err
 		})
-		if err == nil && !bytes.Contains(input, doneMark) {
+		if err == nil && !bytes.Contains(input, doneData) {
 			t.Fatal("a stream without its end mark passed for whole")
 		}
-		if answer, err := a.answer(); err == nil && !json.Valid(answer.Message.Raw) {
-			t.Fatalf("malformed message %q", answer.Message.Raw)
+		if response, err := a.response(); err == nil && !json.Valid(response.Message.Raw) {
+			t.Fatalf("malformed message %q", response.Message.Raw)
 		}
 	})
 }
