--- a/internal/engine/assemble.go
+++ b/internal/engine/assemble.go
@@ -9,7 +9,7 @@
 	"foxhall/internal/chat"
 )
 
-// assembler builds the message of a streamed answer from its chunks.
+// assembler builds the assistant's message of a streamed response from its chunks.
 type assembler struct {
 	content      strings.Builder
 	refusal      strings.Builder
@@ -17,7 +17,8 @@
 	finishReason string
 	usage        chat.Usage
 	hasUsage     bool
-	started      bool
+	// started is set once a chunk of the first choice has arrived.
+	started bool
 }
 
 type toolCall struct {
@@ -48,10 +49,11 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// maxToolCalls bounds the tool calls of one message, since a chunk names them by index.
+// maxToolCalls bounds the tool calls of one message. A chunk names a tool call by its index, and the
+// list grows up to it.
 const maxToolCalls = 1024
 
-// add takes one chunk and reports whether it carries only the usage.
+// add adds one chunk and reports whether it contains only the usage.
 func (a *assembler) add(data []byte) (bool, error) {
 	var chunk streamChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
@@ -100,8 +102,8 @@
 	return nil
 }
 
-// answer returns what has been assembled; without a finish reason or usage the
-// stream was not whole.
+// response returns the assembled response. A stream without a finish reason or usage was truncated
+// and is an error.
 func (a *assembler) response() (*Response, error) {
 	if a.finishReason == "" || !a.hasUsage {
 		return nil, errTruncated
--- a/internal/engine/blocks.go
+++ b/internal/engine/blocks.go
@@ -10,8 +10,8 @@
 	"foxhall/internal/chat"
 )
 
-// The rules by which prompts are counted and cut into blocks. Engines publish
-// the same hashes in their cache events.
+// The parameters by which prompts are counted and divided into blocks. Engines compute the same block
+// hashes and publish them in their cache events.
 const (
 	// TokenBytes is the number of bytes counted as one token.
 	TokenBytes = 4
@@ -20,10 +20,10 @@
 	blockBytes  = BlockTokens * TokenBytes
 )
 
-// Tokens counts the tokens of n bytes.
+// Tokens returns the number of tokens in n bytes.
 func Tokens(n int) int { return (n + TokenBytes - 1) / TokenBytes }
 
-// PromptTokens counts the tokens of a conversation's raw messages.
+// PromptTokens returns the number of tokens in a conversation's raw messages.
 func PromptTokens(messages []chat.Message) int {
 	n := 0
 	for i := range messages {
@@ -32,12 +32,12 @@
 	return Tokens(n)
 }
 
-// epochMark separates a served model's name from the epoch of its load order.
+// epochSeparator separates the name of a served model from the epoch of its load order.
 const epochSeparator = "#"
 
-// ServedName returns the name under which a load order makes an engine serve a
-// model: it carries the version and the epoch of the order, so that an old
-// order can only meet what it was meant for.
+// ServedName returns the name under which an engine serves a model after a load order. The name
+// includes the version and the order's epoch, so that an outdated order can affect only the load
+// that it was meant for.
 func ServedName(model, version, adapter string, epoch uint64) string {
 	name := model
 	if version != "" {
@@ -49,16 +49,16 @@
 	return name + epochSeparator + strconv.FormatUint(epoch, 10)
 }
 
-// CacheName returns the part of a served name on which cached blocks depend:
-// the same weights loaded in another epoch have the same blocks.
+// CacheName returns the part of a served name on which block hashes depend. It excludes the epoch,
+// since the same weights loaded in another epoch have the same blocks.
 func CacheName(served string) string {
 	name, _, _ := strings.Cut(served, epochSeparator)
 	return name
 }
 
-// Blocks appends to dst the chained hashes of the whole blocks of the messages
-// as the model sees them. Each hash covers its block and all before it, so
-// equal hashes mean equal prefixes. A last block that is not full has no hash.
+// Blocks appends to dst the chained hashes of the messages' full blocks for the model. Each hash
+// covers its block and all blocks before it, so equal hashes mean equal prefixes. A last block that
+// is not full has no hash.
 func Blocks(dst []uint64, model string, messages []chat.Message) []uint64 {
 	h := hasher{chain: xxhash.Sum64String(CacheName(model)), dst: dst}
 	h.digest.Reset()
@@ -68,6 +68,7 @@
 	return h.dst
 }
 
+// hasher computes the chained hashes of blocks of blockBytes bytes.
 type hasher struct {
 	digest      xxhash.Digest
 	chain       uint64
@@ -87,6 +88,7 @@
 	}
 }
 
+// endBlock appends the hash of the full block, chained with that of the previous block.
 func (h *hasher) endBlock() {
 	var previous [8]byte
 	binary.LittleEndian.PutUint64(previous[:], h.chain)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -17,11 +17,11 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// maxIdlePerEngine keeps enough connections for an engine's whole batch.
+	// maxIdlePerEngine is the number of idle connections kept per engine, enough for a full batch.
 	maxIdlePerEngine = 64
-	// maxAnswer bounds an answer that is not streamed, in bytes.
+	// maxResponseBytes bounds a non-streaming response.
 	maxResponseBytes = 16 << 20
-	// maxMessage bounds what is kept of an engine's error message, in bytes.
+	// maxErrorMessageBytes bounds how much is read of an engine's error message.
 	maxErrorMessageBytes = 512
 )
 
@@ -30,7 +30,7 @@
 	http *http.Client
 }
 
-// NewClient returns a client with its own connections.
+// NewClient returns a client with its own connection pool.
 func NewClient() *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -41,8 +41,8 @@
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// DialThrough replaces the way connections are made, before the first call. It
-// is how tests put a network of their own, with its faults, under the client.
+// DialThrough replaces the client's dial function. It must be called before the first call. Tests
+// use it to run the client on a simulated network with faults.
 func (c *Client) DialThrough(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.http.Transport.(*http.Transport).DialContext = dial
 }
@@ -50,10 +50,9 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Complete runs a completion on the engine at addr (host:port). Where the
-// request asks for a stream, onChunk is called for each chunk as it comes; an
-// error from it, or the end of ctx, closes the connection, which frees the
-// engine's slot. A failure is an *Error.
+// Complete runs a completion on the engine at addr (host:port). For a streaming request it calls
+// onChunk with each chunk as it arrives. If onChunk returns an error or ctx ends, the connection is
+// closed, which frees the engine's slot. A returned error is an *Error.
 func (c *Client) Complete(ctx context.Context, addr string, r *Request, onChunk func(Chunk) error) (*Response, error) {
 	body, err := EncodeRequest(r)
 	if err != nil {
@@ -118,10 +117,10 @@
 	return response, nil
 }
 
-// send performs one request and returns a response with status 200, or an *Error.
+// send sends one request and returns the response if its status is 200, otherwise an *Error.
 func (c *Client) send(ctx context.Context, addr, method, path string, body []byte) (*http.Response, error) {
-	// Once a connection was handed over, bytes may have left; before that none
-	// can have. Only the second may be called "not sent".
+	// Before the transport has obtained a connection, no byte of the request can have been sent;
+	// afterwards some may have been. Only a failure before that point is ErrNotSent.
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -130,7 +129,7 @@
 	if err != nil {
 		return nil, &Error{Class: ErrNotSent, Cause: err}
 	}
-	// Without GetBody net/http never sends a body twice by itself.
+	// Without GetBody, net/http never resends a body on its own.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
@@ -148,6 +147,7 @@
 	return nil, errorFromResponse(resp)
 }
 
+// errorFromResponse returns the error for a response with a status other than 200.
 func errorFromResponse(resp *http.Response) *Error {
 	message, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorMessageBytes))
 	e := &Error{
@@ -163,7 +163,7 @@
 	case isRejection(resp.StatusCode):
 		e.Class = ErrRejected
 	case resp.Header.Get(HeaderNotRun) == "true":
-		// Also a 404 for a model that was unloaded here: another engine has it.
+		// This includes a 404 for a model that was unloaded from this engine: another engine has it.
 		e.Class = ErrNotRun
 	}
 	return e
--- a/internal/engine/control.go
+++ b/internal/engine/control.go
@@ -11,17 +11,17 @@
 	"github.com/pkg/errors"
 )
 
-// maxControl bounds the answer to a control call, in bytes.
+// maxControlResponseBytes bounds the response to a control call.
 const maxControlResponseBytes = 64 << 20
 
-// Load reads the engine's lagging load report.
+// Load reads the engine's load report, which lags behind its actual load.
 func (c *Client) Load(ctx context.Context, addr string) (Load, error) {
 	var load Load
 	err := c.callJSON(ctx, addr, http.MethodGet, PathLoad, nil, &load)
 	return load, err
 }
 
-// State reads what the engine holds; blocks asks also for its cached blocks.
+// State reads the engine's state: its models, programs and, if blocks is set, its cached blocks.
 func (c *Client) State(ctx context.Context, addr string, blocks bool) (State, error) {
 	var state State
 	path := fmt.Sprintf("%s?blocks=%t", PathState, blocks)
@@ -29,12 +29,12 @@
 	return state, err
 }
 
-// Order gives the engine an order. ErrFenced says that the token was old.
+// Order sends an order to the engine. It returns ErrFenced if the order's fencing token is outdated.
 func (c *Client) Order(ctx context.Context, addr string, o Order) error {
 	return c.callJSON(ctx, addr, http.MethodPost, PathOrders, o, nil)
 }
 
-// ExportKV reads the cache of a program.
+// ExportKV reads the KV cache of a program.
 func (c *Client) ExportKV(ctx context.Context, addr, program string) (KV, error) {
 	var kv KV
 	path := PathKVExport + "?program=" + url.QueryEscape(program)
@@ -42,14 +42,14 @@
 	return kv, err
 }
 
-// ImportKV lets the engine fetch the cache of a program from another engine
-// and waits until it has it.
+// ImportKV makes the engine fetch the KV cache of a program from another engine and waits until the
+// transfer is complete.
 func (c *Client) ImportKV(ctx context.Context, addr string, order KVImport) error {
 	return c.callJSON(ctx, addr, http.MethodPost, PathKVImport, order, nil)
 }
 
-// Events calls each for every cache event after number from, until ctx ends,
-// the stream breaks or each fails.
+// Events calls onEvent with every cache event after sequence number from, until ctx ends, the stream
+// breaks or onEvent returns an error.
 func (c *Client) Events(ctx context.Context, addr string, from uint64, onEvent func(Event) error) error {
 	path := fmt.Sprintf("%s?from=%d", PathEvents, from)
 	resp, err := c.send(ctx, addr, http.MethodGet, path, nil)
@@ -60,13 +60,14 @@
 	return readStream(resp.Body, func(data []byte) error {
 		var event Event
 		if err := json.Unmarshal(data, &event); err != nil {
-			return errors.Wrap(err, "engine: event")
+			return errors.Wrap(err, "engine: decode cache event")
 		}
 		return onEvent(event)
 	})
 }
 
-// exchange sends a JSON document and reads one into out, unless it is nil.
+// callJSON sends a request with in as its JSON body and decodes the response into out. in and out
+// may be nil.
 func (c *Client) callJSON(ctx context.Context, addr, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -82,7 +83,7 @@
 	defer resp.Body.Close()
 	if out == nil {
 		_, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxErrorMessageBytes))
-		return errors.Wrap(err, "engine: answer")
+		return errors.Wrap(err, "engine: read response")
 	}
 	response, err := readBounded(resp.Body, maxControlResponseBytes)
 	if err != nil {
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -1,6 +1,6 @@
-// Package engine is the protocol that model engines speak and a client of it:
-// OpenAI-compatible chat completions with two extension fields, lagging load
-// reports, numbered cache events, orders and the transfer of KV cache.
+// Package engine defines the protocol of model engines and implements a client for it. The protocol
+// consists of OpenAI-compatible chat completions with two extension fields, lagging load reports,
+// numbered cache events, orders and the transfer of KV caches.
 package engine
 
 import (
@@ -22,20 +22,20 @@
 
 // The headers of an engine's refusals.
 const (
-	// HeaderNotRun with value "true" says that the engine did not run the call.
+	// HeaderNotRun with value "true" indicates that the engine did not run the call.
 	HeaderNotRun = "Engine-Not-Run"
-	// HeaderLeaving with value "true" says that the engine drains and takes no new calls.
+	// HeaderLeaving with value "true" indicates that the engine drains and accepts no new calls.
 	HeaderLeaving = "Engine-Leaving"
 )
 
 // Request is one completion for an engine.
 type Request struct {
 	Chat *chat.Request
-	// Model is the name under which the engine serves the model; empty for Chat.Model.
+	// Model is the name under which the engine serves the model. If empty, Chat.Model is used.
 	Model string
-	// Priority orders calls waiting in the engine; higher goes first.
+	// Priority orders the calls waiting in the engine; the highest runs first.
 	Priority int
-	// Program names whose memory the call's blocks belong to; may be empty.
+	// Program is the program to which the engine assigns the call's blocks. It may be empty.
 	Program string
 }
 
@@ -47,28 +47,29 @@
 	return r.Chat.Model
 }
 
-// Chunk is one event of a streamed answer.
+// Chunk is one event of a streamed response.
 type Chunk struct {
-	// Data is the event's JSON, valid until the callback returns.
+	// Data is the event's JSON. It is valid only until the callback returns.
 	Data []byte
-	// UsageOnly marks the last chunk, which carries only the usage block.
+	// UsageOnly marks the last chunk, which contains only the usage.
 	UsageOnly bool
 }
 
-// Answer is a whole answer.
+// Response is a complete response.
 type Response struct {
-	// Body is the engine's JSON, nil where the answer was streamed.
+	// Body is the engine's JSON, or nil if the response was streamed.
 	Body []byte
-	// Message is the assistant's message as it belongs into a history.
+	// Message is the assistant's message in the form that a history needs.
 	Message      chat.Message
 	FinishReason string
 	Usage        chat.Usage
-	// FirstToken and Total are measured from the sending of the request.
+	// FirstToken and Total are the times to the first token and to the end of the response, measured
+	// from the start of the request. For a non-streaming response both end with the response.
 	FirstToken time.Duration
 	Total      time.Duration
 }
 
-// CachedTokens returns the prompt tokens that the engine found in its cache.
+// CachedTokens returns the number of prompt tokens that the engine found in its prefix cache.
 func (r *Response) CachedTokens() int {
 	if r.Usage.Details == nil {
 		return 0
@@ -76,58 +77,68 @@
 	return r.Usage.Details.CachedTokens
 }
 
-// Load is what an engine reports of its load. It lags.
+// Load is an engine's load report. It lags behind the actual load.
 type Load struct {
-	// AgeMillis is how old the figures were when the engine sent them, in
-	// milliseconds; an age needs no common clock.
+	// AgeMillis is the age of the figures when the engine sent them, in milliseconds. Unlike a
+	// timestamp, an age needs no synchronised clocks.
 	AgeMillis int64 `json:"age_millis"`
-	Running   int   `json:"running"`
-	Waiting   int   `json:"waiting"`
+	// Running and Waiting are numbers of calls.
+	Running int `json:"running"`
+	Waiting int `json:"waiting"`
 	// PrefillTokens is the number of prompt tokens not yet prefilled.
 	PrefillTokens int `json:"prefill_tokens"`
-	// CacheTokens is the number of tokens that the prefix cache holds.
-	CacheTokens int  `json:"cache_tokens"`
-	Draining    bool `json:"leaving"`
+	// CacheTokens is the number of tokens in the prefix cache.
+	CacheTokens int `json:"cache_tokens"`
+	// Draining indicates that the engine accepts no new calls.
+	Draining bool `json:"leaving"`
 }
 
-// EventKind tells what happened to blocks of the prefix cache.
+// EventKind is the kind of a change of the prefix cache.
 type EventKind string
 
 // The kinds of cache events.
 const (
-	Stored  EventKind = "stored"
+	// Stored reports blocks added to the cache.
+	Stored EventKind = "stored"
+	// Evicted reports blocks removed from the cache.
 	Evicted EventKind = "evicted"
+	// Cleared reports the removal of all blocks.
 	Cleared EventKind = "cleared"
 )
 
-// Age returns how old the figures were when the engine sent them.
+// Age returns the age of the figures when the engine sent them.
 func (l Load) Age() time.Duration { return time.Duration(l.AgeMillis) * time.Millisecond }
 
-// Event reports a change of the prefix cache. Events are numbered from 1 within
-// one boot of the engine; a number that is missing is a gap.
+// Event reports a change of the prefix cache. Events are numbered from 1 within one boot of the
+// engine, so that a missing number reveals a gap.
 type Event struct {
+	// Boot identifies the boot of the engine.
 	Boot   string    `json:"boot"`
 	Seq    uint64    `json:"seq"`
 	Kind   EventKind `json:"kind"`
 	Blocks []uint64  `json:"blocks,omitempty"`
 }
 
-// OrderKind names what an order asks of an engine.
+// OrderKind is the kind of an order.
 type OrderKind string
 
 // The kinds of orders.
 const (
-	OrderLoad    OrderKind = "load"
-	OrderUnload  OrderKind = "unload"
-	OrderRole    OrderKind = "role"
+	// OrderLoad loads a model under the name in Served.
+	OrderLoad OrderKind = "load"
+	// OrderUnload unloads the model served under the name in Served.
+	OrderUnload OrderKind = "unload"
+	// OrderRole sets the engine's role.
+	OrderRole OrderKind = "role"
+	// OrderRelease frees the memory of programs.
 	OrderRelease OrderKind = "release"
 )
 
-// Order asks an engine to change what it holds.
+// Order instructs an engine to load or unload a model, change its role or release memory.
 type Order struct {
 	Kind OrderKind `json:"kind"`
-	// Token is the sender's fencing token; engines that check refuse a lower
-	// one than the highest they have seen.
+	// Token is the sender's fencing token. Engines that check tokens refuse one lower than the
+	// highest they have seen.
 	Token uint64 `json:"token"`
 	// Served is the name under which a model is loaded or unloaded.
 	Served  string `json:"served,omitempty"`
@@ -135,44 +146,45 @@
 	Version string `json:"version,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Role    string `json:"role,omitempty"`
-	// Programs are those whose memory an OrderRelease frees.
+	// Programs are the programs whose memory an OrderRelease frees.
 	Programs []string `json:"programs,omitempty"`
 }
 
-// Loaded is one model that an engine holds or is loading.
+// Loaded is a model that an engine has loaded or is loading.
 type Loaded struct {
 	Served  string `json:"served"`
 	Model   string `json:"model"`
 	Version string `json:"version,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Ready   bool   `json:"ready"`
-	// Running is the number of calls of the model under way or waiting.
+	// Running is the number of calls to the model that are running or waiting.
 	Running int `json:"running"`
 }
 
-// State is what an engine holds.
+// State is the state of an engine.
 type State struct {
+	// Boot identifies the boot of the engine.
 	Boot string `json:"boot"`
-	// Seq is the number of the last cache event that Blocks include.
+	// Seq is the sequence number of the last cache event included in Blocks.
 	Seq    uint64   `json:"seq"`
 	Role   string   `json:"role"`
 	Models []Loaded `json:"models"`
-	// Programs gives the tokens of memory held for each program.
+	// Programs maps each program to the size of its memory in tokens.
 	Programs map[string]int `json:"programs"`
 	Blocks   []uint64       `json:"blocks,omitempty"`
-	// Token is the highest fencing token seen.
+	// Token is the highest fencing token that the engine has seen.
 	Token uint64 `json:"token"`
 }
 
-// KV is the exported cache of one program: the hashes stand for their blocks.
+// KV is the exported KV cache of one program. Hashes take the place of the blocks' contents.
 type KV struct {
 	Program string   `json:"program"`
 	Blocks  []uint64 `json:"blocks"`
 }
 
-// KVImport asks an engine to fetch a program's cache from another engine.
+// KVImport instructs an engine to fetch a program's KV cache from another engine.
 type KVImport struct {
 	Program string `json:"program"`
-	// From is the address of the engine that holds it.
+	// From is the address of the engine that has the cache.
 	From string `json:"from"`
 }
--- a/internal/engine/sse.go
+++ b/internal/engine/sse.go
@@ -8,10 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// MaxEvent is the largest event of a stream, in bytes.
+// MaxEventBytes is the largest size of an event in a stream.
 const MaxEventBytes = 1 << 20
 
-// errTruncated says that a stream ended before its end mark.
+// errTruncated indicates that a stream ended before its end marker, or without a finish reason or
+// usage.
 var errTruncated = errors.New("stream ended early")
 
 var (
@@ -19,10 +20,10 @@
 	doneData  = []byte("[DONE]")
 )
 
-// readStream calls each with the data of every server-sent event until the
-// end mark. Lines of an event are bounded by MaxEvent, so that a broken engine
-// cannot fill the memory. A stream without the end mark is an error, since an
-// answer cut off in the middle must not pass for a whole one.
+// readStream calls onEvent with the data of every server-sent event up to the end marker, doneData.
+// The lines and the data of an event are limited to MaxEventBytes, so that a faulty engine cannot
+// exhaust the memory. A stream without the end marker is an error, since a truncated response must
+// not count as a complete one.
 func readStream(r io.Reader, onEvent func(data []byte) error) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 4096), MaxEventBytes)
@@ -56,7 +57,7 @@
 	return errTruncated
 }
 
-// appendData adds a data line to the event; lines of other fields are skipped.
+// appendData appends the data of a line to the event. Lines of other fields are skipped.
 func appendData(event, line []byte) ([]byte, error) {
 	data, ok := bytes.CutPrefix(line, dataField)
 	if !ok {
--- a/internal/engine/sse_test.go
+++ b/internal/engine/sse_test.go
@@ -11,21 +11,21 @@
 	"foxhall/internal/chat"
 )
 
-// An engine dies in the middle of a streamed answer. The bytes that came are
-// well formed, and the stream simply ends. The reader must see an error, or a
-// caller would take half an answer for the whole one.
+// An engine crashes in the middle of a streamed response. The bytes received so far are well formed
+// and the stream just ends. The reader must return an error; otherwise a caller would take a partial
+// response for a complete one.
 func TestTruncatedStreamIsAnError(t *testing.T) {
 	is := is.New(t)
 	complete := "data: {\"a\":1}\n\ndata: {\"a\":2}\n\ndata: [DONE]\n\n"
 	for cut := range len(complete) - len("\n\n") {
 		err := readStream(strings.NewReader(complete[:cut]), func([]byte) error { return nil })
-		is.True(err != nil) // no end mark
+		is.True(err != nil) // no end marker
 	}
 	is.NoErr(readStream(strings.NewReader(complete), func([]byte) error { return nil }))
 }
 
-// A broken engine sends a line without end. The reader must give up at its
-// bound instead of growing until the instance runs out of memory.
+// A faulty engine sends an endless line, or an event of endless lines. The reader must fail at its
+// limit instead of growing until the instance runs out of memory.
 func TestStreamLineIsBounded(t *testing.T) {
 	is := is.New(t)
 	endless := "data: " + strings.Repeat("x", 2*MaxEventBytes)
@@ -34,6 +34,9 @@
 	is.True(readStream(strings.NewReader(lines), func([]byte) error { return nil }) != nil)
 }
 
+// FuzzStream feeds arbitrary bytes to the reader and the assembler. Events must stay within
+// MaxEventBytes, a stream without its end marker must be an error, and an assembled message must be
+// valid JSON.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"}}]}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte(": comment\nevent: x\ndata:1\ndata:2\n\n"))
@@ -42,22 +45,22 @@
 		var a assembler
 		err := readStream(bytes.NewReader(input), func(data []byte) error {
 			if len(data) > MaxEventBytes {
-				t.Fatalf("event of %d bytes", len(data))
+				t.Fatalf("event of %d bytes exceeds the limit", len(data))
 			}
 			_, err := a.add(data)
 			return err
 		})
 		if err == nil && !bytes.Contains(input, doneData) {
-			t.Fatal("a stream without its end mark passed for whole")
+			t.Fatal("a stream without its end marker was accepted as complete")
 		}
 		if response, err := a.response(); err == nil && !json.Valid(response.Message.Raw) {
-			t.Fatalf("malformed message %q", response.Message.Raw)
+			t.Fatalf("assembled message is not valid JSON: %q", response.Message.Raw)
 		}
 	})
 }
 
-// The engine hashes the bytes it receives; foxhall hashes those it holds. Were
-// the body reformatted on the way, no prefix would ever match.
+// The engine hashes the bytes that it receives, foxhall those of its own copy. If encoding changed
+// the messages' bytes, no prefix would ever match.
 func TestEncodeKeepsMessageBytes(t *testing.T) {
 	is := is.New(t)
 	messages := []chat.Message{
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -11,7 +11,7 @@
 	"foxhall/internal/chat"
 )
 
-// The fields of a completion request that are not passed on from the caller.
+// The fields of a completion request that foxhall sets itself instead of passing on the caller's.
 const (
 	fieldModel         = "model"
 	fieldMessages      = "messages"
@@ -22,9 +22,9 @@
 	fieldProgram       = "program"
 )
 
-// EncodeRequest writes the body of a completion request. The messages' bytes
-// are written unchanged, so that the engine hashes the same prompt as Blocks;
-// encoding/json would reformat them.
+// EncodeRequest returns the body of a completion request. It copies the bytes of the messages
+// unchanged, so that the engine hashes the same prompt as Blocks does; encoding/json would reformat
+// them.
 func EncodeRequest(r *Request) ([]byte, error) {
 	fields := maps.Clone(r.Chat.Extra)
 	if fields == nil {
@@ -88,7 +88,7 @@
 	return append(raw, ']')
 }
 
-// DecodeRequest reads the body of a completion request, as an engine does.
+// DecodeRequest decodes the body of a completion request, as an engine does.
 func DecodeRequest(body []byte) (*Request, error) {
 	var wire struct {
 		Model     string         `json:"model"`
@@ -105,7 +105,7 @@
 	return &Request{Chat: c, Priority: wire.Priority, Program: wire.Program}, nil
 }
 
-// completion is a whole answer in JSON.
+// completion is the JSON of a non-streaming response.
 type completion struct {
 	Choices []struct {
 		Message      chat.Message `json:"message"`
