--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -15,13 +15,13 @@
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (m *Message) UnmarshalJSON(data []byte) error {
-	var head struct {
+	var header struct {
 		Role string `json:"role"`
 	}
-	if err := json.Unmarshal(data, &head); err != nil {
+	if err := json.Unmarshal(data, &header); err != nil {
 		return err
 	}
-	m.Role = head.Role
+	m.Role = header.Role
 	m.Raw = append(m.Raw[:0], data...)
 	return nil
 }
--- a/internal/chat/compare.go
+++ b/internal/chat/compare.go
@@ -12,7 +12,7 @@
 		return false
 	}
 	for i := range prefix {
-		if !Same(list[i], prefix[i]) {
+		if !Equivalent(list[i], prefix[i]) {
 			return false
 		}
 	}
@@ -22,22 +22,22 @@
 // Same reports whether two messages say the same. Clients decode an answer and
 // encode it again before they send it back, so the order of the members,
 // white space, and top-level members that are null or empty do not count.
-func Same(a, b Message) bool {
+func Equivalent(a, b Message) bool {
 	if bytes.Equal(a.Raw, b.Raw) {
 		return true
 	}
 	if a.Role != b.Role {
 		return false
 	}
-	left, err := members(a.Raw)
+	left, err := nonEmptyMembers(a.Raw)
 	if err != nil {
 		return false
 	}
-	right, err := members(b.Raw)
+	right, err := nonEmptyMembers(b.Raw)
 	return err == nil && reflect.DeepEqual(left, right)
 }
 
-func members(raw []byte) (map[string]any, error) {
+func nonEmptyMembers(raw []byte) (map[string]any, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
 	var m map[string]any
@@ -79,9 +79,9 @@
 }
 
 // AsksTool reports whether an answer asks its program to call a tool.
-func AsksTool(answer Message) bool {
+func AsksTool(response Message) bool {
 	var body struct {
 		ToolCalls []json.RawMessage `json:"tool_calls"`
 	}
-	return json.Unmarshal(answer.Raw, &body) == nil && len(body.ToolCalls) > 0
+	return json.Unmarshal(response.Raw, &body) == nil && len(body.ToolCalls) > 0
 }
--- a/internal/chat/compare_test.go
+++ b/internal/chat/compare_test.go
@@ -19,18 +19,18 @@
 // A stock client reads an answer and sends it back with the next question, in
 // its own encoding. It is still the same message; one that says anything else
 // is not.
-func TestSameAfterAClientsRoundTrip(t *testing.T) {
+func TestEquivalentAfterClientRoundTrip(t *testing.T) {
 	is := is.New(t)
-	answer := parse(`{"role":"assistant", "content":"Olá \u003c3", "refusal":null, "annotations":[],
+	message := parse(`{"role":"assistant", "content":"Olá \u003c3", "refusal":null, "annotations":[],
 		"tool_calls":[{"id":"c1","type":"function","function":{"name":"pay","arguments":"{\"n\": 1}"}}]}`)
 	var read openai.ChatCompletion
-	is.NoErr(json.Unmarshal(Completion{ID: "1", Model: "m", Answer: answer, FinishReason: "stop"}.Encode(), &read))
+	is.NoErr(json.Unmarshal(Completion{ID: "1", Model: "m", Answer: message, FinishReason: "stop"}.Encode(), &read))
 	raw, err := json.Marshal(read.Choices[0].Message.ToParam())
 	is.NoErr(err)
-	is.True(Same(parse(string(raw)), answer))
-	is.True(!Same(parse(`{"role":"assistant","content":"Olá <4"}`), answer))
-	is.True(!Same(parse(`{"role":"user","content":"x"}`), parse(`{"role":"assistant","content":"x"}`)))
-	is.True(AsksTool(answer))
+	is.True(Equivalent(parse(string(raw)), message))
+	is.True(!Equivalent(parse(`{"role":"assistant","content":"Olá <4"}`), message))
+	is.True(!Equivalent(parse(`{"role":"user","content":"x"}`), parse(`{"role":"assistant","content":"x"}`)))
+	is.True(AsksTool(message))
 	is.True(!AsksTool(parse(`{"role":"assistant","content":"\"tool_calls\""}`)))
 }
 
--- a/internal/chat/request.go
+++ b/internal/chat/request.go
@@ -24,7 +24,7 @@
 	if err := json.Unmarshal(data, &fields); err != nil {
 		return err
 	}
-	var tokens, completionTokens int
+	var maxTokens, maxCompletionTokens int
 	for _, field := range []struct {
 		name   string
 		target any
@@ -32,8 +32,8 @@
 		{fieldModel, &r.Model},
 		{fieldMessages, &r.Messages},
 		{fieldStream, &r.Stream},
-		{fieldMaxTokens, &tokens},
-		{fieldMaxCompletionTokens, &completionTokens},
+		{fieldMaxTokens, &maxTokens},
+		{fieldMaxCompletionTokens, &maxCompletionTokens},
 	} {
 		raw, ok := fields[field.name]
 		if !ok {
@@ -44,10 +44,10 @@
 		}
 		delete(fields, field.name)
 	}
-	if tokens < 0 || completionTokens < 0 {
+	if maxTokens < 0 || maxCompletionTokens < 0 {
 		return errors.New("max_tokens: expected a whole number above 0")
 	}
-	r.MaxTokens = max(tokens, completionTokens)
+	r.MaxTokens = max(maxTokens, maxCompletionTokens)
 	r.Extra = fields
 	return r.check()
 }
--- a/internal/chat/request_test.go
+++ b/internal/chat/request_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestRequestKeepsWhatItDoesNotRead(t *testing.T) {
+func TestRequestKeepsUnknownFields(t *testing.T) {
 	is := is.New(t)
 	body := `{"model":"m","stream":true,"max_completion_tokens":9,"temperature":0.5,"messages":[{"role":"user","content":[{"type":"text","text":"a  b"}]}]}`
 	var r Request
@@ -17,7 +17,7 @@
 	is.Equal(string(r.Messages[0].Raw), `{"role":"user","content":[{"type":"text","text":"a  b"}]}`)
 }
 
-func TestRequestRefusals(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	for body, want := range map[string]string{
 		`{"messages":[{"role":"user"}]}`:                             "model: expected the name of a model",
 		`{"model":"m"}`:                                              "messages: expected at least one message",
@@ -38,19 +38,19 @@
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user"}],"stream":true,"max_completion_tokens":7}`))
 	f.Add([]byte(`{"model":null,"messages":[null]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		var r, again Request
+		var r, decoded Request
 		if json.Unmarshal(body, &r) != nil {
 			return
 		}
-		out, err := json.Marshal(r)
+		encoded, err := json.Marshal(r)
 		if err != nil {
 			t.Fatalf("accepted %q and can't pass it on: %v", body, err)
 		}
-		if err := json.Unmarshal(out, &again); err != nil {
-			t.Fatalf("accepted %q, passed on as %q: %v", body, out, err)
+		if err := json.Unmarshal(encoded, &decoded); err != nil {
+			t.Fatalf("accepted %q, passed on as %q: %v", body, encoded, err)
 		}
-		if again.Model != r.Model || again.MaxTokens != r.MaxTokens || again.Stream != r.Stream || len(again.Messages) != len(r.Messages) {
-			t.Fatalf("accepted %q, passed on as %q", body, out)
+		if decoded.Model != r.Model || decoded.MaxTokens != r.MaxTokens || decoded.Stream != r.Stream || len(decoded.Messages) != len(r.Messages) {
+			t.Fatalf("accepted %q, passed on as %q", body, encoded)
 		}
 		if ChunkOf(body); EstimateTokens(r.Messages) <= 0 {
 			t.Fatal("messages without tokens")
