--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -1,13 +1,13 @@
-// Package chat holds the messages of the OpenAI-compatible chat API, as
-// callers send them to foxhall and foxhall sends them to engines.
+// Package chat defines the requests, messages and completions of the OpenAI-compatible chat API, which
+// callers send to foxhall and foxhall sends to engines.
 package chat
 
 import (
 	"encoding/json"
 )
 
-// Message is one message of a conversation. The raw form is kept whole, since
-// a history must be given back to the engine exactly as it was.
+// Message is one message of a conversation. Raw is its complete JSON, since a history must be sent
+// back to the engine byte for byte.
 type Message struct {
 	Role string
 	Raw  json.RawMessage
@@ -29,8 +29,8 @@
 // MarshalJSON implements json.Marshaler.
 func (m Message) MarshalJSON() ([]byte, error) { return m.Raw, nil }
 
-// Request is a chat completion request. Fields that foxhall does not read
-// stay in Extra and are passed on unchanged.
+// Request is a chat completion request. Fields that foxhall does not interpret are in Extra and are
+// passed on unchanged.
 type Request struct {
 	Model     string
 	Messages  []Message
@@ -39,7 +39,7 @@
 	Extra     map[string]json.RawMessage
 }
 
-// Usage counts the tokens of one answer.
+// Usage is the token usage of one response.
 type Usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -47,7 +47,7 @@
 	Details          *UsageDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// UsageDetails tells how much of the prompt the engine found in its prefix cache.
+// UsageDetails gives the number of prompt tokens that the engine found in its prefix cache.
 type UsageDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
--- a/internal/chat/compare.go
+++ b/internal/chat/compare.go
@@ -6,7 +6,7 @@
 	"reflect"
 )
 
-// HasPrefix reports whether list starts with all messages of prefix.
+// HasPrefix reports whether list starts with messages equivalent to those of prefix.
 func HasPrefix(list, prefix []Message) bool {
 	if len(list) < len(prefix) {
 		return false
@@ -19,9 +19,9 @@
 	return true
 }
 
-// Same reports whether two messages say the same. Clients decode an answer and
-// encode it again before they send it back, so the order of the members,
-// white space, and top-level members that are null or empty do not count.
+// Equivalent reports whether two messages have the same content. Clients decode a response and encode
+// it again before they send it back, so the order of members, white space, and top-level members
+// that are null or empty are ignored.
 func Equivalent(a, b Message) bool {
 	if bytes.Equal(a.Raw, b.Raw) {
 		return true
@@ -37,6 +37,7 @@
 	return err == nil && reflect.DeepEqual(left, right)
 }
 
+// nonEmptyMembers decodes a JSON object and removes the top-level members that are null or empty.
 func nonEmptyMembers(raw []byte) (map[string]any, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -66,9 +67,9 @@
 	return false
 }
 
-// IsContinuation reports whether the list holds only messages that a caller
-// adds after an answer. A whole conversation that has had a turn holds the
-// answer too, with the role "assistant", and mostly a system message.
+// IsContinuation reports whether the list contains only messages that a caller adds after a
+// response. A complete conversation of at least one turn also contains the response, with the role
+// "assistant", and usually a system message.
 func IsContinuation(list []Message) bool {
 	for _, m := range list {
 		if m.Role == "assistant" || m.Role == "system" || m.Role == "developer" {
@@ -78,7 +79,7 @@
 	return true
 }
 
-// AsksTool reports whether an answer asks its program to call a tool.
+// AsksTool reports whether a response contains a tool call for its program.
 func AsksTool(response Message) bool {
 	var body struct {
 		ToolCalls []json.RawMessage `json:"tool_calls"`
--- a/internal/chat/compare_test.go
+++ b/internal/chat/compare_test.go
@@ -16,9 +16,8 @@
 	return m
 }
 
-// A stock client reads an answer and sends it back with the next question, in
-// its own encoding. It is still the same message; one that says anything else
-// is not.
+// A standard client decodes a response and sends it back with the next request, in its own encoding.
+// The two messages are equivalent; a message with any other content is not.
 func TestEquivalentAfterClientRoundTrip(t *testing.T) {
 	is := is.New(t)
 	message := parse(`{"role":"assistant", "content":"Olá \u003c3", "refusal":null, "annotations":[],
@@ -34,7 +33,7 @@
 	is.True(!AsksTool(parse(`{"role":"assistant","content":"\"tool_calls\""}`)))
 }
 
-// A list without an answer or a system message is what a caller adds.
+// A list without a response and without a system message is a continuation.
 func TestIsContinuation(t *testing.T) {
 	is := is.New(t)
 	user, tool := parse(`{"role":"user","content":"x"}`), parse(`{"role":"tool","content":"x"}`)
--- a/internal/chat/completion.go
+++ b/internal/chat/completion.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 )
 
+// completion is the JSON of the API's chat.completion object.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -19,18 +20,19 @@
 	FinishReason string          `json:"finish_reason"`
 }
 
-// Completion is what is kept of an answer, enough to give it again.
+// Completion is the recorded part of a response, sufficient to replay it.
 type Completion struct {
 	ID string
 	// Created is in seconds since the Unix epoch.
-	Created      int64
-	Model        string
+	Created int64
+	Model   string
+	// Answer is the assistant's message.
 	Answer       Message
 	FinishReason string
 	Usage        Usage
 }
 
-// Encode returns the chat.completion object of the API.
+// Encode returns the JSON of the API's chat.completion object.
 func (c Completion) Encode() []byte {
 	body, err := json.Marshal(completion{
 		ID:      c.ID,
@@ -41,7 +43,7 @@
 		Usage:   c.Usage,
 	})
 	if err != nil {
-		panic("chat: an answer kept as valid JSON does not encode: " + err.Error())
+		panic("chat: recorded message can't be encoded as JSON: " + err.Error())
 	}
 	return body
 }
--- a/internal/chat/request.go
+++ b/internal/chat/request.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// The fields of a chat completion request that foxhall reads.
+// The fields of a chat completion request that foxhall interprets.
 const (
 	fieldModel               = "model"
 	fieldMessages            = "messages"
@@ -15,7 +15,7 @@
 	fieldMaxCompletionTokens = "max_completion_tokens"
 )
 
-// DefaultMaxTokens bounds an answer whose caller names no bound.
+// DefaultMaxTokens is the largest number of output tokens for a request that sets no limit.
 const DefaultMaxTokens = 1024
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -84,7 +84,7 @@
 	return json.Marshal(fields)
 }
 
-// AnswerBound returns the largest number of tokens that the answer may have.
+// AnswerBound returns the largest number of output tokens that the request allows.
 func (r *Request) AnswerBound() int {
 	if r.MaxTokens > 0 {
 		return r.MaxTokens
@@ -92,11 +92,11 @@
 	return DefaultMaxTokens
 }
 
-// bytesPerToken is the rough size of a token, used only for estimates before
-// the engine has counted.
+// bytesPerToken is the approximate size of a token. It is used only for estimates until the engine
+// has reported the actual number.
 const bytesPerToken = 4
 
-// EstimateTokens returns the rough number of tokens in the messages.
+// EstimateTokens returns the approximate number of tokens in the messages.
 func EstimateTokens(messages []Message) int {
 	total := 0
 	for _, m := range messages {
--- a/internal/chat/request_test.go
+++ b/internal/chat/request_test.go
@@ -7,6 +7,8 @@
 	"github.com/matryer/is"
 )
 
+// A request has fields that foxhall does not interpret. Decoding must keep them in Extra, and the
+// messages byte for byte.
 func TestRequestKeepsUnknownFields(t *testing.T) {
 	is := is.New(t)
 	body := `{"model":"m","stream":true,"max_completion_tokens":9,"temperature":0.5,"messages":[{"role":"user","content":[{"type":"text","text":"a  b"}]}]}`
@@ -17,6 +19,7 @@
 	is.Equal(string(r.Messages[0].Raw), `{"role":"user","content":[{"type":"text","text":"a  b"}]}`)
 }
 
+// An invalid request is refused with an error that names the field and what was expected.
 func TestInvalidRequests(t *testing.T) {
 	for body, want := range map[string]string{
 		`{"messages":[{"role":"user"}]}`:                             "model: expected the name of a model",
@@ -31,8 +34,8 @@
 	}
 }
 
-// Whatever body a caller sends: it is refused, or what goes on to an engine
-// says the same as what came.
+// FuzzRequest decodes arbitrary request bodies. A body must be refused, or the request passed on to
+// an engine must have the same content.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":3,"seed":1}`))
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user"}],"stream":true,"max_completion_tokens":7}`))
@@ -44,16 +47,16 @@
 		}
 		encoded, err := json.Marshal(r)
 		if err != nil {
-			t.Fatalf("accepted %q and can't pass it on: %v", body, err)
+			t.Fatalf("accepted %q but can't encode it: %v", body, err)
 		}
 		if err := json.Unmarshal(encoded, &decoded); err != nil {
-			t.Fatalf("accepted %q, passed on as %q: %v", body, encoded, err)
+			t.Fatalf("accepted %q, but can't decode its encoding %q: %v", body, encoded, err)
 		}
 		if decoded.Model != r.Model || decoded.MaxTokens != r.MaxTokens || decoded.Stream != r.Stream || len(decoded.Messages) != len(r.Messages) {
-			t.Fatalf("accepted %q, passed on as %q", body, encoded)
+			t.Fatalf("accepted %q, but its encoding %q differs", body, encoded)
 		}
 		if ChunkOf(body); EstimateTokens(r.Messages) <= 0 {
-			t.Fatal("messages without tokens")
+			t.Fatal("expected a token estimate above 0 for the messages")
 		}
 	})
 }
