--- a/internal/tool/client.go
+++ b/internal/tool/client.go
@@ -63,39 +63,39 @@
 
 // Client calls services over HTTP.
 type Client struct {
-	shared  *http.Client
-	once    *http.Client
-	maxBody int64
+	pooled       *http.Client
+	unpooled     *http.Client
+	maxBodyBytes int64
 }
 
 // NewClient returns a client that dials within dialTimeout and accepts answers up to maxBody bytes.
-func NewClient(dialTimeout time.Duration, maxBody int64) *Client {
+func NewClient(dialTimeout time.Duration, maxBodyBytes int64) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	shared := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute}
+	pooled := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute}
 	// A request that names an idempotency key is resent by net/http when a
 	// reused connection breaks: the service would see a charge twice and no
 	// error would show. A transport that never reuses a connection never does.
-	once := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
+	unpooled := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
 	return &Client{
-		shared:  &http.Client{Transport: shared, CheckRedirect: noRedirect},
-		once:    &http.Client{Transport: once, CheckRedirect: noRedirect},
-		maxBody: maxBody,
+		pooled:       &http.Client{Transport: pooled, CheckRedirect: returnRedirect},
+		unpooled:     &http.Client{Transport: unpooled, CheckRedirect: returnRedirect},
+		maxBodyBytes: maxBodyBytes,
 	}
 }
 
 // DialThrough replaces the way connections are made, before the first call. It
 // is how tests put a network of their own, with its faults, under the client.
 func (c *Client) DialThrough(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
-	c.shared.Transport.(*http.Transport).DialContext = dial
-	c.once.Transport.(*http.Transport).DialContext = dial
+	c.pooled.Transport.(*http.Transport).DialContext = dial
+	c.unpooled.Transport.(*http.Transport).DialContext = dial
 }
 
 // Close closes the idle connections.
-func (c *Client) Close() { c.shared.CloseIdleConnections() }
+func (c *Client) Close() { c.pooled.CloseIdleConnections() }
 
 // noRedirect gives a redirect to the caller as it is: following one would
 // send a call that may not be repeated a second time.
-func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func returnRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Call sends one attempt and returns the service's answer, or an error that
 // tells whether it can have run.
@@ -106,7 +106,7 @@
 	if err != nil {
 		return Answer{}, errors.Wrap(ErrNotSent, err.Error())
 	}
-	resp, err := c.pick(call).Do(req)
+	resp, err := c.httpClientFor(call).Do(req)
 	if err != nil && !connected.Load() {
 		return Answer{}, errors.Wrap(ErrNotSent, err.Error())
 	}
@@ -114,19 +114,19 @@
 		return Answer{}, errors.Wrap(ErrUnknown, err.Error())
 	}
 	defer resp.Body.Close()
-	return c.read(resp)
+	return c.readResponse(resp)
 }
 
-func (c *Client) pick(call Call) *http.Client {
+func (c *Client) httpClientFor(call Call) *http.Client {
 	if call.Repeatable {
-		return c.shared
+		return c.pooled
 	}
-	return c.once
+	return c.unpooled
 }
 
 func newRequest(ctx context.Context, call Call) (*http.Request, error) {
 	r := call.Request
-	target := "http://" + call.Address + "/" + trimSlash(r.Path)
+	target := "http://" + call.Address + "/" + trimLeadingSlashes(r.Path)
 	req, err := http.NewRequestWithContext(ctx, r.Method, target, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, err
@@ -138,26 +138,26 @@
 	return req, nil
 }
 
-func trimSlash(path string) string {
+func trimLeadingSlashes(path string) string {
 	for len(path) > 0 && path[0] == '/' {
 		path = path[1:]
 	}
 	return path
 }
 
-func (c *Client) read(resp *http.Response) (Answer, error) {
+func (c *Client) readResponse(resp *http.Response) (Answer, error) {
 	if resp.Header.Get(HeaderNotRun) == "true" {
 		if resp.Header.Get(HeaderLeaving) == "true" {
 			return Answer{}, ErrLeaving
 		}
 		return Answer{}, errors.Wrap(ErrRefused, resp.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBodyBytes+1))
 	if err != nil {
 		return Answer{}, errors.Wrap(ErrUnknown, err.Error())
 	}
-	if int64(len(body)) > c.maxBody {
-		return Answer{}, errors.Wrap(ErrUnknown, "answer over "+strconv.FormatInt(c.maxBody, 10)+" bytes")
+	if int64(len(body)) > c.maxBodyBytes {
+		return Answer{}, errors.Wrap(ErrUnknown, "answer over "+strconv.FormatInt(c.maxBodyBytes, 10)+" bytes")
 	}
 	return Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
@@ -182,12 +182,12 @@
 // Lookup asks a service what became of the call with the key, at the path
 // that the usage list gives for it.
 func (c *Client) Lookup(ctx context.Context, address, path, key string) (Finding, error) {
-	target := "http://" + address + "/" + trimSlash(path) + "?key=" + url.QueryEscape(key)
+	target := "http://" + address + "/" + trimLeadingSlashes(path) + "?key=" + url.QueryEscape(key)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return Finding{}, errors.Wrap(err, "tool: lookup")
 	}
-	resp, err := c.shared.Do(req)
+	resp, err := c.pooled.Do(req)
 	if err != nil {
 		return Finding{}, errors.Wrap(err, "tool: lookup")
 	}
@@ -195,7 +195,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return Finding{}, errors.Errorf("tool: lookup: %s", resp.Status)
 	}
-	var found Finding
-	err = json.NewDecoder(io.LimitReader(resp.Body, c.maxBody)).Decode(&found)
-	return found, errors.Wrap(err, "tool: lookup")
+	var finding Finding
+	err = json.NewDecoder(io.LimitReader(resp.Body, c.maxBodyBytes)).Decode(&finding)
+	return finding, errors.Wrap(err, "tool: lookup")
 }
