--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -1,5 +1,5 @@
-// Package step holds the values that travel along the path of one step: the
-// call as the caller made it and the result that the caller gets.
+// Package step defines the types that the components on the path of a step share: the call as the
+// caller made it and the result that the caller gets.
 package step
 
 import (
@@ -10,21 +10,21 @@
 	"foxhall/internal/program"
 )
 
-// Outcome tells what became of a step.
+// Outcome states whether a step ran.
 type Outcome string
 
 // The outcomes of a step.
 const (
-	// Done says that the step ran and its answer is here.
+	// Done indicates that the step ran and its response is available.
 	Done Outcome = "done"
-	// NotRun says that no byte of the step reached an upstream, or that the
-	// upstream itself said that it did not run it. It is always true.
+	// NotRun guarantees that the step did not run: no byte of it reached an upstream, or the
+	// upstream itself reported that it did not run it.
 	NotRun Outcome = "not-run"
-	// Unknown says that the step may have run.
+	// Unknown indicates that the step may have run.
 	Unknown Outcome = "unknown"
 )
 
-// Code names the reason of a refusal or failure, in the API's error object.
+// Code is the reason of a refusal or failure, as written in the API's error object.
 type Code string
 
 // The codes of refusals and failures.
@@ -58,30 +58,30 @@
 	CodeUnresolvedEarlier Code = "earlier_step_unresolved"
 )
 
-// Call is one step as a caller asks for it.
+// Call is the request for one step.
 type Call struct {
-	// Plan is the caller's plan, already authenticated.
+	// Plan is the plan of the authenticated caller.
 	Plan *plan.Plan
-	// Program is empty where the caller starts a new program.
+	// Program is empty if the call starts a new program.
 	Program program.ID
-	// Parent is set where a new program is a sub-agent of another.
+	// Parent is the parent program if the call starts a new program as a sub-agent of another one.
 	Parent program.ID
-	// Number is the step's number within its program, from 1; 0 asks for the next.
+	// Number is the step's number within its program, from 1; 0 stands for the next number.
 	Number int
-	// IdempotencyKey is the caller's own name of the step; may be empty.
+	// IdempotencyKey is the caller's own identifier of the step. It may be empty.
 	IdempotencyKey string
-	// After is the Turn of the last Result that the caller has seen; may be empty.
+	// After is the Turn of the last Result that the caller has received. It may be empty.
 	After string
-	// Deadline is when the caller gives up; zero for none.
+	// Deadline is when the caller stops waiting, or zero for no deadline.
 	Deadline time.Time
-	// EndsProgram says that the caller needs the program no longer after this step.
+	// EndsProgram indicates that the caller does not need the program after this step.
 	EndsProgram bool
-	// Exactly one of Model and Tool is set.
+	// Model and Tool are the requests of a model call and of a tool call. Exactly one is set.
 	Model *chat.Request
 	Tool  *ToolRequest
 }
 
-// ToolRequest is a call to a tool service or plain service.
+// ToolRequest is the request of a call to a tool service or plain service.
 type ToolRequest struct {
 	Service     string
 	Method      string
@@ -90,7 +90,7 @@
 	Body        []byte
 }
 
-// Result is what the caller of a step gets.
+// Result is the result of a step for its caller.
 type Result struct {
 	Outcome  Outcome
 	Program  program.ID
@@ -101,37 +101,39 @@
 	// Code and Message are set unless the step is done.
 	Code    Code
 	Message string
-	// RetryAfter tells when it is worth to ask again; zero where it is not.
+	// RetryAfter is the delay after which a retry may succeed, or zero if a retry is not advised.
 	RetryAfter time.Duration
-	// MissingStep is the number that a step out of order waited for.
+	// MissingStep is the number of the missing step for which a step out of order waited.
 	MissingStep int
-	// Owner is where to ask instead, with CodeMoved.
+	// Owner is where to send the call instead. It is set with CodeMoved.
 	Owner string
-	// ContentType and Body are the answer, unless it was streamed to a Sink.
+	// ContentType and Body are the response, unless it was streamed to a Sink.
 	ContentType string
 	Body        []byte
 	Usage       chat.Usage
-	// Answer is a model step's whole answer message, streamed or not, with the
-	// name of the Model that gave it and why it stopped.
+	// Answer is the complete assistant's message of a model step, streamed or not. Model is the model
+	// that generated it and FinishReason why generation stopped.
 	Answer       chat.Message
 	Model        string
 	FinishReason string
-	// Turn names the turn and all before it; a caller may send it back in Call.After.
+	// Turn identifies the turn together with all turns before it. A caller may send it back in
+	// Call.After.
 	Turn string
-	// Price is what the step was settled at, also where it has no answer.
+	// Price is the price at which the step was settled. It may be set without a response.
 	Price plan.Micros
-	// Replayed says that the answer was recorded earlier.
+	// Replayed indicates that the response was recorded earlier.
 	Replayed bool
 }
 
-// Sink receives a streamed answer while the step runs. Begin is called once,
-// before the first Chunk. An error means that the caller is gone.
+// Sink receives a streamed response while the step runs. Begin is called once, before the first call
+// of Chunk. An error means that the caller has disconnected.
 type Sink interface {
 	Begin(r Result) error
 	Chunk(data []byte) error
 }
 
-// Refuse returns a result that says truthfully that the step was not run.
+// Refuse returns a result with the outcome NotRun. It must be used only for a step that certainly did
+// not run.
 func Refuse(status int, code Code, message string) Result {
 	return Result{Outcome: NotRun, Status: status, Code: code, Message: message}
 }
