--- a/internal/tool/client.go
+++ b/internal/tool/client.go
@@ -1,6 +1,6 @@
-// Package tool is the client of tool services and plain services. A service is
-// called at the path that the caller named; foxhall adds a key that names the
-// step, which a service may use to recognise a repeated call.
+// Package tool implements the client of tool services and plain services. A service is called at the
+// path that the caller gave. foxhall adds a key that identifies the step, by which a service can
+// recognise a repeated call.
 package tool
 
 import (
@@ -25,56 +25,59 @@
 const (
 	// HeaderKey carries the step's key (draft-ietf-httpapi-idempotency-key-header).
 	HeaderKey = "Idempotency-Key"
-	// HeaderNotRun is set to "true" by a service on a refusal that ran nothing.
+	// HeaderNotRun is set to "true" by a service that refused a call and did not run it.
 	HeaderNotRun = "Foxhall-Not-Run"
-	// HeaderLeaving is set to "true" by an upstream that takes no new work.
+	// HeaderLeaving is set to "true" by an upstream that drains and accepts no new work.
 	HeaderLeaving = "Foxhall-Leaving"
 )
 
-// The errors of a call, to be tested with errors.Is. Any other failure after
-// the first byte left is ErrUnknown.
+// The errors of a call, to be tested with errors.Is. Once a byte of the call has been sent, any
+// failure but a refusal is ErrUnknown.
 var (
-	// ErrNotSent says that no byte of the call left this instance.
+	// ErrNotSent indicates that this instance sent no byte of the call.
 	ErrNotSent = errors.New("tool: not sent")
-	// ErrRefused says that the service itself answered that it did not run the call.
+	// ErrRefused indicates that the service itself reported that it did not run the call.
 	ErrRefused = errors.New("tool: refused by the service")
-	// ErrLeaving is an ErrRefused of a service that is shutting down.
+	// ErrLeaving is an ErrRefused from a service that drains.
 	ErrLeaving = errors.WithMessage(ErrRefused, "tool: leaving")
-	// ErrUnknown says that the call may have run.
+	// ErrUnknown indicates that the call may have run.
 	ErrUnknown = errors.New("tool: outcome unknown")
 )
 
-// Answer is what a service answered to a call that ran.
+// Answer is a service's response to a call that ran.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Call is one call to one replica of a service.
+// Call is one attempt of a call to one replica of a service.
 type Call struct {
+	// Address is the replica's address (host:port).
 	Address string
 	Request *step.ToolRequest
-	// Key names the step; the same for each attempt of it.
+	// Key identifies the step. It is the same for all attempts.
 	Key string
-	// Repeatable says that the call may be sent more than once.
+	// Repeatable indicates that the call may be sent more than once.
 	Repeatable bool
 }
 
 // Client calls services over HTTP.
 type Client struct {
+	// pooled reuses connections. unpooled does not, which calls that must not be repeated need.
 	pooled       *http.Client
 	unpooled     *http.Client
 	maxBodyBytes int64
 }
 
-// NewClient returns a client that dials within dialTimeout and accepts answers up to maxBody bytes.
+// NewClient returns a client that dials within dialTimeout and accepts responses of up to
+// maxBodyBytes.
 func NewClient(dialTimeout time.Duration, maxBodyBytes int64) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	pooled := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute}
-	// A request that names an idempotency key is resent by net/http when a
-	// reused connection breaks: the service would see a charge twice and no
-	// error would show. A transport that never reuses a connection never does.
+	// When a reused connection breaks, net/http resends a request that has an idempotency key: the
+	// service would get a charge twice and no error would be reported. A transport that never reuses
+	// a connection never resends.
 	unpooled := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
 	return &Client{
 		pooled:       &http.Client{Transport: pooled, CheckRedirect: returnRedirect},
@@ -83,8 +86,8 @@
 	}
 }
 
-// DialThrough replaces the way connections are made, before the first call. It
-// is how tests put a network of their own, with its faults, under the client.
+// DialThrough replaces the client's dial function. It must be called before the first call. Tests
+// use it to run the client on a simulated network with faults.
 func (c *Client) DialThrough(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.pooled.Transport.(*http.Transport).DialContext = dial
 	c.unpooled.Transport.(*http.Transport).DialContext = dial
@@ -93,12 +96,12 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.pooled.CloseIdleConnections() }
 
-// noRedirect gives a redirect to the caller as it is: following one would
-// send a call that may not be repeated a second time.
+// returnRedirect makes the client return a redirect as the response. Following it would send a call
+// a second time, which is wrong for a call that must not be repeated.
 func returnRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Call sends one attempt and returns the service's answer, or an error that
-// tells whether it can have run.
+// Call sends one attempt and returns the service's response, or an error that shows whether the call
+// may have run.
 func (c *Client) Call(ctx context.Context, call Call) (Answer, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -162,16 +165,18 @@
 	return Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// State is what a service's lookup says of a call.
+// State is the state of a call as reported by a service's lookup.
 type State string
 
 // The states that a lookup may report.
 const (
-	StateDone   State = "done"
+	// StateDone is the state of a call that ran; the lookup returns its response.
+	StateDone State = "done"
+	// StateNotRun is the state of a call that did not run.
 	StateNotRun State = "not-run"
 )
 
-// Finding is a service's answer to a lookup.
+// Finding is a service's response to a lookup.
 type Finding struct {
 	State       State  `json:"state"`
 	Status      int    `json:"status,omitempty"`
@@ -179,8 +184,8 @@
 	Body        []byte `json:"body,omitempty"`
 }
 
-// Lookup asks a service what became of the call with the key, at the path
-// that the usage list gives for it.
+// Lookup asks a service for the state of the call with the key. path is the service's lookup path in
+// the usage list.
 func (c *Client) Lookup(ctx context.Context, address, path, key string) (Finding, error) {
 	target := "http://" + address + "/" + trimLeadingSlashes(path) + "?key=" + url.QueryEscape(key)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
