--- a/internal/cache/view.go
+++ b/internal/cache/view.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// MarkEvicted removes the chain's blocks from index kept on from the engine's part of the view. It
-// is called when a response shows that the engine has only the first kept blocks of the chain: the
-// others were evicted and no event has reported it yet.
+// MarkEvicted removes chain[kept:] from the engine's part of the view. It is called when a response
+// shows that the engine has only the first kept blocks of the chain: the others were evicted and no
+// event has reported it.
 func (v *View) MarkEvicted(id uint32, chain []uint64, kept int) {
 	slot := v.slotOf(id)
 	for _, hash := range chain[min(kept, len(chain)):] {
@@ -160,8 +160,8 @@
 	}
 }
 
-// Resync replaces the engine's part of the view by the engine's state, which later events continue.
-// A state older than the events already applied is ignored.
+// Resync replaces the engine's part of the view by the engine's state. Later events are applied on
+// top of it. A state older than the events already applied is ignored.
 func (v *View) Resync(id uint32, s engine.State) {
 	v.mu.Lock()
 	stream := v.stream(id)
--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -1,5 +1,5 @@
-// Package chat defines the requests, messages and completions of the OpenAI-compatible chat API, which
-// callers send to foxhall and foxhall sends to engines.
+// Package chat defines the requests, messages and completions of the OpenAI-compatible chat API that
+// callers use with foxhall and foxhall uses with engines.
 package chat
 
 import (
--- a/internal/chat/compare.go
+++ b/internal/chat/compare.go
@@ -19,9 +19,9 @@
 	return true
 }
 
-// Equivalent reports whether two messages have the same content. Clients decode a response and encode
-// it again before they send it back, so the order of members, white space, and top-level members
-// that are null or empty are ignored.
+// Equivalent reports whether two messages have the same content. Clients decode a response and
+// encode it again before they send it back, so the order of members, white space, and top-level
+// members that are null or empty are ignored.
 func Equivalent(a, b Message) bool {
 	if bytes.Equal(a.Raw, b.Raw) {
 		return true
--- a/internal/engine/assemble.go
+++ b/internal/engine/assemble.go
@@ -49,8 +49,8 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// maxToolCalls bounds the tool calls of one message. A chunk names a tool call by its index, and the
-// list grows up to it.
+// maxToolCalls bounds the tool calls of one message. A chunk gives the index of its tool call, and
+// the list of tool calls grows to that index.
 const maxToolCalls = 1024
 
 // add adds one chunk and reports whether it contains only the usage.
--- a/internal/engine/blocks.go
+++ b/internal/engine/blocks.go
@@ -10,8 +10,8 @@
 	"foxhall/internal/chat"
 )
 
-// The parameters by which prompts are counted and divided into blocks. Engines compute the same block
-// hashes and publish them in their cache events.
+// The parameters by which prompts are counted and divided into blocks. Engines compute the same
+// block hashes and publish them in their cache events.
 const (
 	// TokenBytes is the number of bytes counted as one token.
 	TokenBytes = 4
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -66,7 +66,7 @@
 	defer resp.Body.Close()
 	var response *Response
 	if r.Chat.Stream {
-		response, err = readStreamed(resp.Body, begin, onChunk)
+		response, err = readStreaming(resp.Body, begin, onChunk)
 	} else {
 		response, err = readNonStreaming(resp.Body, begin)
 	}
@@ -90,10 +90,10 @@
 	return response, nil
 }
 
-func readStreamed(r io.Reader, begin time.Time, onChunk func(Chunk) error) (*Response, error) {
+func readStreaming(r io.Reader, begin time.Time, onChunk func(Chunk) error) (*Response, error) {
 	var a assembler
 	var firstToken time.Duration
-	err := readStream(r, func(data []byte) error {
+	err := readEvents(r, func(data []byte) error {
 		usageOnly, err := a.add(data)
 		if err != nil {
 			return err
--- a/internal/engine/control.go
+++ b/internal/engine/control.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	return readStream(resp.Body, func(data []byte) error {
+	return readEvents(resp.Body, func(data []byte) error {
 		var event Event
 		if err := json.Unmarshal(data, &event); err != nil {
 			return errors.Wrap(err, "engine: decode cache event")
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -59,7 +59,7 @@
 type Response struct {
 	// Body is the engine's JSON, or nil if the response was streamed.
 	Body []byte
-	// Message is the assistant's message in the form that a history needs.
+	// Message is the assistant's message as it is added to a history.
 	Message      chat.Message
 	FinishReason string
 	Usage        chat.Usage
--- a/internal/engine/sse.go
+++ b/internal/engine/sse.go
@@ -20,11 +20,11 @@
 	doneData  = []byte("[DONE]")
 )
 
-// readStream calls onEvent with the data of every server-sent event up to the end marker, doneData.
+// readEvents calls onEvent with the data of every server-sent event up to the end marker, doneData.
 // The lines and the data of an event are limited to MaxEventBytes, so that a faulty engine cannot
 // exhaust the memory. A stream without the end marker is an error, since a truncated response must
 // not count as a complete one.
-func readStream(r io.Reader, onEvent func(data []byte) error) error {
+func readEvents(r io.Reader, onEvent func(data []byte) error) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 4096), MaxEventBytes)
 	var event []byte
--- a/internal/engine/sse_test.go
+++ b/internal/engine/sse_test.go
@@ -18,10 +18,10 @@
 	is := is.New(t)
 	complete := "data: {\"a\":1}\n\ndata: {\"a\":2}\n\ndata: [DONE]\n\n"
 	for cut := range len(complete) - len("\n\n") {
-		err := readStream(strings.NewReader(complete[:cut]), func([]byte) error { return nil })
+		err := readEvents(strings.NewReader(complete[:cut]), func([]byte) error { return nil })
 		is.True(err != nil) // no end marker
 	}
-	is.NoErr(readStream(strings.NewReader(complete), func([]byte) error { return nil }))
+	is.NoErr(readEvents(strings.NewReader(complete), func([]byte) error { return nil }))
 }
 
 // A faulty engine sends an endless line, or an event of endless lines. The reader must fail at its
@@ -29,9 +29,9 @@
 func TestStreamLineIsBounded(t *testing.T) {
 	is := is.New(t)
 	endless := "data: " + strings.Repeat("x", 2*MaxEventBytes)
-	is.True(readStream(strings.NewReader(endless), func([]byte) error { return nil }) != nil)
+	is.True(readEvents(strings.NewReader(endless), func([]byte) error { return nil }) != nil)
 	lines := strings.Repeat("data: "+strings.Repeat("x", 1<<16)+"\n", 32)
-	is.True(readStream(strings.NewReader(lines), func([]byte) error { return nil }) != nil)
+	is.True(readEvents(strings.NewReader(lines), func([]byte) error { return nil }) != nil)
 }
 
 // FuzzStream feeds arbitrary bytes to the reader and the assembler. Events must stay within
@@ -43,7 +43,7 @@
 	f.Add([]byte("data: {\"choices\":[{\"delta\":{\"tool_calls\":[{\"index\":9}]}}]}\n\n"))
 	f.Fuzz(func(t *testing.T, input []byte) {
 		var a assembler
-		err := readStream(bytes.NewReader(input), func(data []byte) error {
+		err := readEvents(bytes.NewReader(input), func(data []byte) error {
 			if len(data) > MaxEventBytes {
 				t.Fatalf("event of %d bytes exceeds the limit", len(data))
 			}
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -132,8 +132,8 @@
 	Chunk(data []byte) error
 }
 
-// Refuse returns a result with the outcome NotRun. It must be used only for a step that certainly did
-// not run.
+// Refuse returns a result with the outcome NotRun. It must be used only for a step that certainly
+// did not run.
 func Refuse(status int, code Code, message string) Result {
 	return Result{Outcome: NotRun, Status: status, Code: code, Message: message}
 }
--- a/internal/upstream/leaving.go
+++ b/internal/upstream/leaving.go
@@ -65,7 +65,7 @@
 // start begins. The caller holds the lock.
 func (u *Upstream) recordAlive(at time.Time) {
 	u.drain.recordAlive(at)
-	if was := u.draining.Swap(u.drain.draining()); was && !u.drain.draining() {
+	if wasDraining := u.draining.Swap(u.drain.draining()); wasDraining && !u.drain.draining() {
 		u.rampFrom.Store(at.UnixNano())
 	}
 }
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -36,8 +36,8 @@
 	h.next = (h.next + 1) % historySamples
 }
 
-// callsAt returns the number of own calls in flight at the given time, or the oldest sample if the
-// history does not reach back that far.
+// callsAt returns the number of own calls in flight at the given time (Unix nanoseconds). It is 0
+// before the first call. If the samples of that time have been overwritten, the oldest one counts.
 func (h *inFlightHistory) callsAt(at int64) int32 {
 	for i := 1; i <= historySamples; i++ {
 		slot := (h.next + historySamples - i) % historySamples
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -53,8 +53,8 @@
 }
 
 const (
-	// inUseProbeFactor is the factor on the probe rate of an engine that has or recently had own
-	// calls, or that is unavailable and may have recovered.
+	// inUseProbeFactor is how much more often an engine is probed that has or recently had own calls,
+	// or that is unavailable and may have recovered.
 	inUseProbeFactor = 4
 	// inUseDuration is how long an engine counts as in use after its last progress. An engine that
 	// crashes loses its calls at once and must not count as idle then.
@@ -89,7 +89,8 @@
 }
 
 // endExpiredDrain readmits a draining replica of a service once DrainHold has passed. A service has
-// no load report; if it still drains, it refuses the next call with that signal and does not run it.
+// no load report. If it still drains, it refuses the next call with a drain signal and does not run
+// it.
 func (u *Upstream) endExpiredDrain(now time.Time) {
 	if !u.draining.Load() {
 		return
--- a/internal/upstream/signal.go
+++ b/internal/upstream/signal.go
@@ -17,8 +17,8 @@
 // centre.
 type Signal struct {
 	Upstream string
-	// Address is the address of the upstream. A signal whose address differs from the table's is
-	// ignored, since the name stands for another process by now.
+	// Address is the upstream's address. A signal whose address differs from that in the table is
+	// ignored, since the name now belongs to another process.
 	Address string
 	Kind    SignalKind
 	// Age is the time since the state was observed.
--- a/internal/upstream/speed.go
+++ b/internal/upstream/speed.go
@@ -50,7 +50,7 @@
 type Sample struct {
 	// Uncached and Output are numbers of tokens; Batch is the size of the batch that the call ran in.
 	Uncached, Output, Batch int
-	// FirstToken is the time to the first token, Total that to the end of the response.
+	// FirstToken is the time to the first token, Total the time to the end of the response.
 	FirstToken, Total time.Duration
 }
 
@@ -63,8 +63,8 @@
 	n, x, y, xx, xy float64
 }
 
-func (c *learnedSpeed) load() Speed {
-	if s := c.current.Load(); s != nil {
+func (l *learnedSpeed) load() Speed {
+	if s := l.current.Load(); s != nil {
 		return *s
 	}
 	return DefaultSpeed
@@ -99,35 +99,35 @@
 }
 
 // learnDecode fits the time per token as a linear function of the batch size.
-func (c *learnedSpeed) learnDecode(next *Speed, s Sample) {
+func (l *learnedSpeed) learnDecode(next *Speed, s Sample) {
 	if s.Output < 2 || s.Total <= s.FirstToken {
 		return
 	}
-	if c.n == 0 {
-		c.addDecode(1, DefaultSpeed.TokenTime(1), defaultWeight)
-		c.addDecode(16, DefaultSpeed.TokenTime(16), defaultWeight)
+	if l.n == 0 {
+		l.addDecode(1, DefaultSpeed.TokenTime(1), defaultWeight)
+		l.addDecode(16, DefaultSpeed.TokenTime(16), defaultWeight)
 	}
 	perToken := (s.Total - s.FirstToken).Seconds() / float64(s.Output-1)
-	c.n, c.x, c.y, c.xx, c.xy = c.n*decodeDecay, c.x*decodeDecay, c.y*decodeDecay, c.xx*decodeDecay, c.xy*decodeDecay
-	c.addDecode(float64(s.Batch), perToken, 1)
-	spread := c.n*c.xx - c.x*c.x
+	l.n, l.x, l.y, l.xx, l.xy = l.n*decodeDecay, l.x*decodeDecay, l.y*decodeDecay, l.xx*decodeDecay, l.xy*decodeDecay
+	l.addDecode(float64(s.Batch), perToken, 1)
+	spread := l.n*l.xx - l.x*l.x
 	slope := 0.0
 	if spread > 1e-9 {
-		slope = max(0, (c.n*c.xy-c.x*c.y)/spread)
+		slope = max(0, (l.n*l.xy-l.x*l.y)/spread)
 	}
-	base := (c.y - slope*c.x) / c.n
+	base := (l.y - slope*l.x) / l.n
 	if base <= 0 {
-		base, slope = 0, c.y/max(c.x, 1)
+		base, slope = 0, l.y/max(l.x, 1)
 	}
 	next.TokenBase, next.TokenPerCall = base, slope
 }
 
-func (c *learnedSpeed) addDecode(batch, perToken, weight float64) {
-	c.n += weight
-	c.x += weight * batch
-	c.y += weight * perToken
-	c.xx += weight * batch * batch
-	c.xy += weight * batch * perToken
+func (l *learnedSpeed) addDecode(batch, perToken, weight float64) {
+	l.n += weight
+	l.x += weight * batch
+	l.y += weight * perToken
+	l.xx += weight * batch * batch
+	l.xy += weight * batch * perToken
 }
 
 const (
@@ -135,7 +135,7 @@
 	slownessUnit = 1000
 	// slownessWeight is the weight of one sample in the moving average.
 	slownessWeight = 0.3
-	// slownessMax bounds the ratio of one sample.
+	// slownessMax bounds the ratio of measured to expected time of one sample.
 	slownessMax = 50
 	// slownessHalfLife is the half-life of the excess over 1 without new samples, so that an
 	// upstream that was slow is tried again.
--- a/internal/upstream/table.go
+++ b/internal/upstream/table.go
@@ -47,8 +47,8 @@
 func (t *Table) Snapshot() *Snapshot { return t.snapshot.Load() }
 
 // Apply replaces the table's upstreams by those of the usage list. An upstream whose entry did not
-// change keeps its state; one whose entry changed, as by a new address, starts as a new upstream.
-// Apply marks the upstreams that are no longer in the list as draining and returns them.
+// change keeps its state; one whose entry changed, for example to a new address, is replaced by a
+// new upstream. Apply marks the removed and replaced upstreams as draining and returns them.
 func (t *Table) Apply(listed []usage.Upstream, now time.Time) []*Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,9 +86,9 @@
 
 // reuseEndpoint returns the endpoint of the upstream in old, or a new one.
 func reuseEndpoint(old []*Endpoint, u *Upstream, name string) *Endpoint {
-	for _, c := range old {
-		if c.Upstream == u {
-			return c
+	for _, e := range old {
+		if e.Upstream == u {
+			return e
 		}
 	}
 	return &Endpoint{Upstream: u, Name: name}
