--- a/internal/chat/compare.go
+++ b/internal/chat/compare.go
@@ -6,38 +6,39 @@
 	"reflect"
 )
 
-// HasPrefix reports whether list starts with all messages of prefix.
+// HasPrefix reports whether list starts with messages equivalent to those of prefix.
 func HasPrefix(list, prefix []Message) bool {
 	if len(list) < len(prefix) {
 		return false
 	}
 	for i := range prefix {
-		if !Same(list[i], prefix[i]) {
+		if !Equivalent(list[i], prefix[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// Same reports whether two messages say the same. Clients decode an answer and
-// encode it again before they send it back, so the order of the members,
-// white space, and top-level members that are null or empty do not count.
-func Same(a, b Message) bool {
+// Equivalent reports whether two messages have the same content. Clients decode a response and
+// encode it again before they send it back, so the order of members, white space, and top-level
+// members that are null or empty are ignored.
+func Equivalent(a, b Message) bool {
 	if bytes.Equal(a.Raw, b.Raw) {
 		return true
 	}
 	if a.Role != b.Role {
 		return false
 	}
-	left, err := members(a.Raw)
+	left, err := nonEmptyMembers(a.Raw)
 	if err != nil {
 		return false
 	}
-	right, err := members(b.Raw)
+	right, err := nonEmptyMembers(b.Raw)
 	return err == nil && reflect.DeepEqual(left, right)
 }
 
-func members(raw []byte) (map[string]any, error) {
+// nonEmptyMembers decodes a JSON object and removes the top-level members that are null or empty.
+func nonEmptyMembers(raw []byte) (map[string]any, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
 	var m map[string]any
@@ -66,9 +67,9 @@
 	return false
 }
 
-// IsContinuation reports whether the list holds only messages that a caller
-// adds after an answer. A whole conversation that has had a turn holds the
-// answer too, with the role "assistant", and mostly a system message.
+// IsContinuation reports whether the list contains only messages that a caller adds after a
+// response. A complete conversation of at least one turn also contains the response, with the role
+// "assistant", and usually a system message.
 func IsContinuation(list []Message) bool {
 	for _, m := range list {
 		if m.Role == "assistant" || m.Role == "system" || m.Role == "developer" {
@@ -78,10 +79,10 @@
 	return true
 }
 
-// AsksTool reports whether an answer asks its program to call a tool.
-func AsksTool(answer Message) bool {
+// AsksTool reports whether a response contains a tool call for its program.
+func AsksTool(response Message) bool {
 	var body struct {
 		ToolCalls []json.RawMessage `json:"tool_calls"`
 	}
-	return json.Unmarshal(answer.Raw, &body) == nil && len(body.ToolCalls) > 0
+	return json.Unmarshal(response.Raw, &body) == nil && len(body.ToolCalls) > 0
 }
--- a/internal/chat/compare_test.go
+++ b/internal/chat/compare_test.go
@@ -16,25 +16,24 @@
 	return m
 }
 
-// A stock client reads an answer and sends it back with the next question, in
-// its own encoding. It is still the same message; one that says anything else
-// is not.
-func TestSameAfterAClientsRoundTrip(t *testing.T) {
+// A standard client decodes a response and sends it back with the next request, in its own encoding.
+// The two messages are equivalent; a message with any other content is not.
+func TestEquivalentAfterClientRoundTrip(t *testing.T) {
 	is := is.New(t)
-	answer := parse(`{"role":"assistant", "content":"Olá \u003c3", "refusal":null, "annotations":[],
+	message := parse(`{"role":"assistant", "content":"Olá \u003c3", "refusal":null, "annotations":[],
 		"tool_calls":[{"id":"c1","type":"function","function":{"name":"pay","arguments":"{\"n\": 1}"}}]}`)
 	var read openai.ChatCompletion
-	is.NoErr(json.Unmarshal(Completion{ID: "1", Model: "m", Answer: answer, FinishReason: "stop"}.Encode(), &read))
+	is.NoErr(json.Unmarshal(Completion{ID: "1", Model: "m", Answer: message, FinishReason: "stop"}.Encode(), &read))
 	raw, err := json.Marshal(read.Choices[0].Message.ToParam())
 	is.NoErr(err)
-	is.True(Same(parse(string(raw)), answer))
-	is.True(!Same(parse(`{"role":"assistant","content":"Olá <4"}`), answer))
-	is.True(!Same(parse(`{"role":"user","content":"x"}`), parse(`{"role":"assistant","content":"x"}`)))
-	is.True(AsksTool(answer))
+	is.True(Equivalent(parse(string(raw)), message))
+	is.True(!Equivalent(parse(`{"role":"assistant","content":"Olá <4"}`), message))
+	is.True(!Equivalent(parse(`{"role":"user","content":"x"}`), parse(`{"role":"assistant","content":"x"}`)))
+	is.True(AsksTool(message))
 	is.True(!AsksTool(parse(`{"role":"assistant","content":"\"tool_calls\""}`)))
 }
 
-// A list without an answer or a system message is what a caller adds.
+// A list without a response and without a system message is a continuation.
 func TestIsContinuation(t *testing.T) {
 	is := is.New(t)
 	user, tool := parse(`{"role":"user","content":"x"}`), parse(`{"role":"tool","content":"x"}`)
--- a/internal/engine/assemble.go
+++ b/internal/engine/assemble.go
@@ -9,15 +9,16 @@
 	"foxhall/internal/chat"
 )
 
-// assembler builds the message of a streamed answer from its chunks.
+// assembler builds the assistant's message of a streamed response from its chunks.
 type assembler struct {
-	content   strings.Builder
-	refusal   strings.Builder
-	calls     []toolCall
-	reason    string
-	usage     chat.Usage
-	usageSeen bool
-	begun     bool
+	content      strings.Builder
+	refusal      strings.Builder
+	toolCalls    []toolCall
+	finishReason string
+	usage        chat.Usage
+	hasUsage     bool
+	// started is set once a chunk of the first choice has arrived.
+	started bool
 }
 
 type toolCall struct {
@@ -48,10 +49,11 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// maxToolCalls bounds the tool calls of one message, since a chunk names them by index.
+// maxToolCalls bounds the tool calls of one message. A chunk gives the index of its tool call, and
+// the list of tool calls grows to that index.
 const maxToolCalls = 1024
 
-// add takes one chunk and reports whether it carries only the usage.
+// add adds one chunk and reports whether it contains only the usage.
 func (a *assembler) add(data []byte) (bool, error) {
 	var chunk streamChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
@@ -62,35 +64,35 @@
 	}
 	if chunk.Usage != nil {
 		a.usage = *chunk.Usage
-		a.usageSeen = true
+		a.hasUsage = true
 	}
 	for _, choice := range chunk.Choices {
 		if choice.Index != 0 {
 			continue
 		}
-		a.begun = true
+		a.started = true
 		a.content.WriteString(choice.Delta.Content)
 		a.refusal.WriteString(choice.Delta.Refusal)
 		for _, part := range choice.Delta.ToolCalls {
-			if err := a.addCall(part.Index, part.toolCall); err != nil {
+			if err := a.addToolCall(part.Index, part.toolCall); err != nil {
 				return false, err
 			}
 		}
 		if choice.FinishReason != "" {
-			a.reason = choice.FinishReason
+			a.finishReason = choice.FinishReason
 		}
 	}
 	return len(chunk.Choices) == 0 && chunk.Usage != nil, nil
 }
 
-func (a *assembler) addCall(index int, part toolCall) error {
+func (a *assembler) addToolCall(index int, part toolCall) error {
 	if index < 0 || index >= maxToolCalls {
 		return errors.Errorf("tool call index %d", index)
 	}
-	for len(a.calls) <= index {
-		a.calls = append(a.calls, toolCall{Type: "function"})
+	for len(a.toolCalls) <= index {
+		a.toolCalls = append(a.toolCalls, toolCall{Type: "function"})
 	}
-	call := &a.calls[index]
+	call := &a.toolCalls[index]
 	call.ID += part.ID
 	if part.Type != "" {
 		call.Type = part.Type
@@ -100,10 +102,10 @@
 	return nil
 }
 
-// answer returns what has been assembled; without a finish reason or usage the
-// stream was not whole.
-func (a *assembler) answer() (*Response, error) {
-	if a.reason == "" || !a.usageSeen {
+// response returns the assembled response. A stream without a finish reason or usage was truncated
+// and is an error.
+func (a *assembler) response() (*Response, error) {
+	if a.finishReason == "" || !a.hasUsage {
 		return nil, errTruncated
 	}
 	message := struct {
@@ -111,13 +113,13 @@
 		Content   *string    `json:"content"`
 		Refusal   string     `json:"refusal,omitempty"`
 		ToolCalls []toolCall `json:"tool_calls,omitempty"`
-	}{Role: "assistant", Refusal: a.refusal.String(), ToolCalls: a.calls}
-	if content := a.content.String(); content != "" || len(a.calls) == 0 {
+	}{Role: "assistant", Refusal: a.refusal.String(), ToolCalls: a.toolCalls}
+	if content := a.content.String(); content != "" || len(a.toolCalls) == 0 {
 		message.Content = &content
 	}
 	raw, err := json.Marshal(message)
 	if err != nil {
 		return nil, errors.Wrap(err, "message")
 	}
-	return &Response{Message: chat.Message{Role: "assistant", Raw: raw}, FinishReason: a.reason, Usage: a.usage}, nil
+	return &Response{Message: chat.Message{Role: "assistant", Raw: raw}, FinishReason: a.finishReason, Usage: a.usage}, nil
 }
--- a/internal/engine/sse.go
+++ b/internal/engine/sse.go
@@ -8,24 +8,25 @@
 	"github.com/pkg/errors"
 )
 
-// MaxEvent is the largest event of a stream, in bytes.
-const MaxEvent = 1 << 20
+// MaxEventBytes is the largest size of an event in a stream.
+const MaxEventBytes = 1 << 20
 
-// errTruncated says that a stream ended before its end mark.
+// errTruncated indicates that a stream ended before its end marker, or without a finish reason or
+// usage.
 var errTruncated = errors.New("stream ended early")
 
 var (
 	dataField = []byte("data:")
-	doneMark  = []byte("[DONE]")
+	doneData  = []byte("[DONE]")
 )
 
-// readStream calls each with the data of every server-sent event until the
-// end mark. Lines of an event are bounded by MaxEvent, so that a broken engine
-// cannot fill the memory. A stream without the end mark is an error, since an
-// answer cut off in the middle must not pass for a whole one.
-func readStream(r io.Reader, each func(data []byte) error) error {
+// readEvents calls onEvent with the data of every server-sent event up to the end marker, doneData.
+// The lines and the data of an event are limited to MaxEventBytes, so that a faulty engine cannot
+// exhaust the memory. A stream without the end marker is an error, since a truncated response must
+// not count as a complete one.
+func readEvents(r io.Reader, onEvent func(data []byte) error) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 4096), MaxEvent)
+	scanner.Buffer(make([]byte, 0, 4096), MaxEventBytes)
 	var event []byte
 	for scanner.Scan() {
 		line := scanner.Bytes()
@@ -39,10 +40,10 @@
 		if len(event) == 0 {
 			continue
 		}
-		if bytes.Equal(event, doneMark) {
+		if bytes.Equal(event, doneData) {
 			return nil
 		}
-		if err := each(event); err != nil {
+		if err := onEvent(event); err != nil {
 			return err
 		}
 		event = event[:0]
@@ -50,13 +51,13 @@
 	if err := scanner.Err(); err != nil {
 		return err
 	}
-	if bytes.Equal(event, doneMark) {
+	if bytes.Equal(event, doneData) {
 		return nil
 	}
 	return errTruncated
 }
 
-// appendData adds a data line to the event; lines of other fields are skipped.
+// appendData appends the data of a line to the event. Lines of other fields are skipped.
 func appendData(event, line []byte) ([]byte, error) {
 	data, ok := bytes.CutPrefix(line, dataField)
 	if !ok {
@@ -66,7 +67,7 @@
 	if len(event) > 0 {
 		event = append(event, '\n')
 	}
-	if len(event)+len(data) > MaxEvent {
+	if len(event)+len(data) > MaxEventBytes {
 		return nil, bufio.ErrTooLong
 	}
 	return append(event, data...), nil
--- a/internal/tool/client.go
+++ b/internal/tool/client.go
@@ -1,6 +1,6 @@
-// Package tool is the client of tool services and plain services. A service is
-// called at the path that the caller named; foxhall adds a key that names the
-// step, which a service may use to recognise a repeated call.
+// Package tool implements the client of tool services and plain services. A service is called at the
+// path that the caller gave. foxhall adds a key that identifies the step, by which a service can
+// recognise a repeated call.
 package tool
 
 import (
@@ -25,80 +25,83 @@
 const (
 	// HeaderKey carries the step's key (draft-ietf-httpapi-idempotency-key-header).
 	HeaderKey = "Idempotency-Key"
-	// HeaderNotRun is set to "true" by a service on a refusal that ran nothing.
+	// HeaderNotRun is set to "true" by a service that refused a call and did not run it.
 	HeaderNotRun = "Foxhall-Not-Run"
-	// HeaderLeaving is set to "true" by an upstream that takes no new work.
+	// HeaderLeaving is set to "true" by an upstream that drains and accepts no new work.
 	HeaderLeaving = "Foxhall-Leaving"
 )
 
-// The errors of a call, to be tested with errors.Is. Any other failure after
-// the first byte left is ErrUnknown.
+// The errors of a call, to be tested with errors.Is. Once a byte of the call has been sent, any
+// failure but a refusal is ErrUnknown.
 var (
-	// ErrNotSent says that no byte of the call left this instance.
+	// ErrNotSent indicates that this instance sent no byte of the call.
 	ErrNotSent = errors.New("tool: not sent")
-	// ErrRefused says that the service itself answered that it did not run the call.
+	// ErrRefused indicates that the service itself reported that it did not run the call.
 	ErrRefused = errors.New("tool: refused by the service")
-	// ErrLeaving is an ErrRefused of a service that is shutting down.
+	// ErrLeaving is an ErrRefused from a service that drains.
 	ErrLeaving = errors.WithMessage(ErrRefused, "tool: leaving")
-	// ErrUnknown says that the call may have run.
+	// ErrUnknown indicates that the call may have run.
 	ErrUnknown = errors.New("tool: outcome unknown")
 )
 
-// Answer is what a service answered to a call that ran.
+// Answer is a service's response to a call that ran.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Call is one call to one replica of a service.
+// Call is one attempt of a call to one replica of a service.
 type Call struct {
+	// Address is the replica's address (host:port).
 	Address string
 	Request *step.ToolRequest
-	// Key names the step; the same for each attempt of it.
+	// Key identifies the step. It is the same for all attempts.
 	Key string
-	// Repeatable says that the call may be sent more than once.
+	// Repeatable indicates that the call may be sent more than once.
 	Repeatable bool
 }
 
 // Client calls services over HTTP.
 type Client struct {
-	shared  *http.Client
-	once    *http.Client
-	maxBody int64
+	// pooled reuses connections. unpooled does not, which calls that must not be repeated need.
+	pooled       *http.Client
+	unpooled     *http.Client
+	maxBodyBytes int64
 }
 
-// NewClient returns a client that dials within dialTimeout and accepts answers up to maxBody bytes.
-func NewClient(dialTimeout time.Duration, maxBody int64) *Client {
+// NewClient returns a client that dials within dialTimeout and accepts responses of up to
+// maxBodyBytes.
+func NewClient(dialTimeout time.Duration, maxBodyBytes int64) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	shared := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute}
-	// A request that names an idempotency key is resent by net/http when a
-	// reused connection breaks: the service would see a charge twice and no
-	// error would show. A transport that never reuses a connection never does.
-	once := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
+	pooled := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute}
+	// When a reused connection breaks, net/http resends a request that has an idempotency key: the
+	// service would get a charge twice and no error would be reported. A transport that never reuses
+	// a connection never resends.
+	unpooled := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
 	return &Client{
-		shared:  &http.Client{Transport: shared, CheckRedirect: noRedirect},
-		once:    &http.Client{Transport: once, CheckRedirect: noRedirect},
-		maxBody: maxBody,
+		pooled:       &http.Client{Transport: pooled, CheckRedirect: returnRedirect},
+		unpooled:     &http.Client{Transport: unpooled, CheckRedirect: returnRedirect},
+		maxBodyBytes: maxBodyBytes,
 	}
 }
 
-// DialThrough replaces the way connections are made, before the first call. It
-// is how tests put a network of their own, with its faults, under the client.
+// DialThrough replaces the client's dial function. It must be called before the first call. Tests
+// use it to run the client on a simulated network with faults.
 func (c *Client) DialThrough(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
-	c.shared.Transport.(*http.Transport).DialContext = dial
-	c.once.Transport.(*http.Transport).DialContext = dial
+	c.pooled.Transport.(*http.Transport).DialContext = dial
+	c.unpooled.Transport.(*http.Transport).DialContext = dial
 }
 
 // Close closes the idle connections.
-func (c *Client) Close() { c.shared.CloseIdleConnections() }
+func (c *Client) Close() { c.pooled.CloseIdleConnections() }
 
-// noRedirect gives a redirect to the caller as it is: following one would
-// send a call that may not be repeated a second time.
-func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// returnRedirect makes the client return a redirect as the response. Following it would send a call
+// a second time, which is wrong for a call that must not be repeated.
+func returnRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Call sends one attempt and returns the service's answer, or an error that
-// tells whether it can have run.
+// Call sends one attempt and returns the service's response, or an error that shows whether the call
+// may have run.
 func (c *Client) Call(ctx context.Context, call Call) (Answer, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -106,7 +109,7 @@
 	if err != nil {
 		return Answer{}, errors.Wrap(ErrNotSent, err.Error())
 	}
-	resp, err := c.pick(call).Do(req)
+	resp, err := c.httpClientFor(call).Do(req)
 	if err != nil && !connected.Load() {
 		return Answer{}, errors.Wrap(ErrNotSent, err.Error())
 	}
@@ -114,19 +117,19 @@
 		return Answer{}, errors.Wrap(ErrUnknown, err.Error())
 	}
 	defer resp.Body.Close()
-	return c.read(resp)
+	return c.readResponse(resp)
 }
 
-func (c *Client) pick(call Call) *http.Client {
+func (c *Client) httpClientFor(call Call) *http.Client {
 	if call.Repeatable {
-		return c.shared
+		return c.pooled
 	}
-	return c.once
+	return c.unpooled
 }
 
 func newRequest(ctx context.Context, call Call) (*http.Request, error) {
 	r := call.Request
-	target := "http://" + call.Address + "/" + trimSlash(r.Path)
+	target := "http://" + call.Address + "/" + trimLeadingSlashes(r.Path)
 	req, err := http.NewRequestWithContext(ctx, r.Method, target, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, err
@@ -138,40 +141,42 @@
 	return req, nil
 }
 
-func trimSlash(path string) string {
+func trimLeadingSlashes(path string) string {
 	for len(path) > 0 && path[0] == '/' {
 		path = path[1:]
 	}
 	return path
 }
 
-func (c *Client) read(resp *http.Response) (Answer, error) {
+func (c *Client) readResponse(resp *http.Response) (Answer, error) {
 	if resp.Header.Get(HeaderNotRun) == "true" {
 		if resp.Header.Get(HeaderLeaving) == "true" {
 			return Answer{}, ErrLeaving
 		}
 		return Answer{}, errors.Wrap(ErrRefused, resp.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBodyBytes+1))
 	if err != nil {
 		return Answer{}, errors.Wrap(ErrUnknown, err.Error())
 	}
-	if int64(len(body)) > c.maxBody {
-		return Answer{}, errors.Wrap(ErrUnknown, "answer over "+strconv.FormatInt(c.maxBody, 10)+" bytes")
+	if int64(len(body)) > c.maxBodyBytes {
+		return Answer{}, errors.Wrap(ErrUnknown, "answer over "+strconv.FormatInt(c.maxBodyBytes, 10)+" bytes")
 	}
 	return Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// State is what a service's lookup says of a call.
+// State is the state of a call as reported by a service's lookup.
 type State string
 
 // The states that a lookup may report.
 const (
-	StateDone   State = "done"
+	// StateDone is the state of a call that ran; the lookup returns its response.
+	StateDone State = "done"
+	// StateNotRun is the state of a call that did not run.
 	StateNotRun State = "not-run"
 )
 
-// Finding is a service's answer to a lookup.
+// Finding is a service's response to a lookup.
 type Finding struct {
 	State       State  `json:"state"`
 	Status      int    `json:"status,omitempty"`
@@ -179,15 +184,15 @@
 	Body        []byte `json:"body,omitempty"`
 }
 
-// Lookup asks a service what became of the call with the key, at the path
-// that the usage list gives for it.
+// Lookup asks a service for the state of the call with the key. path is the service's lookup path in
+// the usage list.
 func (c *Client) Lookup(ctx context.Context, address, path, key string) (Finding, error) {
-	target := "http://" + address + "/" + trimSlash(path) + "?key=" + url.QueryEscape(key)
+	target := "http://" + address + "/" + trimLeadingSlashes(path) + "?key=" + url.QueryEscape(key)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return Finding{}, errors.Wrap(err, "tool: lookup")
 	}
-	resp, err := c.shared.Do(req)
+	resp, err := c.pooled.Do(req)
 	if err != nil {
 		return Finding{}, errors.Wrap(err, "tool: lookup")
 	}
@@ -195,7 +200,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return Finding{}, errors.Errorf("tool: lookup: %s", resp.Status)
 	}
-	var found Finding
-	err = json.NewDecoder(io.LimitReader(resp.Body, c.maxBody)).Decode(&found)
-	return found, errors.Wrap(err, "tool: lookup")
+	var finding Finding
+	err = json.NewDecoder(io.LimitReader(resp.Body, c.maxBodyBytes)).Decode(&finding)
+	return finding, errors.Wrap(err, "tool: lookup")
 }
--- a/internal/upstream/leaving.go
+++ b/internal/upstream/leaving.go
@@ -2,94 +2,100 @@
 
 import "time"
 
-// LeaveHold is how long any sign of leaving outweighs every sign of life. It
-// is longer than the platform's list lags, so that a stale "live" does not
-// bring a draining upstream back.
+// DrainHold is how long a drain signal overrides every sign of life. It exceeds the lag of the
+// platform's list, so that an outdated "live" entry does not bring a draining upstream back.
 const DrainHold = 30 * time.Second
 
-// departure merges what is said about an upstream's leaving: by the platform's
-// lagging list, by its own answers and by peers. Leaving wins: one sign is
-// enough, at once. It is taken back only by the upstream itself saying, after
-// the hold and while the list does not contradict, that it is there.
-type departure struct {
-	signed   bool
-	lastSign time.Time
-	listed   ListState
+// drainState merges the drain signals for an upstream, which come from the platform's lagging list,
+// from its own responses and from peers. A single signal takes effect at once. It is revoked only
+// by a sign of life from the upstream itself, after DrainHold has passed and if the list does not
+// name the upstream as draining.
+type drainState struct {
+	// signalled is set by a drain signal and cleared by a later sign of life.
+	signalled  bool
+	lastSignal time.Time
+	listed     ListState
 }
 
-// ListState is what the platform's list says of an upstream.
+// ListState is the state of an upstream in the platform's list.
 type ListState uint8
 
-// The states of the platform's list.
+// The states in the platform's list.
 const (
-	// Unlisted says that the list never named it; then the usage list alone counts.
+	// Unlisted is the state of an upstream that the list has never named; only the usage list
+	// counts for it.
 	Unlisted ListState = iota
+	// Listed is the state of an upstream that the list names as live.
 	Listed
-	// ListedLeaving says that the list names it as leaving, or dropped it.
+	// ListedDraining is the state of an upstream that the list names as draining or has dropped.
 	ListedDraining
 )
 
-func (d *departure) leaving() bool { return d.signed || d.listed == ListedDraining }
+func (d *drainState) draining() bool { return d.signalled || d.listed == ListedDraining }
 
-func (d *departure) sign(at time.Time) {
-	if at.After(d.lastSign) {
-		d.lastSign = at
+// recordSignal records a drain signal that was seen at the given time.
+func (d *drainState) recordSignal(at time.Time) {
+	if at.After(d.lastSignal) {
+		d.lastSignal = at
 	}
-	d.signed = true
+	d.signalled = true
 }
 
-func (d *departure) list(state ListState, at time.Time) {
+func (d *drainState) recordListState(state ListState, at time.Time) {
 	if state == ListedDraining {
-		d.sign(at)
+		d.recordSignal(at)
 	}
 	d.listed = state
 }
 
-func (d *departure) present(at time.Time) {
-	if d.signed && d.listed != ListedDraining && at.Sub(d.lastSign) >= DrainHold {
-		d.signed = false
+// recordAlive records a sign of life from the upstream itself.
+func (d *drainState) recordAlive(at time.Time) {
+	if d.signalled && d.listed != ListedDraining && at.Sub(d.lastSignal) >= DrainHold {
+		d.signalled = false
 	}
 }
 
-// sign notes a sign of leaving; the caller holds the lock.
-func (u *Upstream) sign(at time.Time) {
-	u.departure.sign(at)
-	u.leaving.Store(u.departure.leaving())
+// recordDrainSignal records a drain signal. The caller holds the lock.
+func (u *Upstream) recordDrainSignal(at time.Time) {
+	u.drain.recordSignal(at)
+	u.draining.Store(u.drain.draining())
 }
 
-// present notes that the upstream said it is there; the caller holds the lock.
-func (u *Upstream) present(at time.Time) {
-	u.departure.present(at)
-	if was := u.leaving.Swap(u.departure.leaving()); was && !u.departure.leaving() {
+// recordAlive records a sign of life from the upstream itself. If this ends its draining, slow
+// start begins. The caller holds the lock.
+func (u *Upstream) recordAlive(at time.Time) {
+	u.drain.recordAlive(at)
+	if wasDraining := u.draining.Swap(u.drain.draining()); wasDraining && !u.drain.draining() {
 		u.rampFrom.Store(at.UnixNano())
 	}
 }
 
-// SaidLeaving notes that the upstream itself said that it drains.
+// MarkDraining records the upstream's own signal that it drains.
 func (u *Upstream) MarkDraining(at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.sign(at)
+	u.recordDrainSignal(at)
 }
 
-// PeerSaidLeaving notes that a peer saw it leave, age ago. What is older than
-// the hold is past: a delayed message must not put a returned upstream away.
+// PeerReportedDraining records that a peer saw the upstream drain, age ago. A report as old as
+// DrainHold or older is ignored: a delayed message must not exclude an upstream that has returned.
 func (u *Upstream) PeerReportedDraining(now time.Time, age time.Duration) {
 	if age < 0 || age >= DrainHold {
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.sign(now.Add(-age))
+	u.recordDrainSignal(now.Add(-age))
 }
 
-// ListSays notes what the platform's list says.
+// SetListState applies the upstream's state in the platform's list. An upstream that the list has
+// dropped counts as draining.
 func (u *Upstream) SetListState(state ListState, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if state == Unlisted && u.departure.listed != Unlisted {
+	if state == Unlisted && u.drain.listed != Unlisted {
 		state = ListedDraining
 	}
-	u.departure.list(state, at)
-	u.leaving.Store(u.departure.leaving())
+	u.drain.recordListState(state, at)
+	u.draining.Store(u.drain.draining())
 }
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -7,37 +7,40 @@
 )
 
 const (
-	// reportLife is how long a load report counts. Past it only own calls are
-	// known: an old report that says "busy" must not keep an engine empty.
-	reportLife = 3 * time.Second
-	// ownSamples is the length of the history of own in-flight calls.
-	ownSamples = 64
-	// ownGrain is the shortest time between two samples of it.
-	ownGrain = 25 * time.Millisecond
+	// reportLifetime is how long a load report is valid. After that only own calls are counted, so
+	// that an outdated report of a busy engine does not keep the engine empty.
+	reportLifetime = 3 * time.Second
+	// historySamples is the number of samples in the history of own calls in flight.
+	historySamples = 64
+	// historyInterval is the shortest time between two samples.
+	historyInterval = 25 * time.Millisecond
 )
 
-// ownHistory remembers how many own calls were in flight when, so that a
-// lagging report can be split into own calls and others'.
-type ownHistory struct {
-	at    [ownSamples]int64
-	calls [ownSamples]int32
+// inFlightHistory is a ring buffer of the number of own calls in flight over time. It is used to
+// split a lagging load report into own calls and those of other instances.
+type inFlightHistory struct {
+	// at is in Unix nanoseconds; 0 marks an unused slot.
+	at    [historySamples]int64
+	calls [historySamples]int32
 	next  int
 }
 
-func (h *ownHistory) note(now int64, calls int32) {
-	last := (h.next + ownSamples - 1) % ownSamples
-	if h.at[last] != 0 && now-h.at[last] < int64(ownGrain) {
+// record adds a sample, or updates the last one if that is younger than historyInterval.
+func (h *inFlightHistory) record(now int64, calls int32) {
+	last := (h.next + historySamples - 1) % historySamples
+	if h.at[last] != 0 && now-h.at[last] < int64(historyInterval) {
 		h.calls[last] = calls
 		return
 	}
 	h.at[h.next], h.calls[h.next] = now, calls
-	h.next = (h.next + 1) % ownSamples
+	h.next = (h.next + 1) % historySamples
 }
 
-// before returns the own calls in flight at the time, or the oldest that is known.
-func (h *ownHistory) before(at int64) int32 {
-	for i := 1; i <= ownSamples; i++ {
-		slot := (h.next + ownSamples - i) % ownSamples
+// callsAt returns the number of own calls in flight at the given time (Unix nanoseconds). It is 0
+// before the first call. If the samples of that time have been overwritten, the oldest one counts.
+func (h *inFlightHistory) callsAt(at int64) int32 {
+	for i := 1; i <= historySamples; i++ {
+		slot := (h.next + historySamples - i) % historySamples
 		if h.at[slot] == 0 {
 			return 0
 		}
@@ -48,27 +51,27 @@
 	return h.calls[h.next]
 }
 
-// Report takes in an engine's lagging load report. The calls of others are
-// what it reports beyond the own calls of that time. A report below the own
-// calls is wrong and counts as no others; own calls are never taken from it,
-// so an engine that lies about its load can at most hide other instances' calls.
+// Report applies an engine's lagging load report. The calls of other instances are those reported
+// beyond the own calls in flight at the time of the report. A report with fewer calls than the own
+// ones is wrong and counts as no remote calls. The number of own calls is never taken from a
+// report, so an engine that misreports its load can hide only other instances' calls.
 func (u *Upstream) Report(now time.Time, l engine.Load) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	own := u.own.before(now.Add(-l.Age()).UnixNano())
-	u.others.Store(max(0, int32(l.Running+l.Waiting)-own))
-	u.othersUntil.Store(now.Add(reportLife - l.Age()).UnixNano())
+	own := u.ownCalls.callsAt(now.Add(-l.Age()).UnixNano())
+	u.remoteCalls.Store(max(0, int32(l.Running+l.Waiting)-own))
+	u.remoteUntil.Store(now.Add(reportLifetime - l.Age()).UnixNano())
 	if l.Draining {
-		u.sign(now)
+		u.recordDrainSignal(now)
 		return
 	}
-	u.present(now)
+	u.recordAlive(now)
 }
 
-// OthersHave notes what other instances have there by their own word, which
-// counts until then.
+// SetRemoteLoad sets the load that other instances report to have placed on the upstream, in calls
+// and in prompt tokens not yet prefilled. It is valid until the given time.
 func (u *Upstream) SetRemoteLoad(calls, backlog int, until time.Time) {
-	u.others.Store(int32(calls))
-	u.othersBacklog.Store(int64(backlog))
-	u.othersUntil.Store(until.UnixNano())
+	u.remoteCalls.Store(int32(calls))
+	u.remoteBacklog.Store(int64(backlog))
+	u.remoteUntil.Store(until.UnixNano())
 }
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -15,19 +15,18 @@
 const (
 	// probeTimeout bounds one probe.
 	probeTimeout = time.Second
-	// probesAtOnce bounds the probes under way.
-	probesAtOnce = 32
+	// maxConcurrentProbes bounds the probes in flight.
+	maxConcurrentProbes = 32
 )
 
-// Reporter reads an engine's load; engine.Client is one.
+// Reporter reads an engine's load report. engine.Client implements it.
 type Reporter interface {
 	Load(ctx context.Context, addr string) (engine.Load, error)
 }
 
-// Probe asks at most limit engines of the data centre for their load. It is
-// the active half of the health checks: it finds engines that died while idle,
-// and brings back those that answer again. The limit keeps an instance's
-// control traffic the same whatever the size of the fleet.
+// Probe asks at most limit engines of the data centre for their load. It is the active part of the
+// health checks: it detects engines that crashed while idle and readmits those that respond again.
+// The limit keeps an instance's control traffic independent of the size of the fleet.
 func (t *Table) Probe(ctx context.Context, dataCentre string, r Reporter, limit int) {
 	now := time.Now()
 	var due []*Upstream
@@ -35,14 +34,14 @@
 		switch {
 		case u.DataCentre != dataCentre:
 		case u.Service != "":
-			u.tryAgain(now)
+			u.endExpiredDrain(now)
 		default:
 			due = append(due, u)
 		}
 	}
 	slices.SortStableFunc(due, func(a, b *Upstream) int { return cmp.Compare(b.probeAge(now), a.probeAge(now)) })
 	var group errgroup.Group
-	group.SetLimit(probesAtOnce)
+	group.SetLimit(maxConcurrentProbes)
 	for _, u := range due[:min(limit, len(due))] {
 		u.probedAt.Store(now.UnixNano())
 		group.Go(func() error {
@@ -54,23 +53,25 @@
 }
 
 const (
-	// inUseFactor is how much sooner an engine is probed that has or lately had
-	// own calls, or that is out and may have come back.
-	inUseFactor = 4
-	// inUseFor is how long an engine counts as in use after its last answer. An
-	// engine that dies loses its calls at once and must not count as idle then.
-	inUseFor = 10 * time.Second
+	// inUseProbeFactor is how much more often an engine is probed that has or recently had own calls,
+	// or that is unavailable and may have recovered.
+	inUseProbeFactor = 4
+	// inUseDuration is how long an engine counts as in use after its last progress. An engine that
+	// crashes loses its calls at once and must not count as idle then.
+	inUseDuration = 10 * time.Second
 )
 
-// probeAge is the time since the last probe, by which engines are chosen.
+// probeAge returns the priority of an engine for the next probe: the nanoseconds since its last
+// one, times inUseProbeFactor if the engine is in use or unavailable. An engine that was never
+// probed comes first.
 func (u *Upstream) probeAge(now time.Time) int64 {
 	age := now.UnixNano() - u.probedAt.Load()
 	if u.probedAt.Load() == 0 {
 		return math.MaxInt64
 	}
-	lately := now.UnixNano()-u.lastProgress.Load() < int64(inUseFor)
-	if lately || u.inFlight.Load() > 0 || u.openUntil.Load() != 0 || u.leaving.Load() {
-		return age * inUseFactor
+	recentlyUsed := now.UnixNano()-u.lastProgress.Load() < int64(inUseDuration)
+	if recentlyUsed || u.inFlight.Load() > 0 || u.openUntil.Load() != 0 || u.draining.Load() {
+		return age * inUseProbeFactor
 	}
 	return age
 }
@@ -84,27 +85,28 @@
 		return
 	}
 	u.Report(time.Now(), load)
-	u.reachable(time.Now())
+	u.recordReachable(time.Now())
 }
 
-// tryAgain brings a service back when the hold is over. A service has no load
-// report; if it still drains, it says so to the next call, which did not run.
-func (u *Upstream) tryAgain(now time.Time) {
-	if !u.leaving.Load() {
+// endExpiredDrain readmits a draining replica of a service once DrainHold has passed. A service has
+// no load report. If it still drains, it refuses the next call with a drain signal and does not run
+// it.
+func (u *Upstream) endExpiredDrain(now time.Time) {
+	if !u.draining.Load() {
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.present(now)
+	u.recordAlive(now)
 }
 
-// reachable lets the next call try an upstream whose connections were refused.
-// It does not close the breaker, and does nothing for one that lost its calls:
-// an engine that hangs goes on to report its load and runs nothing.
-func (u *Upstream) reachable(now time.Time) {
+// recordReachable allows the next call as a half-open trial of an upstream that was unreachable. It
+// does not close the breaker, and has no effect on an upstream whose breaker opened because calls
+// were lost: an engine that hangs still reports its load but runs nothing.
+func (u *Upstream) recordReachable(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.breaker.open && u.breaker.refused {
+	if u.breaker.open && u.breaker.unreachable {
 		u.openUntil.Store(min(u.openUntil.Load(), now.UnixNano()))
 	}
 }
--- a/internal/upstream/speed.go
+++ b/internal/upstream/speed.go
@@ -6,77 +6,82 @@
 	"time"
 )
 
-// Speed is what has been learned of an upstream's speed with one model or service.
+// Speed is the learned speed of an upstream with one model or service.
 type Speed struct {
-	// Prefill is in tokens a second.
+	// Prefill is in tokens per second.
 	Prefill float64
-	// A decoded token takes TokenBase + TokenPerCall * batch, in seconds.
+	// TokenBase and TokenPerCall are in seconds: one decoded token takes TokenBase + TokenPerCall *
+	// batch size.
 	TokenBase, TokenPerCall float64
-	// Call is the mean time of a whole call in seconds.
+	// Call is the mean duration of a complete call in seconds.
 	Call float64
-	// Samples is the number of answers learned from.
+	// Samples is the number of responses learned from.
 	Samples int
 }
 
-// TokenTime returns the time of one decoded token in a batch, in seconds.
+// TokenTime returns the time to decode one token in a batch of the given size, in seconds.
 func (s Speed) TokenTime(batch int) float64 {
 	return s.TokenBase + s.TokenPerCall*float64(batch)
 }
 
-// Prior is the speed assumed before the first answer: a middling engine.
+// DefaultSpeed is the speed assumed before the first response: that of an average engine.
 var DefaultSpeed = Speed{Prefill: 6000, TokenBase: 0.02, TokenPerCall: 0.001, Call: 2}
 
-// The rules of learning.
+// The parameters of learning.
 const (
-	// minPrefillSample is the least number of prefilled tokens that tells a speed.
+	// minPrefillSample is the least number of prefilled tokens from which a speed is learned.
 	minPrefillSample = 128
-	// The time to the first token holds also waiting, so it gives a lower
-	// bound of the prefill speed: the estimate rises fast to a higher sample
-	// and sinks slowly to a lower one.
-	prefillRise = 0.3
-	prefillFall = 0.03
-	// decodeKeep is the weight of earlier samples at each new one.
-	decodeKeep = 0.95
+	// prefillRiseWeight and prefillFallWeight are the weights of a sample above and below the
+	// estimate. The time to the first token includes queueing, so a sample is a lower bound of the
+	// prefill speed: the estimate rises fast to a higher sample and falls slowly to a lower one.
+	prefillRiseWeight = 0.3
+	prefillFallWeight = 0.03
+	// decodeDecay is the factor on the weight of all earlier samples at each new one.
+	decodeDecay = 0.95
+	// callWeight is the least weight of a sample in the mean duration of a call.
 	callWeight = 0.1
-	// priorWeight is the weight of the prior in the first fits. It gives the
-	// line a slope before batches of several sizes were seen, and no more: an
-	// engine three times as fast would else look slow for its first ten answers.
-	priorWeight = 0.2
+	// defaultWeight is the weight of DefaultSpeed in the first fits. It is just enough to give the
+	// line a slope before batches of several sizes have been seen: with more weight, an engine three
+	// times as fast would appear slow for its first ten responses.
+	defaultWeight = 0.2
 )
 
-// Sample is what one answer tells.
+// Sample is the measurement of one response.
 type Sample struct {
-	// Uncached and Output count tokens; Batch is the batch that it ran in.
+	// Uncached and Output are numbers of tokens; Batch is the size of the batch that the call ran in.
 	Uncached, Output, Batch int
-	FirstToken, Total       time.Duration
+	// FirstToken is the time to the first token, Total the time to the end of the response.
+	FirstToken, Total time.Duration
 }
 
-type speedCell struct {
+// learnedSpeed is the speed learned from the responses of one endpoint.
+type learnedSpeed struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Speed]
-	// Decaying sums of the line through (batch, time of a token).
+	// Decaying sums of the linear regression of the time per token over the batch size; n is the sum
+	// of the weights.
 	n, x, y, xx, xy float64
 }
 
-func (c *speedCell) load() Speed {
-	if s := c.current.Load(); s != nil {
+func (l *learnedSpeed) load() Speed {
+	if s := l.current.Load(); s != nil {
 		return *s
 	}
 	return DefaultSpeed
 }
 
-// Learn takes in one answer.
-func (c *Endpoint) Learn(s Sample) {
-	c.speed.mu.Lock()
-	defer c.speed.mu.Unlock()
-	next := c.speed.load()
+// Learn updates the learned speed with one response.
+func (e *Endpoint) Learn(s Sample) {
+	e.speed.mu.Lock()
+	defer e.speed.mu.Unlock()
+	next := e.speed.load()
 	next.Samples++
 	learnPrefill(&next, s)
-	c.speed.learnDecode(&next, s)
-	// The first answers outweigh the prior, which may be far off.
+	e.speed.learnDecode(&next, s)
+	// The first responses outweigh the default, which may be far from the true value.
 	weight := max(callWeight, 1/float64(next.Samples))
 	next.Call += weight * (s.Total.Seconds() - next.Call)
-	c.speed.current.Store(&next)
+	e.speed.current.Store(&next)
 }
 
 func learnPrefill(next *Speed, s Sample) {
@@ -84,59 +89,61 @@
 		return
 	}
 	rate := float64(s.Uncached) / s.FirstToken.Seconds()
-	weight := prefillFall
+	weight := prefillFallWeight
 	if rate > next.Prefill {
-		weight = prefillRise
+		weight = prefillRiseWeight
 	}
-	// The prior is a guess about all engines; the first answers outweigh it.
+	// The default is a guess about all engines; the first responses outweigh it.
 	weight = max(weight, 1/float64(next.Samples))
 	next.Prefill += weight * (rate - next.Prefill)
 }
 
-// learnDecode fits the time of a token as a line over the batch size.
-func (c *speedCell) learnDecode(next *Speed, s Sample) {
+// learnDecode fits the time per token as a linear function of the batch size.
+func (l *learnedSpeed) learnDecode(next *Speed, s Sample) {
 	if s.Output < 2 || s.Total <= s.FirstToken {
 		return
 	}
-	if c.n == 0 {
-		c.addDecode(1, DefaultSpeed.TokenTime(1), priorWeight)
-		c.addDecode(16, DefaultSpeed.TokenTime(16), priorWeight)
+	if l.n == 0 {
+		l.addDecode(1, DefaultSpeed.TokenTime(1), defaultWeight)
+		l.addDecode(16, DefaultSpeed.TokenTime(16), defaultWeight)
 	}
 	perToken := (s.Total - s.FirstToken).Seconds() / float64(s.Output-1)
-	c.n, c.x, c.y, c.xx, c.xy = c.n*decodeKeep, c.x*decodeKeep, c.y*decodeKeep, c.xx*decodeKeep, c.xy*decodeKeep
-	c.addDecode(float64(s.Batch), perToken, 1)
-	spread := c.n*c.xx - c.x*c.x
+	l.n, l.x, l.y, l.xx, l.xy = l.n*decodeDecay, l.x*decodeDecay, l.y*decodeDecay, l.xx*decodeDecay, l.xy*decodeDecay
+	l.addDecode(float64(s.Batch), perToken, 1)
+	spread := l.n*l.xx - l.x*l.x
 	slope := 0.0
 	if spread > 1e-9 {
-		slope = max(0, (c.n*c.xy-c.x*c.y)/spread)
+		slope = max(0, (l.n*l.xy-l.x*l.y)/spread)
 	}
-	base := (c.y - slope*c.x) / c.n
+	base := (l.y - slope*l.x) / l.n
 	if base <= 0 {
-		base, slope = 0, c.y/max(c.x, 1)
+		base, slope = 0, l.y/max(l.x, 1)
 	}
 	next.TokenBase, next.TokenPerCall = base, slope
 }
 
-func (c *speedCell) addDecode(batch, perToken, weight float64) {
-	c.n += weight
-	c.x += weight * batch
-	c.y += weight * perToken
-	c.xx += weight * batch * batch
-	c.xy += weight * batch * perToken
+func (l *learnedSpeed) addDecode(batch, perToken, weight float64) {
+	l.n += weight
+	l.x += weight * batch
+	l.y += weight * perToken
+	l.xx += weight * batch * batch
+	l.xy += weight * batch * perToken
 }
 
 const (
-	// slownessUnit is a slowness of 1.
-	slownessUnit   = 1000
+	// slownessUnit is the stored value of a slowness of 1.
+	slownessUnit = 1000
+	// slownessWeight is the weight of one sample in the moving average.
 	slownessWeight = 0.3
-	slownessMax    = 50
-	// slownessHalf is the half-life of a slowness without new samples, so that
-	// an upstream that was slow is tried again.
-	slownessHalf = 20 * time.Second
+	// slownessMax bounds the ratio of measured to expected time of one sample.
+	slownessMax = 50
+	// slownessHalfLife is the half-life of the excess over 1 without new samples, so that an
+	// upstream that was slow is tried again.
+	slownessHalfLife = 20 * time.Second
 )
 
-// Compare takes in how long a call took against what was expected. It follows
-// a sudden slow-down within a few answers, where the learned speeds take long.
+// ObserveLatency updates the slowness with the measured and the expected duration of a call. It
+// follows a sudden slow-down within a few responses, where the learned speeds adapt slowly.
 func (u *Upstream) ObserveLatency(now time.Time, measured, expected time.Duration) {
 	if expected <= 0 || measured <= 0 {
 		return
@@ -144,23 +151,23 @@
 	ratio := min(slownessMax, max(0.2, measured.Seconds()/expected.Seconds()))
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	old := u.slow(now.UnixNano())
+	old := u.currentSlowness(now.UnixNano())
 	u.slowness.Store(int64(slownessUnit * (old + slownessWeight*(ratio-old))))
 	u.slownessAt.Store(now.UnixNano())
 }
 
-// slow returns the slowness, drawn towards 1 with its age.
-func (u *Upstream) slow(now int64) float64 {
+// currentSlowness returns the slowness at now (Unix nanoseconds), decayed towards 1 with its age.
+func (u *Upstream) currentSlowness(now int64) float64 {
 	at := u.slownessAt.Load()
 	if at == 0 {
 		return 1
 	}
 	excess := float64(u.slowness.Load())/slownessUnit - 1
-	age := float64(now-at) / float64(slownessHalf)
+	age := float64(now-at) / float64(slownessHalfLife)
 	return 1 + excess/(1+max(0, age))
 }
 
-// WithoutSamples returns the speed as that of an upstream that has not answered.
+// WithoutSamples returns the speed with the sample count of an upstream that has not responded yet.
 func (s Speed) WithoutSamples() Speed {
 	s.Samples = 0
 	return s
