--- a/internal/owner/adopt.go
+++ b/internal/owner/adopt.go
@@ -38,18 +38,18 @@
 // again; until then calls to the programs wait. What is resident already is
 // left alone. A step that was about to be sent is unknown from now on.
 func (s *Service) Adopt(ctx context.Context, a Adoption) error {
-	fresh := s.recover(a)
+	recovered := s.recoverPrograms(a)
 	s.markUncertain(a)
-	for batch := range slices.Chunk(fresh, adoptChunk) {
+	for batch := range slices.Chunk(recovered, adoptChunk) {
 		if err := s.adoptBatch(ctx, batch); err != nil {
 			return err
 		}
 	}
-	for _, r := range fresh {
-		s.settleAdopted(r)
+	for _, r := range recovered {
+		s.finishAdoption(r)
 	}
 	s.log.WithField("from", string(a.Cohort)).WithField("slice", a.Shard).
-		WithField("programs", len(fresh)).WithField("uncertain", a.Tail.Uncertain).Info("slice adopted")
+		WithField("programs", len(recovered)).WithField("uncertain", a.Tail.Uncertain).Info("slice adopted")
 	return nil
 }
 
@@ -58,13 +58,13 @@
 
 // recover folds the records and inserts the programs, claimed, so that they
 // are found, by calls and by compaction, and nobody changes them yet.
-func (s *Service) recover(a Adoption) []*resident {
+func (s *Service) recoverPrograms(a Adoption) []*resident {
 	byProgram := map[program.ID][]program.Event{}
-	dead := map[program.ID]bool{}
+	tombstoned := map[program.ID]bool{}
 	for _, record := range slices.Concat(a.Records, a.Tail.Records) {
 		event, err := program.Decode(record.Event)
 		if record.Kind == TombstoneRecord {
-			dead[record.Program] = true
+			tombstoned[record.Program] = true
 			continue
 		}
 		if err != nil {
@@ -74,34 +74,34 @@
 		byProgram[record.Program] = append(byProgram[record.Program], event)
 	}
 	trees := map[program.ID]*tree{}
-	var fresh []*resident
+	var recovered []*resident
 	for id, events := range byProgram {
-		if dead[id] {
+		if tombstoned[id] {
 			continue
 		}
 		if r := s.lookup(id); r != nil {
 			if r.isAdopting() {
-				s.foldTail(r, events, a.Tail.Uncertain)
-				fresh = append(fresh, r)
+				s.mergeTail(r, events, a.Tail.Uncertain)
+				recovered = append(recovered, r)
 			}
 			continue
 		}
-		if r := s.revive(id, events, a.Tail.Uncertain, trees); r != nil {
-			fresh = append(fresh, r)
+		if r := s.recoverProgram(id, events, a.Tail.Uncertain, trees); r != nil {
+			recovered = append(recovered, r)
 		}
 	}
-	countChildren(fresh)
-	for _, r := range fresh {
+	countChildren(recovered)
+	for _, r := range recovered {
 		s.insert(r)
 	}
-	return fresh
+	return recovered
 }
 
 // foldTail takes what an adoption that is called again knows more than its
 // first call did. Left out, records that a former owner offered meanwhile would
 // be lost unseen: the slice counts as adopted with them.
-func (s *Service) foldTail(r *resident, events []program.Event, uncertain bool) {
-	for settled := r.settledBy(events); len(settled) > 0; settled = r.settledBy(events) {
+func (s *Service) mergeTail(r *resident, events []program.Event, uncertain bool) {
+	for settled := r.resolutionEvents(events); len(settled) > 0; settled = r.resolutionEvents(events) {
 		r.mu.Lock()
 		r.apply(r.state.NumberEvents(time.Now(), settled[0]))
 		r.mu.Unlock()
@@ -115,14 +115,14 @@
 	r.apply(r.state.Following(events))
 	r.tree.attained.Add(int64(r.state.Attained - before))
 	r.usedAt = r.state.LastAt
-	lost := !r.state.Contains(events)
-	if lost {
+	diverged := !r.state.Contains(events)
+	if diverged {
 		s.log.WithField("program", string(r.id)).Error("held records do not follow on the program's course")
 	}
-	r.state.Uncertain = r.state.Uncertain || (uncertain || lost) && !r.state.Account
+	r.state.Uncertain = r.state.Uncertain || (uncertain || diverged) && !r.state.Account
 }
 
-func (s *Service) revive(id program.ID, events []program.Event, uncertain bool, trees map[program.ID]*tree) *resident {
+func (s *Service) recoverProgram(id program.ID, events []program.Event, uncertain bool, trees map[program.ID]*tree) *resident {
 	state, err := program.Fold(id, events)
 	if err != nil {
 		s.meters.broken.Inc(1)
@@ -152,14 +152,14 @@
 
 // countChildren makes sure that sub-agents count whose opening their parent
 // had not recorded.
-func countChildren(fresh []*resident) {
+func countChildren(recovered []*resident) {
 	children := map[program.ID]int{}
-	for _, r := range fresh {
+	for _, r := range recovered {
 		if r.state.Parent != "" {
 			children[r.state.Parent]++
 		}
 	}
-	for _, r := range fresh {
+	for _, r := range recovered {
 		r.mu.Lock()
 		r.state.Children = max(r.state.Children, children[r.id])
 		r.mu.Unlock()
@@ -194,28 +194,28 @@
 	for _, r := range batch {
 		go func() { errs <- s.writeSnapshot(ctx, r) }()
 	}
-	var failed error
+	var failure error
 	for range batch {
 		if err := <-errs; err != nil {
-			failed = err
+			failure = err
 		}
 	}
-	if errors.Is(failed, ErrFenced) {
+	if errors.Is(failure, ErrFenced) {
 		s.HandedOver()
 	}
-	return failed
+	return failure
 }
 
 func (s *Service) writeSnapshot(ctx context.Context, r *resident) error {
 	r.mu.Lock()
-	if recovered := r.state.Recover(); recovered != nil {
-		r.apply(r.state.NumberEvents(time.Now(), recovered))
+	if recovery := r.state.Recover(); recovery != nil {
+		r.apply(r.state.NumberEvents(time.Now(), recovery))
 	}
 	event := r.state.Snapshot(time.Now())
 	r.mu.Unlock()
 	err := s.o.Log.Append(ctx, Record{Program: r.id, Event: event.Raw, Kind: SnapshotRecord})
 	if errors.Is(err, ErrTooLarge) {
-		s.breakOff(r, len(event.Raw))
+		s.markTooLarge(r, len(event.Raw))
 		return nil
 	}
 	return err
@@ -224,7 +224,7 @@
 // breakOff gives up a program whose snapshot never fits into the log. The
 // failure: its adoption fails on each try, and all callers of its slice wait
 // for good. It is listed as broken and not served; its neighbours go on.
-func (s *Service) breakOff(r *resident, size int) {
+func (s *Service) markTooLarge(r *resident, size int) {
 	r.mu.Lock()
 	r.state.Broken = true
 	r.mu.Unlock()
@@ -233,7 +233,7 @@
 		Error("history is too large for the log and is not served")
 }
 
-func (s *Service) dropAll(list []*resident) {
+func (s *Service) removeAll(list []*resident) {
 	for _, r := range list {
 		s.remove(r)
 	}
@@ -241,19 +241,19 @@
 
 // settleAdopted opens the program for its callers and asks services about
 // steps whose outcome is unknown.
-func (s *Service) settleAdopted(r *resident) {
+func (s *Service) finishAdoption(r *resident) {
 	s.meters.recovered.Inc(1)
 	r.mu.Lock()
-	r.adopting, r.claimed, r.askedAt = false, false, time.Now()
-	r.wake()
+	r.adopting, r.claimed, r.lookedUpAt = false, false, time.Now()
+	r.notifyWaiters()
 	r.mu.Unlock()
-	s.lookUpAll(r)
+	s.startLookups(r)
 }
 
 // lookUpAll asks services about the program's steps whose outcome is unknown.
-func (s *Service) lookUpAll(r *resident) {
+func (s *Service) startLookups(r *resident) {
 	for _, number := range r.unresolved() {
-		s.lookUp(r, number)
+		s.startLookup(r, number)
 	}
 }
 
@@ -261,13 +261,13 @@
 func (r *resident) unresolved() []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []int
+	var numbers []int
 	for i := range r.state.Steps {
 		if r.state.Steps[i].Verdict == program.Unknown {
-			out = append(out, i+1)
+			numbers = append(numbers, i+1)
 		}
 	}
-	return out
+	return numbers
 }
 
 // Snapshot returns one event that replaces all earlier ones of the program, and
@@ -280,13 +280,13 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.saving && !r.gone {
-		changed := r.changes()
+	for r.saving && !r.removed {
+		changed := r.changeChannel()
 		r.mu.Unlock()
 		<-changed
 		r.mu.Lock()
 	}
-	if r.gone {
+	if r.removed {
 		return nil, false
 	}
 	return r.state.Snapshot(time.Now()).Raw, true
@@ -309,5 +309,5 @@
 func (r *resident) isProgram() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.state.Account && !r.released && !r.gone
+	return !r.state.Account && !r.released && !r.removed
 }
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -63,7 +63,7 @@
 				var id program.ID
 				for number := 50; pb.Next(); {
 					if number++; number > 50 {
-						id, number = s.Open(context.Background(), buyer, "").Program, 1
+						id, number = s.Open(context.Background(), buyerPlan, "").Program, 1
 					}
 					if r := s.Do(context.Background(), call(id, number), nil); r.Outcome != step.Done {
 						panic(fmt.Sprint(r))
@@ -85,11 +85,11 @@
 			var perProgram, history float64
 			for b.Loop() {
 				s := nullService()
-				before := heap()
+				before := heapBytes()
 				for range programs {
-					history = float64(fill(s, turns))
+					history = float64(addTurns(s, turns))
 				}
-				perProgram = float64(heap()-before) / programs
+				perProgram = float64(heapBytes()-before) / programs
 				runtime.KeepAlive(s)
 				s.Close()
 			}
@@ -99,8 +99,8 @@
 	}
 }
 
-func fill(s *Service, turns int) (history int) {
-	id := s.Open(context.Background(), buyer, "").Program
+func addTurns(s *Service, turns int) (history int) {
+	id := s.Open(context.Background(), buyerPlan, "").Program
 	for number := 1; number <= turns; number++ {
 		s.Do(context.Background(), modelCall(id, number, string(bytes.Repeat([]byte("word "), 40))), nil)
 	}
@@ -110,7 +110,7 @@
 	return history
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -122,21 +122,21 @@
 // their records in memory to the last snapshot in a null log.
 func BenchmarkAdopt(b *testing.B) {
 	const programs, turns = 2000, 10
-	var kept keeper
+	var recording recordingLog
 	source := nullService()
-	source.o.Log = &kept
+	source.o.Log = &recording
 	for range programs {
-		fill(source, turns)
+		addTurns(source, turns)
 	}
-	var bySlice [program.ShardCount][]Record
-	for _, r := range kept.all() {
-		bySlice[r.Program.Shard()] = append(bySlice[r.Program.Shard()], r)
+	var byShard [program.ShardCount][]Record
+	for _, r := range recording.all() {
+		byShard[r.Program.Shard()] = append(byShard[r.Program.Shard()], r)
 	}
 	b.ResetTimer()
 	for b.Loop() {
 		s := nullService()
-		for slice := range bySlice {
-			if err := s.Adopt(context.Background(), Adoption{Cohort: source.Cohort(), Shard: slice, Records: bySlice[slice]}); err != nil {
+		for shard := range byShard {
+			if err := s.Adopt(context.Background(), Adoption{Cohort: source.Cohort(), Shard: shard, Records: byShard[shard]}); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -146,14 +146,14 @@
 }
 
 // keeper is a null log that keeps its records.
-type keeper struct { // one caller at a time
+type recordingLog struct { // one caller at a time
 	null
 	records atomic.Pointer[[]Record]
 }
 
-func (k *keeper) all() []Record { return *k.records.Load() }
+func (k *recordingLog) all() []Record { return *k.records.Load() }
 
-func (k *keeper) Append(_ context.Context, records ...Record) error {
+func (k *recordingLog) Append(_ context.Context, records ...Record) error {
 	old := k.records.Load()
 	if old == nil {
 		old = &[]Record{}
@@ -163,6 +163,6 @@
 	return nil
 }
 
-func (k *keeper) AppendOrHold(ctx context.Context, records ...Record) error {
+func (k *recordingLog) AppendOrHold(ctx context.Context, records ...Record) error {
 	return k.Append(ctx, records...)
 }
--- a/internal/owner/do.go
+++ b/internal/owner/do.go
@@ -27,44 +27,44 @@
 }
 
 func (s *Service) do(ctx context.Context, call step.Call, sink step.Sink) step.Result {
-	if refusal := s.check(call); refusal != nil {
+	if refusal := s.checkCall(call); refusal != nil {
 		return *refusal
 	}
 	r, refusal := s.find(ctx, call)
 	if refusal != nil {
 		return *refusal
 	}
-	result := s.enter(ctx, r, call, attemptOf(call), sink)
-	if call.Program == "" && !r.wasLaunched() {
-		s.opened(r)
+	result := s.runOrJoin(ctx, r, call, newAttempt(call), sink)
+	if call.Program == "" && !r.wasStarted() {
+		s.finishOpening(r)
 	}
 	return result
 }
 
 // check refuses calls that no program's state can make right.
-func (s *Service) check(call step.Call) *step.Result {
+func (s *Service) checkCall(call step.Call) *step.Result {
 	switch {
 	case s.moved.Load():
-		return moved()
+		return movedResult()
 	case (call.Model == nil) == (call.Tool == nil):
 		return refuse(http.StatusBadRequest, step.CodeBadRequest, "a step is a model call or a tool call")
 	case call.Number < 0 || call.Program == "" && call.Number > 1:
 		return refuse(http.StatusBadRequest, step.CodeBadRequest, "a new program starts with step 1")
-	case call.Model != nil && newBytes(call.Model.Messages) > maxTurnBytes:
+	case call.Model != nil && messageBytes(call.Model.Messages) > maxTurnBytes:
 		return refuse(http.StatusRequestEntityTooLarge, step.CodeBounds, "the messages are too large for one turn")
 	case len(call.IdempotencyKey) > maxNameBytes || call.Tool != nil && len(call.Tool.Path) > maxNameBytes:
 		return refuse(http.StatusRequestEntityTooLarge, step.CodeBounds, "the path or idempotency key is too long")
 	case call.Tool == nil || s.mayRepeat(call.Tool):
 		return nil
 	}
-	return checkNamed(call)
+	return checkIdentified(call)
 }
 
 // checkNamed refuses a call that may not be repeated unless it names its
 // program and itself. The failure: a balancer or a retry sends the same call
 // twice; without a name nothing tells the second from a new charge, and
 // without a program the two may open one each.
-func checkNamed(call step.Call) *step.Result {
+func checkIdentified(call step.Call) *step.Result {
 	switch {
 	case call.Program == "":
 		return refuse(http.StatusBadRequest, step.CodeBadRequest,
@@ -89,7 +89,7 @@
 // into one entry of the log when it is taken over.
 const maxNameBytes = 2 << 10
 
-func newBytes(messages []chat.Message) int {
+func messageBytes(messages []chat.Message) int {
 	size := 0
 	for _, m := range messages {
 		size += len(m.Raw)
@@ -97,7 +97,7 @@
 	return size
 }
 
-func attemptOf(call step.Call) program.Attempt {
+func newAttempt(call step.Call) program.Attempt {
 	a := program.Attempt{Number: call.Number, Key: call.IdempotencyKey, After: call.After}
 	if t := call.Tool; t != nil {
 		a.Hash = program.HashBody([]byte(t.Service), []byte(t.Method), []byte(t.Path), []byte(t.ContentType), t.Body)
@@ -123,28 +123,28 @@
 
 // enter brings the call to its turn and runs it, joins its repeat under way,
 // or answers it from the record.
-func (s *Service) enter(ctx context.Context, r *resident, call step.Call, a program.Attempt, sink step.Sink) step.Result {
-	defer r.unwait()
-	if !r.wait(s.o.MaxWaiting) {
+func (s *Service) runOrJoin(ctx context.Context, r *resident, call step.Call, a program.Attempt, sink step.Sink) step.Result {
+	defer r.stopWaiting()
+	if !r.startWaiting(s.o.MaxWaiting) {
 		return *refuse(http.StatusTooManyRequests, step.CodeOverloaded, "too many steps of the program wait")
 	}
-	gap := gapTimer{left: s.o.GapWait}
-	following, cancel := deadline(ctx, call, deadlineGrace)
+	gap := gapTimer{remaining: s.o.GapWait}
+	followCtx, cancel := withDeadline(ctx, call, deadlineGrace)
 	defer cancel()
-	ctx, cancel = deadline(ctx, call, 0)
+	ctx, cancel = withDeadline(ctx, call, 0)
 	defer cancel()
 	for {
-		m := s.move(r, call, a, gap.left <= 0)
-		if m.flight != nil {
-			return m.flight.follow(following, m.signal, sink)
+		chosen := s.chooseAction(r, call, a, gap.remaining <= 0)
+		if chosen.flight != nil {
+			return chosen.flight.follow(followCtx, chosen.signal, sink)
 		}
-		if m.recorded {
-			return s.answerRecorded(ctx, r, a)
+		if chosen.recorded {
+			return s.replayRecorded(ctx, r, a)
 		}
-		if m.refusal != nil {
-			return *m.refusal
+		if chosen.refusal != nil {
+			return *chosen.refusal
 		}
-		if refusal := s.pause(ctx, m, &gap); refusal != nil {
+		if refusal := s.waitForChange(ctx, chosen, &gap); refusal != nil {
 			return *refusal
 		}
 	}
@@ -155,7 +155,7 @@
 // whether it ran.
 const deadlineGrace = 500 * time.Millisecond
 
-func deadline(ctx context.Context, call step.Call, grace time.Duration) (context.Context, context.CancelFunc) {
+func withDeadline(ctx context.Context, call step.Call, grace time.Duration) (context.Context, context.CancelFunc) {
 	if call.Deadline.IsZero() {
 		return context.WithCancel(ctx)
 	}
@@ -163,22 +163,22 @@
 }
 
 // wait counts a call that waits for its turn or its answer, up to the limit.
-func (r *resident) wait(limit int) bool {
+func (r *resident) startWaiting(limit int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.waiting++
-	return r.waiting <= limit
+	r.waiters++
+	return r.waiters <= limit
 }
 
-func (r *resident) unwait() {
+func (r *resident) stopWaiting() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.waiting--
+	r.waiters--
 }
 
 // next is what a call does next: follow a flight, take the recorded answer, be
 // refused, or else wait for a change.
-type next struct {
+type action struct {
 	flight   *flight
 	signal   chan struct{}
 	recorded bool
@@ -188,14 +188,14 @@
 	// counts as one for a missing step.
 	idle bool
 	// closed says that a planned stop lets no new step start.
-	closed bool
+	draining bool
 }
 
-func (s *Service) move(r *resident, call step.Call, a program.Attempt, gapOver bool) next {
+func (s *Service) chooseAction(r *resident, call step.Call, a program.Attempt, gapOver bool) action {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.gone {
-		return next{refusal: s.goneResult()}
+	if r.removed {
+		return action{refusal: s.goneResult()}
 	}
 	if f := r.flight; f != nil && a.Matches(f.head) {
 		return s.joinFlight(r, f, a)
@@ -203,79 +203,79 @@
 	place, _ := r.state.Find(a)
 	switch place {
 	case program.Recorded:
-		return next{recorded: true}
+		return action{recorded: true}
 	case program.Reused:
-		return next{refusal: reused()}
+		return action{refusal: keyReused()}
 	case program.Early:
-		return early(r, gapOver)
+		return chooseForEarly(r, gapOver)
 	}
 	if r.claimed {
-		return next{changed: r.changes()}
+		return action{changed: r.changeChannel()}
 	}
 	if !s.flights.begin() {
-		return next{changed: r.changes(), closed: true}
+		return action{changed: r.changeChannel(), draining: true}
 	}
-	f, signal := s.launch(r, call, a)
-	return next{flight: f, signal: signal}
+	f, signal := s.startFlight(r, call, a)
+	return action{flight: f, signal: signal}
 }
 
-func (s *Service) joinFlight(r *resident, f *flight, a program.Attempt) next {
+func (s *Service) joinFlight(r *resident, f *flight, a program.Attempt) action {
 	if !a.Repeats(f.head) {
-		return next{refusal: reused()}
+		return action{refusal: keyReused()}
 	}
 	signal := f.join()
 	if signal == nil {
-		return next{changed: r.changes()}
+		return action{changed: r.changeChannel()}
 	}
 	s.meters.joined.Inc(1)
-	return next{flight: f, signal: signal}
+	return action{flight: f, signal: signal}
 }
 
-func reused() *step.Result {
+func keyReused() *step.Result {
 	return refuse(http.StatusConflict, step.CodeKeyReused,
 		"the step number or idempotency key belongs to a step with another content")
 }
 
-func early(r *resident, gapOver bool) next {
+func chooseForEarly(r *resident, gapOver bool) action {
 	if r.state.Uncertain {
 		refusal := refuse(http.StatusConflict, step.CodeHistoryUncertain, "the latest turns may not have been recovered")
 		refusal.MissingStep = r.state.Next()
-		return next{refusal: refusal}
+		return action{refusal: refusal}
 	}
 	if gapOver && !r.claimed {
 		refusal := refuse(http.StatusConflict, step.CodeMissingStep, "an earlier step of the program has not arrived")
 		refusal.MissingStep = r.state.Next()
-		refusal.RetryAfter = missingRetry
-		return next{refusal: refusal}
+		refusal.RetryAfter = shortRetryAfter
+		return action{refusal: refusal}
 	}
-	return next{changed: r.changes(), idle: !r.claimed}
+	return action{changed: r.changeChannel(), idle: !r.claimed}
 }
 
 // missingRetry is when a caller should send a step again that came too early.
-const missingRetry = time.Second
+const shortRetryAfter = time.Second
 
 func (s *Service) goneResult() *step.Result {
 	if s.moved.Load() {
-		return moved()
+		return movedResult()
 	}
-	return notFound()
+	return notFoundResult()
 }
 
 // gapTimer measures the time that a call has waited for a missing step.
-type gapTimer struct{ left time.Duration }
+type gapTimer struct{ remaining time.Duration }
 
 // drainWait bounds how long a call waits for a planned hand-over to end, which
 // the instance's own bound on a planned stop ends before.
-const drainWait = time.Minute
+const handoffTimeout = time.Minute
 
 // pause waits for the program to change.
-func (s *Service) pause(ctx context.Context, m next, gap *gapTimer) *step.Result {
+func (s *Service) waitForChange(ctx context.Context, chosen action, gap *gapTimer) *step.Result {
 	limit := time.Duration(0)
 	switch {
-	case m.closed:
-		limit = drainWait
-	case m.idle:
-		limit = gap.left
+	case chosen.draining:
+		limit = handoffTimeout
+	case chosen.idle:
+		limit = gap.remaining
 	}
 	var timeout <-chan time.Time
 	if limit > 0 {
@@ -285,46 +285,46 @@
 	}
 	start := time.Now()
 	select {
-	case <-m.changed:
+	case <-chosen.changed:
 	case <-timeout:
-		if m.closed {
+		if chosen.draining {
 			return shuttingDown()
 		}
 	case <-s.movedCh:
-		return moved()
+		return movedResult()
 	case <-ctx.Done():
-		return gaveUp(ctx)
+		return contextRefusal(ctx)
 	}
-	if m.idle {
-		gap.left -= time.Since(start)
+	if chosen.idle {
+		gap.remaining -= time.Since(start)
 	}
 	return nil
 }
 
 func shuttingDown() *step.Result {
 	r := refuse(http.StatusServiceUnavailable, step.CodeShuttingDown, "the instance is stopping")
-	r.RetryAfter = missingRetry
+	r.RetryAfter = shortRetryAfter
 	return r
 }
 
-func gaveUp(ctx context.Context) *step.Result {
+func contextRefusal(ctx context.Context) *step.Result {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return late()
+		return deadlineExceeded()
 	}
-	return cancelled()
+	return cancelledResult()
 }
 
 // answerRecorded gives a recorded answer, once what the program did before is durable.
-func (s *Service) answerRecorded(ctx context.Context, r *resident, a program.Attempt) step.Result {
+func (s *Service) replayRecorded(ctx context.Context, r *resident, a program.Attempt) step.Result {
 	saved := s.flush(ctx, r)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	place, recorded := r.state.Find(a)
-	if place != program.Recorded || r.gone && s.moved.Load() {
-		return *moved()
+	if place != program.Recorded || r.removed && s.moved.Load() {
+		return *movedResult()
 	}
 	if !saved && (recorded.Tool == nil || !recorded.Tool.Intent) {
-		return s.unsaved()
+		return s.notDurable()
 	}
 	s.meters.replayed.Inc(1)
 	r.usedAt = time.Now()
@@ -334,9 +334,9 @@
 // flush appends what is pending and reports whether all is durable.
 func (s *Service) flush(ctx context.Context, r *resident) bool {
 	r.mu.Lock()
-	clean := len(r.pending) == 0
+	nothingToSave := len(r.pending) == 0
 	r.mu.Unlock()
-	if clean {
+	if nothingToSave {
 		return true
 	}
 	if !r.claim(ctx) {
--- a/internal/owner/drain.go
+++ b/internal/owner/drain.go
@@ -23,7 +23,7 @@
 func (r *resident) hasUnsaved() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.pending) > 0 || len(r.notes) > 0
+	return len(r.pending) > 0 || len(r.deferred) > 0
 }
 
 // HandedOver says that successors own all programs now, after a planned seal or
@@ -33,13 +33,13 @@
 		s.moved.Store(true)
 		close(s.movedCh)
 		s.log.Warn("programs are owned by successors now")
-		s.goBackground(func(context.Context) { s.forget() })
+		s.runInBackground(func(context.Context) { s.dropPrograms() })
 	})
 }
 
 // forget drops all programs; steps under way keep theirs to their end.
-func (s *Service) forget() {
+func (s *Service) dropPrograms() {
 	for i := range s.shards {
-		s.dropAll(s.shards[i].all())
+		s.removeAll(s.shards[i].all())
 	}
 }
--- a/internal/owner/fakelog_test.go
+++ b/internal/owner/fakelog_test.go
@@ -12,7 +12,7 @@
 func (n *node) Available() bool {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
-	return !n.w.down
+	return !n.w.storeDown
 }
 
 // Append implements Log.
@@ -29,22 +29,22 @@
 	switch {
 	case n.sealed:
 		return ErrFenced
-	case d == refused || d == over || n.w.down && d == ok:
+	case d == refused || d == expired || n.w.storeDown && d == ok:
 		return ErrUnavailable
-	case d == nothing:
+	case d == dropped:
 		return ErrUnsettled
 	case d == tooLarge:
 		return ErrTooLarge
-	case d == later:
-		n.late = append(n.late, records...)
+	case d == delayed:
+		n.delayed = append(n.delayed, records...)
 		return ErrUnsettled
 	}
-	n.records = append(append(n.records, n.late...), records...)
-	n.late = nil
+	n.records = append(append(n.records, n.delayed...), records...)
+	n.delayed = nil
 	switch d {
-	case lost:
+	case responseLost:
 		return ErrUnsettled
-	case written:
+	case writtenThenCrash:
 		runtime.Goexit()
 	}
 	return nil
@@ -71,36 +71,36 @@
 	if d != ok {
 		return ErrUnavailable
 	}
-	if n.w.down {
+	if n.w.storeDown {
 		n.held = append(n.held, records...)
 		return nil
 	}
-	n.records = append(append(n.records, n.late...), records...)
-	n.late = nil
+	n.records = append(append(n.records, n.delayed...), records...)
+	n.delayed = nil
 	return nil
 }
 
 // up ends the outage; living owners move what peers held into their logs,
 // unless they are about to be replaced.
-func (w *world) up(replaced *node) {
+func (w *world) restoreStore(replaced *node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.down = false
+	w.storeDown = false
 	for _, n := range w.nodes {
 		if !n.sealed && !n.crashed.Load() && n != replaced {
-			n.records = append(append(n.records, n.late...), n.held...)
-			n.late, n.held = nil, nil
+			n.records = append(append(n.records, n.delayed...), n.held...)
+			n.delayed, n.held = nil, nil
 		}
 	}
 }
 
 // takeOver seals the last node's log and lets a new one adopt its programs.
-func (w *world) takeOver(tailKept, lateWritten bool) *node {
+func (w *world) takeOver(tailKept, delayedWritten bool) *node {
 	w.mu.Lock()
-	old := w.last()
+	old := w.owner()
 	old.sealed = true
-	if lateWritten {
-		old.records = append(old.records, old.late...)
+	if delayedWritten {
+		old.records = append(old.records, old.delayed...)
 	}
 	tail := Tail{Records: old.held, Uncertain: old.torn || !tailKept && len(old.held) > 0}
 	if !tailKept {
@@ -108,9 +108,9 @@
 	}
 	w.mu.Unlock()
 	n := w.start()
-	w.adopt(n, old, tail)
+	w.adoptAll(n, old, tail)
 	if w.incomplete {
-		n.before = slices.Concat(old.before, old.records, tail.Records)
+		n.unadopted = slices.Concat(old.unadopted, old.records, tail.Records)
 	}
 	return n
 }
@@ -122,7 +122,7 @@
 	w.auto = auto
 }
 
-func (w *world) adopt(n, old *node, tail Tail) {
+func (w *world) adoptAll(n, old *node, tail Tail) {
 	auto := w.auto
 	w.decide(func(g *gate) string {
 		if g.node == n {
@@ -131,10 +131,10 @@
 		return auto(g)
 	})
 	defer w.decide(auto)
-	for slice := range program.ShardCount {
-		inSlice := func(list []Record) (out []Record) {
+	for shard := range program.ShardCount {
+		inShard := func(list []Record) (out []Record) {
 			for _, r := range list {
-				if r.Program.Shard() == slice {
+				if r.Program.Shard() == shard {
 					out = append(out, r)
 				}
 			}
@@ -142,9 +142,9 @@
 		}
 		err := n.svc.Adopt(context.Background(), Adoption{
 			Cohort:  old.svc.Cohort(),
-			Shard:   slice,
-			Records: inSlice(slices.Concat(old.records, old.before)),
-			Tail:    Tail{Records: inSlice(tail.Records), Uncertain: tail.Uncertain},
+			Shard:   shard,
+			Records: inShard(slices.Concat(old.records, old.unadopted)),
+			Tail:    Tail{Records: inShard(tail.Records), Uncertain: tail.Uncertain},
 		})
 		if err != nil {
 			panic(err)
@@ -153,7 +153,7 @@
 }
 
 // tear loses the log's last record, if it is one of several of its program.
-func (n *node) tear() bool {
+func (n *node) loseLastRecord() bool {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	if len(n.records) == 0 {
@@ -172,7 +172,7 @@
 // Report implements Successor.
 func (n *node) Report(ctx context.Context, r Report) error {
 	n.w.mu.Lock()
-	n.w.reports++
+	n.w.reportCount++
 	n.w.mu.Unlock()
-	return n.w.last().svc.AcceptReport(ctx, r)
+	return n.w.owner().svc.AcceptReport(ctx, r)
 }
--- a/internal/owner/fakeupstream_test.go
+++ b/internal/owner/fakeupstream_test.go
@@ -10,11 +10,11 @@
 	"foxhall/internal/step"
 )
 
-type run struct {
+type engineRun struct {
 	program program.ID
 	number  int
 	history []string
-	sealed  bool
+	fenced  bool
 }
 
 // MayRepeat implements Catalogue.
@@ -25,7 +25,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	body := w.lookupBody(key)
-	if body == "" || !w.lookups {
+	if body == "" || !w.lookupKnows {
 		return nil, nil
 	}
 	return &LookupResult{Status: 200, Body: []byte("did " + strings.TrimSuffix(body, " "+key))}, nil
@@ -43,7 +43,7 @@
 // Admit implements Executor.
 func (n *node) Admit(ctx context.Context, work *Work) (Placed, *step.Result) {
 	switch d := n.w.await(ctx, &gate{kind: "admit", node: n, work: work}); d {
-	case refused, over:
+	case refused, expired:
 		return nil, refuse(429, step.CodeOverloaded, "full")
 	}
 	return &placed{n: n, work: work}, nil
@@ -68,14 +68,14 @@
 	for {
 		d := w.await(ctx, &gate{kind: "tool", node: p.n, work: p.work})
 		body := string(p.work.Call.Tool.Body)
-		if !acted && (d == ok || d == act || d == lost) {
+		if !acted && (d == ok || d == actThenHang || d == responseLost) {
 			w.mu.Lock()
 			w.effects[body+" "+p.work.IdempotencyKey]++
 			w.mu.Unlock()
 			acted = true
 		}
 		switch {
-		case d == act:
+		case d == actThenHang:
 			continue
 		case d == ok:
 			return step.Result{Outcome: step.Done, Status: 200, Body: []byte("did " + body), Price: 100}
@@ -88,15 +88,15 @@
 
 func (p *placed) runModel(ctx context.Context, sink step.Sink) step.Result {
 	w := p.n.w
-	r := run{program: p.work.Program, number: p.work.Number}
+	r := engineRun{program: p.work.Program, number: p.work.Number}
 	for _, m := range p.work.History {
 		r.history = append(r.history, text(m))
 	}
 	w.mu.Lock()
-	r.sealed = p.n.sealed || p.n.crashed.Load()
-	w.engine = append(w.engine, r)
-	w.answers++
-	answer := fmt.Sprintf("answer %d", w.answers)
+	r.fenced = p.n.sealed || p.n.crashed.Load()
+	w.engineRuns = append(w.engineRuns, r)
+	w.answerCount++
+	answer := fmt.Sprintf("answer %d", w.answerCount)
 	w.mu.Unlock()
 	if sink != nil {
 		_ = sink.Begin(step.Result{Outcome: step.Done, Status: 200})
--- a/internal/owner/flight.go
+++ b/internal/owner/flight.go
@@ -29,16 +29,16 @@
 	callers   int
 	cancelled bool
 	// sent says that the flight no longer ends with its callers.
-	sent bool
+	detached bool
 	// began is set once the upstream's answer starts to stream.
 	began  *step.Result
 	chunks [][]byte
 	// released is the number of chunks that callers may have.
 	released int
 	// ending says that the answer's end has come and is held back.
-	ending bool
-	ended  bool
-	result step.Result
+	finishSeen bool
+	ended      bool
+	result     step.Result
 	// signals has one channel of capacity 1 for each caller.
 	signals []chan struct{}
 }
@@ -62,12 +62,12 @@
 }
 
 // leave takes a caller out; the last one cancels what nobody waits for.
-func (f *flight) leave(signal chan struct{}) {
+func (f *flight) removeCaller(signal chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.callers--
 	f.signals = slices.DeleteFunc(f.signals, func(other chan struct{}) bool { return other == signal })
-	if f.callers == 0 && !f.sent && !f.ended {
+	if f.callers == 0 && !f.detached && !f.ended {
 		f.cancelled = true
 		f.cancel()
 	}
@@ -75,11 +75,11 @@
 
 // commit makes the flight go on without callers, and reports false where it
 // was cancelled before.
-func (f *flight) commit() bool {
+func (f *flight) detach() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sent = !f.cancelled
-	return f.sent
+	f.detached = !f.cancelled
+	return f.detached
 }
 
 // Begin implements step.Sink for the executor.
@@ -90,7 +90,7 @@
 		return errAbandoned
 	}
 	f.began = &r
-	f.signal()
+	f.notify()
 	return nil
 }
 
@@ -103,22 +103,22 @@
 	if f.cancelled {
 		return errAbandoned
 	}
-	if !f.ending {
+	if !f.finishSeen {
 		f.released = len(f.chunks)
 	}
-	f.ending = f.ending || tellsEnd(data)
+	f.finishSeen = f.finishSeen || hasFinishReason(data)
 	f.chunks = append(f.chunks, bytes.Clone(data))
-	f.signal()
+	f.notify()
 	return nil
 }
 
-var finishMember = []byte(`"finish_reason"`)
+var finishReasonKey = []byte(`"finish_reason"`)
 
 // tellsEnd reports whether a chunk of the chat API holds a finish_reason other
 // than null. Inside a string the quotes would be escaped.
-func tellsEnd(data []byte) bool {
+func hasFinishReason(data []byte) bool {
 	for {
-		_, rest, found := bytes.Cut(data, finishMember)
+		_, rest, found := bytes.Cut(data, finishReasonKey)
 		if !found {
 			return false
 		}
@@ -139,12 +139,12 @@
 	if r.Outcome == step.Done {
 		f.released = len(f.chunks)
 	}
-	f.signal()
+	f.notify()
 	f.cancel()
 }
 
 // signal wakes the callers. The lock is held.
-func (f *flight) signal() {
+func (f *flight) notify() {
 	for _, signal := range f.signals {
 		select {
 		case signal <- struct{}{}:
@@ -169,32 +169,32 @@
 
 // follow gives a caller the answer as it comes, until the flight or ctx ends.
 func (f *flight) follow(ctx context.Context, signal chan struct{}, sink step.Sink) step.Result {
-	defer f.leave(signal)
-	given, begun := 0, false
+	defer f.removeCaller(signal)
+	delivered, begun := 0, false
 	for {
 		select {
 		case <-ctx.Done():
-			return f.abandoned(ctx)
+			return f.abandonedResult(ctx)
 		case <-signal:
 		}
-		v := f.view(given)
+		v := f.view(delivered)
 		if sink != nil && v.began != nil {
 			if !begun && sink.Begin(*v.began) != nil {
-				return f.abandoned(ctx)
+				return f.abandonedResult(ctx)
 			}
 			begun = true
-			if !giveAll(sink, v.chunks) {
-				return f.abandoned(ctx)
+			if !forwardChunks(sink, v.chunks) {
+				return f.abandonedResult(ctx)
 			}
-			given += len(v.chunks)
+			delivered += len(v.chunks)
 		}
 		if v.ended {
-			return forCaller(v.result, begun)
+			return withoutStreamedBody(v.result, begun)
 		}
 	}
 }
 
-func giveAll(sink step.Sink, chunks [][]byte) bool {
+func forwardChunks(sink step.Sink, chunks [][]byte) bool {
 	for _, chunk := range chunks {
 		if sink.Chunk(chunk) != nil {
 			return false
@@ -204,7 +204,7 @@
 }
 
 // abandoned is what a caller gets that no longer waits: the step may run on.
-func (f *flight) abandoned(ctx context.Context) step.Result {
+func (f *flight) abandonedResult(ctx context.Context) step.Result {
 	r := step.Result{
 		Outcome: step.Unknown,
 		Program: f.id,
@@ -221,7 +221,7 @@
 }
 
 // forCaller leaves the body out where the answer was streamed.
-func forCaller(r step.Result, streamed bool) step.Result {
+func withoutStreamedBody(r step.Result, streamed bool) step.Result {
 	if streamed && r.Outcome == step.Done {
 		r.Body = nil
 	}
@@ -230,7 +230,7 @@
 
 // flightCount counts the steps under way, for the planned stop.
 type flightCount struct {
-	n      atomic.Int64
+	count  atomic.Int64
 	closed atomic.Bool
 	// idle gets a value when the last step ends after the count was closed.
 	idle chan struct{}
@@ -240,7 +240,7 @@
 // first and looks then, and close does the reverse, so that no step slips
 // through between them.
 func (c *flightCount) begin() bool {
-	c.n.Add(1)
+	c.count.Add(1)
 	if !c.closed.Load() {
 		return true
 	}
@@ -249,7 +249,7 @@
 }
 
 func (c *flightCount) end() {
-	if c.n.Add(-1) > 0 || !c.closed.Load() {
+	if c.count.Add(-1) > 0 || !c.closed.Load() {
 		return
 	}
 	select {
@@ -261,7 +261,7 @@
 // close lets no new step start and returns when none is under way.
 func (c *flightCount) close(ctx context.Context) error {
 	c.closed.Store(true)
-	for c.n.Load() > 0 {
+	for c.count.Load() > 0 {
 		select {
 		case <-c.idle:
 		case <-ctx.Done():
--- a/internal/owner/has.go
+++ b/internal/owner/has.go
@@ -10,5 +10,5 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.gone && !r.released
+	return !r.removed && !r.released
 }
--- a/internal/owner/late.go
+++ b/internal/owner/late.go
@@ -25,23 +25,23 @@
 		byProgram[record.Program] = append(byProgram[record.Program], event)
 	}
 	for id, events := range byProgram {
-		if err := s.lateFor(ctx, from, id, events); err != nil {
+		if err := s.adoptLateProgram(ctx, from, id, events); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Service) lateFor(ctx context.Context, from program.Cohort, id program.ID, events []program.Event) error {
+func (s *Service) adoptLateProgram(ctx context.Context, from program.Cohort, id program.ID, events []program.Event) error {
 	r := s.lookup(id)
 	if r == nil {
-		return s.reviveLate(ctx, from, id, events)
+		return s.adoptLateUnknown(ctx, from, id, events)
 	}
 	if !r.claim(ctx) {
 		return errors.Wrap(ErrBusy, string(id))
 	}
 	defer r.unclaim()
-	if settled := r.settledBy(events); len(settled) > 0 {
+	if settled := r.resolutionEvents(events); len(settled) > 0 {
 		return s.save(r, s.o.Log.AppendOrHold, dropUnsaved, settled...)
 	}
 	r.mu.Lock()
@@ -55,35 +55,35 @@
 	if len(following) == 0 {
 		return nil
 	}
-	return s.takeLate(r, following)
+	return s.appendLate(r, following)
 }
 
 // settledBy returns what settles unknown steps of the program by the outcomes
 // that their sender had recorded.
-func (r *resident) settledBy(events []program.Event) []*programpb.Event {
+func (r *resident) resolutionEvents(events []program.Event) []*programpb.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []*programpb.Event
+	var settling []*programpb.Event
 	for _, resolution := range r.state.SettledBy(events) {
 		resolution.By = bySender
 		if event, refusal := r.state.Resolve(resolution, true); refusal == nil {
-			out = append(out, event)
+			settling = append(settling, event)
 		}
 	}
-	return out
+	return settling
 }
 
 // takeLate appends events that were sealed by a former owner, behind what is
 // pending.
-func (s *Service) takeLate(r *resident, events []program.Event) error {
-	ctx, cancel := context.WithTimeout(context.Background(), s.o.StoreWait)
+func (s *Service) appendLate(r *resident, events []program.Event) error {
+	ctx, cancel := context.WithTimeout(context.Background(), s.o.AppendTimeout)
 	defer cancel()
 	r.mu.Lock()
 	batch := slices.Concat(r.pending, events)
 	r.saving = true
 	r.mu.Unlock()
-	err := settleable(s.o.Log.Append(ctx, records(r.id, batch)...))
-	r.settle(err, dropUnsaved, batch, events, 0)
+	err := classifyAppendError(s.o.Log.Append(ctx, records(r.id, batch)...))
+	r.completeAppend(err, dropUnsaved, batch, events, 0)
 	if err == nil {
 		s.log.WithField("program", string(r.id)).WithField("events", len(events)).Info("late records taken")
 	}
@@ -91,7 +91,7 @@
 }
 
 // reviveLate adopts a program of which only held records exist.
-func (s *Service) reviveLate(ctx context.Context, from program.Cohort, id program.ID, events []program.Event) error {
+func (s *Service) adoptLateUnknown(ctx context.Context, from program.Cohort, id program.ID, events []program.Event) error {
 	if events = program.FromFirst(events); len(events) == 0 {
 		s.log.WithField("program", string(id)).Warn("late records of a program that is gone are left out")
 		return nil
--- a/internal/owner/listing.go
+++ b/internal/owner/listing.go
@@ -30,18 +30,18 @@
 // Programs lists the programs owned here, or only the stalled ones, the one
 // that was idle longest first.
 func (s *Service) Programs(stalledOnly bool) []ProgramInfo {
-	out := []ProgramInfo{}
+	programs := []ProgramInfo{}
 	now := time.Now()
 	for r := range s.programs() {
 		info := r.info(now, s.o.StalledAfter)
 		if info.Stalled || !stalledOnly {
-			out = append(out, info)
+			programs = append(programs, info)
 		}
 	}
-	slices.SortFunc(out, func(a, b ProgramInfo) int {
+	slices.SortFunc(programs, func(a, b ProgramInfo) int {
 		return cmp.Or(a.UsedAt.Compare(b.UsedAt), cmp.Compare(a.ID, b.ID))
 	})
-	return out
+	return programs
 }
 
 // programs iterates over the residents that are programs.
@@ -66,7 +66,7 @@
 func (r *resident) info(now time.Time, stalledAfter time.Duration) ProgramInfo {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	running := r.claimed || r.waiting > 0
+	running := r.claimed || r.waiters > 0
 	return ProgramInfo{
 		ID:         r.id,
 		Customer:   r.state.Customer,
@@ -102,26 +102,26 @@
 
 // UnknownSteps lists the steps whose outcome is unknown, the oldest first.
 func (s *Service) UnknownSteps() []UnknownStep {
-	out := []UnknownStep{}
+	steps := []UnknownStep{}
 	for r := range s.programs() {
-		out = append(out, r.unknownSteps()...)
+		steps = append(steps, r.unknownSteps()...)
 	}
-	slices.SortFunc(out, func(a, b UnknownStep) int {
+	slices.SortFunc(steps, func(a, b UnknownStep) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.UpstreamKey, b.UpstreamKey))
 	})
-	return out
+	return steps
 }
 
 func (r *resident) unknownSteps() []UnknownStep {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []UnknownStep
+	var steps []UnknownStep
 	for i := range r.state.Steps {
 		recorded := &r.state.Steps[i]
 		if recorded.Verdict != program.Unknown {
 			continue
 		}
-		out = append(out, UnknownStep{
+		steps = append(steps, UnknownStep{
 			Program:     r.id,
 			Number:      recorded.Head.Number,
 			Customer:    r.state.Customer,
@@ -133,7 +133,7 @@
 			At:          recorded.At,
 		})
 	}
-	return out
+	return steps
 }
 
 // CustomerEarnings sums what one customer's steps brought.
@@ -153,19 +153,19 @@
 	for i := range s.shards {
 		s.addEarnings(&s.shards[i], since, sums)
 	}
-	out := make([]CustomerEarnings, 0, len(sums))
+	earnings := make([]CustomerEarnings, 0, len(sums))
 	for _, sum := range sums {
-		out = append(out, *sum)
+		earnings = append(earnings, *sum)
 	}
-	slices.SortFunc(out, func(a, b CustomerEarnings) int { return cmp.Compare(a.Customer, b.Customer) })
-	return out
+	slices.SortFunc(earnings, func(a, b CustomerEarnings) int { return cmp.Compare(a.Customer, b.Customer) })
+	return earnings
 }
 
 // addEarnings adds up one slice while none of its programs can be ended, so
 // that a program is not counted beside the account that took it over.
 func (s *Service) addEarnings(sh *shard, since time.Time, sums map[string]*CustomerEarnings) {
-	sh.ending.Lock()
-	defer sh.ending.Unlock()
+	sh.endMu.Lock()
+	defer sh.endMu.Unlock()
 	for _, r := range sh.all() {
 		r.mu.Lock()
 		buckets := r.state.Earnings(since)
--- a/internal/owner/machine_test.go
+++ b/internal/owner/machine_test.go
@@ -22,33 +22,33 @@
 )
 
 // attempt is one call for a step.
-type attempt struct {
+type sentCall struct {
 	*caller
 	node *node
 	// lost says that the connection broke, so that the caller has no answer.
-	lost bool
-	seen bool
+	disconnected bool
+	seen         bool
 }
 
 // wanted is a step that a program's caller wants, with all calls for it.
-type wanted struct {
+type plannedStep struct {
 	kind     int
 	number   int
 	body     string
-	attempts []*attempt
+	attempts []*sentCall
 	// answer is what the first call that got one was told.
 	answer string
 	// unknown says that a call was told so.
-	unknown bool
+	toldUnknown bool
 }
 
 // client is the caller of one program.
 type client struct {
 	id    program.ID
-	steps []*wanted
-	at    int
+	steps []*plannedStep
+	next  int
 	// gaveUp says that the program can't go on, and why that is right.
-	gaveUp string
+	stoppedBecause string
 }
 
 // machine drives services through calls and faults, one at a time, and is the
@@ -66,20 +66,20 @@
 func newMachine(rt *rapid.T, w *world) *machine {
 	m := &machine{w: w, faults: map[string]int{}}
 	for i := range machineClients {
-		opened := w.last().svc.Open(context.Background(), buyer, "")
+		opened := w.owner().svc.Open(context.Background(), buyerPlan, "")
 		c := &client{id: opened.Program}
 		for n := 1; n <= 6; n++ {
 			kind := rapid.IntRange(turns, searches).Draw(rt, "kind")
-			c.steps = append(c.steps, &wanted{kind: kind, number: n, body: fmt.Sprintf("c%d s%d", i, n)})
+			c.steps = append(c.steps, &plannedStep{kind: kind, number: n, body: fmt.Sprintf("c%d s%d", i, n)})
 		}
 		m.clients = append(m.clients, c)
 	}
 	w.auto = func(*gate) string { return "" }
-	w.lookups = rapid.Bool().Draw(rt, "lookups")
+	w.lookupKnows = rapid.Bool().Draw(rt, "lookups")
 	return m
 }
 
-func (m *machine) callFor(c *client, s *wanted) step.Call {
+func (m *machine) callFor(c *client, s *plannedStep) step.Call {
 	switch s.kind {
 	case turns:
 		return modelCall(c.id, s.number, s.body)
@@ -89,8 +89,8 @@
 	return toolStep(c.id, s.number, "search", s.body)
 }
 
-func (m *machine) send(n *node, c *client, s *wanted) {
-	a := &attempt{caller: m.w.call(n, m.callFor(c, s)), node: n}
+func (m *machine) send(n *node, c *client, s *plannedStep) {
+	a := &sentCall{caller: m.w.call(n, m.callFor(c, s)), node: n}
 	s.attempts = append(s.attempts, a)
 	m.observe()
 }
@@ -104,15 +104,15 @@
 	for _, c := range m.clients {
 		for _, s := range c.steps {
 			for _, a := range s.attempts {
-				if !a.ended.Load() || a.lost || a.seen {
+				if !a.ended.Load() || a.disconnected || a.seen {
 					continue
 				}
 				a.seen = true
 				if a.result.MissingStep > 0 {
-					m.answered(c, s, a)
+					m.recordResult(c, s, a)
 					continue
 				}
-				rest = append(rest, func() { m.answered(c, s, a) })
+				rest = append(rest, func() { m.recordResult(c, s, a) })
 			}
 		}
 	}
@@ -140,7 +140,7 @@
 		"crash":  rarely(m.crash),
 		"pause":  rarely(m.pause),
 		"offer":  m.offer,
-		"time":   m.wait,
+		"time":   m.advanceTime,
 		"":       func(*rapid.T) { m.check() },
 	}
 }
@@ -157,22 +157,22 @@
 
 func (m *machine) call(rt *rapid.T, offset int) {
 	c := m.clients[rapid.IntRange(0, len(m.clients)-1).Draw(rt, "client")]
-	i := c.at + offset
-	if i < 0 || i >= len(c.steps) || c.gaveUp != "" {
+	i := c.next + offset
+	if i < 0 || i >= len(c.steps) || c.stoppedBecause != "" {
 		rt.Skip()
 	}
 	m.send(m.anyNode(rt), c, c.steps[i])
 }
 
-func (m *machine) wait(rt *rapid.T) {
-	pass(time.Duration(rapid.IntRange(1, 2000).Draw(rt, "ms")) * time.Millisecond)
+func (m *machine) advanceTime(rt *rapid.T) {
+	advance(time.Duration(rapid.IntRange(1, 2000).Draw(rt, "ms")) * time.Millisecond)
 	m.observe()
 }
 
 // anyNode is mostly the owner, and at times a former one that still runs.
 func (m *machine) anyNode(rt *rapid.T) *node {
 	if rapid.IntRange(0, 4).Draw(rt, "node") > 0 {
-		return m.w.last()
+		return m.w.owner()
 	}
 	var alive []*node
 	for _, n := range m.w.nodes {
@@ -184,15 +184,15 @@
 }
 
 var decisions = map[string][]string{
-	"append": {ok, ok, ok, ok, refused, lost, nothing, later},
+	"append": {ok, ok, ok, ok, refused, responseLost, dropped, delayed},
 	"hold":   {ok, ok, refused},
 	"admit":  {ok, ok, ok, refused},
-	"tool":   {ok, ok, act, lost, nothing, notSent},
-	"model":  {ok, ok, ok, nothing, notSent},
+	"tool":   {ok, ok, actThenHang, responseLost, dropped, notSent},
+	"model":  {ok, ok, ok, dropped, notSent},
 }
 
 func (m *machine) openGate(rt *rapid.T) {
-	waiting := m.w.waiting()
+	waiting := m.w.waitingGates()
 	if len(waiting) == 0 {
 		rt.Skip()
 	}
@@ -201,7 +201,7 @@
 	if d != ok {
 		m.faults[waiting[i]+" "+d]++
 	}
-	m.w.open(i, d)
+	m.w.release(i, d)
 	m.observe()
 }
 
@@ -222,13 +222,13 @@
 }
 
 func (m *machine) toggleStore(*rapid.T) {
-	if m.w.down {
-		m.w.up(nil)
+	if m.w.storeDown {
+		m.w.restoreStore(nil)
 		return
 	}
 	m.faults["store down"]++
 	m.w.mu.Lock()
-	m.w.down = true
+	m.w.storeDown = true
 	m.w.mu.Unlock()
 }
 
@@ -236,31 +236,31 @@
 // its peers hold.
 func (m *machine) crash(rt *rapid.T) {
 	m.faults["crash"]++
-	m.kill(m.w.last())
-	m.replace(rt)
+	m.crashNode(m.w.owner())
+	m.takeOver(rt)
 }
 
-func (m *machine) kill(n *node) {
+func (m *machine) crashNode(n *node) {
 	m.w.mu.Lock()
 	n.crashed.Store(true)
-	var mine []*gate
+	var released []*gate
 	m.w.gates = slices.DeleteFunc(m.w.gates, func(g *gate) bool {
 		if g.node == n {
-			mine = append(mine, g)
+			released = append(released, g)
 		}
 		return g.node == n
 	})
 	m.w.mu.Unlock()
 	m.observe()
-	for _, g := range mine {
+	for _, g := range released {
 		g.ch <- crash
 	}
 	for _, c := range m.clients {
 		for _, s := range c.steps {
 			for _, a := range s.attempts {
 				if a.node == n && !a.ended.Load() {
-					a.lost = true
-					s.unknown = true
+					a.disconnected = true
+					s.toldUnknown = true
 					a.cancel()
 				}
 			}
@@ -270,14 +270,14 @@
 }
 
 // replace seals the owner's log, for which the store must be back.
-func (m *machine) replace(rt *rapid.T) {
-	m.w.up(m.w.last())
+func (m *machine) takeOver(rt *rapid.T) {
+	m.w.restoreStore(m.w.owner())
 	kept := rapid.IntRange(0, 5).Draw(rt, "tail kept") > 0
-	if !kept && len(m.w.last().held) > 0 {
+	if !kept && len(m.w.owner().held) > 0 {
 		m.tailLost = true
 		m.faults["tail lost"]++
 	}
-	if rapid.IntRange(0, 7).Draw(rt, "torn") == 0 && m.w.last().tear() {
+	if rapid.IntRange(0, 7).Draw(rt, "torn") == 0 && m.w.owner().loseLastRecord() {
 		m.tailLost = true
 		m.faults["entry torn"]++
 	}
@@ -289,7 +289,7 @@
 // pause seals the owner's log while it stands at its gates; it goes on later.
 func (m *machine) pause(rt *rapid.T) {
 	m.faults["pause"]++
-	m.replace(rt)
+	m.takeOver(rt)
 }
 
 // offer has a former owner bring what it held to the successor.
@@ -302,7 +302,7 @@
 	m.faults["held records offered late"]++
 	ctx, cancel := context.WithCancel(context.Background())
 	m.w.callers = append(m.w.callers, &caller{cancel: cancel})
-	go func() { _ = m.w.last().svc.AdoptLate(ctx, former.svc.Cohort(), former.held) }()
+	go func() { _ = m.w.owner().svc.AdoptLate(ctx, former.svc.Cohort(), former.held) }()
 	m.observe()
 }
 
@@ -311,10 +311,10 @@
 // they wait, callers go away, repeat, and send ahead. No charge has its effect
 // twice, every "not run" is true, engines get each program's history as its
 // caller was told it, and afterwards every program goes on.
-func TestMachineOfFaults(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	totals := map[string]int{}
 	answered, unknown, effects := 0, 0, 0
-	explore(t, func(rt *rapid.T, w *world) {
+	checkInVirtualTime(t, func(rt *rapid.T, w *world) {
 		m := newMachine(rt, w)
 		rt.Repeat(m.actions())
 		m.finish(rt)
@@ -326,7 +326,7 @@
 				effects += m.effectsOf(s)
 				if s.answer != "" {
 					answered++
-				} else if s.unknown {
+				} else if s.toldUnknown {
 					unknown++
 				}
 			}
--- a/internal/owner/open.go
+++ b/internal/owner/open.go
@@ -16,51 +16,51 @@
 // repeated: a program that nobody uses expires.
 func (s *Service) Open(ctx context.Context, p *plan.Plan, parent program.ID) step.Result {
 	if s.moved.Load() {
-		return *moved()
+		return *movedResult()
 	}
 	if !s.flights.begin() {
-		return *s.awaitHandOver(ctx)
+		return *s.awaitHandoff(ctx)
 	}
 	defer s.flights.end()
 	call := step.Call{Plan: p, Parent: parent}
-	r, refusal := s.openAdopted(ctx, call)
+	r, refusal := s.openAfterAdoption(ctx, call)
 	if refusal != nil {
 		return *refusal
 	}
 	if !r.claim(ctx) {
-		s.opened(r)
-		return *cancelled()
+		s.finishOpening(r)
+		return *cancelledResult()
 	}
 	err := s.save(r, s.o.Log.AppendOrHold, dropUnsaved)
 	r.unclaim()
-	s.opened(r)
+	s.finishOpening(r)
 	switch {
 	case errors.Is(err, ErrFenced):
-		return *moved()
+		return *movedResult()
 	case err != nil:
-		return *s.storeDown()
+		return *s.storeUnavailable()
 	}
 	return step.Result{Outcome: step.Done, Program: r.id, Status: http.StatusCreated}
 }
 
 // awaitHandOver waits for the end of a planned hand-over.
-func (s *Service) awaitHandOver(ctx context.Context) *step.Result {
-	timeout := time.NewTimer(drainWait)
+func (s *Service) awaitHandoff(ctx context.Context) *step.Result {
+	timeout := time.NewTimer(handoffTimeout)
 	defer timeout.Stop()
 	select {
 	case <-s.movedCh:
-		return moved()
+		return movedResult()
 	case <-timeout.C:
 		return shuttingDown()
 	case <-ctx.Done():
-		return gaveUp(ctx)
+		return contextRefusal(ctx)
 	}
 }
 
-func (r *resident) wasLaunched() bool {
+func (r *resident) wasStarted() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.launched
+	return r.started
 }
 
 // End says for its caller that a program is needed no longer, after the step
@@ -71,29 +71,29 @@
 		return *refusal
 	}
 	if !r.claim(ctx) {
-		return *s.goneOrLate(ctx)
+		return *s.claimRefusal(ctx)
 	}
 	r.mu.Lock()
-	again := !r.state.EndRequestedAt.IsZero()
+	alreadyRequested := !r.state.EndRequestedAt.IsZero()
 	r.mu.Unlock()
 	var err error
-	if !again {
+	if !alreadyRequested {
 		err = s.save(r, s.o.Log.AppendOrHold, dropUnsaved, program.RequestEnd())
 	}
 	r.unclaim()
 	switch {
 	case errors.Is(err, ErrFenced):
-		return *moved()
+		return *movedResult()
 	case err != nil:
-		return *s.storeDown()
+		return *s.storeUnavailable()
 	}
 	s.releaseEnded(r)
 	return step.Result{Outcome: step.Done, Program: id, Status: http.StatusNoContent}
 }
 
-func (s *Service) goneOrLate(ctx context.Context) *step.Result {
+func (s *Service) claimRefusal(ctx context.Context) *step.Result {
 	if ctx.Err() != nil {
-		return gaveUp(ctx)
+		return contextRefusal(ctx)
 	}
 	return s.goneResult()
 }
@@ -101,14 +101,14 @@
 // find returns the call's program, opening it where the call starts one.
 func (s *Service) find(ctx context.Context, call step.Call) (*resident, *step.Result) {
 	if call.Program == "" {
-		return s.openAdopted(ctx, call)
+		return s.openAfterAdoption(ctx, call)
 	}
 	if refusal := s.awaitAdoption(ctx, call.Program); refusal != nil {
 		return nil, refusal
 	}
 	r := s.lookup(call.Program)
 	if r == nil || !r.belongsTo(call.Plan) {
-		return nil, s.absent(call.Program)
+		return nil, s.absentResult(call.Program)
 	}
 	return r, nil
 }
@@ -120,9 +120,9 @@
 }
 
 // absent is the answer for an id that is not resident, or not the caller's.
-func (s *Service) absent(id program.ID) *step.Result {
+func (s *Service) absentResult(id program.ID) *step.Result {
 	if s.moved.Load() {
-		return moved()
+		return movedResult()
 	}
 	sh := s.shard(id)
 	sh.mu.RLock()
@@ -132,14 +132,14 @@
 		return refuse(http.StatusConflict, step.CodeHistoryUncertain,
 			"programs of its owner may not have been recovered")
 	}
-	return notFound()
+	return notFoundResult()
 }
 
 // adoptionPoll is how often a call looks whether its program's slice was taken over.
-const adoptionPoll = 20 * time.Millisecond
+const adoptionPollInterval = 20 * time.Millisecond
 
 // adoptionWait is how long a call waits for a take-over under way.
-const adoptionWait = 2 * time.Second
+const adoptionTimeout = 2 * time.Second
 
 // awaitAdoption waits briefly for the program's slice to be taken over. The
 // failure: a call reaches the successor before it has read the log, and would
@@ -148,9 +148,9 @@
 	if s.o.Residency == nil || s.o.Residency.Adopted(id) {
 		return nil
 	}
-	timeout := time.NewTimer(adoptionWait)
+	timeout := time.NewTimer(adoptionTimeout)
 	defer timeout.Stop()
-	ticker := time.NewTicker(adoptionPoll)
+	ticker := time.NewTicker(adoptionPollInterval)
 	defer ticker.Stop()
 	for !s.o.Residency.Adopted(id) {
 		select {
@@ -160,7 +160,7 @@
 			r.RetryAfter = s.o.RetryAfter
 			return r
 		case <-ctx.Done():
-			return gaveUp(ctx)
+			return contextRefusal(ctx)
 		}
 	}
 	return nil
@@ -169,7 +169,7 @@
 // openAdopted opens a program once its parent, if it has one, is taken over:
 // a sub-agent may be the first call that the parent's successor sees, and would
 // be told that its parent does not exist.
-func (s *Service) openAdopted(ctx context.Context, call step.Call) (*resident, *step.Result) {
+func (s *Service) openAfterAdoption(ctx context.Context, call step.Call) (*resident, *step.Result) {
 	if call.Parent != "" {
 		if refusal := s.awaitAdoption(ctx, call.Parent); refusal != nil {
 			return nil, refusal
@@ -193,22 +193,22 @@
 	}
 	parent := s.lookup(call.Parent)
 	if parent == nil || !parent.belongsTo(call.Plan) {
-		return nil, s.absent(call.Parent)
+		return nil, s.absentResult(call.Parent)
 	}
 	parent.mu.Lock()
 	defer parent.mu.Unlock()
 	if refusal := parent.checkChild(time.Now()); refusal != nil {
 		return nil, refusalOf(refusal)
 	}
-	parent.opening++
+	parent.openingChildren++
 	opening.ID = program.NewIDInShard(s.o.Cohort, call.Parent.Shard())
 	opening.Parent = parent.state
 	return s.newResident(opening, parent.tree), nil
 }
 
 func (r *resident) checkChild(now time.Time) *program.Refusal {
-	unrecorded := r.opening
-	for _, note := range r.notes {
+	unrecorded := r.openingChildren
+	for _, note := range r.deferred {
 		if note.GetChildOpened() != nil {
 			unrecorded++
 		}
@@ -223,7 +223,7 @@
 		state:  &program.State{ID: opening.ID},
 		usedAt: time.Now(),
 	}
-	r.decide(program.Open(opening))
+	r.applyPending(program.Open(opening))
 	s.insert(r)
 	return r
 }
@@ -231,7 +231,7 @@
 // opened settles a new program after its first step and reports whether it
 // stays: one of which the log knows nothing is dropped, another counts with
 // its parent.
-func (s *Service) opened(r *resident) bool {
+func (s *Service) finishOpening(r *resident) bool {
 	r.mu.Lock()
 	saved, parentID, id := r.saved || len(r.state.Steps) > 0, r.state.Parent, r.id
 	r.mu.Unlock()
@@ -246,10 +246,10 @@
 		return saved
 	}
 	parent.mu.Lock()
-	parent.opening--
+	parent.openingChildren--
 	parent.mu.Unlock()
 	if saved {
-		parent.note(program.OpenChild(id))
+		parent.deferEvent(program.OpenChild(id))
 	}
 	return saved
 }
--- a/internal/owner/operate_test.go
+++ b/internal/owner/operate_test.go
@@ -23,57 +23,57 @@
 // the appends that end them are refused, lost and late and owners die there.
 // Every step that was answered is in the sum once, and no other.
 func TestEarningsAreCountedOnce(t *testing.T) {
-	explore(t, func(rt *rapid.T, w *world) {
+	checkInVirtualTime(t, func(rt *rapid.T, w *world) {
 		steps := int64(0)
 		for range rapid.IntRange(1, 12).Draw(rt, "rounds") {
-			fault := rapid.SampledFrom([]string{ok, ok, refused, lost, nothing, later, crash, written}).Draw(rt, "fault")
+			fault := rapid.SampledFrom([]string{ok, ok, refused, responseLost, dropped, delayed, crash, writtenThenCrash}).Draw(rt, "fault")
 			w.decide(func(*gate) string { return ok })
 			for range rapid.IntRange(0, 3).Draw(rt, "programs") {
 				call := modelCall("", 1, "hello")
 				call.EndsProgram = rapid.Bool().Draw(rt, "ends")
-				if w.call(w.last(), call).result.Outcome == step.Done {
+				if w.call(w.owner(), call).result.Outcome == step.Done {
 					steps++
 				}
 			}
-			pass(time.Duration(rapid.IntRange(1, 90).Draw(rt, "minutes")) * time.Minute)
+			advance(time.Duration(rapid.IntRange(1, 90).Draw(rt, "minutes")) * time.Minute)
 			w.sweepWith(fault, rapid.IntRange(0, 2).Draw(rt, "append"))
 			w.incomplete = rapid.Bool().Draw(rt, "adoption incomplete")
-			if w.last().crashed.Load() || rapid.IntRange(0, 3).Draw(rt, "take-over") == 0 {
+			if w.owner().crashed.Load() || rapid.IntRange(0, 3).Draw(rt, "take-over") == 0 {
 				w.takeOver(true, rapid.Bool().Draw(rt, "late written"))
 			}
 			w.checkEarnings(rt, steps)
-			w.last().svc.Sweep(context.Background())
+			w.owner().svc.Sweep(context.Background())
 		}
-		w.stopAt()
-		pass(24 * time.Hour)
-		w.last().svc.Sweep(context.Background())
+		w.stopAtGates()
+		advance(24 * time.Hour)
+		w.owner().svc.Sweep(context.Background())
 		w.checkEarnings(rt, steps)
-		if live := len(w.last().svc.Programs(false)); live > 0 {
-			rt.Fatalf("%d programs did not expire", live)
+		if remaining := len(w.owner().svc.Programs(false)); remaining > 0 {
+			rt.Fatalf("%d programs did not expire", remaining)
 		}
 	})
 }
 
 // sweepWith sweeps once while the append of that number meets the fault.
 func (w *world) sweepWith(fault string, number int) {
-	dies := false
+	crashes := false
 	w.decide(func(g *gate) string {
 		number--
 		if g.kind != "append" || number != -1 {
 			return ok
 		}
-		dies = fault == crash || fault == written
+		crashes = fault == crash || fault == writtenThenCrash
 		return fault
 	})
-	go w.last().svc.Sweep(context.Background())
+	go w.owner().svc.Sweep(context.Background())
 	synctest.Wait()
-	w.last().crashed.Store(dies)
-	pass(time.Minute)
-	w.stopAt()
+	w.owner().crashed.Store(crashes)
+	advance(time.Minute)
+	w.stopAtGates()
 }
 
 func (w *world) checkEarnings(rt *rapid.T, steps int64) {
-	sums := w.last().svc.Earnings(time.Time{})
+	sums := w.owner().svc.Earnings(time.Time{})
 	var got CustomerEarnings
 	if len(sums) > 0 {
 		got = sums[0]
@@ -87,22 +87,22 @@
 // record of it, then another, and the program is idle for long. It is not ended
 // before its last earning is recorded.
 func TestFailedStepIsCounted(t *testing.T) {
-	virtual(t, func(t *testing.T, w *world) {
+	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		id := w.program(t)
-		w.call(w.last(), modelCall(id, 1, "hello"))
-		w.stopAt("model", "append")
-		failed := w.call(w.last(), modelCall(id, 2, "more"))
-		w.open(0, nothing)
-		w.open(0, refused)
+		id := w.openProgram(t)
+		w.call(w.owner(), modelCall(id, 1, "hello"))
+		w.stopAtGates("model", "append")
+		failed := w.call(w.owner(), modelCall(id, 2, "more"))
+		w.release(0, dropped)
+		w.release(0, refused)
 		is.Equal(failed.result.Outcome, step.Unknown)
-		pass(2 * time.Hour)
+		advance(2 * time.Hour)
 		w.sweepWith(refused, 0)
-		w.last().svc.Sweep(context.Background())
-		is.Equal(len(w.last().svc.Programs(false)), 1)
-		w.last().svc.Sweep(context.Background())
-		is.Equal(len(w.last().svc.Programs(false)), 0)
-		is.Equal(w.last().svc.Earnings(time.Time{})[0].Steps, int64(2))
+		w.owner().svc.Sweep(context.Background())
+		is.Equal(len(w.owner().svc.Programs(false)), 1)
+		w.owner().svc.Sweep(context.Background())
+		is.Equal(len(w.owner().svc.Programs(false)), 0)
+		is.Equal(w.owner().svc.Earnings(time.Time{})[0].Steps, int64(2))
 	})
 }
 
@@ -111,27 +111,27 @@
 // One that ended with a plain answer expires after an hour, and its engine
 // memory is released, once.
 func TestAbandonedProgramIsStalled(t *testing.T) {
-	virtual(t, func(t *testing.T, w *world) {
+	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		svc := w.last().svc
+		svc := w.owner().svc
 		released := 0
 		svc.o.Released = []ReleaseHook{func(program.ID) { released++ }}
-		pledge := w.program(t)
-		w.call(w.last(), toolStep(pledge, 1, "search", "trees"))
-		w.call(w.last(), modelCall(pledge, 2, "plan it"))
-		w.call(w.last(), toolStep(pledge, 3, "search", "nursery"))
-		w.call(w.last(), modelCall("", 1, "hello"))
-		pass(9 * time.Minute)
+		abandoned := w.openProgram(t)
+		w.call(w.owner(), toolStep(abandoned, 1, "search", "trees"))
+		w.call(w.owner(), modelCall(abandoned, 2, "plan it"))
+		w.call(w.owner(), toolStep(abandoned, 3, "search", "nursery"))
+		w.call(w.owner(), modelCall("", 1, "hello"))
+		advance(9 * time.Minute)
 		svc.Sweep(context.Background())
 		is.Equal(len(svc.Programs(true)), 0)
-		pass(time.Minute)
+		advance(time.Minute)
 		svc.Sweep(context.Background())
-		is.Equal(svc.Programs(true)[0].ID, pledge)
+		is.Equal(svc.Programs(true)[0].ID, abandoned)
 		is.Equal(svc.meters.stalled.Value(), int64(1))
-		pass(48 * time.Hour)
+		advance(48 * time.Hour)
 		svc.Sweep(context.Background())
 		is.Equal(len(svc.Programs(false)), 1)
-		is.Equal(svc.Programs(true)[0].ID, pledge)
+		is.Equal(svc.Programs(true)[0].ID, abandoned)
 		is.Equal(released, 1)
 	})
 }
@@ -139,82 +139,82 @@
 // A caller ends its program without a step. What engines hold for it is
 // released at once, repeats still get their answers, new steps are refused, and
 // after a while it is gone. A stranger can't end it.
-func TestEndWithoutAStep(t *testing.T) {
-	virtual(t, func(t *testing.T, w *world) {
+func TestEndWithoutStep(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		svc := w.last().svc
+		svc := w.owner().svc
 		released := 0
 		svc.o.Released = []ReleaseHook{func(program.ID) { released++ }}
-		id := w.program(t)
-		w.call(w.last(), modelCall(id, 1, "hello"))
+		id := w.openProgram(t)
+		w.call(w.owner(), modelCall(id, 1, "hello"))
 		stranger := &plan.Plan{Name: "other", Customer: "stranger"}
 		is.Equal(svc.End(context.Background(), stranger, id).Code, step.CodeNotFound)
 		for range 2 {
-			is.Equal(svc.End(context.Background(), buyer, id).Outcome, step.Done)
+			is.Equal(svc.End(context.Background(), buyerPlan, id).Outcome, step.Done)
 			is.Equal(released, 1)
 		}
-		is.True(w.call(w.last(), modelCall(id, 1, "hello")).result.Replayed)
-		is.Equal(w.call(w.last(), modelCall(id, 2, "more")).result.Code, step.CodeProgramEnded)
-		pass(10 * time.Minute)
+		is.True(w.call(w.owner(), modelCall(id, 1, "hello")).result.Replayed)
+		is.Equal(w.call(w.owner(), modelCall(id, 2, "more")).result.Code, step.CodeProgramEnded)
+		advance(10 * time.Minute)
 		svc.Sweep(context.Background())
-		is.Equal(w.call(w.last(), modelCall(id, 1, "hello")).result.Code, step.CodeNotFound)
+		is.Equal(w.call(w.owner(), modelCall(id, 1, "hello")).result.Code, step.CodeNotFound)
 		is.Equal(svc.Earnings(time.Time{})[0].Steps, int64(1))
 	})
 }
 
 // A service is away while a step becomes unknown, and knows it hours later. It
 // is asked again, and the step is settled without an operator.
-func TestServiceKnowsLater(t *testing.T) {
-	virtual(t, func(t *testing.T, w *world) {
+func TestLookupSucceedsLater(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		id := w.program(t)
-		w.stopAt("tool")
-		c := w.call(w.last(), charge(id, 1, "10"))
-		w.open(0, lost)
+		id := w.openProgram(t)
+		w.stopAtGates("tool")
+		c := w.call(w.owner(), charge(id, 1, "10"))
+		w.release(0, responseLost)
 		is.Equal(c.result.Outcome, step.Unknown)
-		w.stopAt()
-		pass(time.Hour)
-		w.last().svc.Sweep(context.Background())
-		pass(time.Minute)
-		is.Equal(len(w.last().svc.UnknownSteps()), 1)
+		w.stopAtGates()
+		advance(time.Hour)
+		w.owner().svc.Sweep(context.Background())
+		advance(time.Minute)
+		is.Equal(len(w.owner().svc.UnknownSteps()), 1)
 		w.mu.Lock()
-		w.lookups = true
+		w.lookupKnows = true
 		w.mu.Unlock()
-		pass(time.Hour)
-		w.last().svc.Sweep(context.Background())
-		pass(time.Minute)
-		is.Equal(len(w.last().svc.UnknownSteps()), 0)
-		is.Equal(w.call(w.last(), charge(id, 1, "10")).result.Outcome, step.Done)
+		advance(time.Hour)
+		w.owner().svc.Sweep(context.Background())
+		advance(time.Minute)
+		is.Equal(len(w.owner().svc.UnknownSteps()), 0)
+		is.Equal(w.call(w.owner(), charge(id, 1, "10")).result.Outcome, step.Done)
 	})
 }
 
 // A planned stop: a charge is under way and runs to its end, a call that comes
 // meanwhile waits. After the seal it is told where to go, as "not run"; nothing
 // is refused otherwise, and the successor runs it.
-func TestDrainCutsNothingOff(t *testing.T) {
-	virtual(t, func(t *testing.T, w *world) {
+func TestDrainCompletesStepsInFlight(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		id := w.program(t)
-		w.stopAt("tool")
-		running := w.call(w.last(), charge(id, 1, "10"))
+		id := w.openProgram(t)
+		w.stopAtGates("tool")
+		running := w.call(w.owner(), charge(id, 1, "10"))
 		drained := make(chan error, 1)
-		go func() { drained <- w.last().svc.Drain(context.Background()) }()
-		waiting := w.call(w.last(), charge(id, 2, "20"))
-		opening := w.call(w.last(), modelCall("", 1, "hello"))
-		gone := w.call(w.last(), modelCall("", 1, "hello"))
-		gone.cancel()
+		go func() { drained <- w.owner().svc.Drain(context.Background()) }()
+		waiting := w.call(w.owner(), charge(id, 2, "20"))
+		opening := w.call(w.owner(), modelCall("", 1, "hello"))
+		cancelled := w.call(w.owner(), modelCall("", 1, "hello"))
+		cancelled.cancel()
 		synctest.Wait()
-		is.Equal(len(w.last().svc.Programs(false)), 2) // what was never begun leaves nothing behind
+		is.Equal(len(w.owner().svc.Programs(false)), 2) // what was never begun leaves nothing behind
 		empty := make(chan step.Result, 1)
-		go func() { empty <- w.last().svc.Open(context.Background(), buyer, "") }()
+		go func() { empty <- w.owner().svc.Open(context.Background(), buyerPlan, "") }()
 		synctest.Wait()
 		is.Equal(len(drained), 0)
 		is.True(!running.ended.Load())
 		is.True(!waiting.ended.Load())
-		w.open(0, ok)
+		w.release(0, ok)
 		is.NoErr(<-drained)
 		is.Equal(running.result.Outcome, step.Done)
-		old := w.last()
+		old := w.owner()
 		n := w.takeOver(true, false)
 		old.svc.HandedOver()
 		synctest.Wait()
@@ -222,7 +222,7 @@
 		is.Equal(waiting.result.Outcome, step.NotRun)
 		is.Equal(opening.result.Code, step.CodeMoved)
 		is.Equal((<-empty).Code, step.CodeMoved)
-		w.stopAt()
+		w.stopAtGates()
 		is.Equal(w.call(n, charge(id, 2, "20")).result.Outcome, step.Done)
 		is.Equal(w.totalEffects(), 2)
 	})
@@ -232,13 +232,13 @@
 // depth; a sub-agent whose first step is refused does not count; its service
 // time counts for its root; and it lives in its root's slice.
 func TestBoundsOfProgramsAndChildren(t *testing.T) {
-	virtual(t, func(t *testing.T, w *world) {
+	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		bound := &plan.Plan{Name: "b", Customer: "kerlouan", Bounds: plan.Bounds{Steps: 2, Depth: 1, Children: 2}}
 		do := func(id, parent program.ID, number int) step.Result {
 			call := modelCall(id, number, "x")
 			call.Plan, call.Parent = bound, parent
-			return w.call(w.last(), call).result
+			return w.call(w.owner(), call).result
 		}
 		root := do("", "", 1).Program
 		w.decide(func(g *gate) string {
@@ -248,7 +248,7 @@
 			return ok
 		})
 		is.Equal(do("", root, 1).Code, step.CodeOverloaded)
-		w.stopAt()
+		w.stopAtGates()
 		first, second := do("", root, 1), do("", root, 1)
 		is.Equal(first.Outcome, step.Done)
 		is.Equal(second.Outcome, step.Done)
@@ -267,43 +267,43 @@
 // wait, none is told that its program does not exist, and compaction does not
 // take them for ended; the adoption is made again and they go on.
 func TestAdoptionFailsHalfway(t *testing.T) {
-	virtual(t, func(t *testing.T, w *world) {
+	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		id := w.program(t)
-		w.call(w.last(), modelCall(id, 1, "one"))
-		old := w.last()
+		id := w.openProgram(t)
+		w.call(w.owner(), modelCall(id, 1, "one"))
+		old := w.owner()
 		old.sealed = true
 		n := w.start()
-		w.down = true
+		w.storeDown = true
 		adoption := Adoption{Cohort: old.svc.Cohort(), Shard: id.Shard(), Records: old.records}
 		is.True(n.svc.Adopt(context.Background(), adoption) != nil)
 		_, live := n.svc.Snapshot(id)
 		is.True(live)
 		waiting := w.call(n, modelCall(id, 2, "two"))
 		is.True(!waiting.ended.Load())
-		w.down = false
+		w.storeDown = false
 		is.NoErr(n.svc.Adopt(context.Background(), adoption))
 		synctest.Wait()
 		is.Equal(waiting.result.Outcome, step.Done)
-		is.Equal(w.engine[1].history, []string{"one", "answer 1", "two"})
+		is.Equal(w.engineRuns[1].history, []string{"one", "answer 1", "two"})
 	})
 }
 
 // An operator lists what is unknown over HTTP, resolves it, and sums earnings.
 func TestOperatorEndpoints(t *testing.T) {
-	virtual(t, func(t *testing.T, w *world) {
+	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		id := w.program(t)
-		w.call(w.last(), modelCall(id, 1, "hello"))
+		id := w.openProgram(t)
+		w.call(w.owner(), modelCall(id, 1, "hello"))
 		w.decide(func(g *gate) string {
 			if g.kind == "tool" {
-				return lost
+				return responseLost
 			}
 			return ok
 		})
-		w.call(w.last(), charge(id, 2, "10"))
+		w.call(w.owner(), charge(id, 2, "10"))
 		e := echo.New()
-		w.last().svc.Register(e.Group("/operator/v1"))
+		w.owner().svc.Register(e.Group("/operator/v1"))
 		ask := func(method, path, body string, into any) int {
 			request := httptest.NewRequest(method, "/operator/v1"+path, strings.NewReader(body))
 			request.Header.Set("Content-Type", "application/json")
@@ -321,7 +321,7 @@
 		resolve := `{"program":"` + string(id) + `","number":2,"ran":true,"operator":"ana","note":"in the bank's list"}`
 		is.Equal(ask("POST", "/steps/resolve", resolve, nil), http.StatusNoContent)
 		is.Equal(ask("POST", "/steps/resolve", resolve, nil), http.StatusConflict)
-		is.Equal(w.call(w.last(), charge(id, 2, "10")).result.Outcome, step.Done)
+		is.Equal(w.call(w.owner(), charge(id, 2, "10")).result.Outcome, step.Done)
 		var programs []ProgramInfo
 		is.Equal(ask("GET", "/programs?stalled=true", "", &programs), http.StatusOK)
 		is.Equal(len(programs), 0)
--- a/internal/owner/oracle_test.go
+++ b/internal/owner/oracle_test.go
@@ -12,7 +12,7 @@
 	"foxhall/internal/step"
 )
 
-func (m *machine) answered(c *client, s *wanted, a *attempt) {
+func (m *machine) recordResult(c *client, s *plannedStep, a *sentCall) {
 	r := a.result
 	switch r.Outcome {
 	case step.Done:
@@ -24,44 +24,44 @@
 			panic(fmt.Sprintf("%s was answered %q, then %q", s.body, s.answer, got))
 		}
 		s.answer = got
-		c.at = max(c.at, s.number)
+		c.next = max(c.next, s.number)
 	case step.NotRun:
 		if r.Code == step.CodeSettledNotRun {
-			c.at = max(c.at, s.number)
+			c.next = max(c.next, s.number)
 		}
 	case step.Unknown:
-		s.unknown = true
+		s.toldUnknown = true
 		if s.kind == charges && r.Code == step.CodeOutcomeUnknown {
-			c.at = max(c.at, s.number)
+			c.next = max(c.next, s.number)
 		}
 	}
 	if r.MissingStep > 0 && r.MissingStep <= s.number && !a.node.sealed {
-		m.missing(c, r)
+		m.handleMissing(c, r)
 	}
 }
 
 // missing sends a caller back to the step that the program has not seen. It
 // must not be one that the caller has an answer of.
-func (m *machine) missing(c *client, r step.Result) {
+func (m *machine) handleMissing(c *client, r step.Result) {
 	if c.steps[r.MissingStep-1].answer != "" {
 		if c.steps[r.MissingStep-1].kind != turns || m.tailLost {
 			// A turn lost with its holders is told; a tool's answer that its
 			// caller has may lack its record, never its effect.
-			c.gaveUp = "history uncertain"
+			c.stoppedBecause = "history uncertain"
 			return
 		}
-		panic(fmt.Sprintf("%s is missing at the owner and was answered\n%s", c.steps[r.MissingStep-1].body, c.told()))
+		panic(fmt.Sprintf("%s is missing at the owner and was answered\n%s", c.steps[r.MissingStep-1].body, c.report()))
 	}
-	c.at = min(c.at, r.MissingStep-1)
+	c.next = min(c.next, r.MissingStep-1)
 }
 
 // told lists what the client was told, for failures.
-func (c *client) told() string {
+func (c *client) report() string {
 	var out strings.Builder
 	for _, s := range c.steps {
 		fmt.Fprintf(&out, "%s of kind %d, answer %q:", s.body, s.kind, s.answer)
 		for _, a := range s.attempts {
-			fmt.Fprintf(&out, " [%s seen %v lost %v: %s %s %d]", a.node.svc.Cohort(), a.seen, a.lost, a.result.Outcome, a.result.Code, a.result.MissingStep)
+			fmt.Fprintf(&out, " [%s seen %v lost %v: %s %s %d]", a.node.svc.Cohort(), a.seen, a.disconnected, a.result.Outcome, a.result.Code, a.result.MissingStep)
 		}
 		out.WriteString("\n")
 	}
@@ -79,7 +79,7 @@
 		}
 	}
 	reached := map[program.ID]int{}
-	for _, r := range m.w.engine {
+	for _, r := range m.w.engineRuns {
 		m.checkHistory(r)
 		if r.number < reached[r.program] {
 			panic(fmt.Sprintf("%s: step %d reached an engine after step %d", r.program, r.number, reached[r.program]))
@@ -88,7 +88,7 @@
 	}
 }
 
-func (m *machine) effectsOf(s *wanted) (n int) {
+func (m *machine) effectsOf(s *plannedStep) (n int) {
 	for body, count := range m.w.effects {
 		if strings.HasPrefix(body, "charge "+s.body+" ") {
 			n += count
@@ -97,7 +97,7 @@
 	return n
 }
 
-func (m *machine) checkEffects(s *wanted) {
+func (m *machine) checkEffects(s *plannedStep) {
 	if s.kind != charges {
 		return
 	}
@@ -120,7 +120,7 @@
 // checkHistory compares what an engine was given with what the program's caller
 // was told: its own messages in its order, each acknowledged turn with its
 // answer, and nothing else.
-func (m *machine) checkHistory(r run) {
+func (m *machine) checkHistory(r engineRun) {
 	c := m.clients[slices.IndexFunc(m.clients, func(c *client) bool { return c.id == r.program })]
 	var want []string
 	for _, s := range c.steps[:r.number] {
@@ -132,12 +132,12 @@
 		panic(fmt.Sprintf("%s %d: the engine was given %q", c.id, r.number, r.history))
 	}
 	for i, user := range want {
-		s := c.steps[slices.IndexFunc(c.steps, func(s *wanted) bool { return s.body == user })]
+		s := c.steps[slices.IndexFunc(c.steps, func(s *plannedStep) bool { return s.body == user })]
 		if r.history[2*i] != user {
 			panic(fmt.Sprintf("step %d: the engine was given %q", r.number, r.history))
 		}
 		last := s.number == r.number
-		if !last && s.answer != "" && r.history[2*i+1] != s.answer && !r.sealed {
+		if !last && s.answer != "" && r.history[2*i+1] != s.answer && !r.fenced {
 			panic(fmt.Sprintf("step %d: the caller of %s was told %q, the engine %q", r.number, user, s.answer, r.history))
 		}
 	}
@@ -145,26 +145,26 @@
 
 // finish lets everything go well and sees each program to its end.
 func (m *machine) finish(rt *rapid.T) {
-	m.w.up(nil)
+	m.w.restoreStore(nil)
 	m.w.mu.Lock()
 	m.w.auto = func(*gate) string { return ok }
 	m.w.mu.Unlock()
-	for len(m.w.waiting()) > 0 {
-		m.w.open(0, ok)
+	for len(m.w.waitingGates()) > 0 {
+		m.w.release(0, ok)
 	}
-	pass(time.Minute)
+	advance(time.Minute)
 	m.check()
 	if rapid.Bool().Draw(rt, "last take-over") {
-		m.replace(rt)
+		m.takeOver(rt)
 	}
 	for _, c := range m.clients {
 		m.finishClient(c)
 	}
 	m.check()
 	for _, c := range m.clients {
-		for _, s := range c.steps[:c.at] {
+		for _, s := range c.steps[:c.next] {
 			if s.answer != "" {
-				m.send(m.w.last(), c, s) // repeats get the recorded answers
+				m.send(m.w.owner(), c, s) // repeats get the recorded answers
 			}
 		}
 	}
@@ -172,21 +172,21 @@
 }
 
 // maxTries is more than any step needs once nothing fails.
-const maxTries = 40
+const maxAttempts = 40
 
 func (m *machine) finishClient(c *client) {
-	for range maxTries {
-		if c.at >= len(c.steps) || c.gaveUp != "" {
+	for range maxAttempts {
+		if c.next >= len(c.steps) || c.stoppedBecause != "" {
 			return
 		}
-		m.send(m.w.last(), c, c.steps[c.at])
-		pass(time.Second)
+		m.send(m.w.owner(), c, c.steps[c.next])
+		advance(time.Second)
 		m.observe()
-		s := c.steps[c.at%len(c.steps)]
+		s := c.steps[c.next%len(c.steps)]
 		if n := len(s.attempts); n > 0 && m.tailLost && s.attempts[n-1].result.Code == step.CodeHistoryUncertain {
 			return
 		}
 	}
-	s := c.steps[c.at]
+	s := c.steps[c.next]
 	panic(fmt.Sprintf("%s does not go on at step %d: %+v", c.id, s.number, s.attempts[len(s.attempts)-1].result))
 }
--- a/internal/owner/resident.go
+++ b/internal/owner/resident.go
@@ -15,7 +15,7 @@
 	mu        sync.RWMutex
 	residents map[program.ID]*resident
 	// ending is held while programs are ended into the account.
-	ending sync.Mutex
+	endMu sync.Mutex
 	// account is the open account of the slice's earnings, or nil.
 	account *resident
 	// uncertain are cohorts whose programs of this slice may be missing here.
@@ -39,7 +39,7 @@
 	// pending are events that the state holds and the log may not.
 	pending []program.Event
 	// notes are decided and go into the log with the next events.
-	notes []*programpb.Event
+	deferred []*programpb.Event
 	// claimed says that someone is about to change the state.
 	claimed bool
 	// adopting says that the program is claimed until its slice is adopted. It
@@ -52,15 +52,15 @@
 	flight *flight
 	// changed is closed when the claim, the flight or the state changes; nil without waiters.
 	changed chan struct{}
-	waiting int
+	waiters int
 	// opening is the number of sub-agents whose first step is under way.
-	opening int
+	openingChildren int
 	// launched says that a step was begun.
-	launched bool
+	started bool
 	// saved says that the log may hold events of the program.
 	saved bool
 	// gone says that the program left this instance or ended.
-	gone    bool
+	removed bool
 	stalled bool
 	// released says that the release hooks were called.
 	released bool
@@ -68,12 +68,12 @@
 	// is joined to the slice's own.
 	adopted bool
 	// askedAt is when services were last asked about unknown steps.
-	askedAt time.Time
-	usedAt  time.Time
+	lookedUpAt time.Time
+	usedAt     time.Time
 }
 
 // wake tells the waiters to look again. The lock is held.
-func (r *resident) wake() {
+func (r *resident) notifyWaiters() {
 	if r.changed != nil {
 		close(r.changed)
 		r.changed = nil
@@ -81,7 +81,7 @@
 }
 
 // changes returns a channel that is closed at the next change. The lock is held.
-func (r *resident) changes() <-chan struct{} {
+func (r *resident) changeChannel() <-chan struct{} {
 	if r.changed == nil {
 		r.changed = make(chan struct{})
 	}
@@ -93,7 +93,7 @@
 func (r *resident) claim(ctx context.Context) bool {
 	for {
 		r.mu.Lock()
-		if r.gone {
+		if r.removed {
 			r.mu.Unlock()
 			return false
 		}
@@ -102,7 +102,7 @@
 			r.mu.Unlock()
 			return true
 		}
-		changed := r.changes()
+		changed := r.changeChannel()
 		r.mu.Unlock()
 		select {
 		case <-changed:
@@ -116,7 +116,7 @@
 func (r *resident) tryClaim() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.claimed || r.gone {
+	if r.claimed || r.removed {
 		return false
 	}
 	r.claimed = true
@@ -127,7 +127,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.claimed = false
-	r.wake()
+	r.notifyWaiters()
 }
 
 func (s *Service) shard(id program.ID) *shard { return &s.shards[id.Shard()] }
@@ -158,8 +158,8 @@
 	}
 	sh.mu.Unlock()
 	r.mu.Lock()
-	r.gone = true
-	r.wake()
+	r.removed = true
+	r.notifyWaiters()
 	r.mu.Unlock()
 }
 
@@ -167,9 +167,9 @@
 func (sh *shard) all() []*resident {
 	sh.mu.RLock()
 	defer sh.mu.RUnlock()
-	out := make([]*resident, 0, len(sh.residents))
+	list := make([]*resident, 0, len(sh.residents))
 	for _, r := range sh.residents {
-		out = append(out, r)
+		list = append(list, r)
 	}
-	return out
+	return list
 }
--- a/internal/owner/resolve.go
+++ b/internal/owner/resolve.go
@@ -70,7 +70,7 @@
 	return err
 }
 
-func resolutionOf(head program.StepIdentity, result step.Result, answer program.StepResult) program.Resolution {
+func resolutionOf(head program.StepIdentity, result step.Result, record program.StepResult) program.Resolution {
 	return program.Resolution{
 		Number:      head.Number,
 		Hash:        head.Hash,
@@ -79,26 +79,26 @@
 		ContentType: result.ContentType,
 		Body:        result.Body,
 		By:          bySender,
-		Earning:     answer.Earning,
+		Earning:     record.Earning,
 	}
 }
 
 // reportFor bounds how long a former owner tries to hand over an outcome. What
 // it can't deliver stays listed as unknown with the successor.
-const reportFor = 10 * time.Minute
+const reportTimeout = 10 * time.Minute
 
 // report tells the program's present owner what became of a step that was sent
 // from here, until it has taken it.
-func (s *Service) report(r *resident, resolution program.Resolution) {
+func (s *Service) startReport(r *resident, resolution program.Resolution) {
 	if s.o.Successor == nil || resolution.Verdict == program.Unknown {
 		return
 	}
-	s.goBackground(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, reportFor)
+	s.runInBackground(func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
 		_, err := backoff.Retry(ctx, func() (struct{}, error) {
 			return struct{}{}, s.o.Successor.Report(ctx, Report{Program: r.id, Resolution: resolution})
-		}, backoff.WithMaxElapsedTime(reportFor))
+		}, backoff.WithMaxElapsedTime(reportTimeout))
 		if err != nil {
 			s.log.WithError(err).WithField("program", string(r.id)).WithField("step", resolution.Number).
 				Error("outcome not delivered to the program's owner")
@@ -107,7 +107,7 @@
 }
 
 // goBackground runs work beside the callers' steps until the service closes.
-func (s *Service) goBackground(work func(ctx context.Context)) {
+func (s *Service) runInBackground(work func(ctx context.Context)) {
 	s.background.Add(1)
 	go func() {
 		defer s.background.Done()
@@ -117,21 +117,21 @@
 
 // lookupTries is how often a service is asked what became of one call; after
 // that the step is left to the operators.
-const lookupTries = 5
+const maxLookupAttempts = 5
 
 // lookUp asks the step's service what became of it. Only a positive answer
 // settles the step: a call that the service does not know may still be on its
 // way from a sender that is paused.
-func (s *Service) lookUp(r *resident, number int) {
+func (s *Service) startLookup(r *resident, number int) {
 	if s.o.Lookup == nil {
 		return
 	}
 	r.mu.Lock()
 	service := r.state.Steps[number-1].Tool.Service
 	r.mu.Unlock()
-	s.goBackground(func(ctx context.Context) {
-		finding, err := s.askService(ctx, service, upstreamKey(r.id, number))
-		if err != nil || finding == nil {
+	s.runInBackground(func(ctx context.Context) {
+		found, err := s.findWithRetry(ctx, service, upstreamKey(r.id, number))
+		if err != nil || found == nil {
 			s.log.WithField("program", string(r.id)).WithField("step", number).WithField("service", service).
 				Warn("outcome unknown and not known to the service; resolve it by hand")
 			return
@@ -139,9 +139,9 @@
 		_ = s.Resolve(ctx, r.id, program.Resolution{
 			Number:      number,
 			Verdict:     program.Done,
-			Status:      finding.Status,
-			ContentType: finding.ContentType,
-			Body:        finding.Body,
+			Status:      found.Status,
+			ContentType: found.ContentType,
+			Body:        found.Body,
 			By:          byLookup,
 		})
 	})
@@ -150,18 +150,18 @@
 // errNotKnownYet makes a lookup ask again.
 var errNotKnownYet = errors.New("owner: the service does not know the call yet")
 
-func (s *Service) askService(ctx context.Context, service, key string) (*LookupResult, error) {
+func (s *Service) findWithRetry(ctx context.Context, service, key string) (*LookupResult, error) {
 	select {
-	case s.lookups <- struct{}{}:
-		defer func() { <-s.lookups }()
+	case s.lookupSlots <- struct{}{}:
+		defer func() { <-s.lookupSlots }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	return backoff.Retry(ctx, func() (*LookupResult, error) {
-		finding, err := s.o.Lookup.Find(ctx, service, key)
-		if err == nil && finding == nil {
+		found, err := s.o.Lookup.Find(ctx, service, key)
+		if err == nil && found == nil {
 			return nil, errNotKnownYet
 		}
-		return finding, err
-	}, backoff.WithMaxTries(lookupTries))
+		return found, err
+	}, backoff.WithMaxTries(maxLookupAttempts))
 }
--- a/internal/owner/result.go
+++ b/internal/owner/result.go
@@ -17,7 +17,7 @@
 )
 
 // reasons maps what the aggregate refuses to the API's status and code.
-var reasons = map[program.Reason]struct {
+var refusalCodes = map[program.Reason]struct {
 	status int
 	code   step.Code
 }{
@@ -28,7 +28,7 @@
 }
 
 func refusalOf(r *program.Refusal) *step.Result {
-	reason := reasons[r.Reason]
+	reason := refusalCodes[r.Reason]
 	return refuse(reason.status, reason.code, r.Message)
 }
 
@@ -39,17 +39,17 @@
 
 // notFound is the answer for a program that does not exist, has left or is
 // another customer's: all the same, so that an id tells nothing to a stranger.
-func notFound() *step.Result {
+func notFoundResult() *step.Result {
 	return refuse(http.StatusNotFound, step.CodeNotFound, "no such program")
 }
 
-func moved() *step.Result {
+func movedResult() *step.Result {
 	r := refuse(http.StatusMisdirectedRequest, step.CodeMoved, "another instance owns the program now")
-	r.RetryAfter = missingRetry
+	r.RetryAfter = shortRetryAfter
 	return r
 }
 
-func (s *Service) storeDown() *step.Result {
+func (s *Service) storeUnavailable() *step.Result {
 	r := refuse(http.StatusServiceUnavailable, step.CodeStoreUnavailable,
 		"the log can't be written, so the step was not begun")
 	r.RetryAfter = s.o.RetryAfter
@@ -57,7 +57,7 @@
 }
 
 // unsaved is the answer of a step that ran and whose record is not durable.
-func (s *Service) unsaved() step.Result {
+func (s *Service) notDurable() step.Result {
 	return step.Result{
 		Outcome:    step.Unknown,
 		Status:     http.StatusServiceUnavailable,
@@ -67,11 +67,11 @@
 	}
 }
 
-func cancelled() *step.Result {
+func cancelledResult() *step.Result {
 	return refuse(statusClientClosed, step.CodeCancelled, "the caller went away before the step began")
 }
 
-func late() *step.Result {
+func deadlineExceeded() *step.Result {
 	return refuse(statusTimeout, step.CodeDeadline, "the deadline passed before the step began")
 }
 
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -15,27 +15,27 @@
 
 // launch starts the flight of a step whose turn it is. The lock is held, the
 // step is counted.
-func (s *Service) launch(r *resident, call step.Call, a program.Attempt) (*flight, chan struct{}) {
+func (s *Service) startFlight(r *resident, call step.Call, a program.Attempt) (*flight, chan struct{}) {
 	first := call.Program == ""
 	call.Program, call.Number = r.id, r.state.Next()
 	f := &flight{
 		id:       r.id,
 		head:     program.StepIdentity{Number: call.Number, Key: a.Key, Hash: a.Hash},
 		call:     call,
-		deadline: s.deadline(call),
+		deadline: s.flightDeadline(call),
 	}
 	ctx, cancel := context.WithDeadline(s.ctx, f.deadline)
 	f.cancel = cancel
 	signal := f.join()
-	r.claimed, r.flight, r.launched = true, f, true
-	go s.fly(ctx, r, f, a, first)
+	r.claimed, r.flight, r.started = true, f, true
+	go s.runFlight(ctx, r, f, a, first)
 	return f, signal
 }
 
-func (s *Service) deadline(call step.Call) time.Time {
+func (s *Service) flightDeadline(call step.Call) time.Time {
 	limit := time.Duration(call.Plan.Bounds.StepTime)
 	if limit <= 0 {
-		limit = s.o.StepTime
+		limit = s.o.StepTimeout
 	}
 	deadline := time.Now().Add(limit)
 	if !call.Deadline.IsZero() && call.Deadline.Before(deadline) {
@@ -44,11 +44,11 @@
 	return deadline
 }
 
-func (s *Service) fly(ctx context.Context, r *resident, f *flight, a program.Attempt, first bool) {
+func (s *Service) runFlight(ctx context.Context, r *resident, f *flight, a program.Attempt, first bool) {
 	defer s.flights.end()
 	result := s.execute(ctx, r, f, a)
 	result.Program, result.Number = f.id, f.head.Number
-	if first && !s.opened(r) {
+	if first && !s.finishOpening(r) {
 		result.Program = ""
 	}
 	r.mu.Lock()
@@ -56,7 +56,7 @@
 	if result.Outcome == step.Done {
 		result.Turn = r.state.TurnToken()
 	}
-	r.wake()
+	r.notifyWaiters()
 	r.mu.Unlock()
 	s.releaseEnded(r)
 	f.finish(result)
@@ -64,18 +64,18 @@
 
 // execute runs the step of a flight from its checks to its record.
 func (s *Service) execute(ctx context.Context, r *resident, f *flight, a program.Attempt) step.Result {
-	if !s.saveEarlier(r) {
+	if !s.savePending(r) {
 		if s.moved.Load() {
-			return *moved()
+			return *movedResult()
 		}
-		return *s.storeDown()
+		return *s.storeUnavailable()
 	}
 	work, added, refusal := s.prepare(r, f, a)
 	if refusal != nil {
 		return *refusal
 	}
 	if !work.Repeatable && !s.o.Log.Available() {
-		return *s.storeDown()
+		return *s.storeUnavailable()
 	}
 	placed, refused := s.o.Executor.Admit(ctx, work)
 	if refused != nil {
@@ -103,7 +103,7 @@
 // the first byte is left: the step is unknown then and its key is the same.
 func (s *Service) beforeSend(ctx context.Context) *step.Result {
 	if ctx.Err() != nil {
-		return s.gaveUpFlight(ctx)
+		return s.flightContextRefusal(ctx)
 	}
 	if s.maySend() {
 		return nil
@@ -115,49 +115,49 @@
 
 func (s *Service) maySend() bool { return s.o.Lease == nil || s.o.Lease.Held() }
 
-func (s *Service) gaveUpFlight(ctx context.Context) *step.Result {
+func (s *Service) flightContextRefusal(ctx context.Context) *step.Result {
 	if s.ctx.Err() != nil {
 		return shuttingDown()
 	}
-	return gaveUp(ctx)
+	return contextRefusal(ctx)
 }
 
 // saveEarlier appends what earlier steps left pending, so that no step builds
 // on a turn that may be lost. The events of a new program wait for its first
 // step's.
-func (s *Service) saveEarlier(r *resident) bool {
+func (s *Service) savePending(r *resident) bool {
 	r.mu.Lock()
-	clean := len(r.pending) == 0 || len(r.state.Steps) == 0 && !r.saved
+	nothingToSave := len(r.pending) == 0 || len(r.state.Steps) == 0 && !r.saved
 	r.mu.Unlock()
-	return clean || s.save(r, s.o.Log.AppendOrHold, keepUnsaved) == nil
+	return nothingToSave || s.save(r, s.o.Log.AppendOrHold, keepUnsaved) == nil
 }
 
 // prepare checks the step against its program and describes it for the executor.
 func (s *Service) prepare(r *resident, f *flight, a program.Attempt) (*Work, []chat.Message, *step.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var sent, whole, added []chat.Message
+	var sent, history, added []chat.Message
 	var refusal *program.Refusal
 	if f.call.Model != nil {
 		sent = f.call.Model.Messages
 	}
-	if refusal = r.state.CheckHistory(a, sent, s.kind(f.call)); refusal != nil {
+	if refusal = r.state.CheckHistory(a, sent, s.stepKind(f.call)); refusal != nil {
 		result := refusalOf(refusal)
 		result.MissingStep = r.state.Next()
 		return nil, nil, result
 	}
 	if f.call.Model != nil {
-		if whole, added, refusal = r.state.Merge(sent); refusal != nil {
+		if history, added, refusal = r.state.Merge(sent); refusal != nil {
 			return nil, nil, refusalOf(refusal)
 		}
 	}
 	if refusal = r.state.CheckBounds(time.Now(), added); refusal != nil {
 		return nil, nil, refusalOf(refusal)
 	}
-	return s.work(r, f, whole), added, nil
+	return s.newWork(r, f, history), added, nil
 }
 
-func (s *Service) kind(call step.Call) program.Kind {
+func (s *Service) stepKind(call step.Call) program.Kind {
 	switch {
 	case call.Tool == nil:
 		return program.ModelKind
@@ -167,7 +167,7 @@
 	return program.OnceKind
 }
 
-func (s *Service) work(r *resident, f *flight, whole []chat.Message) *Work {
+func (s *Service) newWork(r *resident, f *flight, history []chat.Message) *Work {
 	return &Work{
 		Call:           f.call,
 		Program:        r.id,
@@ -175,9 +175,9 @@
 		Root:           r.state.Root,
 		Attained:       time.Duration(r.tree.attained.Load()),
 		Depth:          r.state.Depth,
-		History:        whole,
+		History:        history,
 		Pauses:         append([]time.Duration(nil), r.state.Pauses...),
-		Repeatable:     s.kind(f.call) != program.OnceKind,
+		Repeatable:     s.stepKind(f.call) != program.OnceKind,
 		IdempotencyKey: upstreamKey(r.id, f.head.Number),
 		Deadline:       f.deadline,
 		MaySend:        s.maySend,
@@ -187,16 +187,16 @@
 // runModel streams a model call and makes its turn durable before the end of
 // the answer is given out.
 func (s *Service) runModel(ctx context.Context, r *resident, f *flight, placed Placed, added []chat.Message) step.Result {
-	result, answer := s.send(ctx, r, f, placed)
+	result, record := s.runPlaced(ctx, r, f, placed)
 	if result.Outcome != step.Done {
-		s.recordFailure(r, answer)
+		s.recordFailure(r, record)
 		return result
 	}
 	if len(result.Answer.Raw) == 0 {
-		s.recordFailure(r, answer)
+		s.recordFailure(r, record)
 		return upstreamFailed("the engine's answer holds no message")
 	}
-	turn := program.RecordTurn(answer, program.Turn{
+	turn := program.RecordTurn(record, program.Turn{
 		Added:        added,
 		Message:      result.Answer,
 		Model:        result.Model,
@@ -207,14 +207,14 @@
 	case err == nil:
 		return withBody(result, f)
 	case errors.Is(err, ErrFenced):
-		m := *moved()
+		m := *movedResult()
 		m.Outcome = step.Unknown
 		m.Message = "another instance owns the program now; the turn was not taken, ask again"
 		return m
 	case errors.Is(err, ErrTooLarge):
 		return upstreamFailed("the answer is too large for the program's history")
 	}
-	return s.unsaved()
+	return s.notDurable()
 }
 
 func withBody(result step.Result, f *flight) step.Result {
@@ -236,19 +236,19 @@
 }
 
 // send runs a placed step and measures it.
-func (s *Service) send(ctx context.Context, r *resident, f *flight, placed Placed) (step.Result, program.StepResult) {
+func (s *Service) runPlaced(ctx context.Context, r *resident, f *flight, placed Placed) (step.Result, program.StepResult) {
 	var sink step.Sink
 	if f.call.Model != nil && f.call.Model.Stream {
 		sink = flightSink{f}
 	}
 	start := time.Now()
 	result := placed.Run(ctx, sink)
-	took := time.Since(start)
-	r.tree.attained.Add(int64(took))
+	elapsed := time.Since(start)
+	r.tree.attained.Add(int64(elapsed))
 	return result, program.StepResult{
 		Head:        f.head,
 		Upstream:    result.Upstream,
-		ServiceTime: took,
+		ServiceTime: elapsed,
 		Earning:     earning(result, f.call),
 		EndsProgram: f.call.EndsProgram,
 	}
@@ -265,17 +265,17 @@
 func (k flightSink) Chunk(data []byte) error { return k.f.Chunk(data) }
 
 // basisPoints is the whole of which a plan's cut is a part.
-const basisPoints = 10_000
+const basisPointsPerUnit = 10_000
 
 func earning(result step.Result, call step.Call) program.Earning {
 	price := int64(result.Price)
-	return program.Earning{Price: price, Cut: price * int64(call.Plan.CutBasisPoints) / basisPoints}
+	return program.Earning{Price: price, Cut: price * int64(call.Plan.CutBasisPoints) / basisPointsPerUnit}
 }
 
 // recordFailure counts what a step cost that may be repeated and has no answer.
-func (s *Service) recordFailure(r *resident, answer program.StepResult) {
-	if answer.Earning != (program.Earning{}) {
-		_ = s.save(r, s.o.Log.AppendOrHold, keepUnsaved, program.Fail(answer))
+func (s *Service) recordFailure(r *resident, record program.StepResult) {
+	if record.Earning != (program.Earning{}) {
+		_ = s.save(r, s.o.Log.AppendOrHold, keepUnsaved, program.Fail(record))
 	}
 }
 
@@ -284,28 +284,28 @@
 // caller that went on would find a successor that waits for it for ever. One
 // that is not recorded is run again.
 func (s *Service) runRepeatable(ctx context.Context, r *resident, f *flight, placed Placed) step.Result {
-	result, answer := s.send(ctx, r, f, placed)
+	result, record := s.runPlaced(ctx, r, f, placed)
 	if result.Outcome != step.Done {
-		s.recordFailure(r, answer)
+		s.recordFailure(r, record)
 		return result
 	}
-	switch err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, outcomeOf(f, result, answer)); {
+	switch err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, outcomeEvent(f, result, record)); {
 	case err == nil:
 		return result
 	case errors.Is(err, ErrFenced):
-		m := *moved()
+		m := *movedResult()
 		m.Outcome = step.Unknown
 		m.Message = "another instance owns the program now; the answer was not recorded, ask again"
 		return m
 	case errors.Is(err, ErrTooLarge):
 		return upstreamFailed("the answer is too large to be recorded")
 	}
-	return s.unsaved()
+	return s.notDurable()
 }
 
 // outcomeOf returns the event that records the outcome of a tool step.
-func outcomeOf(f *flight, result step.Result, answer program.StepResult) *programpb.Event {
-	return program.RecordOutcome(answer, program.ToolAnswer{
+func outcomeEvent(f *flight, result step.Result, record program.StepResult) *programpb.Event {
+	return program.RecordOutcome(record, program.ToolAnswer{
 		Call:        toolCall(f.call.Tool),
 		Verdict:     verdictOf(result.Outcome),
 		Status:      result.Status,
@@ -318,29 +318,29 @@
 // before its first byte leaves; from then on it no longer depends on its
 // callers, and whoever finds the intent without an outcome does not send it.
 func (s *Service) runOnce(ctx context.Context, r *resident, f *flight, placed Placed) step.Result {
-	if !f.commit() {
+	if !f.detach() {
 		placed.Cancel()
-		return *cancelled()
+		return *cancelledResult()
 	}
 	err := s.save(r, s.o.Log.Append, dropUnsaved, program.RecordIntent(f.head, toolCall(f.call.Tool)))
 	if err != nil {
 		placed.Cancel()
-		return s.notIntended(r, f, err)
+		return s.intentNotWritten(r, f, err)
 	}
 	if refusal := s.beforeSend(ctx); refusal != nil {
 		placed.Cancel()
-		s.takeBack(r, f)
+		s.withdrawIntent(r, f)
 		return *refusal
 	}
-	result, answer := s.send(ctx, r, f, placed)
+	result, record := s.runPlaced(ctx, r, f, placed)
 	if result.Outcome == step.Unknown {
 		result.Code = step.CodeOutcomeUnknown
 	}
-	if err := s.recordOutcome(r, f, result, answer); errors.Is(err, ErrFenced) {
-		s.report(r, resolutionOf(f.head, result, answer))
+	if err := s.recordOutcome(r, f, result, record); errors.Is(err, ErrFenced) {
+		s.startReport(r, resolutionOf(f.head, result, record))
 	}
 	if result.Outcome == step.Unknown {
-		s.lookUp(r, f.head.Number)
+		s.startLookup(r, f.head.Number)
 	}
 	return result
 }
@@ -349,28 +349,28 @@
 // It was not sent, and is not: where the intent may be in the log, it is taken
 // back with the program's next append. A successor that finds it alone answers
 // "unknown", which is weaker and never wrong.
-func (s *Service) notIntended(r *resident, f *flight, err error) step.Result {
+func (s *Service) intentNotWritten(r *resident, f *flight, err error) step.Result {
 	switch {
 	case errors.Is(err, ErrFenced):
-		return *moved()
+		return *movedResult()
 	case errors.Is(err, ErrUnsettled):
-		r.decide(notRun(f))
+		r.applyPending(notRunEvent(f))
 	}
-	return *s.storeDown()
+	return *s.storeUnavailable()
 }
 
 // notRun takes the step's intent back.
-func notRun(f *flight) *programpb.Event {
+func notRunEvent(f *flight) *programpb.Event {
 	return program.RecordOutcome(program.StepResult{Head: f.head}, program.ToolAnswer{
 		Call:    toolCall(f.call.Tool),
 		Verdict: program.NotRun,
 	})
 }
 
-func (s *Service) takeBack(r *resident, f *flight) {
-	err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, notRun(f))
+func (s *Service) withdrawIntent(r *resident, f *flight) {
+	err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, notRunEvent(f))
 	if errors.Is(err, ErrFenced) {
-		s.report(r, program.Resolution{
+		s.startReport(r, program.Resolution{
 			Number:  f.head.Number,
 			Hash:    f.head.Hash,
 			Verdict: program.NotRun,
@@ -384,8 +384,8 @@
 // than a refusal, and where the record is late or lost, repeats are answered
 // "unknown" and never sent. Its error is the append's: after ErrFenced only a
 // step with an intent has its number with the successor, and is to be reported.
-func (s *Service) recordOutcome(r *resident, f *flight, result step.Result, answer program.StepResult) error {
-	err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, outcomeOf(f, result, answer))
+func (s *Service) recordOutcome(r *resident, f *flight, result step.Result, record program.StepResult) error {
+	err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, outcomeEvent(f, result, record))
 	if err != nil {
 		s.log.WithError(err).WithField("program", string(r.id)).WithField("step", f.head.Number).
 			Warn("outcome of a step not durable yet")
--- a/internal/owner/save.go
+++ b/internal/owner/save.go
@@ -14,14 +14,14 @@
 type appendFunc func(ctx context.Context, records ...Record) error
 
 // keep says what becomes of events that surely are not in the log.
-type keep bool
+type unsavedPolicy bool
 
 const (
 	// dropUnsaved forgets them: the decision is taken back.
-	dropUnsaved keep = false
+	dropUnsaved unsavedPolicy = false
 	// keepUnsaved holds them until a later append takes them along: what they
 	// tell has happened.
-	keepUnsaved keep = true
+	keepUnsaved unsavedPolicy = true
 )
 
 // save appends what is pending, then the decided events, and takes them into
@@ -29,15 +29,15 @@
 //
 // After ErrUnsettled the events count as decided and are appended again before
 // anything else of the program; the numbers in them make the double harmless.
-func (s *Service) save(r *resident, add appendFunc, k keep, decided ...*programpb.Event) error {
-	batch, sealed, notes := r.seal(decided)
+func (s *Service) save(r *resident, appendTo appendFunc, policy unsavedPolicy, decided ...*programpb.Event) error {
+	batch, numbered, deferredCount := r.numberEvents(decided)
 	if len(batch) == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), s.o.StoreWait)
-	err := settleable(add(ctx, records(r.id, batch)...))
+	ctx, cancel := context.WithTimeout(context.Background(), s.o.AppendTimeout)
+	err := classifyAppendError(appendTo(ctx, records(r.id, batch)...))
 	cancel()
-	r.settle(err, k, batch, sealed, notes)
+	r.completeAppend(err, policy, batch, numbered, deferredCount)
 	if errors.Is(err, ErrFenced) {
 		s.HandedOver()
 	}
@@ -45,7 +45,7 @@
 }
 
 // settleable maps errors that a Log should not return to the weakest one.
-func settleable(err error) error {
+func classifyAppendError(err error) error {
 	for _, known := range []error{ErrUnavailable, ErrFenced, ErrTooLarge, ErrUnsettled} {
 		if err == nil || errors.Is(err, known) {
 			return err
@@ -56,22 +56,22 @@
 
 // seal numbers the decided events behind the program's notes. batch is what is
 // to be appended, sealed the part of it that the state does not hold yet.
-func (r *resident) seal(decided []*programpb.Event) (batch, sealed []program.Event, notes int) {
+func (r *resident) numberEvents(decided []*programpb.Event) (batch, numbered []program.Event, deferredCount int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	notes = len(r.notes)
-	all := append(r.notes[:notes:notes], decided...)
-	sealed = r.state.NumberEvents(time.Now(), all...)
-	batch = append(r.pending[:len(r.pending):len(r.pending)], sealed...)
+	deferredCount = len(r.deferred)
+	all := append(r.deferred[:deferredCount:deferredCount], decided...)
+	numbered = r.state.NumberEvents(time.Now(), all...)
+	batch = append(r.pending[:len(r.pending):len(r.pending)], numbered...)
 	r.saving = len(batch) > 0
-	return batch, sealed, notes
+	return batch, numbered, deferredCount
 }
 
-func (r *resident) settle(err error, k keep, batch, sealed []program.Event, notes int) {
+func (r *resident) completeAppend(err error, policy unsavedPolicy, batch, numbered []program.Event, deferredCount int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.saving = false
-	r.wake()
+	r.notifyWaiters()
 	switch {
 	case err == nil:
 		r.pending, r.saved = nil, true
@@ -79,18 +79,18 @@
 		return
 	case errors.Is(err, ErrUnsettled):
 		r.pending, r.saved = batch, true
-	case k == dropUnsaved:
+	case policy == dropUnsaved:
 		return
 	default:
 		r.pending = batch
 	}
-	r.notes = r.notes[notes:]
-	r.apply(sealed)
+	r.deferred = r.deferred[deferredCount:]
+	r.apply(numbered)
 }
 
 // apply takes events into the state that were sealed for it. The lock is held.
-func (r *resident) apply(sealed []program.Event) {
-	for _, e := range sealed {
+func (r *resident) apply(numbered []program.Event) {
+	for _, e := range numbered {
 		if err := r.state.Apply(e); err != nil {
 			panic("owner: an event sealed here does not follow: " + err.Error())
 		}
@@ -98,25 +98,25 @@
 }
 
 // decide takes an event into the state at once and leaves it to the next append.
-func (r *resident) decide(event *programpb.Event) {
+func (r *resident) applyPending(event *programpb.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sealed := r.state.NumberEvents(time.Now(), event)
-	r.pending = append(r.pending, sealed...)
-	r.apply(sealed)
+	numbered := r.state.NumberEvents(time.Now(), event)
+	r.pending = append(r.pending, numbered...)
+	r.apply(numbered)
 }
 
 // note leaves an event to the next append.
-func (r *resident) note(event *programpb.Event) {
+func (r *resident) deferEvent(event *programpb.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.notes = append(r.notes, event)
+	r.deferred = append(r.deferred, event)
 }
 
 func records(id program.ID, events []program.Event) []Record {
-	out := make([]Record, 0, len(events))
+	list := make([]Record, 0, len(events))
 	for _, e := range events {
-		out = append(out, Record{Program: id, Event: e.Raw})
+		list = append(list, Record{Program: id, Event: e.Raw})
 	}
-	return out
+	return list
 }
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -41,9 +41,9 @@
 	// a few milliseconds apart.
 	GapWait time.Duration
 	// StoreWait bounds one append. Default 5 s.
-	StoreWait time.Duration
+	AppendTimeout time.Duration
 	// StepTime bounds a step where the plan sets no bound. Default 10 min.
-	StepTime time.Duration
+	StepTimeout time.Duration
 	// RetryAfter is what refusals for want of the store tell callers. Default 2 s.
 	RetryAfter time.Duration
 	// IdleExpiry ends programs without open work that nobody calls. Default 1 h.
@@ -53,7 +53,7 @@
 	// EndedKeep is how long an ended program still answers repeats. Default 5 min.
 	EndedRetention time.Duration
 	// SweepEvery is the pace of expiry and of stalled programs. Default 15 s.
-	SweepEvery time.Duration
+	SweepInterval time.Duration
 	// MaxSteps, MaxHistoryTokens and MaxWaiting bound a program whatever its
 	// plan says. Defaults 1000, 200,000 and 64.
 	MaxSteps         int
@@ -65,14 +65,14 @@
 }
 
 const (
-	defaultGapWait      = 250 * time.Millisecond
-	defaultStoreWait    = 5 * time.Second
-	defaultStepTime     = 10 * time.Minute
-	defaultRetryAfter   = 2 * time.Second
-	defaultIdleExpiry   = time.Hour
-	defaultStalledAfter = 10 * time.Minute
-	defaultEndedKeep    = 5 * time.Minute
-	defaultSweepEvery   = 15 * time.Second
+	defaultGapWait        = 250 * time.Millisecond
+	defaultAppendTimeout  = 5 * time.Second
+	defaultStepTimeout    = 10 * time.Minute
+	defaultRetryAfter     = 2 * time.Second
+	defaultIdleExpiry     = time.Hour
+	defaultStalledAfter   = 10 * time.Minute
+	defaultEndedRetention = 5 * time.Minute
+	defaultSweepInterval  = 15 * time.Second
 
 	defaultMaxSteps         = 1000
 	defaultMaxHistoryTokens = 200_000
@@ -81,13 +81,13 @@
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.GapWait, defaultGapWait)
-	setDefault(&o.StoreWait, defaultStoreWait)
-	setDefault(&o.StepTime, defaultStepTime)
+	setDefault(&o.AppendTimeout, defaultAppendTimeout)
+	setDefault(&o.StepTimeout, defaultStepTimeout)
 	setDefault(&o.RetryAfter, defaultRetryAfter)
 	setDefault(&o.IdleExpiry, defaultIdleExpiry)
 	setDefault(&o.StalledAfter, defaultStalledAfter)
-	setDefault(&o.EndedRetention, defaultEndedKeep)
-	setDefault(&o.SweepEvery, defaultSweepEvery)
+	setDefault(&o.EndedRetention, defaultEndedRetention)
+	setDefault(&o.SweepInterval, defaultSweepInterval)
 	setDefault(&o.MaxSteps, defaultMaxSteps)
 	setDefault(&o.MaxHistoryTokens, defaultMaxHistoryTokens)
 	setDefault(&o.MaxWaiting, defaultMaxWaiting)
@@ -123,10 +123,10 @@
 
 	flights flightCount
 	// background bounds and counts the goroutines beside flights.
-	ctx        context.Context
-	cancel     context.CancelFunc
-	background sync.WaitGroup
-	lookups    chan struct{}
+	ctx         context.Context
+	cancel      context.CancelFunc
+	background  sync.WaitGroup
+	lookupSlots chan struct{}
 }
 
 // maxLookups is how many services are asked at once what became of calls.
@@ -137,7 +137,7 @@
 	if o.Cohort == "" || o.Log == nil || o.Executor == nil || o.Catalogue == nil {
 		return nil, errors.New("owner: cohort, log, executor and catalogue are required")
 	}
-	s := &Service{o: o.withDefaults(), movedCh: make(chan struct{}), lookups: make(chan struct{}, maxLookups)}
+	s := &Service{o: o.withDefaults(), movedCh: make(chan struct{}), lookupSlots: make(chan struct{}, maxLookups)}
 	s.log = s.o.Logger.WithField("cohort", string(o.Cohort))
 	s.meters = newMeters(s.o.Registry)
 	s.flights.idle = make(chan struct{}, 1)
--- a/internal/owner/sweep.go
+++ b/internal/owner/sweep.go
@@ -14,7 +14,7 @@
 // Run expires and ends programs, saves what is pending and watches for stalled
 // programs, until ctx ends.
 func (s *Service) Run(ctx context.Context) {
-	ticker := time.NewTicker(s.o.SweepEvery)
+	ticker := time.NewTicker(s.o.SweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -31,39 +31,39 @@
 	if s.moved.Load() {
 		return
 	}
-	total := tally{}
+	total := sweepTotals{}
 	for i := range s.shards {
-		s.sweepSlice(ctx, &s.shards[i], &total)
+		s.sweepShard(ctx, &s.shards[i], &total)
 	}
 	s.meters.programs.Update(total.programs)
 	s.meters.stalled.Update(total.stalled)
-	s.meters.open.Update(total.unresolved)
+	s.meters.unresolved.Update(total.unresolved)
 }
 
-type tally struct{ programs, stalled, unresolved int64 }
+type sweepTotals struct{ programs, stalled, unresolved int64 }
 
-func (s *Service) sweepSlice(ctx context.Context, sh *shard, total *tally) {
+func (s *Service) sweepShard(ctx context.Context, sh *shard, total *sweepTotals) {
 	now := time.Now()
-	var over []*resident
+	var ending []*resident
 	for _, r := range sh.all() {
-		fate := r.judge(now, &s.o, total)
-		if fate.newlyStalled {
-			s.log.WithField("program", string(r.id)).WithField("unresolved", fate.unresolved).
+		found := r.assess(now, &s.o, total)
+		if found.newlyStalled {
+			s.log.WithField("program", string(r.id)).WithField("unresolved", found.unresolved).
 				Warn("program with open work is stalled")
 		}
-		if fate.unsaved && r.tryClaim() {
+		if found.unsaved && r.tryClaim() {
 			_ = s.save(r, s.o.Log.AppendOrHold, keepUnsaved)
 			r.unclaim()
 		}
-		if fate.askAgain {
-			s.lookUpAll(r)
+		if found.lookUpAgain {
+			s.startLookups(r)
 		}
-		if fate.over {
-			over = append(over, r)
+		if found.shouldEnd {
+			ending = append(ending, r)
 		}
 	}
-	for batch := range slices.Chunk(over, endChunk) {
-		if ctx.Err() != nil || s.endAll(ctx, sh, batch) != nil {
+	for batch := range slices.Chunk(ending, endChunk) {
+		if ctx.Err() != nil || s.endPrograms(ctx, sh, batch) != nil {
 			return
 		}
 	}
@@ -73,63 +73,63 @@
 const endChunk = 64
 
 // fate is what a sweep makes of a program.
-type fate struct {
-	over, unsaved, newlyStalled, askAgain bool
-	unresolved                            int
+type assessment struct {
+	shouldEnd, unsaved, newlyStalled, lookUpAgain bool
+	unresolved                                    int
 }
 
-func (r *resident) judge(now time.Time, o *Options, total *tally) fate {
+func (r *resident) assess(now time.Time, o *Options, total *sweepTotals) assessment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state.Account {
-		return fate{over: r.adopted}
+		return assessment{shouldEnd: r.adopted}
 	}
 	total.programs++
 	unresolved := r.state.Unresolved()
 	total.unresolved += int64(unresolved)
-	if r.claimed || r.waiting > 0 || r.opening > 0 {
-		return fate{}
+	if r.claimed || r.waiters > 0 || r.openingChildren > 0 {
+		return assessment{}
 	}
 	idle := now.Sub(r.usedAt)
-	f := fate{unsaved: len(r.pending) > 0 || len(r.notes) > 0, unresolved: unresolved}
+	f := assessment{unsaved: len(r.pending) > 0 || len(r.deferred) > 0, unresolved: unresolved}
 	if r.state.HasOpenWork() && idle >= o.StalledAfter {
 		f.newlyStalled = !r.stalled
 		r.stalled = true
 		total.stalled++
 	}
-	if unresolved > 0 && now.Sub(r.askedAt) >= askEvery {
-		f.askAgain, r.askedAt = true, now
+	if unresolved > 0 && now.Sub(r.lookedUpAt) >= lookupInterval {
+		f.lookUpAgain, r.lookedUpAt = true, now
 	}
-	f.over = r.isOver(now, idle, unresolved, o)
+	f.shouldEnd = r.shouldEnd(now, idle, unresolved, o)
 	return f
 }
 
 // askEvery is how often services are asked again about unknown steps: one that
 // was away when the step became unknown may know it later.
-const askEvery = 10 * time.Minute
+const lookupInterval = 10 * time.Minute
 
 // isOver reports whether the program is to be ended. One with a step of
 // unknown outcome or a broken history stays until someone has resolved it; one
 // that was abandoned with other open work stays stalled for its lifetime.
-func (r *resident) isOver(now time.Time, idle time.Duration, unresolved int, o *Options) bool {
+func (r *resident) shouldEnd(now time.Time, idle time.Duration, unresolved int, o *Options) bool {
 	switch {
-	case unresolved > 0 || r.state.Broken || len(r.pending) > 0 || len(r.notes) > 0:
+	case unresolved > 0 || r.state.Broken || len(r.pending) > 0 || len(r.deferred) > 0:
 		return false
 	case !r.state.EndRequestedAt.IsZero():
 		return now.Sub(r.state.EndRequestedAt) >= o.EndedRetention && idle >= o.EndedRetention
 	case r.state.HasOpenWork():
-		return idle >= stalledKeep
+		return idle >= stalledRetention
 	}
 	return idle >= o.IdleExpiry
 }
 
 // stalledKeep is how long a stalled program without unknown steps is listed.
-const stalledKeep = 7 * 24 * time.Hour
+const stalledRetention = 7 * 24 * time.Hour
 
 // endAll ends programs, and adds what they earned to the slice's account in the
 // same append, so that it is counted once whatever fails in between.
-func (s *Service) endAll(ctx context.Context, sh *shard, batch []*resident) error {
-	batch = s.claimOver(batch)
+func (s *Service) endPrograms(ctx context.Context, sh *shard, batch []*resident) error {
+	batch = s.claimEnding(batch)
 	if len(batch) == 0 {
 		return nil
 	}
@@ -163,42 +163,42 @@
 
 // claimOver claims the programs of the list that nobody uses and that are
 // still to be ended.
-func (s *Service) claimOver(list []*resident) []*resident {
-	var out []*resident
+func (s *Service) claimEnding(list []*resident) []*resident {
+	var claimed []*resident
 	for _, r := range list {
 		if !r.tryClaim() {
 			continue
 		}
-		if r.stillOver(&s.o) {
-			out = append(out, r)
+		if r.shouldStillEnd(&s.o) {
+			claimed = append(claimed, r)
 			continue
 		}
 		r.unclaim()
 	}
-	return out
+	return claimed
 }
 
 // stillOver looks again under the claim, since a call may have come first.
-func (r *resident) stillOver(o *Options) bool {
+func (r *resident) shouldStillEnd(o *Options) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state.Account {
 		return true
 	}
 	now := time.Now()
-	return r.waiting == 0 && r.opening == 0 && r.isOver(now, now.Sub(r.usedAt), r.state.Unresolved(), o)
+	return r.waiters == 0 && r.openingChildren == 0 && r.shouldEnd(now, now.Sub(r.usedAt), r.state.Unresolved(), o)
 }
 
 // account returns the slice's account of ended programs' earnings.
-func (s *Service) account(sh *shard, slice int) *resident {
+func (s *Service) account(sh *shard, index int) *resident {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if sh.account != nil {
 		return sh.account
 	}
-	id := program.NewIDInShard(s.o.Cohort, slice)
+	id := program.NewIDInShard(s.o.Cohort, index)
 	r := &resident{id: id, tree: &tree{}, state: &program.State{ID: id}, usedAt: time.Now()}
-	r.decide(program.Open(program.Opening{ID: id, Account: true}))
+	r.applyPending(program.Open(program.Opening{ID: id, Account: true}))
 	sh.residents[id] = r
 	sh.account = r
 	return r
@@ -209,33 +209,33 @@
 // followed by anything else.
 func (s *Service) appendEnds(ctx context.Context, sh *shard, account *resident, batch []*resident) error {
 	ends := make([]Record, 0, len(batch))
-	var absorbed []*programpb.Event
+	var merged []*programpb.Event
 	for _, r := range batch {
-		end, earned := r.sealEnd()
+		end, earned := r.endEvents()
 		ends = append(ends, Record{Program: r.id, Event: end.Raw, Kind: TombstoneRecord})
 		if earned != nil {
-			absorbed = append(absorbed, earned)
+			merged = append(merged, earned)
 		}
 	}
-	if len(absorbed) == 0 {
-		err := s.appendSettled(ctx, ends)
+	if len(merged) == 0 {
+		err := s.appendUntilSettled(ctx, ends)
 		if err == nil {
-			s.dropEnded(batch)
+			s.removeEnded(batch)
 		}
 		return err
 	}
-	sums, sealed, notes := account.seal(absorbed)
-	err := s.appendSettled(ctx, append(records(account.id, sums), ends...))
-	sh.ending.Lock()
-	defer sh.ending.Unlock()
-	account.settle(err, dropUnsaved, sums, sealed, notes)
+	accountBatch, numbered, deferredCount := account.numberEvents(merged)
+	err := s.appendUntilSettled(ctx, append(records(account.id, accountBatch), ends...))
+	sh.endMu.Lock()
+	defer sh.endMu.Unlock()
+	account.completeAppend(err, dropUnsaved, accountBatch, numbered, deferredCount)
 	if err == nil {
-		s.dropEnded(batch)
+		s.removeEnded(batch)
 	}
 	return err
 }
 
-func (s *Service) dropEnded(batch []*resident) {
+func (s *Service) removeEnded(batch []*resident) {
 	for _, r := range batch {
 		s.release(r)
 		s.remove(r)
@@ -245,7 +245,7 @@
 
 // sealEnd returns the program's last event, and what an account takes over
 // from it or nil.
-func (r *resident) sealEnd() (end program.Event, earned *programpb.Event) {
+func (r *resident) endEvents() (end program.Event, earned *programpb.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	end = r.state.NumberEvents(time.Now(), program.End(endReason))[0]
@@ -257,11 +257,11 @@
 
 const endReason = "over"
 
-func (s *Service) appendSettled(ctx context.Context, all []Record) error {
+func (s *Service) appendUntilSettled(ctx context.Context, all []Record) error {
 	unsettled := false
 	for {
-		attempt, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.o.StoreWait)
-		err := settleable(s.o.Log.Append(attempt, all...))
+		attempt, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.o.AppendTimeout)
+		err := classifyAppendError(s.o.Log.Append(attempt, all...))
 		cancel()
 		if errors.Is(err, ErrFenced) {
 			s.HandedOver()
@@ -291,10 +291,10 @@
 
 func (s *Service) release(r *resident) {
 	r.mu.Lock()
-	again := r.released || r.state.Account
+	done := r.released || r.state.Account
 	r.released = true
 	r.mu.Unlock()
-	if again {
+	if done {
 		return
 	}
 	for _, hook := range s.o.Released {
--- a/internal/owner/world_test.go
+++ b/internal/owner/world_test.go
@@ -34,17 +34,17 @@
 
 // What a gate's keeper decides.
 const (
-	ok       = "ok"
-	crash    = "crash"   // the process dies here
-	refused  = "refused" // not written, not admitted
-	lost     = "lost"    // done, but the answer is lost
-	nothing  = "nothing" // not done, and the answer is lost
-	later    = "later"   // the answer is lost, and it is done after a while
-	notSent  = "not sent"
-	act      = "act" // the tool acts and then hangs
-	over     = "over"
-	tooLarge = "too large"
-	written  = "written, then the process dies"
+	ok               = "ok"
+	crash            = "crash"   // the process dies here
+	refused          = "refused" // not written, not admitted
+	responseLost     = "lost"    // done, but the answer is lost
+	dropped          = "nothing" // not done, and the answer is lost
+	delayed          = "later"   // the answer is lost, and it is done after a while
+	notSent          = "not sent"
+	actThenHang      = "act" // the tool acts and then hangs
+	expired          = "over"
+	tooLarge         = "too large"
+	writtenThenCrash = "written, then the process dies"
 )
 
 // gate is a point where a service waits for something outside.
@@ -61,20 +61,20 @@
 	mu    sync.Mutex
 	gates []*gate
 	// auto decides a gate at once, or leaves it to the test with "".
-	auto    func(g *gate) string
-	down    bool
-	nodes   []*node
-	callers []*caller
-	effects map[string]int
+	auto      func(g *gate) string
+	storeDown bool
+	nodes     []*node
+	callers   []*caller
+	effects   map[string]int
 	// engine holds the history of each model run, oldest first.
-	engine  []run
-	answers int
+	engineRuns  []engineRun
+	answerCount int
 	// reports are outcomes that former owners gave to the successor.
-	reports int
+	reportCount int
 	// incomplete says that successors die before an adoption is recorded as complete.
 	incomplete bool
 	// lookups says that the pay service knows its calls.
-	lookups bool
+	lookupKnows bool
 }
 
 // node is one instance with its service and log.
@@ -87,11 +87,11 @@
 	sealed   bool
 	records  []Record
 	held     []Record
-	late     []Record
+	delayed  []Record
 	// torn says that a record was lost with its entry.
 	torn bool
 	// before are records of the log that this one did not wholly adopt.
-	before []Record
+	unadopted []Record
 }
 
 func newWorld() *world {
@@ -127,7 +127,7 @@
 func (n *node) Adopted(program.ID) bool { return !n.adopting.Load() }
 
 // last is the node that owns everything.
-func (w *world) last() *node { return w.nodes[len(w.nodes)-1] }
+func (w *world) owner() *node { return w.nodes[len(w.nodes)-1] }
 
 // await stops at a gate until the test, or the end of ctx, decides.
 func (w *world) await(ctx context.Context, g *gate) string {
@@ -150,7 +150,7 @@
 		w.mu.Lock()
 		w.gates = slices.DeleteFunc(w.gates, func(other *gate) bool { return other == g })
 		w.mu.Unlock()
-		return g.decided(over)
+		return g.decided(expired)
 	}
 }
 
@@ -162,13 +162,13 @@
 }
 
 // open lets the i-th waiting gate go on.
-func (w *world) open(i int, d string) {
-	g := w.take(i)
+func (w *world) release(i int, d string) {
+	g := w.takeGate(i)
 	g.ch <- d
 	synctest.Wait()
 }
 
-func (w *world) take(i int) *gate {
+func (w *world) takeGate(i int) *gate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	g := w.gates[i]
@@ -177,7 +177,7 @@
 }
 
 // waiting returns the gates' kinds.
-func (w *world) waiting() []string {
+func (w *world) waitingGates() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := []string{}
@@ -198,15 +198,15 @@
 	return body.Content
 }
 
-var buyer = &plan.Plan{Name: "buyer", Customer: "kerlouan", CutBasisPoints: 1000}
+var buyerPlan = &plan.Plan{Name: "buyer", Customer: "kerlouan", CutBasisPoints: 1000}
 
 func modelCall(id program.ID, number int, user string) step.Call {
-	return step.Call{Plan: buyer, Program: id, Number: number,
+	return step.Call{Plan: buyerPlan, Program: id, Number: number,
 		Model: &chat.Request{Model: "m", Messages: []chat.Message{message("user", user)}}}
 }
 
 func toolStep(id program.ID, number int, service, body string) step.Call {
-	return step.Call{Plan: buyer, Program: id, Number: number,
+	return step.Call{Plan: buyerPlan, Program: id, Number: number,
 		Tool: &step.ToolRequest{Service: service, Method: "POST", Path: "/", Body: []byte(body)}}
 }
 
@@ -215,21 +215,21 @@
 }
 
 // sink keeps what a caller was given.
-type sink struct {
+type recordingSink struct {
 	mu   sync.Mutex
 	text string
 }
 
-func (k *sink) Begin(step.Result) error { return nil }
+func (k *recordingSink) Begin(step.Result) error { return nil }
 
-func (k *sink) Chunk(data []byte) error {
+func (k *recordingSink) Chunk(data []byte) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.text += string(data)
 	return nil
 }
 
-func (k *sink) given() string {
+func (k *recordingSink) given() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.text
@@ -239,14 +239,14 @@
 type caller struct {
 	result step.Result
 	ended  atomic.Bool
-	sink   *sink
+	sink   *recordingSink
 	cancel context.CancelFunc
 }
 
 // call starts a call and returns once all is waiting.
 func (w *world) call(n *node, call step.Call) *caller {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &caller{cancel: cancel, sink: &sink{}}
+	c := &caller{cancel: cancel, sink: &recordingSink{}}
 	w.callers = append(w.callers, c)
 	var k step.Sink
 	if call.Model != nil && call.Model.Stream {
@@ -281,7 +281,7 @@
 }
 
 // virtual runs a test in virtual time against a fresh world.
-func virtual(t *testing.T, test func(t *testing.T, w *world)) {
+func inVirtualTime(t *testing.T, test func(t *testing.T, w *world)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld()
 		defer w.close()
@@ -290,7 +290,7 @@
 }
 
 // explore is virtual for rapid, whose failures are panics that must leave the bubble.
-func explore(t *testing.T, test func(rt *rapid.T, w *world)) {
+func checkInVirtualTime(t *testing.T, test func(rt *rapid.T, w *world)) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var failure any
 		synctest.Test(t, func(t *testing.T) {
@@ -310,7 +310,7 @@
 }
 
 // pass lets virtual time pass.
-func pass(d time.Duration) {
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
