--- a/internal/owner/adopt.go
+++ b/internal/owner/adopt.go
@@ -11,32 +11,32 @@
 	"foxhall/internal/program"
 )
 
-// Tail is what held copies added to a log that was taken over.
+// Tail contains the records of an adopted log that only peers held (see Log.AppendOrHold).
 type Tail struct {
 	Records []Record
-	// Uncertain says that more may have been held by instances that could not be asked.
+	// Uncertain indicates that unreachable instances may hold more records.
 	Uncertain bool
 }
 
-// Adoption is one slice of a cohort whose log was sealed.
+// Adoption is one shard of a cohort whose log was sealed.
 type Adoption struct {
 	Cohort program.Cohort
 	Shard  int
-	// Records are the slice's records of the cohort's log together with those of
-	// every log whose adoption into it was not complete, in any order. Given one
-	// log after the other, a program would be taken at an older state, and an
-	// account that was joined to another counted twice.
+	// Records are the shard's records from the cohort's log and from every log whose adoption into
+	// it was not complete, in any order. Adopting these logs one after the other would take a
+	// program at an older state and count an account twice that was merged into another.
 	Records []Record
 	Tail    Tail
-	// Doubted are the cohorts, former owners' included, of whose slice a program
-	// may be lost whole; calls to one that is not known are told so.
+	// Unproven are the cohorts, including those of former owners, of which entire programs of the
+	// shard may be lost. A call to an unknown program of these cohorts is answered
+	// step.CodeHistoryUncertain.
 	Unproven []program.Cohort
 }
 
-// Adopt makes the programs of a slice resident and copies them into this
-// cohort's log. On an error the adoption is not complete and is to be called
-// again; until then calls to the programs wait. What is resident already is
-// left alone. A step that was about to be sent is unknown from now on.
+// Adopt makes the programs of a shard resident and writes their snapshots to this cohort's log. If
+// it fails, the adoption is not complete and must be retried; until then calls to the programs
+// wait. Programs that are resident and whose adoption is complete are not changed. A step whose
+// intent has no outcome is unknown afterwards.
 func (s *Service) Adopt(ctx context.Context, a Adoption) error {
 	recovered := s.recoverPrograms(a)
 	s.markUncertain(a)
@@ -49,15 +49,15 @@
 		s.finishAdoption(r)
 	}
 	s.log.WithField("from", string(a.Cohort)).WithField("slice", a.Shard).
-		WithField("programs", len(recovered)).WithField("uncertain", a.Tail.Uncertain).Info("slice adopted")
+		WithField("programs", len(recovered)).WithField("uncertain", a.Tail.Uncertain).Info("shard adopted")
 	return nil
 }
 
-// adoptChunk bounds how many programs' snapshots wait for the log at once.
+// adoptChunk is the number of program snapshots that are appended concurrently.
 const adoptChunk = 64
 
-// recover folds the records and inserts the programs, claimed, so that they
-// are found, by calls and by compaction, and nobody changes them yet.
+// recoverPrograms folds the records into programs and makes these resident. Calls and compaction
+// find them from then on; they stay claimed, so nothing changes them until the adoption is complete.
 func (s *Service) recoverPrograms(a Adoption) []*resident {
 	byProgram := map[program.ID][]program.Event{}
 	tombstoned := map[program.ID]bool{}
@@ -68,7 +68,7 @@
 			continue
 		}
 		if err != nil {
-			s.log.WithError(err).WithField("program", string(record.Program)).Error("corrupt event skipped")
+			s.log.WithError(err).WithField("program", string(record.Program)).Error("corrupt event in an adopted log skipped")
 			continue
 		}
 		byProgram[record.Program] = append(byProgram[record.Program], event)
@@ -97,9 +97,9 @@
 	return recovered
 }
 
-// foldTail takes what an adoption that is called again knows more than its
-// first call did. Left out, records that a former owner offered meanwhile would
-// be lost unseen: the slice counts as adopted with them.
+// mergeTail applies the events that a retried adoption has beyond those of the earlier try. Without
+// it, records that a former owner offered between the tries would be lost unnoticed, because the
+// shard counts as adopted with them.
 func (s *Service) mergeTail(r *resident, events []program.Event, uncertain bool) {
 	for settled := r.resolutionEvents(events); len(settled) > 0; settled = r.resolutionEvents(events) {
 		r.mu.Lock()
@@ -117,16 +117,18 @@
 	r.usedAt = r.state.LastAt
 	diverged := !r.state.Contains(events)
 	if diverged {
-		s.log.WithField("program", string(r.id)).Error("held records do not follow on the program's course")
+		s.log.WithField("program", string(r.id)).Error("held records contradict the program's history and are discarded; its history is uncertain")
 	}
 	r.state.Uncertain = r.state.Uncertain || (uncertain || diverged) && !r.state.Account
 }
 
+// recoverProgram returns the program folded from its events, claimed until its adoption is complete,
+// or nil if it has ended.
 func (s *Service) recoverProgram(id program.ID, events []program.Event, uncertain bool, trees map[program.ID]*tree) *resident {
 	state, err := program.Fold(id, events)
 	if err != nil {
 		s.meters.broken.Inc(1)
-		s.log.WithError(err).WithField("program", string(id)).Error("history is not whole and is not served")
+		s.log.WithError(err).WithField("program", string(id)).Error("history is incomplete; the program is not served")
 	}
 	if state.Ended {
 		return nil
@@ -150,8 +152,8 @@
 	return r
 }
 
-// countChildren makes sure that sub-agents count whose opening their parent
-// had not recorded.
+// countChildren raises each program's count of sub-agents to the number recovered, as a parent may
+// not have recorded the opening of a sub-agent yet.
 func countChildren(recovered []*resident) {
 	children := map[program.ID]int{}
 	for _, r := range recovered {
@@ -187,8 +189,8 @@
 	}
 }
 
-// adoptBatch writes the snapshots of the batch. They are written one append
-// each, all at once, and the log groups them into entries.
+// adoptBatch appends the snapshots of the batch concurrently, one append each; the log groups them
+// into entries.
 func (s *Service) adoptBatch(ctx context.Context, batch []*resident) error {
 	errs := make(chan error, len(batch))
 	for _, r := range batch {
@@ -221,16 +223,16 @@
 	return err
 }
 
-// breakOff gives up a program whose snapshot never fits into the log. The
-// failure: its adoption fails on each try, and all callers of its slice wait
-// for good. It is listed as broken and not served; its neighbours go on.
+// markTooLarge marks a program as broken because its snapshot does not fit into a log entry. It is
+// listed as broken and not served. Otherwise the adoption would fail on each try, and calls to
+// all other programs of the shard would wait forever.
 func (s *Service) markTooLarge(r *resident, size int) {
 	r.mu.Lock()
 	r.state.Broken = true
 	r.mu.Unlock()
 	s.meters.broken.Inc(1)
 	s.log.WithField("program", string(r.id)).WithField("bytes", size).
-		Error("history is too large for the log and is not served")
+		Error("history is too large for the log; the program is not served")
 }
 
 func (s *Service) removeAll(list []*resident) {
@@ -239,8 +241,7 @@
 	}
 }
 
-// settleAdopted opens the program for its callers and asks services about
-// steps whose outcome is unknown.
+// finishAdoption lets calls to the program proceed and starts lookups of its unknown steps.
 func (s *Service) finishAdoption(r *resident) {
 	s.meters.recovered.Inc(1)
 	r.mu.Lock()
@@ -250,7 +251,7 @@
 	s.startLookups(r)
 }
 
-// lookUpAll asks services about the program's steps whose outcome is unknown.
+// startLookups starts a lookup of each step whose outcome is unknown.
 func (s *Service) startLookups(r *resident) {
 	for _, number := range r.unresolved() {
 		s.startLookup(r, number)
@@ -270,9 +271,9 @@
 	return numbers
 }
 
-// Snapshot returns one event that replaces all earlier ones of the program, and
-// false if the program is not here or has ended. It waits for an append of the
-// program under way, so that the log holds nothing that the snapshot does not.
+// Snapshot returns one event that replaces all earlier ones of the program, and false if the
+// program is not resident or has ended. It waits for the program's append in flight, so that the
+// log holds no event that the snapshot lacks.
 func (s *Service) Snapshot(id program.ID) (event []byte, live bool) {
 	r := s.lookup(id)
 	if r == nil {
@@ -292,7 +293,7 @@
 	return r.state.Snapshot(time.Now()).Raw, true
 }
 
-// Live iterates over the programs owned here, for the sweep of engine memory.
+// Live iterates over the programs owned here, for the cleanup of engine memory.
 func (s *Service) Live() iter.Seq[program.ID] {
 	return func(yield func(program.ID) bool) {
 		for i := range s.shards {
@@ -305,7 +306,7 @@
 	}
 }
 
-// isProgram reports whether the resident is a program that engines may hold memory for.
+// isProgram reports whether the resident is a program for which engines may hold memory.
 func (r *resident) isProgram() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/owner/do.go
+++ b/internal/owner/do.go
@@ -13,10 +13,9 @@
 	"foxhall/internal/step"
 )
 
-// Do runs one step of a program owned here, joins the same step where it is
-// under way, or gives its recorded answer. sink is nil where the caller wants
-// the answer whole; a streamed answer is complete only once Do returned with
-// step.Done.
+// Do runs one step of a program owned here, joins the same step if it is in flight, or returns its
+// recorded response. sink is nil if the caller wants a non-streaming response; a streamed response
+// is complete only once Do has returned step.Done.
 func (s *Service) Do(ctx context.Context, call step.Call, sink step.Sink) step.Result {
 	result := s.do(ctx, call, sink)
 	s.meters.count(result)
@@ -41,7 +40,7 @@
 	return result
 }
 
-// check refuses calls that no program's state can make right.
+// checkCall refuses calls that are invalid regardless of the program's state.
 func (s *Service) checkCall(call step.Call) *step.Result {
 	switch {
 	case s.moved.Load():
@@ -60,10 +59,9 @@
 	return checkIdentified(call)
 }
 
-// checkNamed refuses a call that may not be repeated unless it names its
-// program and itself. The failure: a balancer or a retry sends the same call
-// twice; without a name nothing tells the second from a new charge, and
-// without a program the two may open one each.
+// checkIdentified refuses a call that may not be repeated unless it carries its program and a step
+// number or idempotency key. If a balancer or a retry sends such a call twice, the second could not
+// be distinguished from a new call without that identity, and each would open a program of its own.
 func checkIdentified(call step.Call) *step.Result {
 	switch {
 	case call.Program == "":
@@ -80,13 +78,13 @@
 	return s.o.Catalogue.MayRepeat(t.Service, t.Method, t.Path)
 }
 
-// maxTurnBytes bounds the messages of one call, in bytes, so that its turn fits
-// into an entry of the log (brief: values up to a megabyte).
+// maxTurnBytes bounds the messages of one call, in bytes, so that its turn fits into a log entry,
+// which holds up to a megabyte.
 const maxTurnBytes = 768 << 10
 
-// maxNameBytes bounds a call's path, query included, and its idempotency key,
-// in bytes. A program carries both for each of its steps, and all of them go
-// into one entry of the log when it is taken over.
+// maxNameBytes bounds a call's path (including the query) and its idempotency key, in bytes each. A
+// program keeps both for each of its steps, and all of them must fit into one log entry when the
+// program is taken over.
 const maxNameBytes = 2 << 10
 
 func messageBytes(messages []chat.Message) int {
@@ -97,6 +95,8 @@
 	return size
 }
 
+// newAttempt returns the identity of the call's step. The hash covers the call's content, with the
+// fields of Extra in sorted order.
 func newAttempt(call step.Call) program.Attempt {
 	a := program.Attempt{Number: call.Number, Key: call.IdempotencyKey, After: call.After}
 	if t := call.Tool; t != nil {
@@ -121,8 +121,8 @@
 	return a
 }
 
-// enter brings the call to its turn and runs it, joins its repeat under way,
-// or answers it from the record.
+// runOrJoin waits until it is the call's turn and runs its step, joins the same step in flight, or
+// returns its recorded response.
 func (s *Service) runOrJoin(ctx context.Context, r *resident, call step.Call, a program.Attempt, sink step.Sink) step.Result {
 	defer r.stopWaiting()
 	if !r.startWaiting(s.o.MaxWaiting) {
@@ -150,11 +150,11 @@
 	}
 }
 
-// deadlineGrace is how much longer than its deadline a call waits for the step
-// itself, which ends at that deadline and knows better than its callers
-// whether it ran.
+// deadlineGrace is how long a call waits beyond its deadline for a step in flight. The step ends at
+// that deadline and reports more precisely than its callers could whether it ran.
 const deadlineGrace = 500 * time.Millisecond
 
+// withDeadline returns ctx with the call's deadline plus grace, if the call has a deadline.
 func withDeadline(ctx context.Context, call step.Call, grace time.Duration) (context.Context, context.CancelFunc) {
 	if call.Deadline.IsZero() {
 		return context.WithCancel(ctx)
@@ -162,7 +162,8 @@
 	return context.WithDeadline(ctx, call.Deadline.Add(grace))
 }
 
-// wait counts a call that waits for its turn or its answer, up to the limit.
+// startWaiting counts a call that waits for its turn or its response, and reports whether the
+// number of waiting calls is within the limit.
 func (r *resident) startWaiting(limit int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,21 +177,23 @@
 	r.waiters--
 }
 
-// next is what a call does next: follow a flight, take the recorded answer, be
-// refused, or else wait for a change.
+// action is what a call does next: follow a flight, return the recorded response, return a refusal,
+// or, if none of these is set, wait for the program to change.
 type action struct {
 	flight   *flight
 	signal   chan struct{}
 	recorded bool
 	refusal  *step.Result
 	changed  <-chan struct{}
-	// idle says that nothing of the program is under way, so that the wait
-	// counts as one for a missing step.
+	// idle indicates that the program has neither a step nor another change in flight, so that the
+	// wait counts towards Options.GapWait.
 	idle bool
-	// closed says that a planned stop lets no new step start.
+	// draining indicates that no new step may start because of a planned stop.
 	draining bool
 }
 
+// chooseAction returns the call's next action and starts its flight if it is the call's turn.
+// gapOver indicates that the call has waited for missing earlier steps for Options.GapWait.
 func (s *Service) chooseAction(r *resident, call step.Call, a program.Attempt, gapOver bool) action {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,8 +203,8 @@
 	if f := r.flight; f != nil && a.Matches(f.head) {
 		return s.joinFlight(r, f, a)
 	}
-	place, _ := r.state.Find(a)
-	switch place {
+	position, _ := r.state.Find(a)
+	switch position {
 	case program.Recorded:
 		return action{recorded: true}
 	case program.Reused:
@@ -236,6 +239,8 @@
 		"the step number or idempotency key belongs to a step with another content")
 }
 
+// chooseForEarly returns the action of a call whose earlier steps have not arrived. The resident's
+// lock is held.
 func chooseForEarly(r *resident, gapOver bool) action {
 	if r.state.Uncertain {
 		refusal := refuse(http.StatusConflict, step.CodeHistoryUncertain, "the latest turns may not have been recovered")
@@ -251,7 +256,8 @@
 	return action{changed: r.changeChannel(), idle: !r.claimed}
 }
 
-// missingRetry is when a caller should send a step again that came too early.
+// shortRetryAfter is the retry delay given to a caller whose step came before an earlier one, whose
+// program has moved, or whose instance is stopping.
 const shortRetryAfter = time.Second
 
 func (s *Service) goneResult() *step.Result {
@@ -261,14 +267,15 @@
 	return notFoundResult()
 }
 
-// gapTimer measures the time that a call has waited for a missing step.
+// gapTimer is the time for which a call still waits for missing earlier steps.
 type gapTimer struct{ remaining time.Duration }
 
-// drainWait bounds how long a call waits for a planned hand-over to end, which
-// the instance's own bound on a planned stop ends before.
+// handoffTimeout bounds how long a call waits for a planned handoff to complete. The instance
+// bounds a planned stop by a shorter time.
 const handoffTimeout = time.Minute
 
-// pause waits for the program to change.
+// waitForChange waits for the program to change, and returns a refusal if the call must not wait
+// longer.
 func (s *Service) waitForChange(ctx context.Context, chosen action, gap *gapTimer) *step.Result {
 	limit := time.Duration(0)
 	switch {
@@ -307,6 +314,7 @@
 	return r
 }
 
+// contextRefusal returns the refusal of a step that did not begin before ctx ended.
 func contextRefusal(ctx context.Context) *step.Result {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return deadlineExceeded()
@@ -314,13 +322,14 @@
 	return cancelledResult()
 }
 
-// answerRecorded gives a recorded answer, once what the program did before is durable.
+// replayRecorded returns a recorded response once all earlier events of the program are durable.
+// The response of a step whose intent is in the log is returned even if they are not.
 func (s *Service) replayRecorded(ctx context.Context, r *resident, a program.Attempt) step.Result {
 	saved := s.flush(ctx, r)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	place, recorded := r.state.Find(a)
-	if place != program.Recorded || r.removed && s.moved.Load() {
+	position, recorded := r.state.Find(a)
+	if position != program.Recorded || r.removed && s.moved.Load() {
 		return *movedResult()
 	}
 	if !saved && (recorded.Tool == nil || !recorded.Tool.Intent) {
@@ -331,7 +340,7 @@
 	return replay(r.state, recorded)
 }
 
-// flush appends what is pending and reports whether all is durable.
+// flush appends pending events and reports whether all of the program's events are durable.
 func (s *Service) flush(ctx context.Context, r *resident) bool {
 	r.mu.Lock()
 	nothingToSave := len(r.pending) == 0
@@ -349,5 +358,5 @@
 func (s *Service) logFailure(call step.Call, r step.Result) {
 	entry := s.log.WithField("program", string(call.Program)).WithField("step", r.Number)
 	entry = entry.WithField("outcome", string(r.Outcome)).WithField("code", string(r.Code))
-	entry.WithField("reason", r.Message).Info("step ended without an answer")
+	entry.WithField("reason", r.Message).Info("step ended without a response")
 }
--- a/internal/owner/drain.go
+++ b/internal/owner/drain.go
@@ -4,9 +4,9 @@
 	"context"
 )
 
-// Drain ends the service's work for a planned stop: no new step starts, those
-// under way run to their end, and what is pending goes into the log. Calls that
-// come meanwhile wait for HandedOver, so that the hand-over refuses none.
+// Drain prepares a planned stop: no new step starts, steps in flight complete, and pending events
+// are appended to the log. Calls that arrive meanwhile wait for HandedOver, so that the handoff
+// refuses none of them. It returns an error if steps are still in flight when ctx ends.
 func (s *Service) Drain(ctx context.Context) error {
 	err := s.flights.close(ctx)
 	for i := range s.shards {
@@ -26,18 +26,18 @@
 	return len(r.pending) > 0 || len(r.deferred) > 0
 }
 
-// HandedOver says that successors own all programs now, after a planned seal or
-// because the log was found sealed. Every call is answered "moved" from now on.
+// HandedOver records that successors own all programs, after a planned seal or because the log was
+// found sealed. Every call is answered step.CodeMoved from then on.
 func (s *Service) HandedOver() {
 	s.movedOnce.Do(func() {
 		s.moved.Store(true)
 		close(s.movedCh)
-		s.log.Warn("programs are owned by successors now")
+		s.log.Warn("successors own the programs; all calls are answered as moved")
 		s.runInBackground(func(context.Context) { s.dropPrograms() })
 	})
 }
 
-// forget drops all programs; steps under way keep theirs to their end.
+// dropPrograms removes all programs. Steps in flight keep their program until they end.
 func (s *Service) dropPrograms() {
 	for i := range s.shards {
 		s.removeAll(s.shards[i].all())
--- a/internal/owner/flight.go
+++ b/internal/owner/flight.go
@@ -14,40 +14,41 @@
 	"foxhall/internal/step"
 )
 
-// flight is one step under way. It runs apart from its callers: the first one
-// and the repeats that joined it each follow it, and it goes on as long as one
-// of them does, or to its end once a call that may not be repeated is sent.
+// flight is one step in flight. It runs in its own goroutine and is followed by its first caller
+// and by the repeated calls that joined it. It is cancelled when the last caller leaves, unless its
+// call may not be repeated and is about to be sent: then it runs to its end.
 type flight struct {
 	id   program.ID
 	head program.StepIdentity
 	call step.Call
-	// deadline is when the step is ended.
+	// deadline is the time at which the step is ended.
 	deadline time.Time
 	cancel   context.CancelFunc
 
 	mu        sync.Mutex
 	callers   int
 	cancelled bool
-	// sent says that the flight no longer ends with its callers.
+	// detached indicates that the flight continues without callers.
 	detached bool
-	// began is set once the upstream's answer starts to stream.
+	// began is set once the upstream's response starts to stream.
 	began  *step.Result
 	chunks [][]byte
-	// released is the number of chunks that callers may have.
+	// released is the number of chunks that may be passed to callers.
 	released int
-	// ending says that the answer's end has come and is held back.
+	// finishSeen indicates that the chunk with the finish reason has arrived; it and all later
+	// chunks are held back.
 	finishSeen bool
 	ended      bool
 	result     step.Result
-	// signals has one channel of capacity 1 for each caller.
+	// signals holds one channel of capacity 1 for each caller.
 	signals []chan struct{}
 }
 
-// errAbandoned tells the executor that nobody waits for the answer.
-var errAbandoned = errors.New("owner: all callers are gone")
+// errAbandoned is returned to the executor if no caller waits for the response.
+var errAbandoned = errors.New("owner: all callers of the step have disconnected")
 
-// join adds a caller and returns its signal, or nil where the flight is being
-// cancelled since all callers before it have gone.
+// join adds a caller and returns its signal, or nil if the flight was cancelled because all earlier
+// callers have left.
 func (f *flight) join() chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,7 +62,8 @@
 	return signal
 }
 
-// leave takes a caller out; the last one cancels what nobody waits for.
+// removeCaller removes a caller. It cancels the flight if that was the last caller and the flight
+// is neither detached nor ended.
 func (f *flight) removeCaller(signal chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,8 +75,7 @@
 	}
 }
 
-// commit makes the flight go on without callers, and reports false where it
-// was cancelled before.
+// detach lets the flight continue without callers, and reports false if it was cancelled before.
 func (f *flight) detach() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,9 +95,9 @@
 	return nil
 }
 
-// Chunk implements step.Sink for the executor. The last chunk so far is always
-// held back, and everything from the one that tells why the answer ended, so
-// that no caller takes an answer for whole before its turn is durable.
+// Chunk implements step.Sink for the executor. It holds back the latest chunk, and everything from
+// the chunk with the finish reason on, so that no caller takes the response for complete before its
+// turn is durable.
 func (f *flight) Chunk(data []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,8 +115,8 @@
 
 var finishReasonKey = []byte(`"finish_reason"`)
 
-// tellsEnd reports whether a chunk of the chat API holds a finish_reason other
-// than null. Inside a string the quotes would be escaped.
+// hasFinishReason reports whether a chunk of the chat API holds a finish_reason other than null.
+// Text in a JSON string can't match, since its quotes are escaped.
 func hasFinishReason(data []byte) bool {
 	for {
 		_, rest, found := bytes.Cut(data, finishReasonKey)
@@ -130,8 +131,7 @@
 	}
 }
 
-// finish ends the flight. The chunks held back are given out only where the
-// step is done.
+// finish ends the flight. The chunks held back are released only if the step is done.
 func (f *flight) finish(r step.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,7 +143,7 @@
 	f.cancel()
 }
 
-// signal wakes the callers. The lock is held.
+// notify wakes the callers. The lock is held.
 func (f *flight) notify() {
 	for _, signal := range f.signals {
 		select {
@@ -153,7 +153,8 @@
 	}
 }
 
-// view is what a caller can have of a flight now.
+// view is the part of a flight that a caller may have at present. chunks are those released since
+// the caller's previous view.
 type view struct {
 	began  *step.Result
 	chunks [][]byte
@@ -161,13 +162,14 @@
 	result step.Result
 }
 
+// view returns the flight's state with the released chunks from index from on.
 func (f *flight) view(from int) view {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return view{began: f.began, chunks: f.chunks[from:f.released], ended: f.ended, result: f.result}
 }
 
-// follow gives a caller the answer as it comes, until the flight or ctx ends.
+// follow passes the response to a caller as it arrives, until the flight or ctx ends.
 func (f *flight) follow(ctx context.Context, signal chan struct{}, sink step.Sink) step.Result {
 	defer f.removeCaller(signal)
 	delivered, begun := 0, false
@@ -203,7 +205,7 @@
 	return true
 }
 
-// abandoned is what a caller gets that no longer waits: the step may run on.
+// abandonedResult is the result for a caller that stopped waiting; the step may continue to run.
 func (f *flight) abandonedResult(ctx context.Context) step.Result {
 	r := step.Result{
 		Outcome: step.Unknown,
@@ -220,7 +222,7 @@
 	return r
 }
 
-// forCaller leaves the body out where the answer was streamed.
+// withoutStreamedBody removes the body of a response that was streamed to the caller.
 func withoutStreamedBody(r step.Result, streamed bool) step.Result {
 	if streamed && r.Outcome == step.Done {
 		r.Body = nil
@@ -228,17 +230,16 @@
 	return r
 }
 
-// flightCount counts the steps under way, for the planned stop.
+// flightCount counts the steps in flight, for a planned stop.
 type flightCount struct {
 	count  atomic.Int64
 	closed atomic.Bool
-	// idle gets a value when the last step ends after the count was closed.
+	// idle receives a value when the last step ends after the count was closed.
 	idle chan struct{}
 }
 
-// begin counts a step, or reports false where no new step may start. It counts
-// first and looks then, and close does the reverse, so that no step slips
-// through between them.
+// begin counts a step, or reports false if no new step may start. It increments the count before it
+// reads closed, and close sets closed before it reads the count, so that close misses no step.
 func (c *flightCount) begin() bool {
 	c.count.Add(1)
 	if !c.closed.Load() {
@@ -258,14 +259,14 @@
 	}
 }
 
-// close lets no new step start and returns when none is under way.
+// close prevents new steps from starting and returns when none is in flight.
 func (c *flightCount) close(ctx context.Context) error {
 	c.closed.Store(true)
 	for c.count.Load() > 0 {
 		select {
 		case <-c.idle:
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "owner: steps are still under way")
+			return errors.Wrap(ctx.Err(), "owner: steps still in flight")
 		}
 	}
 	return nil
--- a/internal/owner/late.go
+++ b/internal/owner/late.go
@@ -10,16 +10,16 @@
 	"foxhall/internal/program/programpb"
 )
 
-// Late takes records that a former owner held and could offer only after the
-// adoption of their programs. Those that follow on what is known here are
-// taken; a program that has gone on without them keeps its course, and says so
-// in the log. It may be repeated.
+// AdoptLate adopts records that a former owner held and could offer only after the adoption of
+// their programs. Records that continue a program's history are appended. If a program has since
+// continued without them, its history stays as it is and an error is logged. AdoptLate is
+// idempotent.
 func (s *Service) AdoptLate(ctx context.Context, from program.Cohort, records []Record) error {
 	byProgram := map[program.ID][]program.Event{}
 	for _, record := range records {
 		event, err := program.Decode(record.Event)
 		if err != nil {
-			s.log.WithError(err).WithField("program", string(record.Program)).Error("corrupt event skipped")
+			s.log.WithError(err).WithField("program", string(record.Program)).Error("corrupt event in late records skipped")
 			continue
 		}
 		byProgram[record.Program] = append(byProgram[record.Program], event)
@@ -50,7 +50,7 @@
 	r.mu.Unlock()
 	if diverged {
 		s.log.WithField("program", string(id)).WithField("from", string(from)).
-			Error("late records do not follow on the program's course and are left out")
+			Error("late records contradict the program's history and are discarded")
 	}
 	if len(following) == 0 {
 		return nil
@@ -58,8 +58,8 @@
 	return s.appendLate(r, following)
 }
 
-// settledBy returns what settles unknown steps of the program by the outcomes
-// that their sender had recorded.
+// resolutionEvents returns events that settle unknown steps of the program with the outcomes that
+// their sender recorded in events.
 func (r *resident) resolutionEvents(events []program.Event) []*programpb.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,8 +73,7 @@
 	return settling
 }
 
-// takeLate appends events that were sealed by a former owner, behind what is
-// pending.
+// appendLate appends events that a former owner numbered, after the pending ones.
 func (s *Service) appendLate(r *resident, events []program.Event) error {
 	ctx, cancel := context.WithTimeout(context.Background(), s.o.AppendTimeout)
 	defer cancel()
@@ -85,15 +84,15 @@
 	err := classifyAppendError(s.o.Log.Append(ctx, records(r.id, batch)...))
 	r.completeAppend(err, dropUnsaved, batch, events, 0)
 	if err == nil {
-		s.log.WithField("program", string(r.id)).WithField("events", len(events)).Info("late records taken")
+		s.log.WithField("program", string(r.id)).WithField("events", len(events)).Info("late records adopted")
 	}
 	return err
 }
 
-// reviveLate adopts a program of which only held records exist.
+// adoptLateUnknown adopts a program that is not resident because only held records of it exist.
 func (s *Service) adoptLateUnknown(ctx context.Context, from program.Cohort, id program.ID, events []program.Event) error {
 	if events = program.FromFirst(events); len(events) == 0 {
-		s.log.WithField("program", string(id)).Warn("late records of a program that is gone are left out")
+		s.log.WithField("program", string(id)).Warn("late records of a program that is not resident lack its first event and are discarded")
 		return nil
 	}
 	return s.Adopt(ctx, Adoption{Cohort: from, Shard: id.Shard(), Records: records(id, events)})
--- a/internal/owner/listing.go
+++ b/internal/owner/listing.go
@@ -8,7 +8,7 @@
 	"foxhall/internal/program"
 )
 
-// ProgramInfo is what operators see of a program.
+// ProgramInfo is an operator's view of a program.
 type ProgramInfo struct {
 	ID         program.ID `json:"id"`
 	Customer   string     `json:"customer"`
@@ -27,8 +27,8 @@
 	UsedAt     time.Time  `json:"used_at"`
 }
 
-// Programs lists the programs owned here, or only the stalled ones, the one
-// that was idle longest first.
+// Programs lists the programs owned here, or only the stalled ones. The program that has been idle
+// for longest comes first.
 func (s *Service) Programs(stalledOnly bool) []ProgramInfo {
 	programs := []ProgramInfo{}
 	now := time.Now()
@@ -86,7 +86,7 @@
 	}
 }
 
-// UnknownStep is a step whose outcome nobody knows.
+// UnknownStep is a step whose outcome is unknown.
 type UnknownStep struct {
 	Program  program.ID `json:"program"`
 	Number   int        `json:"number"`
@@ -94,13 +94,13 @@
 	Service  string     `json:"service"`
 	Method   string     `json:"method"`
 	Path     string     `json:"path"`
-	// Key is the caller's idempotency key, UpstreamKey the one that the service was given.
+	// Key is the caller's idempotency key, UpstreamKey the one sent to the service.
 	Key         string    `json:"key,omitempty"`
 	UpstreamKey string    `json:"upstream_key"`
 	At          time.Time `json:"at"`
 }
 
-// UnknownSteps lists the steps whose outcome is unknown, the oldest first.
+// UnknownSteps lists the steps whose outcome is unknown, oldest first.
 func (s *Service) UnknownSteps() []UnknownStep {
 	steps := []UnknownStep{}
 	for r := range s.programs() {
@@ -136,7 +136,7 @@
 	return steps
 }
 
-// CustomerEarnings sums what one customer's steps brought.
+// CustomerEarnings is the sum of the earnings from one customer's steps.
 type CustomerEarnings struct {
 	Customer string `json:"customer"`
 	Steps    int64  `json:"steps"`
@@ -145,9 +145,9 @@
 	Cut   int64 `json:"cut_micros"`
 }
 
-// Earnings sums by customer what the steps of the programs owned here brought
-// in the hours that begin at or after since; after two days the sums are kept
-// by day, after 64 days by spans of 32 days.
+// Earnings returns, by customer, the earnings of the programs owned here in the hours that begin at
+// or after since. Sums older than two days are kept by day, those older than 64 days by spans of 32
+// days.
 func (s *Service) Earnings(since time.Time) []CustomerEarnings {
 	sums := map[string]*CustomerEarnings{}
 	for i := range s.shards {
@@ -161,8 +161,8 @@
 	return earnings
 }
 
-// addEarnings adds up one slice while none of its programs can be ended, so
-// that a program is not counted beside the account that took it over.
+// addEarnings adds the earnings of one shard to sums. No program of the shard can be ended
+// meanwhile, so none is counted both by itself and in the account that its earnings are merged into.
 func (s *Service) addEarnings(sh *shard, since time.Time, sums map[string]*CustomerEarnings) {
 	sh.endMu.Lock()
 	defer sh.endMu.Unlock()
--- a/internal/owner/open.go
+++ b/internal/owner/open.go
@@ -12,8 +12,8 @@
 	"foxhall/internal/step"
 )
 
-// Open starts a program without a step and makes it durable. It may be
-// repeated: a program that nobody uses expires.
+// Open starts a program without a step and makes it durable. A caller may repeat it, as unused
+// programs expire.
 func (s *Service) Open(ctx context.Context, p *plan.Plan, parent program.ID) step.Result {
 	if s.moved.Load() {
 		return *movedResult()
@@ -43,7 +43,7 @@
 	return step.Result{Outcome: step.Done, Program: r.id, Status: http.StatusCreated}
 }
 
-// awaitHandOver waits for the end of a planned hand-over.
+// awaitHandoff waits until a planned handoff is complete and returns the refusal that follows.
 func (s *Service) awaitHandoff(ctx context.Context) *step.Result {
 	timeout := time.NewTimer(handoffTimeout)
 	defer timeout.Stop()
@@ -63,8 +63,7 @@
 	return r.started
 }
 
-// End says for its caller that a program is needed no longer, after the step
-// under way. It may be repeated.
+// End records its caller's request to end a program, after the step in flight. It is idempotent.
 func (s *Service) End(ctx context.Context, p *plan.Plan, id program.ID) step.Result {
 	r, refusal := s.find(ctx, step.Call{Plan: p, Program: id})
 	if refusal != nil {
@@ -91,6 +90,7 @@
 	return step.Result{Outcome: step.Done, Program: id, Status: http.StatusNoContent}
 }
 
+// claimRefusal returns the refusal for a call that could not claim its program.
 func (s *Service) claimRefusal(ctx context.Context) *step.Result {
 	if ctx.Err() != nil {
 		return contextRefusal(ctx)
@@ -98,7 +98,7 @@
 	return s.goneResult()
 }
 
-// find returns the call's program, opening it where the call starts one.
+// find returns the call's program, and opens one if the call starts a new program.
 func (s *Service) find(ctx context.Context, call step.Call) (*resident, *step.Result) {
 	if call.Program == "" {
 		return s.openAfterAdoption(ctx, call)
@@ -119,7 +119,7 @@
 	return !r.state.Account && r.state.Customer == p.Customer
 }
 
-// absent is the answer for an id that is not resident, or not the caller's.
+// absentResult is the refusal for a program that is not resident or belongs to another customer.
 func (s *Service) absentResult(id program.ID) *step.Result {
 	if s.moved.Load() {
 		return movedResult()
@@ -135,15 +135,15 @@
 	return notFoundResult()
 }
 
-// adoptionPoll is how often a call looks whether its program's slice was taken over.
+// adoptionPollInterval is the interval at which a waiting call checks whether its program's shard
+// was adopted.
 const adoptionPollInterval = 20 * time.Millisecond
 
-// adoptionWait is how long a call waits for a take-over under way.
+// adoptionTimeout bounds how long a call waits for its program's shard to be adopted.
 const adoptionTimeout = 2 * time.Second
 
-// awaitAdoption waits briefly for the program's slice to be taken over. The
-// failure: a call reaches the successor before it has read the log, and would
-// be told that its program does not exist.
+// awaitAdoption waits until the program's shard is adopted. Otherwise a call that reaches the
+// successor before it has read the log would be answered that the program does not exist.
 func (s *Service) awaitAdoption(ctx context.Context, id program.ID) *step.Result {
 	if s.o.Residency == nil || s.o.Residency.Adopted(id) {
 		return nil
@@ -166,9 +166,9 @@
 	return nil
 }
 
-// openAdopted opens a program once its parent, if it has one, is taken over:
-// a sub-agent may be the first call that the parent's successor sees, and would
-// be told that its parent does not exist.
+// openAfterAdoption opens a program once its parent, if it has one, is adopted. The first call that
+// reaches the parent's successor may open a sub-agent, and would otherwise be answered that the
+// parent does not exist.
 func (s *Service) openAfterAdoption(ctx context.Context, call step.Call) (*resident, *step.Result) {
 	if call.Parent != "" {
 		if refusal := s.awaitAdoption(ctx, call.Parent); refusal != nil {
@@ -178,9 +178,9 @@
 	return s.open(call)
 }
 
-// open makes a new resident; its first event goes into the log with the first
-// step's. A sub-agent is born in its parent's slice, so that the whole root
-// program stays on one instance through every take-over.
+// open creates a new program, as a sub-agent if the call names a parent. Its first event is appended
+// to the log together with those of its first step. A sub-agent is created in its parent's shard, so
+// that the root program and all its sub-agents stay on one instance through every take-over.
 func (s *Service) open(call step.Call) (*resident, *step.Result) {
 	opening := program.Opening{
 		Customer: call.Plan.Customer,
@@ -206,6 +206,8 @@
 	return s.newResident(opening, parent.tree), nil
 }
 
+// checkChild checks the plan's bounds on sub-agents, counting those whose opening is not in the
+// state yet. The lock is held.
 func (r *resident) checkChild(now time.Time) *program.Refusal {
 	unrecorded := r.openingChildren
 	for _, note := range r.deferred {
@@ -228,9 +230,9 @@
 	return r
 }
 
-// opened settles a new program after its first step and reports whether it
-// stays: one of which the log knows nothing is dropped, another counts with
-// its parent.
+// finishOpening completes the opening of a program after its first step and reports whether the
+// program stays. A program of which the log can't hold any event is removed; one that stays is
+// recorded with its parent.
 func (s *Service) finishOpening(r *resident) bool {
 	r.mu.Lock()
 	saved, parentID, id := r.saved || len(r.state.Steps) > 0, r.state.Parent, r.id
--- a/internal/owner/operator.go
+++ b/internal/owner/operator.go
@@ -10,13 +10,13 @@
 	"foxhall/internal/program"
 )
 
-// Resolution is an operator's word on a step of unknown outcome.
+// Resolution is an operator's decision on a step of unknown outcome.
 type Resolution struct {
 	Program program.ID `json:"program"`
 	Number  int        `json:"number"`
-	// Ran says whether the step had its effect.
+	// Ran indicates that the step had its effect.
 	Ran bool `json:"ran"`
-	// Operator is who says so, Note how it is known.
+	// Operator is the name of the operator who decides, Note the evidence for the decision.
 	Operator string `json:"operator"`
 	Note     string `json:"note"`
 }
--- a/internal/owner/resident.go
+++ b/internal/owner/resident.go
@@ -10,69 +10,70 @@
 	"foxhall/internal/program/programpb"
 )
 
-// shard holds the residents of one slice.
+// shard holds the residents of one of the program.ShardCount shards.
 type shard struct {
 	mu        sync.RWMutex
 	residents map[program.ID]*resident
-	// ending is held while programs are ended into the account.
+	// endMu is held while programs are ended and their earnings are merged into the account.
 	endMu sync.Mutex
-	// account is the open account of the slice's earnings, or nil.
+	// account is the account that holds the earnings of the shard's ended programs, or nil.
 	account *resident
-	// uncertain are cohorts whose programs of this slice may be missing here.
+	// uncertain contains the cohorts of which programs of this shard may be missing here.
 	uncertain map[program.Cohort]bool
 }
 
-// tree is what the programs of one root share.
+// tree is the state shared by a root program and its sub-agents.
 type tree struct {
-	// attained is in nanoseconds.
+	// attained is the time that upstreams have spent on the programs, in nanoseconds.
 	attained atomic.Int64
 }
 
-// resident is a program owned here. Whoever has claimed it alone changes the
-// state; the lock is held for reads and for the change itself, never over I/O.
+// resident is a program, or an account of earnings, that is owned here. Only the goroutine that has
+// claimed it changes the state; the lock is held for reads and for the change itself, never during
+// I/O.
 type resident struct {
 	id   program.ID
 	tree *tree
 
 	mu    sync.Mutex
 	state *program.State
-	// pending are events that the state holds and the log may not.
+	// pending are events that the state includes and the log may lack.
 	pending []program.Event
-	// notes are decided and go into the log with the next events.
+	// deferred are events that are numbered and appended together with the next ones.
 	deferred []*programpb.Event
-	// claimed says that someone is about to change the state.
+	// claimed indicates that a goroutine has the exclusive right to change the state.
 	claimed bool
-	// adopting says that the program is claimed until its slice is adopted. It
-	// is resident already, since a program that is not counts as ended when the
-	// log is compacted.
+	// adopting indicates that the program stays claimed until its shard is adopted. It is resident
+	// before that, because compaction of the log takes a program that is not resident for ended.
 	adopting bool
-	// saving says that an append is under way, so that the log may be ahead of the state.
+	// saving indicates that an append is in flight, so that the log may be ahead of the state.
 	saving bool
-	// flight is the step under way, or nil.
+	// flight is the step in flight, or nil.
 	flight *flight
-	// changed is closed when the claim, the flight or the state changes; nil without waiters.
+	// changed is closed when the claim, the flight or the state changes. It is nil without waiters.
 	changed chan struct{}
+	// waiters is the number of calls that wait for their turn or their response.
 	waiters int
-	// opening is the number of sub-agents whose first step is under way.
+	// openingChildren is the number of sub-agents whose first step is in flight.
 	openingChildren int
-	// launched says that a step was begun.
+	// started indicates that a step has begun.
 	started bool
-	// saved says that the log may hold events of the program.
+	// saved indicates that the log may hold events of the program.
 	saved bool
-	// gone says that the program left this instance or ended.
+	// removed indicates that the program has moved to another instance or has ended.
 	removed bool
 	stalled bool
-	// released says that the release hooks were called.
+	// released indicates that the release hooks were called.
 	released bool
-	// adopted says that the program came from another log. An account that did
-	// is joined to the slice's own.
+	// adopted indicates that the program came from another cohort's log. An adopted account is
+	// merged into the shard's own account.
 	adopted bool
-	// askedAt is when services were last asked about unknown steps.
+	// lookedUpAt is the time at which lookups of the unknown steps were last started.
 	lookedUpAt time.Time
 	usedAt     time.Time
 }
 
-// wake tells the waiters to look again. The lock is held.
+// notifyWaiters wakes the goroutines that wait for a change. The lock is held.
 func (r *resident) notifyWaiters() {
 	if r.changed != nil {
 		close(r.changed)
@@ -80,7 +81,7 @@
 	}
 }
 
-// changes returns a channel that is closed at the next change. The lock is held.
+// changeChannel returns a channel that is closed at the next change. The lock is held.
 func (r *resident) changeChannel() <-chan struct{} {
 	if r.changed == nil {
 		r.changed = make(chan struct{})
@@ -88,8 +89,8 @@
 	return r.changed
 }
 
-// claim waits until nobody else changes the program, and reports whether the
-// program is still here and ctx has not ended.
+// claim waits for the exclusive right to change the program. It reports false if the program was
+// removed or ctx ended first.
 func (r *resident) claim(ctx context.Context) bool {
 	for {
 		r.mu.Lock()
@@ -112,7 +113,7 @@
 	}
 }
 
-// tryClaim claims the program if nobody else has and it is here.
+// tryClaim claims the program unless it is claimed or removed, and reports whether it did.
 func (r *resident) tryClaim() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +147,7 @@
 	sh.residents[r.id] = r
 }
 
-// remove takes the program out of this instance.
+// remove removes the program from this instance.
 func (s *Service) remove(r *resident) {
 	sh := s.shard(r.id)
 	sh.mu.Lock()
@@ -163,7 +164,7 @@
 	r.mu.Unlock()
 }
 
-// all returns the residents of one slice as they are now.
+// all returns the present residents of the shard.
 func (sh *shard) all() []*resident {
 	sh.mu.RLock()
 	defer sh.mu.RUnlock()
--- a/internal/owner/resolve.go
+++ b/internal/owner/resolve.go
@@ -12,27 +12,28 @@
 	"foxhall/internal/step"
 )
 
-// Who settles an unknown step, beside an operator.
+// Values of Resolution.By, besides operators, for a step settled by the instance that sent it or by
+// a lookup at its service.
 const (
 	bySender = "sender"
 	byLookup = "lookup"
 )
 
-// The errors of Resolve, to be tested with errors.Is.
+// Errors of Resolve, to be tested with errors.Is.
 var (
-	ErrNoProgram = errors.New("owner: no such program here")
-	ErrBusy      = errors.New("owner: a step of the program is under way; try again")
+	ErrNoProgram = errors.New("owner: program not resident on this instance")
+	ErrBusy      = errors.New("owner: a step of the program is in flight; try again")
 	ErrNoUnknown = errors.New("owner: no such step with an unknown outcome")
 )
 
-// upstreamKey is the idempotency key of a step towards a tool service. It is
-// the same for each attempt at the step, and no customer can choose another's.
+// upstreamKey returns the idempotency key that identifies a step to a tool service. It is the same
+// for each attempt, and since it contains the program's id, no customer can produce another's key.
 func upstreamKey(id program.ID, number int) string {
 	return string(id) + "/" + strconv.Itoa(number)
 }
 
-// Resolve settles a step whose outcome is unknown, for an operator, a lookup
-// or the step's former owner.
+// Resolve settles a step whose outcome is unknown, on behalf of an operator, a lookup or the step's
+// former owner.
 func (s *Service) Resolve(ctx context.Context, id program.ID, resolution program.Resolution) error {
 	r := s.lookup(id)
 	if r == nil {
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// AcceptReport takes what a former owner of the program learned of a step
-// after the take-over. It may be repeated.
+// AcceptReport applies an outcome that a former owner of the program learned after the take-over.
+// It is idempotent.
 func (s *Service) AcceptReport(ctx context.Context, report Report) error {
 	if s.moved.Load() {
 		return ErrNoProgram
@@ -83,12 +84,12 @@
 	}
 }
 
-// reportFor bounds how long a former owner tries to hand over an outcome. What
-// it can't deliver stays listed as unknown with the successor.
+// reportTimeout bounds how long a former owner tries to deliver an outcome. If that fails, the
+// successor lists the step as unknown.
 const reportTimeout = 10 * time.Minute
 
-// report tells the program's present owner what became of a step that was sent
-// from here, until it has taken it.
+// startReport delivers the outcome of a step that was sent from here to the program's present
+// owner, and retries until the owner accepts it or reportTimeout has passed.
 func (s *Service) startReport(r *resident, resolution program.Resolution) {
 	if s.o.Successor == nil || resolution.Verdict == program.Unknown {
 		return
@@ -101,12 +102,12 @@
 		}, backoff.WithMaxElapsedTime(reportTimeout))
 		if err != nil {
 			s.log.WithError(err).WithField("program", string(r.id)).WithField("step", resolution.Number).
-				Error("outcome not delivered to the program's owner")
+				Error("outcome not delivered to the program's owner, which may list the step as unknown")
 		}
 	})
 }
 
-// goBackground runs work beside the callers' steps until the service closes.
+// runInBackground runs work in a goroutine whose context ends when the service closes.
 func (s *Service) runInBackground(work func(ctx context.Context)) {
 	s.background.Add(1)
 	go func() {
@@ -115,13 +116,12 @@
 	}()
 }
 
-// lookupTries is how often a service is asked what became of one call; after
-// that the step is left to the operators.
+// maxLookupAttempts is the number of attempts of one lookup of a call's outcome. After these the
+// step is left to operators, or to the next lookup (see lookupInterval).
 const maxLookupAttempts = 5
 
-// lookUp asks the step's service what became of it. Only a positive answer
-// settles the step: a call that the service does not know may still be on its
-// way from a sender that is paused.
+// startLookup queries the step's service for its outcome. Only a record of the call settles the
+// step: a call that the service does not know may yet be sent by an owner that is paused.
 func (s *Service) startLookup(r *resident, number int) {
 	if s.o.Lookup == nil {
 		return
@@ -133,7 +133,7 @@
 		found, err := s.findWithRetry(ctx, service, upstreamKey(r.id, number))
 		if err != nil || found == nil {
 			s.log.WithField("program", string(r.id)).WithField("step", number).WithField("service", service).
-				Warn("outcome unknown and not known to the service; resolve it by hand")
+				Warn("service reported no outcome; the step stays unknown until a later lookup or an operator resolves it")
 			return
 		}
 		_ = s.Resolve(ctx, r.id, program.Resolution{
@@ -147,7 +147,7 @@
 	})
 }
 
-// errNotKnownYet makes a lookup ask again.
+// errNotKnownYet makes findWithRetry try again.
 var errNotKnownYet = errors.New("owner: the service does not know the call yet")
 
 func (s *Service) findWithRetry(ctx context.Context, service, key string) (*LookupResult, error) {
--- a/internal/owner/result.go
+++ b/internal/owner/result.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// statusClientClosed is what proxies log for a caller that went away; no
-	// caller sees it.
+	// statusClientClosed is the status that proxies log for a caller that disconnected. No caller
+	// receives it.
 	statusClientClosed = 499
 	statusTimeout      = http.StatusGatewayTimeout
 )
 
-// reasons maps what the aggregate refuses to the API's status and code.
+// refusalCodes maps the aggregate's reasons for a refusal to the API's status and code.
 var refusalCodes = map[program.Reason]struct {
 	status int
 	code   step.Code
@@ -37,8 +37,9 @@
 	return &r
 }
 
-// notFound is the answer for a program that does not exist, has left or is
-// another customer's: all the same, so that an id tells nothing to a stranger.
+// notFoundResult is the refusal for a program that does not exist, has ended or belongs to another
+// customer. It is the same in all these cases, so that other customers can't find out whether an id
+// exists.
 func notFoundResult() *step.Result {
 	return refuse(http.StatusNotFound, step.CodeNotFound, "no such program")
 }
@@ -56,7 +57,7 @@
 	return r
 }
 
-// unsaved is the answer of a step that ran and whose record is not durable.
+// notDurable is the result of a step that ran and whose record is not durable yet.
 func (s *Service) notDurable() step.Result {
 	return step.Result{
 		Outcome:    step.Unknown,
@@ -75,7 +76,7 @@
 	return refuse(statusTimeout, step.CodeDeadline, "the deadline passed before the step began")
 }
 
-// replay gives the recorded answer of a step. The resident's lock is held.
+// replay returns the recorded response of a step. The resident's lock is held.
 func replay(state *program.State, recorded *program.Step) step.Result {
 	r := step.Result{Program: state.ID, Number: recorded.Head.Number, Replayed: true}
 	if recorded.Model != nil {
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -13,8 +13,8 @@
 	"foxhall/internal/step"
 )
 
-// launch starts the flight of a step whose turn it is. The lock is held, the
-// step is counted.
+// startFlight starts the flight of a step whose turn it is. The lock is held, and the caller has
+// counted the step in s.flights.
 func (s *Service) startFlight(r *resident, call step.Call, a program.Attempt) (*flight, chan struct{}) {
 	first := call.Program == ""
 	call.Program, call.Number = r.id, r.state.Next()
@@ -62,7 +62,7 @@
 	f.finish(result)
 }
 
-// execute runs the step of a flight from its checks to its record.
+// execute runs the step of a flight, from the checks to the record of its outcome.
 func (s *Service) execute(ctx context.Context, r *resident, f *flight, a program.Attempt) step.Result {
 	if !s.savePending(r) {
 		if s.moved.Load() {
@@ -94,13 +94,13 @@
 	return s.runOnce(ctx, r, f, placed)
 }
 
-// beforeSend refuses a step right before it is sent. The failure: the owner is
-// paused while a call waits for its place, a successor runs the program on, and
-// the owner wakes and sends a step that is long past. The log stops a call that
-// may not be repeated until its intent is in; an engine would get a step out of
-// order. So it is asked again once an intent is in the log, which took time, and
-// by the executor before each further attempt. A pause between the last look and
-// the first byte is left: the step is unknown then and its key is the same.
+// beforeSend refuses a step right before it is sent if its context has ended or the lease is not
+// held. It guards against an owner that is paused while a call waits for its placement: a successor
+// continues the program, and the owner would resume and send an outdated step. For a call that may
+// not be repeated, the append of its intent fails in that case; a model call would reach an engine
+// out of order. Since the append takes time, the lease is checked again after it, and the executor
+// checks it before each further attempt. A pause between the last check and the first byte sent
+// remains possible: the step is then unknown to the successor and has the same idempotency key.
 func (s *Service) beforeSend(ctx context.Context) *step.Result {
 	if ctx.Err() != nil {
 		return s.flightContextRefusal(ctx)
@@ -122,9 +122,8 @@
 	return contextRefusal(ctx)
 }
 
-// saveEarlier appends what earlier steps left pending, so that no step builds
-// on a turn that may be lost. The events of a new program wait for its first
-// step's.
+// savePending appends the pending events of earlier steps, so that no step builds on a turn that may
+// be lost. The events of a new program are appended together with those of its first step.
 func (s *Service) savePending(r *resident) bool {
 	r.mu.Lock()
 	nothingToSave := len(r.pending) == 0 || len(r.state.Steps) == 0 && !r.saved
@@ -184,8 +183,8 @@
 	}
 }
 
-// runModel streams a model call and makes its turn durable before the end of
-// the answer is given out.
+// runModel runs a model call and makes its turn durable before the end of the response is passed to
+// callers.
 func (s *Service) runModel(ctx context.Context, r *resident, f *flight, placed Placed, added []chat.Message) step.Result {
 	result, record := s.runPlaced(ctx, r, f, placed)
 	if result.Outcome != step.Done {
@@ -207,10 +206,10 @@
 	case err == nil:
 		return withBody(result, f)
 	case errors.Is(err, ErrFenced):
-		m := *movedResult()
-		m.Outcome = step.Unknown
-		m.Message = "another instance owns the program now; the turn was not taken, ask again"
-		return m
+		unrecorded := *movedResult()
+		unrecorded.Outcome = step.Unknown
+		unrecorded.Message = "another instance owns the program now; the turn was not taken, ask again"
+		return unrecorded
 	case errors.Is(err, ErrTooLarge):
 		return upstreamFailed("the answer is too large for the program's history")
 	}
@@ -235,7 +234,7 @@
 	}
 }
 
-// send runs a placed step and measures it.
+// runPlaced sends a placed step and measures its service time.
 func (s *Service) runPlaced(ctx context.Context, r *resident, f *flight, placed Placed) (step.Result, program.StepResult) {
 	var sink step.Sink
 	if f.call.Model != nil && f.call.Model.Stream {
@@ -254,7 +253,7 @@
 	}
 }
 
-// flightSink is the executor's way to the callers of a flight.
+// flightSink is the step.Sink through which the executor streams to the callers of a flight.
 type flightSink struct{ f *flight }
 
 func (k flightSink) Begin(r step.Result) error {
@@ -264,7 +263,8 @@
 
 func (k flightSink) Chunk(data []byte) error { return k.f.Chunk(data) }
 
-// basisPoints is the whole of which a plan's cut is a part.
+// basisPointsPerUnit is the number of basis points in the whole price; a plan's cut is given in
+// basis points.
 const basisPointsPerUnit = 10_000
 
 func earning(result step.Result, call step.Call) program.Earning {
@@ -272,17 +272,16 @@
 	return program.Earning{Price: price, Cut: price * int64(call.Plan.CutBasisPoints) / basisPointsPerUnit}
 }
 
-// recordFailure counts what a step cost that may be repeated and has no answer.
+// recordFailure records the cost of a repeatable step that has no response.
 func (s *Service) recordFailure(r *resident, record program.StepResult) {
 	if record.Earning != (program.Earning{}) {
 		_ = s.save(r, s.o.Log.AppendOrHold, keepUnsaved, program.Fail(record))
 	}
 }
 
-// runRepeatable runs a tool call that may be repeated. Its answer is given out
-// only once it is recorded: nothing else in the log tells of the step, and a
-// caller that went on would find a successor that waits for it for ever. One
-// that is not recorded is run again.
+// runRepeatable runs a tool call that may be repeated. Its response is returned only once it is
+// recorded: the log holds nothing else of the step, so a successor would refuse the caller's next
+// step because this one is missing. A step that was not recorded is run again when repeated.
 func (s *Service) runRepeatable(ctx context.Context, r *resident, f *flight, placed Placed) step.Result {
 	result, record := s.runPlaced(ctx, r, f, placed)
 	if result.Outcome != step.Done {
@@ -293,17 +292,17 @@
 	case err == nil:
 		return result
 	case errors.Is(err, ErrFenced):
-		m := *movedResult()
-		m.Outcome = step.Unknown
-		m.Message = "another instance owns the program now; the answer was not recorded, ask again"
-		return m
+		unrecorded := *movedResult()
+		unrecorded.Outcome = step.Unknown
+		unrecorded.Message = "another instance owns the program now; the answer was not recorded, ask again"
+		return unrecorded
 	case errors.Is(err, ErrTooLarge):
 		return upstreamFailed("the answer is too large to be recorded")
 	}
 	return s.notDurable()
 }
 
-// outcomeOf returns the event that records the outcome of a tool step.
+// outcomeEvent returns the event that records the outcome of a tool step.
 func outcomeEvent(f *flight, result step.Result, record program.StepResult) *programpb.Event {
 	return program.RecordOutcome(record, program.ToolAnswer{
 		Call:        toolCall(f.call.Tool),
@@ -314,9 +313,9 @@
 	})
 }
 
-// runOnce runs a tool call that may not be repeated. Its intent is in the log
-// before its first byte leaves; from then on it no longer depends on its
-// callers, and whoever finds the intent without an outcome does not send it.
+// runOnce runs a tool call that may not be repeated. Its intent is in the log before the first byte
+// is sent. From the append of the intent on the step runs without regard to its callers, and an
+// owner that finds the intent without an outcome does not send the call.
 func (s *Service) runOnce(ctx context.Context, r *resident, f *flight, placed Placed) step.Result {
 	if !f.detach() {
 		placed.Cancel()
@@ -345,10 +344,10 @@
 	return result
 }
 
-// notIntended answers for a step whose intent is not known to be in the log.
-// It was not sent, and is not: where the intent may be in the log, it is taken
-// back with the program's next append. A successor that finds it alone answers
-// "unknown", which is weaker and never wrong.
+// intentNotWritten returns the result of a step whose intent is not known to be in the log. The step
+// was not sent and will not be. If the intent may be in the log, it is withdrawn with the program's
+// next append. A successor that finds the intent without the withdrawal answers "unknown", which
+// promises less but is never wrong.
 func (s *Service) intentNotWritten(r *resident, f *flight, err error) step.Result {
 	switch {
 	case errors.Is(err, ErrFenced):
@@ -359,7 +358,7 @@
 	return *s.storeUnavailable()
 }
 
-// notRun takes the step's intent back.
+// notRunEvent returns the event that withdraws the step's intent.
 func notRunEvent(f *flight) *programpb.Event {
 	return program.RecordOutcome(program.StepResult{Head: f.head}, program.ToolAnswer{
 		Call:    toolCall(f.call.Tool),
@@ -367,6 +366,8 @@
 	})
 }
 
+// withdrawIntent records that a step whose intent is in the log was not sent, and reports it to the
+// successor if the log is sealed.
 func (s *Service) withdrawIntent(r *resident, f *flight) {
 	err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, notRunEvent(f))
 	if errors.Is(err, ErrFenced) {
@@ -379,16 +380,16 @@
 	}
 }
 
-// recordOutcome makes the outcome of a step that may not be repeated durable. The answer is given
-// out in any case: the caller's knowledge that a charge was made is worth more
-// than a refusal, and where the record is late or lost, repeats are answered
-// "unknown" and never sent. Its error is the append's: after ErrFenced only a
-// step with an intent has its number with the successor, and is to be reported.
+// recordOutcome appends the outcome of a step that may not be repeated. The caller gets the response
+// even if the append fails: to know that a charge was made is worth more to it than a refusal, and
+// an owner whose log lacks the record answers repeats "unknown" and never sends the call. The error
+// is that of the append. After ErrFenced the outcome is to be reported to the successor, but only
+// for a step with an intent: the successor may have given another step's number to a different one.
 func (s *Service) recordOutcome(r *resident, f *flight, result step.Result, record program.StepResult) error {
 	err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, outcomeEvent(f, result, record))
 	if err != nil {
 		s.log.WithError(err).WithField("program", string(r.id)).WithField("step", f.head.Number).
-			Warn("outcome of a step not durable yet")
+			Warn("outcome of a step not durable yet; a successor would treat the step as unknown")
 	}
 	return err
 }
--- a/internal/owner/save.go
+++ b/internal/owner/save.go
@@ -10,25 +10,24 @@
 	"foxhall/internal/program/programpb"
 )
 
-// appendFunc is one of the two ways into the log.
+// appendFunc is Log.Append or Log.AppendOrHold.
 type appendFunc func(ctx context.Context, records ...Record) error
 
-// keep says what becomes of events that surely are not in the log.
+// unsavedPolicy decides about events that were not written to the log.
 type unsavedPolicy bool
 
 const (
-	// dropUnsaved forgets them: the decision is taken back.
+	// dropUnsaved discards the events: the decision that they record is reversed.
 	dropUnsaved unsavedPolicy = false
-	// keepUnsaved holds them until a later append takes them along: what they
-	// tell has happened.
+	// keepUnsaved keeps the events pending for a later append: what they record has happened.
 	keepUnsaved unsavedPolicy = true
 )
 
-// save appends what is pending, then the decided events, and takes them into
-// the state once they are in the log. The caller has claimed the program.
+// save appends the pending events, the deferred and then the decided ones, and applies them to the
+// state once they are in the log. The caller has claimed the program.
 //
-// After ErrUnsettled the events count as decided and are appended again before
-// anything else of the program; the numbers in them make the double harmless.
+// After ErrUnsettled the events are applied and appended again before any other event of the
+// program. A duplicate in the log is harmless, since events are numbered.
 func (s *Service) save(r *resident, appendTo appendFunc, policy unsavedPolicy, decided ...*programpb.Event) error {
 	batch, numbered, deferredCount := r.numberEvents(decided)
 	if len(batch) == 0 {
@@ -44,7 +43,8 @@
 	return err
 }
 
-// settleable maps errors that a Log should not return to the weakest one.
+// classifyAppendError returns err if it is nil or one of the errors of a Log, and otherwise wraps it
+// as ErrUnsettled.
 func classifyAppendError(err error) error {
 	for _, known := range []error{ErrUnavailable, ErrFenced, ErrTooLarge, ErrUnsettled} {
 		if err == nil || errors.Is(err, known) {
@@ -54,8 +54,9 @@
 	return errors.Wrap(ErrUnsettled, err.Error())
 }
 
-// seal numbers the decided events behind the program's notes. batch is what is
-// to be appended, sealed the part of it that the state does not hold yet.
+// numberEvents numbers the deferred events and then the decided ones. batch is to be appended;
+// numbered is the part of it that the state does not include yet. deferredCount is the number of
+// deferred events in it.
 func (r *resident) numberEvents(decided []*programpb.Event) (batch, numbered []program.Event, deferredCount int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,6 +68,8 @@
 	return batch, numbered, deferredCount
 }
 
+// completeAppend updates the state and the pending events after an append of batch. After ErrFenced
+// and ErrTooLarge the numbered events are discarded whatever the policy.
 func (r *resident) completeAppend(err error, policy unsavedPolicy, batch, numbered []program.Event, deferredCount int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,16 +91,16 @@
 	r.apply(numbered)
 }
 
-// apply takes events into the state that were sealed for it. The lock is held.
+// apply applies events that were numbered for the state. The lock is held.
 func (r *resident) apply(numbered []program.Event) {
 	for _, e := range numbered {
 		if err := r.state.Apply(e); err != nil {
-			panic("owner: an event sealed here does not follow: " + err.Error())
+			panic("owner: an event numbered here does not apply to the program's state: " + err.Error())
 		}
 	}
 }
 
-// decide takes an event into the state at once and leaves it to the next append.
+// applyPending applies an event to the state at once and leaves it pending for the next append.
 func (r *resident) applyPending(event *programpb.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +109,7 @@
 	r.apply(numbered)
 }
 
-// note leaves an event to the next append.
+// deferEvent leaves an event to be numbered, applied and appended with the program's next ones.
 func (r *resident) deferEvent(event *programpb.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -1,12 +1,11 @@
-// Package owner keeps the programs that this instance owns and runs their
-// steps: in order, through the program aggregate, the cohort's log and the
-// executor. What a caller is told of a step is true through crashes, pauses
-// and outages of the log's store:
+// Package owner holds the programs that this instance owns and runs their steps in order, through
+// the program aggregate, the cohort's log and the executor. The outcome reported to a caller stays
+// true through crashes, process pauses and outages of the log's store:
 //
-//   - a step that may not be repeated is sent only after its intent is in the
-//     log, and never again once it is there without an outcome;
-//   - the end of an answer is given out only after its turn is durable;
-//   - "not run" is said only where no byte was sent and none will be.
+//   - a step that may not be repeated is sent only after its intent is in the log, and is never
+//     sent again once the log holds the intent without an outcome;
+//   - the end of a response is passed to callers only after its turn is durable;
+//   - step.NotRun is reported only if no byte was sent and none will be.
 package owner
 
 import (
@@ -22,7 +21,7 @@
 	"foxhall/internal/program"
 )
 
-// Options configure a Service. Zero durations and numbers stand for the defaults.
+// Options configures a Service. Zero durations and numbers select the defaults.
 type Options struct {
 	Cohort    program.Cohort
 	Log       Log
@@ -33,29 +32,32 @@
 	Lease     Lease
 	Successor Successor
 	Residency Residency
-	// Released are called when a program is gone for good.
+	// Released are the hooks called once when a program ends or expires.
 	Released []ReleaseHook
 
-	// GapWait is how long a step waits for the missing ones before it, with
-	// nothing of its program under way. Default 250 ms: crossed arrivals are
-	// a few milliseconds apart.
+	// GapWait is how long a step waits for missing earlier steps while its program has no step in
+	// flight. Default 250 ms: steps that arrive out of order are a few milliseconds apart.
 	GapWait time.Duration
-	// StoreWait bounds one append. Default 5 s.
+	// AppendTimeout bounds one append to the log. Default 5 s.
 	AppendTimeout time.Duration
-	// StepTime bounds a step where the plan sets no bound. Default 10 min.
+	// StepTimeout bounds a step if its plan sets no bound. Default 10 min.
 	StepTimeout time.Duration
-	// RetryAfter is what refusals for want of the store tell callers. Default 2 s.
+	// RetryAfter is the retry delay given to callers that are refused because the log can't be
+	// written, and the delay before an unsettled append is retried. Default 2 s.
 	RetryAfter time.Duration
-	// IdleExpiry ends programs without open work that nobody calls. Default 1 h.
+	// IdleExpiry is the idle time after which a program without open work is ended. Default 1 h.
 	IdleExpiry time.Duration
-	// StalledAfter is when an idle program with open work counts as stalled. Default 10 min.
+	// StalledAfter is the idle time after which a program with open work counts as stalled.
+	// Default 10 min.
 	StalledAfter time.Duration
-	// EndedKeep is how long an ended program still answers repeats. Default 5 min.
+	// EndedRetention is how long a program that its caller ended still answers repeated calls.
+	// Default 5 min.
 	EndedRetention time.Duration
-	// SweepEvery is the pace of expiry and of stalled programs. Default 15 s.
+	// SweepInterval is the interval between sweeps, which end and expire programs and detect
+	// stalled ones. Default 15 s.
 	SweepInterval time.Duration
-	// MaxSteps, MaxHistoryTokens and MaxWaiting bound a program whatever its
-	// plan says. Defaults 1000, 200,000 and 64.
+	// MaxSteps, MaxHistoryTokens and MaxWaiting bound a program regardless of its plan. MaxWaiting
+	// is the number of its calls that wait at once. Defaults 1000, 200,000 and 64.
 	MaxSteps         int
 	MaxHistoryTokens int
 	MaxWaiting       int
@@ -107,29 +109,29 @@
 	}
 }
 
-// Service owns the programs resident on this instance. Each program has its
-// own lock; nothing on the path of a step is locked for all of them.
+// Service owns the programs resident on this instance. Each program has its own lock; running a
+// step takes no lock that all programs share.
 type Service struct {
 	o      Options
 	log    log.Interface
 	meters meters
 	shards [program.ShardCount]shard
 
-	// moved is set once a successor owns what was owned here.
+	// moved is set once successors own the programs.
 	moved atomic.Bool
 	// movedCh is closed when moved is set.
 	movedCh   chan struct{}
 	movedOnce sync.Once
 
 	flights flightCount
-	// background bounds and counts the goroutines beside flights.
+	// ctx and background end and count the goroutines that run beside flights.
 	ctx         context.Context
 	cancel      context.CancelFunc
 	background  sync.WaitGroup
 	lookupSlots chan struct{}
 }
 
-// maxLookups is how many services are asked at once what became of calls.
+// maxLookups is the number of concurrent lookups of unknown outcomes at services.
 const maxLookups = 8
 
 // New returns a service without programs.
@@ -148,12 +150,12 @@
 	return s, nil
 }
 
-// Close stops what runs beside the callers' steps, and cancels the steps that
-// can be cancelled. It is for the end of the process, after Drain.
+// Close cancels the background work and all steps in flight, and waits for the background work to
+// return. It is called at the end of the process, after Drain.
 func (s *Service) Close() {
 	s.cancel()
 	s.background.Wait()
 }
 
-// Cohort returns the cohort whose programs are born here.
+// Cohort returns the cohort of the programs created on this instance.
 func (s *Service) Cohort() program.Cohort { return s.o.Cohort }
--- a/internal/owner/settle.go
+++ b/internal/owner/settle.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// Settle waits until the steps under way have ended and what was learned of
-// them has been told to the programs' present owners, or until ctx ends. It is
-// for an incarnation that was fenced, before Close breaks both off.
+// Settle waits until all steps in flight have ended and their outcomes are delivered to the
+// programs' present owners, or until ctx ends. An incarnation that was fenced calls it before Close,
+// which cancels both.
 func (s *Service) Settle(ctx context.Context) error {
 	if err := s.flights.close(ctx); err != nil {
 		return err
--- a/internal/owner/sweep.go
+++ b/internal/owner/sweep.go
@@ -11,8 +11,7 @@
 	"foxhall/internal/program/programpb"
 )
 
-// Run expires and ends programs, saves what is pending and watches for stalled
-// programs, until ctx ends.
+// Run sweeps every Options.SweepInterval until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.o.SweepInterval)
 	defer ticker.Stop()
@@ -26,7 +25,8 @@
 	}
 }
 
-// Sweep does one round of Run.
+// Sweep ends and expires programs, appends pending events, repeats lookups and detects stalled
+// programs.
 func (s *Service) Sweep(ctx context.Context) {
 	if s.moved.Load() {
 		return
@@ -49,7 +49,7 @@
 		found := r.assess(now, &s.o, total)
 		if found.newlyStalled {
 			s.log.WithField("program", string(r.id)).WithField("unresolved", found.unresolved).
-				Warn("program with open work is stalled")
+				Warn("program with open work received no call for too long and is listed as stalled")
 		}
 		if found.unsaved && r.tryClaim() {
 			_ = s.save(r, s.o.Log.AppendOrHold, keepUnsaved)
@@ -69,10 +69,10 @@
 	}
 }
 
-// endChunk bounds how many programs end with one append.
+// endChunk is the maximum number of programs that are ended by one append.
 const endChunk = 64
 
-// fate is what a sweep makes of a program.
+// assessment is what a sweep has to do for a program.
 type assessment struct {
 	shouldEnd, unsaved, newlyStalled, lookUpAgain bool
 	unresolved                                    int
@@ -91,26 +91,26 @@
 		return assessment{}
 	}
 	idle := now.Sub(r.usedAt)
-	f := assessment{unsaved: len(r.pending) > 0 || len(r.deferred) > 0, unresolved: unresolved}
+	result := assessment{unsaved: len(r.pending) > 0 || len(r.deferred) > 0, unresolved: unresolved}
 	if r.state.HasOpenWork() && idle >= o.StalledAfter {
-		f.newlyStalled = !r.stalled
+		result.newlyStalled = !r.stalled
 		r.stalled = true
 		total.stalled++
 	}
 	if unresolved > 0 && now.Sub(r.lookedUpAt) >= lookupInterval {
-		f.lookUpAgain, r.lookedUpAt = true, now
+		result.lookUpAgain, r.lookedUpAt = true, now
 	}
-	f.shouldEnd = r.shouldEnd(now, idle, unresolved, o)
-	return f
+	result.shouldEnd = r.shouldEnd(now, idle, unresolved, o)
+	return result
 }
 
-// askEvery is how often services are asked again about unknown steps: one that
-// was away when the step became unknown may know it later.
+// lookupInterval is the interval between lookups of an unknown step: a service that was unreachable
+// when the step became unknown may know its outcome later.
 const lookupInterval = 10 * time.Minute
 
-// isOver reports whether the program is to be ended. One with a step of
-// unknown outcome or a broken history stays until someone has resolved it; one
-// that was abandoned with other open work stays stalled for its lifetime.
+// shouldEnd reports whether the program is to be ended. A program with an unknown step or a broken
+// history stays until it is resolved; one that was abandoned with other open work stays listed as
+// stalled for stalledRetention.
 func (r *resident) shouldEnd(now time.Time, idle time.Duration, unresolved int, o *Options) bool {
 	switch {
 	case unresolved > 0 || r.state.Broken || len(r.pending) > 0 || len(r.deferred) > 0:
@@ -123,11 +123,11 @@
 	return idle >= o.IdleExpiry
 }
 
-// stalledKeep is how long a stalled program without unknown steps is listed.
+// stalledRetention is how long a stalled program without unknown steps is kept.
 const stalledRetention = 7 * 24 * time.Hour
 
-// endAll ends programs, and adds what they earned to the slice's account in the
-// same append, so that it is counted once whatever fails in between.
+// endPrograms ends programs and adds their earnings to the shard's account in the same append, so
+// that the earnings are counted exactly once whatever fails.
 func (s *Service) endPrograms(ctx context.Context, sh *shard, batch []*resident) error {
 	batch = s.claimEnding(batch)
 	if len(batch) == 0 {
@@ -144,7 +144,7 @@
 	}
 	err := s.appendEnds(ctx, sh, account, batch)
 	if errors.Is(err, ErrUnsettled) {
-		batch = nil // the claims stay: nothing may follow half of the append
+		batch = nil // the claims stay, since no event may follow an append that may yet be written
 		return err
 	}
 	account.unclaim()
@@ -161,8 +161,7 @@
 		Info("program ended")
 }
 
-// claimOver claims the programs of the list that nobody uses and that are
-// still to be ended.
+// claimEnding claims those programs of the list that are not in use and are still to be ended.
 func (s *Service) claimEnding(list []*resident) []*resident {
 	var claimed []*resident
 	for _, r := range list {
@@ -178,7 +177,7 @@
 	return claimed
 }
 
-// stillOver looks again under the claim, since a call may have come first.
+// shouldStillEnd repeats the check under the claim, since a call may have arrived before it.
 func (r *resident) shouldStillEnd(o *Options) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,7 +188,8 @@
 	return r.waiters == 0 && r.openingChildren == 0 && r.shouldEnd(now, now.Sub(r.usedAt), r.state.Unresolved(), o)
 }
 
-// account returns the slice's account of ended programs' earnings.
+// account returns the account of the earnings of the shard's ended programs, and creates it if there
+// is none. index is the shard's number.
 func (s *Service) account(sh *shard, index int) *resident {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -204,9 +204,7 @@
 	return r
 }
 
-// appendEnds writes the ends and the sums in one append. An append that is not
-// settled is made again, the same, until it is: half of it must never be
-// followed by anything else.
+// appendEnds appends the tombstones of the batch and the sums of its earnings in one append.
 func (s *Service) appendEnds(ctx context.Context, sh *shard, account *resident, batch []*resident) error {
 	ends := make([]Record, 0, len(batch))
 	var merged []*programpb.Event
@@ -243,8 +241,8 @@
 	}
 }
 
-// sealEnd returns the program's last event, and what an account takes over
-// from it or nil.
+// endEvents returns the program's last event, and the event that merges its earnings into an
+// account, or nil if it has none.
 func (r *resident) endEvents() (end program.Event, earned *programpb.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -257,6 +255,9 @@
 
 const endReason = "over"
 
+// appendUntilSettled appends the records. After ErrUnsettled it repeats the append with the same
+// records until they are written or the log is sealed, since no other event may follow an append
+// that may yet be written. It returns ErrUnsettled if ctx ends first.
 func (s *Service) appendUntilSettled(ctx context.Context, all []Record) error {
 	unsettled := false
 	for {
@@ -278,8 +279,7 @@
 	}
 }
 
-// releaseEnded gives back what engines hold for a program that its caller no
-// longer needs.
+// releaseEnded calls the release hooks of a program if its caller has ended it.
 func (s *Service) releaseEnded(r *resident) {
 	r.mu.Lock()
 	ended := !r.state.EndRequestedAt.IsZero()
@@ -289,6 +289,7 @@
 	}
 }
 
+// release calls the release hooks of a program, once.
 func (s *Service) release(r *resident) {
 	r.mu.Lock()
 	done := r.released || r.state.Account
