--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -16,24 +16,24 @@
 	"foxhall/internal/step"
 )
 
-// null is a log that takes everything, an executor that answers at once, and a
-// catalogue in which only "search" may be repeated.
-type null struct{ answer chat.Message }
+// nullBackend is a log that discards all records, an executor that responds at once, and a catalogue
+// in which only "search" may be repeated.
+type nullBackend struct{ answer chat.Message }
 
-func (null) Append(context.Context, ...Record) error       { return nil }
-func (null) AppendOrHold(context.Context, ...Record) error { return nil }
-func (null) Available() bool                               { return true }
-func (null) Cancel()                                       {}
-func (null) MayRepeat(service, _, _ string) bool           { return service == "search" }
+func (nullBackend) Append(context.Context, ...Record) error       { return nil }
+func (nullBackend) AppendOrHold(context.Context, ...Record) error { return nil }
+func (nullBackend) Available() bool                               { return true }
+func (nullBackend) Cancel()                                       {}
+func (nullBackend) MayRepeat(service, _, _ string) bool           { return service == "search" }
 
-func (n null) Admit(context.Context, *Work) (Placed, *step.Result) { return n, nil }
+func (n nullBackend) Admit(context.Context, *Work) (Placed, *step.Result) { return n, nil }
 
-func (n null) Run(context.Context, step.Sink) step.Result {
+func (n nullBackend) Run(context.Context, step.Sink) step.Result {
 	return step.Result{Outcome: step.Done, Status: 200, Answer: n.answer, Model: "m", FinishReason: "stop", Price: 1}
 }
 
 func nullService() *Service {
-	n := null{answer: message("assistant", string(bytes.Repeat([]byte("word "), 40)))}
+	n := nullBackend{answer: message("assistant", string(bytes.Repeat([]byte("word "), 40)))}
 	s, err := New(Options{
 		Cohort:    program.NewCohort("dc", "bench"),
 		Log:       n,
@@ -47,8 +47,8 @@
 	return s
 }
 
-// BenchmarkDo measures steps through the service with nothing behind it, each
-// parallel caller in a program of its own that is replaced after 50 turns.
+// BenchmarkDo measures steps through the service with a null backend. Each parallel caller uses a
+// program of its own, and a new one after 50 turns.
 func BenchmarkDo(b *testing.B) {
 	kinds := map[string]func(id program.ID, number int) step.Call{
 		"model":  func(id program.ID, number int) step.Call { return modelCall(id, number, "a question") },
@@ -63,7 +63,7 @@
 				var id program.ID
 				for number := 50; pb.Next(); {
 					if number++; number > 50 {
-						id, number = s.Open(context.Background(), buyerPlan, "").Program, 1
+						id, number = s.Open(context.Background(), testPlan, "").Program, 1
 					}
 					if r := s.Do(context.Background(), call(id, number), nil); r.Outcome != step.Done {
 						panic(fmt.Sprint(r))
@@ -75,9 +75,8 @@
 	}
 }
 
-// BenchmarkMemoryAtRest measures what an idle program holds, by its turns, each
-// of about 200 bytes asked and 200 answered. The history itself is reported
-// beside it.
+// BenchmarkMemoryAtRest measures the memory of an idle program by its number of turns, each of about
+// 200 bytes of request and 200 of response. The size of the history alone is reported as B/history.
 func BenchmarkMemoryAtRest(b *testing.B) {
 	for _, turns := range []int{0, 1, 10, 100} {
 		b.Run(fmt.Sprint(turns, "turns"), func(b *testing.B) {
@@ -100,7 +99,7 @@
 }
 
 func addTurns(s *Service, turns int) (history int) {
-	id := s.Open(context.Background(), buyerPlan, "").Program
+	id := s.Open(context.Background(), testPlan, "").Program
 	for number := 1; number <= turns; number++ {
 		s.Do(context.Background(), modelCall(id, number, string(bytes.Repeat([]byte("word "), 40))), nil)
 	}
@@ -118,8 +117,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkAdopt measures the take-over of 2,000 programs of ten turns, from
-// their records in memory to the last snapshot in a null log.
+// BenchmarkAdopt measures the adoption of 2,000 programs of ten turns, from their records in memory
+// to the last snapshot in a null log.
 func BenchmarkAdopt(b *testing.B) {
 	const programs, turns = 2000, 10
 	var recording recordingLog
@@ -145,9 +144,9 @@
 	b.ReportMetric(b.Elapsed().Seconds()*1000/float64(b.N), "ms/2000programs")
 }
 
-// keeper is a null log that keeps its records.
-type recordingLog struct { // one caller at a time
-	null
+// recordingLog is a null log that keeps its records. It is for one caller at a time.
+type recordingLog struct {
+	nullBackend
 	records atomic.Pointer[[]Record]
 }
 
--- a/internal/owner/failure_test.go
+++ b/internal/owner/failure_test.go
@@ -17,14 +17,14 @@
 
 func (w *world) openProgram(t *testing.T) program.ID {
 	t.Helper()
-	opened := w.owner().svc.Open(context.Background(), buyerPlan, "")
+	opened := w.owner().svc.Open(context.Background(), testPlan, "")
 	is.New(t).Equal(opened.Outcome, step.Done)
 	return opened.Program
 }
 
-// stopAt leaves gates of the kinds to the test.
+// stopAtGates lets operations of the kinds wait for the test; all others succeed.
 func (w *world) stopAtGates(kinds ...string) {
-	w.decide(func(g *gate) string {
+	w.setDecisions(func(g *gate) string {
 		if slices.Contains(kinds, g.kind) {
 			return ""
 		}
@@ -39,10 +39,10 @@
 	return n
 }
 
-// A donor's charge is sent, the tool charges, and the owner dies before it has
-// the answer. The donor asks again at the successor. The successor finds the
-// intent without an outcome, so it says "unknown" and sends nothing; once the
-// service's lookup knows the charge, the donor gets its answer.
+// A charge is sent and takes effect, and the owner crashes before it has the response. The caller
+// repeats the call at the successor. The successor finds the intent without an outcome, answers
+// "unknown" and sends nothing. Once the service's lookup knows the charge, the caller gets the
+// response.
 func TestOwnerCrashAfterToolEffect(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -69,10 +69,10 @@
 	})
 }
 
-// An owner is paused after its intent is in the log and before it sends. A
-// successor takes over and says "unknown". The old owner wakes and sends: that
-// is the one send. Its log is sealed, so it reports the answer to the
-// successor, and gives it to its own caller; both tell the same.
+// An owner is paused after its intent is in the log and before it sends. A successor takes over and
+// answers "unknown". The former owner resumes and makes the only attempt. Its log is sealed, so it
+// reports the response to the successor and returns it to its own caller; both callers get the same
+// response.
 func TestOwnerPausedBetweenIntentAndSend(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -80,7 +80,7 @@
 		w.stopAtGates("tool")
 		first := w.call(w.owner(), charge(id, 1, "10"))
 		n := w.takeOver(true, false)
-		advance(time.Minute) // the service's lookup does not know the call yet, which settles nothing
+		advance(time.Minute) // a lookup that does not know the call settles nothing
 		again := w.call(n, charge(id, 1, "10"))
 		is.Equal(again.result.Outcome, step.Unknown)
 		w.release(0, ok)
@@ -94,10 +94,10 @@
 	})
 }
 
-// The answer to the append of an intent is lost; the intent may be in the log.
-// The owner has not sent and must not, so the caller is told "not run", and a
-// retry runs the step once. Had the owner died instead, the successor would
-// say "unknown", since it can't see that nothing was sent.
+// The response to the append of an intent is lost, so the intent may be in the log. The owner has
+// not sent the call and must not, so it answers "not run", and a retry runs the step once. If the
+// owner had crashed instead, the successor would answer "unknown", since it can't know that nothing
+// was sent.
 func TestIntentAppendResponseLost(t *testing.T) {
 	for _, fault := range []string{responseLost, dropped, delayed} {
 		inVirtualTime(t, func(t *testing.T, w *world) {
@@ -122,15 +122,14 @@
 	}
 }
 
-// The log's store is down for the whole step. A charge is refused at once, in
-// no time, as "not run" with a time to ask again; a model call goes on, its
-// turn held by peers, and a successor serves it.
+// The log's store is unavailable during the entire step. A charge is refused at once as "not run",
+// with a retry delay. A model call runs, its turn is held by peers, and a successor serves it.
 func TestStoreUnavailableDuringStep(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		id := w.openProgram(t)
 		w.storeDown = true
-		w.stopAtGates("admit") // it is refused before it takes a place from anyone
+		w.stopAtGates("admit") // the charge is refused before it takes up capacity
 		start := time.Now()
 		refusal := w.call(w.owner(), charge(id, 1, "10"))
 		is.Equal(refusal.result.Outcome, step.NotRun)
@@ -149,9 +148,9 @@
 	})
 }
 
-// The balancer sends one charge to two instances, which both relay it to the
-// owner. The second arrives while the first runs and joins it: one charge, and
-// both get its answer. A third, after the end, gets it from the record.
+// The balancer sends one charge to two instances, which both relay it to the owner. The second
+// arrives while the first is in flight and joins it: there is one charge, and both get its response.
+// A third, after the end, gets the recorded response.
 func TestBalancerSendsOneCallTwice(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -173,22 +172,22 @@
 	})
 }
 
-// A charge without a program, or without a number and key, can't be told from
-// its repeat. It is refused before anything is done.
+// A charge without a program, or without a step number and idempotency key, can't be distinguished
+// from its repeat. It is refused before anything is done.
 func TestUnidentifiedChargeIsRefused(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		unopened := w.call(w.owner(), charge("", 1, "10"))
 		is.Equal(unopened.result.Code, step.CodeBadRequest)
-		unnamed := w.call(w.owner(), charge(w.openProgram(t), 0, "10"))
-		is.Equal(unnamed.result.Code, step.CodeBadRequest)
+		unnumbered := w.call(w.owner(), charge(w.openProgram(t), 0, "10"))
+		is.Equal(unnumbered.result.Code, step.CodeBadRequest)
 		is.Equal(w.totalEffects(), 0)
 	})
 }
 
-// A caller goes away while its answer streams. Nobody waits, so the model call
-// is cancelled and its slot is free, unless a repeat has joined it. A charge
-// that was sent is not cancelled: it runs on and its outcome is recorded.
+// A caller disconnects while its response streams. No caller waits, so the model call is cancelled
+// and its slot is freed, unless a repeat has joined it. A charge that was sent is not cancelled: it
+// runs to its end and its outcome is recorded.
 func TestCallerDisconnects(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -218,9 +217,9 @@
 	})
 }
 
-// A streamed answer is whole, but its turn is not yet durable. The caller has
-// the text so far and neither the finish reason nor the end mark; it gets them
-// with the durable turn, and never if the turn can't be made durable.
+// A streamed response is complete, but its turn is not durable yet. The caller has the text so far
+// and neither the finish reason nor the end mark. It gets them once the turn is durable, and never
+// if the turn can't be made durable.
 func TestStreamEndWaitsForDurableTurn(t *testing.T) {
 	for _, fault := range []string{ok, refused, responseLost} {
 		inVirtualTime(t, func(t *testing.T, w *world) {
@@ -231,13 +230,13 @@
 			call.Model.Stream = true
 			c := w.call(w.owner(), call)
 			is.Equal(w.waitingGates(), []string{"append"})
-			is.Equal(c.sink.given(), "first second ")
+			is.Equal(c.sink.received(), "first second ")
 			w.release(0, fault)
 			if fault == ok {
-				is.Equal(c.sink.given(), `first second "finish_reason":"stop"[DONE]`)
+				is.Equal(c.sink.received(), `first second "finish_reason":"stop"[DONE]`)
 				return
 			}
-			is.Equal(c.sink.given(), "first second ")
+			is.Equal(c.sink.received(), "first second ")
 			is.Equal(c.result.Outcome, step.Unknown)
 			w.stopAtGates()
 			again := w.call(w.owner(), call)
@@ -247,10 +246,9 @@
 	}
 }
 
-// An owner is paused while a model call waits for its place, and a successor
-// runs the program on. The owner wakes: its lease tells that it was away, so
-// the call is not sent, the engines see the program's calls in order, and the
-// refusal is true.
+// An owner is paused while a model call waits for its placement, and a successor continues the
+// program. The owner resumes without a lease, so the call is not sent, the engines see the program's
+// calls in order, and "not run" is true.
 func TestOwnerPausedBeforeModelCall(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -268,8 +266,8 @@
 	})
 }
 
-// An answer is too large for any entry of the log. It is not kept and not
-// given out as whole, and the program goes on without it.
+// A response is too large for a log entry. It is neither kept nor returned as complete, and the
+// program continues without it.
 func TestResponseTooLargeForLog(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -284,10 +282,10 @@
 	})
 }
 
-// A repeat joins a streamed answer halfway, and a third caller wants it whole.
-// The repeat gets the stream from its beginning, the third the answer in one
-// body, and the engine is asked once.
-func TestRepeatJoinsAStream(t *testing.T) {
+// A repeat joins a streamed response halfway, and a third caller makes a non-streaming request. The
+// repeat gets the stream from its beginning, the third caller the response in one body, and the
+// engine gets one call.
+func TestRepeatJoinsStream(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		id := w.openProgram(t)
@@ -296,10 +294,10 @@
 		streamed.Model.Stream = true
 		first, second := w.call(w.owner(), streamed), w.call(w.owner(), streamed)
 		nonStreaming := w.call(w.owner(), modelCall(id, 1, "hello"))
-		is.Equal(second.sink.given(), first.sink.given())
+		is.Equal(second.sink.received(), first.sink.received())
 		w.release(0, ok)
 		for _, c := range []*caller{first, second} {
-			is.Equal(c.sink.given(), `first second "finish_reason":"stop"[DONE]`)
+			is.Equal(c.sink.received(), `first second "finish_reason":"stop"[DONE]`)
 			is.Equal(len(c.result.Body), 0)
 		}
 		is.True(strings.Contains(string(nonStreaming.result.Body), "answer 1"))
@@ -307,8 +305,8 @@
 	})
 }
 
-// Two steps cross in the balancer: step 2 arrives first and waits for step 1.
-// A step whose predecessor does not come is refused with the missing number.
+// Two steps arrive out of order: step 2 arrives first and waits for step 1. A step whose predecessor
+// does not arrive is refused with the number of the missing step.
 func TestStepsArriveOutOfOrder(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -326,8 +324,8 @@
 	})
 }
 
-// A tool hangs. A charge that was sent ends at the plan's step time as
-// "unknown", is listed, and an operator resolves it.
+// A tool hangs. A charge that was sent ends as "unknown" when the plan's bound on the step's time has
+// passed. It is listed until an operator resolves it.
 func TestHangingTool(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -350,8 +348,8 @@
 	})
 }
 
-// A caller's deadline passes. While the step still waits for its place, the
-// answer is "not run"; once a charge was sent it is "unknown".
+// A caller's deadline passes. While the step still waits for its placement, the outcome is "not
+// run"; once a charge was sent, it is "unknown".
 func TestDeadlineOutcome(t *testing.T) {
 	for kind, want := range map[string]step.Outcome{"admit": step.NotRun, "tool": step.Unknown} {
 		inVirtualTime(t, func(t *testing.T, w *world) {
@@ -369,28 +367,27 @@
 	}
 }
 
-// A stranger uses another customer's program id. The answer is the same as for
-// an id that does not exist, for calls, sub-agents and repeats.
+// A customer uses the id of another customer's program. The response to calls, sub-agents and
+// repeats is the same as for an id that does not exist.
 func TestOtherCustomersProgramIsNotFound(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		id := w.openProgram(t)
 		w.call(w.owner(), modelCall(id, 1, "secret"))
-		stranger := modelCall(id, 1, "secret")
-		stranger.Plan = &plan.Plan{Name: "other", Customer: "stranger"}
-		nowhere := modelCall(program.NewID(w.owner().svc.Cohort()), 1, "secret")
-		got, want := w.call(w.owner(), stranger).result, w.call(w.owner(), nowhere).result
+		otherCustomers := modelCall(id, 1, "secret")
+		otherCustomers.Plan = &plan.Plan{Name: "other", Customer: "stranger"}
+		unknownProgram := modelCall(program.NewID(w.owner().svc.Cohort()), 1, "secret")
+		got, want := w.call(w.owner(), otherCustomers).result, w.call(w.owner(), unknownProgram).result
 		is.Equal(got, want)
 		is.Equal(got.Code, step.CodeNotFound)
-		child := step.Call{Plan: stranger.Plan, Parent: id, Model: stranger.Model}
+		child := step.Call{Plan: otherCustomers.Plan, Parent: id, Model: otherCustomers.Model}
 		is.Equal(w.call(w.owner(), child).result.Code, step.CodeNotFound)
 	})
 }
 
-// A program's sub-agent is the first call that reaches the successor, which has
-// not read the log of the former owner yet. It was told that its parent does
-// not exist, and gave up, although the parent went on. It waits for the parent
-// to be taken over, as each other call does.
+// The first call that reaches a successor opens a sub-agent, and the successor has not read the log
+// of the former owner yet. The call must wait until the parent is adopted, as all other calls do,
+// instead of being answered that its parent does not exist.
 func TestSubAgentWaitsForParentAdoption(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -404,17 +401,16 @@
 			w.adoptAll(n, old, Tail{})
 			n.adopting.Store(false)
 		}()
-		opened := n.svc.Open(context.Background(), buyerPlan, parent)
+		opened := n.svc.Open(context.Background(), testPlan, parent)
 		is.Equal(opened.Outcome, step.Done)
 		is.True(!n.adopting.Load())
 	})
 }
 
-// An owner is paused while a service looks something up, which may be done
-// again, and a successor takes over. The old owner wakes with the answer and
-// can't record it. It gave the answer to its caller as done; the caller's next
-// step then came too early for the successor, for ever. The caller is told to
-// ask again, and the successor looks it up anew.
+// An owner is paused during a repeatable tool call, and a successor takes over. The former owner
+// resumes with the response and can't record it. If it returned the response as done, the successor
+// would refuse the caller's next step forever because this one is missing. Instead the caller is
+// asked to repeat the call, and the successor runs it again.
 func TestOwnerPausedDuringRepeatableCall(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -432,9 +428,8 @@
 	})
 }
 
-// A repeatable call's answer can't be made durable: whether it is in the log is
-// not known. Its caller asks again and again, and is told no answer until it is
-// recorded; the repeat was answered as done from memory, which a crash forgets.
+// It is unknown whether the response of a repeatable call is in the log. A caller that repeats the
+// call gets no response until it is recorded: one returned from memory would be lost in a crash.
 func TestRepeatOfUnrecordedResponse(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
--- a/internal/owner/fakelog_test.go
+++ b/internal/owner/fakelog_test.go
@@ -23,7 +23,7 @@
 	if slices.ContainsFunc(records, func(r Record) bool { return len(r.Event) > 1<<20 }) {
 		return ErrTooLarge
 	}
-	d := n.w.await(ctx, &gate{kind: "append", node: n})
+	d := n.w.waitAtGate(ctx, &gate{kind: "append", node: n})
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	switch {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// Held implements Lease, of an owner that notices at once when it was replaced.
+// Held implements Lease, for an owner that notices at once that a successor has taken over.
 func (n *node) Held() bool {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
@@ -62,7 +62,7 @@
 	if n.Available() {
 		return n.Append(ctx, records...)
 	}
-	d := n.w.await(ctx, &gate{kind: "hold", node: n})
+	d := n.w.waitAtGate(ctx, &gate{kind: "hold", node: n})
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	if n.sealed {
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// up ends the outage; living owners move what peers held into their logs,
-// unless they are about to be replaced.
+// restoreStore ends the outage. Running owners write the records that peers hold to their logs,
+// except the owner that is about to be replaced.
 func (w *world) restoreStore(replaced *node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,7 +94,9 @@
 	}
 }
 
-// takeOver seals the last node's log and lets a new one adopt its programs.
+// takeOver seals the owner's log and starts a new node that adopts its programs. tailKept indicates
+// that the records held by peers survive, delayedWritten that delayed appends are written before
+// the seal.
 func (w *world) takeOver(tailKept, delayedWritten bool) *node {
 	w.mu.Lock()
 	old := w.owner()
@@ -102,35 +104,36 @@
 	if delayedWritten {
 		old.records = append(old.records, old.delayed...)
 	}
-	tail := Tail{Records: old.held, Uncertain: old.torn || !tailKept && len(old.held) > 0}
+	tail := Tail{Records: old.held, Uncertain: old.recordLost || !tailKept && len(old.held) > 0}
 	if !tailKept {
 		tail.Records = nil
 	}
 	w.mu.Unlock()
 	n := w.start()
 	w.adoptAll(n, old, tail)
-	if w.incomplete {
+	if w.adoptionIncomplete {
 		n.unadopted = slices.Concat(old.unadopted, old.records, tail.Records)
 	}
 	return n
 }
 
-// decide lets auto decide the gates from now on.
-func (w *world) decide(auto func(g *gate) string) {
+// setDecisions replaces the function that decides on gates.
+func (w *world) setDecisions(decide func(g *gate) string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.auto = auto
+	w.decideGate = decide
 }
 
+// adoptAll lets n adopt all shards of old.
 func (w *world) adoptAll(n, old *node, tail Tail) {
-	auto := w.auto
-	w.decide(func(g *gate) string {
+	previous := w.decideGate
+	w.setDecisions(func(g *gate) string {
 		if g.node == n {
 			return ok
 		}
-		return auto(g)
+		return previous(g)
 	})
-	defer w.decide(auto)
+	defer w.setDecisions(previous)
 	for shard := range program.ShardCount {
 		inShard := func(list []Record) (out []Record) {
 			for _, r := range list {
@@ -152,7 +155,8 @@
 	}
 }
 
-// tear loses the log's last record, if it is one of several of its program.
+// loseLastRecord removes the log's last record if it is an event and its program has others, and
+// reports whether it did.
 func (n *node) loseLastRecord() bool {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
@@ -165,7 +169,7 @@
 	if last.Kind != EventRecord || !several {
 		return false
 	}
-	n.records, n.torn = slices.Clone(rest), true
+	n.records, n.recordLost = slices.Clone(rest), true
 	return true
 }
 
--- a/internal/owner/fakeupstream_test.go
+++ b/internal/owner/fakeupstream_test.go
@@ -10,6 +10,8 @@
 	"foxhall/internal/step"
 )
 
+// engineRun is one model call that reached an engine. fenced indicates that its owner had been
+// replaced or had crashed.
 type engineRun struct {
 	program program.ID
 	number  int
@@ -42,7 +44,7 @@
 
 // Admit implements Executor.
 func (n *node) Admit(ctx context.Context, work *Work) (Placed, *step.Result) {
-	switch d := n.w.await(ctx, &gate{kind: "admit", node: n, work: work}); d {
+	switch d := n.w.waitAtGate(ctx, &gate{kind: "admit", node: n, work: work}); d {
 	case refused, expired:
 		return nil, refuse(429, step.CodeOverloaded, "full")
 	}
@@ -66,7 +68,7 @@
 func (p *placed) runTool(ctx context.Context) step.Result {
 	w, acted := p.n.w, false
 	for {
-		d := w.await(ctx, &gate{kind: "tool", node: p.n, work: p.work})
+		d := w.waitAtGate(ctx, &gate{kind: "tool", node: p.n, work: p.work})
 		body := string(p.work.Call.Tool.Body)
 		if !acted && (d == ok || d == actThenHang || d == responseLost) {
 			w.mu.Lock()
@@ -105,7 +107,7 @@
 		_ = sink.Chunk([]byte(`"finish_reason":"stop"`))
 		_ = sink.Chunk([]byte("[DONE]"))
 	}
-	switch w.await(ctx, &gate{kind: "model", node: p.n, work: p.work}) {
+	switch w.waitAtGate(ctx, &gate{kind: "model", node: p.n, work: p.work}) {
 	case notSent:
 		return step.Refuse(503, step.CodeNoUpstream, "none")
 	case ok:
--- a/internal/owner/late_test.go
+++ b/internal/owner/late_test.go
@@ -13,10 +13,10 @@
 	"foxhall/internal/step"
 )
 
-// An owner that was cut off held a turn and a new program with peers. After the
-// take-over it comes back and offers them. They follow on what the successor
-// has, so nothing is in doubt any more. Offered again, they change nothing; a
-// program that went on without its turn keeps its course.
+// An isolated owner has a turn and a new program held by peers, and offers them after the take-over.
+// Records that continue the successor's history are adopted, and the history is certain again.
+// Offering them twice changes nothing. A program that has continued without its turn keeps its
+// history.
 func TestLateRecordsOfFormerOwner(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -45,8 +45,8 @@
 	})
 }
 
-// The answer to the append of late records is lost. They may be in the log, so
-// the program goes on behind them; a later successor finds one course.
+// The response to the append of late records is lost. They may be in the log, so the program
+// continues after them, and a later successor finds one consistent history.
 func TestLateRecordsAppendResponseLost(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -57,7 +57,7 @@
 		w.storeDown = false
 		old := w.owner()
 		n := w.takeOver(false, false)
-		w.decide(func(*gate) string { return responseLost })
+		w.setDecisions(func(*gate) string { return responseLost })
 		is.True(n.svc.AdoptLate(context.Background(), old.svc.Cohort(), old.held) != nil)
 		w.stopAtGates()
 		fullConversation := modelCall(id, 2, "")
@@ -69,9 +69,9 @@
 	})
 }
 
-// A charge is made while the store goes down; its outcome is held by peers that
-// are lost with the owner's connection. The successor says "unknown". When the
-// former owner is back and offers the outcome, the charge is settled.
+// The store becomes unavailable during a charge, and the peers that hold its outcome are unreachable
+// together with the owner. The successor answers "unknown". The charge is settled once the former
+// owner offers the outcome.
 func TestLateOutcomeSettlesCharge(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -94,10 +94,10 @@
 	})
 }
 
-// The store is down, a turn is held by peers, and they are lost with its owner.
-// The successor can't tell whether turns are missing. It says so, to steps that
-// only carry a number, to late repeats and for ids it does not know, instead of
-// serving another history; a caller with its whole conversation may go on.
+// The store is unavailable, a turn is held by peers, and these are lost together with the owner. The
+// successor can't know whether turns are missing. It reports the history as uncertain to steps that
+// only carry a number, to late repeats and for unknown ids, instead of serving a different history.
+// A caller that sends its full conversation may continue.
 func TestHeldRecordsLost(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -115,7 +115,7 @@
 			is.Equal(r.MissingStep, 2)
 		}
 		is.Equal(w.call(n, modelCall(unseen, 1, "x")).result.Code, step.CodeHistoryUncertain)
-		once := charge(id, 2, "10") // its intent may be what was lost, whatever turn the caller has seen
+		once := charge(id, 2, "10") // its intent may have been lost, whatever turn the caller has seen
 		once.After = seen
 		is.Equal(w.call(n, once).result.Code, step.CodeHistoryUncertain)
 		is.Equal(len(w.engineRuns), 2)
@@ -126,11 +126,10 @@
 	})
 }
 
-// The append of a slice's snapshots fails. Before the adoption is called again,
-// the former owner offers a turn and a charge's outcome, which come in the tail
-// of the second call. The programs are resident from the first, without them:
-// the caller's next step would be answered without the turn, unseen, and the
-// charge stay unknown.
+// The append of a shard's snapshots fails. Before the adoption is retried, the former owner offers a
+// turn and the outcome of a charge, which are in the tail of the second try. The programs are
+// resident since the first try; if the second did not merge the tail, the next step would be answered
+// without the turn, unnoticed, and the charge would stay unknown.
 func TestRetriedAdoptionMergesTail(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -145,7 +144,7 @@
 		w.storeDown, old.sealed = false, true
 		n := w.start()
 		adopt := func(p program.ID, decision string, tail []Record) error {
-			w.decide(func(*gate) string { return decision })
+			w.setDecisions(func(*gate) string { return decision })
 			a := Adoption{Cohort: old.svc.Cohort(), Shard: p.Shard(), Tail: Tail{Records: recordsOf(p, tail)}}
 			a.Records = recordsOf(p, old.records)
 			return n.svc.Adopt(context.Background(), a)
--- a/internal/owner/machine_test.go
+++ b/internal/owner/machine_test.go
@@ -14,31 +14,32 @@
 	"foxhall/internal/step"
 )
 
-// The kinds of step that the machine's programs make.
+// The kinds of step in the machine's programs.
 const (
 	turns = iota
 	charges
 	searches
 )
 
-// attempt is one call for a step.
+// sentCall is one call for a step.
 type sentCall struct {
 	*caller
 	node *node
-	// lost says that the connection broke, so that the caller has no answer.
+	// disconnected indicates that the connection broke, so that the caller gets no result.
 	disconnected bool
-	seen         bool
+	// seen indicates that the result was recorded.
+	seen bool
 }
 
-// wanted is a step that a program's caller wants, with all calls for it.
+// plannedStep is a step that a client makes, with all calls for it.
 type plannedStep struct {
 	kind     int
 	number   int
 	body     string
 	attempts []*sentCall
-	// answer is what the first call that got one was told.
+	// answer is the response that the first successful call received.
 	answer string
-	// unknown says that a call was told so.
+	// toldUnknown indicates that a call ended without a known outcome.
 	toldUnknown bool
 }
 
@@ -46,19 +47,20 @@
 type client struct {
 	id    program.ID
 	steps []*plannedStep
-	next  int
-	// gaveUp says that the program can't go on, and why that is right.
+	// next is the index of the step to make next.
+	next int
+	// stoppedBecause is the reason for which the program legitimately can't continue, or "".
 	stoppedBecause string
 }
 
-// machine drives services through calls and faults, one at a time, and is the
-// oracle of what callers may be told.
+// machine drives services through calls and faults, one at a time, and checks the results that
+// callers receive.
 type machine struct {
 	w       *world
 	clients []*client
 	faults  map[string]int
-	// tailLost says that turns on peers were lost, which callers are told.
-	tailLost bool
+	// recordsLost indicates that held records or a log entry were lost, which callers may notice.
+	recordsLost bool
 }
 
 const machineClients = 3
@@ -66,7 +68,7 @@
 func newMachine(rt *rapid.T, w *world) *machine {
 	m := &machine{w: w, faults: map[string]int{}}
 	for i := range machineClients {
-		opened := w.owner().svc.Open(context.Background(), buyerPlan, "")
+		opened := w.owner().svc.Open(context.Background(), testPlan, "")
 		c := &client{id: opened.Program}
 		for n := 1; n <= 6; n++ {
 			kind := rapid.IntRange(turns, searches).Draw(rt, "kind")
@@ -74,7 +76,7 @@
 		}
 		m.clients = append(m.clients, c)
 	}
-	w.auto = func(*gate) string { return "" }
+	w.decideGate = func(*gate) string { return "" }
 	w.lookupKnows = rapid.Bool().Draw(rt, "lookups")
 	return m
 }
@@ -95,9 +97,8 @@
 	m.observe()
 }
 
-// observe takes in the answers that have come and moves each caller on. Of
-// those that came at once, it takes the ones that miss a step first: they may
-// have come before the missing step ran.
+// observe records new results. Of results that arrived together, it records those that report a
+// missing step first, since they may be from before the missing step ran.
 func (m *machine) observe() {
 	synctest.Wait()
 	var rest []func()
@@ -121,7 +122,7 @@
 	}
 }
 
-// actions are what may happen next, one at a time.
+// actions returns the actions that rapid chooses from.
 func (m *machine) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"call":   func(rt *rapid.T) { m.call(rt, 0) },
@@ -129,12 +130,12 @@
 		"more":   func(rt *rapid.T) { m.call(rt, 0) },
 		"ahead":  func(rt *rapid.T) { m.call(rt, 1) },
 		"late":   func(rt *rapid.T) { m.call(rt, -1) },
-		"gate":   m.openGate,
-		"gate 2": m.openGate,
-		"gate 3": m.openGate,
-		"gate 4": m.openGate,
-		"gate 5": m.openGate,
-		"gate 6": m.openGate,
+		"gate":   m.releaseGate,
+		"gate 2": m.releaseGate,
+		"gate 3": m.releaseGate,
+		"gate 4": m.releaseGate,
+		"gate 5": m.releaseGate,
+		"gate 6": m.releaseGate,
 		"cancel": rarely(m.cancel),
 		"store":  rarely(m.toggleStore),
 		"crash":  rarely(m.crash),
@@ -145,7 +146,7 @@
 	}
 }
 
-// rarely makes a fault rare enough for steps to get anywhere between two.
+// rarely skips the action most of the time, so that steps complete between faults.
 func rarely(action func(*rapid.T)) func(*rapid.T) {
 	return func(rt *rapid.T) {
 		if rapid.IntRange(0, 3).Draw(rt, "rarely") > 0 {
@@ -169,7 +170,7 @@
 	m.observe()
 }
 
-// anyNode is mostly the owner, and at times a former one that still runs.
+// anyNode returns the owner in most cases, and otherwise any node that still runs.
 func (m *machine) anyNode(rt *rapid.T) *node {
 	if rapid.IntRange(0, 4).Draw(rt, "node") > 0 {
 		return m.w.owner()
@@ -191,7 +192,7 @@
 	"model":  {ok, ok, ok, dropped, notSent},
 }
 
-func (m *machine) openGate(rt *rapid.T) {
+func (m *machine) releaseGate(rt *rapid.T) {
 	waiting := m.w.waitingGates()
 	if len(waiting) == 0 {
 		rt.Skip()
@@ -232,8 +233,7 @@
 	m.w.mu.Unlock()
 }
 
-// crash kills the owner where it stands; a successor adopts what its log and
-// its peers hold.
+// crash crashes the owner; a successor adopts the records in its log and on its peers.
 func (m *machine) crash(rt *rapid.T) {
 	m.faults["crash"]++
 	m.crashNode(m.w.owner())
@@ -269,30 +269,30 @@
 	synctest.Wait()
 }
 
-// replace seals the owner's log, for which the store must be back.
+// takeOver seals the owner's log, for which the store must be available, and starts a successor.
 func (m *machine) takeOver(rt *rapid.T) {
 	m.w.restoreStore(m.w.owner())
 	kept := rapid.IntRange(0, 5).Draw(rt, "tail kept") > 0
 	if !kept && len(m.w.owner().held) > 0 {
-		m.tailLost = true
+		m.recordsLost = true
 		m.faults["tail lost"]++
 	}
 	if rapid.IntRange(0, 7).Draw(rt, "torn") == 0 && m.w.owner().loseLastRecord() {
-		m.tailLost = true
+		m.recordsLost = true
 		m.faults["entry torn"]++
 	}
-	m.w.incomplete = rapid.Bool().Draw(rt, "adoption incomplete")
+	m.w.adoptionIncomplete = rapid.Bool().Draw(rt, "adoption incomplete")
 	m.w.takeOver(kept, rapid.Bool().Draw(rt, "late written"))
 	m.observe()
 }
 
-// pause seals the owner's log while it stands at its gates; it goes on later.
+// pause lets a successor take over while the owner is paused at its gates; the owner resumes later.
 func (m *machine) pause(rt *rapid.T) {
 	m.faults["pause"]++
 	m.takeOver(rt)
 }
 
-// offer has a former owner bring what it held to the successor.
+// offer lets a former owner offer its held records to the successor.
 func (m *machine) offer(rt *rapid.T) {
 	i := rapid.IntRange(0, len(m.w.nodes)-1).Draw(rt, "former owner")
 	former := m.w.nodes[i]
@@ -306,11 +306,11 @@
 	m.observe()
 }
 
-// Programs of turns, charges and searches run while appends are refused, lost
-// and late, the store goes down, owners crash or are paused at any point where
-// they wait, callers go away, repeat, and send ahead. No charge has its effect
-// twice, every "not run" is true, engines get each program's history as its
-// caller was told it, and afterwards every program goes on.
+// Programs make model calls, charges and searches while appends are refused, lost and delayed, the
+// store becomes unavailable, owners crash or are paused at any point where they wait, and callers
+// disconnect, repeat calls and send steps ahead. No charge has its effect twice, every "not run" is
+// true, engines receive each program's history as its caller knows it, and once the faults end every
+// program continues.
 func TestRandomFaults(t *testing.T) {
 	totals := map[string]int{}
 	answered, unknown, effects := 0, 0, 0
--- a/internal/owner/operate_test.go
+++ b/internal/owner/operate_test.go
@@ -19,15 +19,15 @@
 	"foxhall/internal/step"
 )
 
-// Programs of several customers earn, end, expire, and are taken over, while
-// the appends that end them are refused, lost and late and owners die there.
-// Every step that was answered is in the sum once, and no other.
+// Programs have earnings, end, expire and are taken over, while the appends that end them are
+// refused, lost or delayed and owners crash during them. The sum contains every answered step exactly
+// once, and no other.
 func TestEarningsAreCountedOnce(t *testing.T) {
 	checkInVirtualTime(t, func(rt *rapid.T, w *world) {
 		steps := int64(0)
 		for range rapid.IntRange(1, 12).Draw(rt, "rounds") {
 			fault := rapid.SampledFrom([]string{ok, ok, refused, responseLost, dropped, delayed, crash, writtenThenCrash}).Draw(rt, "fault")
-			w.decide(func(*gate) string { return ok })
+			w.setDecisions(func(*gate) string { return ok })
 			for range rapid.IntRange(0, 3).Draw(rt, "programs") {
 				call := modelCall("", 1, "hello")
 				call.EndsProgram = rapid.Bool().Draw(rt, "ends")
@@ -37,7 +37,7 @@
 			}
 			advance(time.Duration(rapid.IntRange(1, 90).Draw(rt, "minutes")) * time.Minute)
 			w.sweepWith(fault, rapid.IntRange(0, 2).Draw(rt, "append"))
-			w.incomplete = rapid.Bool().Draw(rt, "adoption incomplete")
+			w.adoptionIncomplete = rapid.Bool().Draw(rt, "adoption incomplete")
 			if w.owner().crashed.Load() || rapid.IntRange(0, 3).Draw(rt, "take-over") == 0 {
 				w.takeOver(true, rapid.Bool().Draw(rt, "late written"))
 			}
@@ -54,10 +54,10 @@
 	})
 }
 
-// sweepWith sweeps once while the append of that number meets the fault.
+// sweepWith sweeps once, with the fault at the append of that number, counted from 0.
 func (w *world) sweepWith(fault string, number int) {
 	crashes := false
-	w.decide(func(g *gate) string {
+	w.setDecisions(func(g *gate) string {
 		number--
 		if g.kind != "append" || number != -1 {
 			return ok
@@ -83,9 +83,8 @@
 	}
 }
 
-// A model call fails after it has cost something, and the store refuses the
-// record of it, then another, and the program is idle for long. It is not ended
-// before its last earning is recorded.
+// A model call fails after it has incurred a cost, and the store refuses to record it twice while the
+// program becomes idle. The program is not ended before its last earning is recorded.
 func TestFailedStepIsCounted(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -106,10 +105,9 @@
 	})
 }
 
-// A donor's program asks for a tool and its caller never comes back. After ten
-// minutes it is listed as stalled, with a metric; it is still there days later.
-// One that ended with a plain answer expires after an hour, and its engine
-// memory is released, once.
+// A program's last response asks for a tool and its caller makes no further call. After ten minutes
+// the program is listed as stalled and counted in a metric; it is still there days later. A program
+// whose last response asks for no tool expires after an hour, and its engine memory is released once.
 func TestAbandonedProgramIsStalled(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -136,9 +134,9 @@
 	})
 }
 
-// A caller ends its program without a step. What engines hold for it is
-// released at once, repeats still get their answers, new steps are refused, and
-// after a while it is gone. A stranger can't end it.
+// A caller ends its program without a step. Its engine memory is released at once, repeats still get
+// their responses, new steps are refused, and the program is removed some minutes later. Another
+// customer can't end it.
 func TestEndWithoutStep(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -147,10 +145,10 @@
 		svc.o.Released = []ReleaseHook{func(program.ID) { released++ }}
 		id := w.openProgram(t)
 		w.call(w.owner(), modelCall(id, 1, "hello"))
-		stranger := &plan.Plan{Name: "other", Customer: "stranger"}
-		is.Equal(svc.End(context.Background(), stranger, id).Code, step.CodeNotFound)
+		otherPlan := &plan.Plan{Name: "other", Customer: "stranger"}
+		is.Equal(svc.End(context.Background(), otherPlan, id).Code, step.CodeNotFound)
 		for range 2 {
-			is.Equal(svc.End(context.Background(), buyerPlan, id).Outcome, step.Done)
+			is.Equal(svc.End(context.Background(), testPlan, id).Outcome, step.Done)
 			is.Equal(released, 1)
 		}
 		is.True(w.call(w.owner(), modelCall(id, 1, "hello")).result.Replayed)
@@ -162,8 +160,8 @@
 	})
 }
 
-// A service is away while a step becomes unknown, and knows it hours later. It
-// is asked again, and the step is settled without an operator.
+// A service's lookup does not know a step when it becomes unknown, but does hours later. The lookup
+// is repeated, and the step is settled without an operator.
 func TestLookupSucceedsLater(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -188,9 +186,9 @@
 	})
 }
 
-// A planned stop: a charge is under way and runs to its end, a call that comes
-// meanwhile waits. After the seal it is told where to go, as "not run"; nothing
-// is refused otherwise, and the successor runs it.
+// During a planned stop, a charge in flight runs to its end, and calls that arrive wait. After the
+// seal they are answered "not run" with the code "moved", and the successor runs them. No call is
+// refused otherwise.
 func TestDrainCompletesStepsInFlight(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -204,9 +202,9 @@
 		cancelled := w.call(w.owner(), modelCall("", 1, "hello"))
 		cancelled.cancel()
 		synctest.Wait()
-		is.Equal(len(w.owner().svc.Programs(false)), 2) // what was never begun leaves nothing behind
+		is.Equal(len(w.owner().svc.Programs(false)), 2) // a program whose first step never began is removed
 		empty := make(chan step.Result, 1)
-		go func() { empty <- w.owner().svc.Open(context.Background(), buyerPlan, "") }()
+		go func() { empty <- w.owner().svc.Open(context.Background(), testPlan, "") }()
 		synctest.Wait()
 		is.Equal(len(drained), 0)
 		is.True(!running.ended.Load())
@@ -228,9 +226,9 @@
 	})
 }
 
-// A program loops and spawns. It is stopped at its plan's steps, children and
-// depth; a sub-agent whose first step is refused does not count; its service
-// time counts for its root; and it lives in its root's slice.
+// A program that loops and opens sub-agents is stopped at its plan's bounds on steps, children and
+// depth. A sub-agent whose first step is refused does not count, its service time counts for its
+// root, and it is in its root's shard.
 func TestBoundsOfProgramsAndChildren(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -241,7 +239,7 @@
 			return w.call(w.owner(), call).result
 		}
 		root := do("", "", 1).Program
-		w.decide(func(g *gate) string {
+		w.setDecisions(func(g *gate) string {
 			if g.kind == "admit" {
 				return refused
 			}
@@ -263,9 +261,9 @@
 	})
 }
 
-// An adoption fails halfway since the store goes down. Calls to its programs
-// wait, none is told that its program does not exist, and compaction does not
-// take them for ended; the adoption is made again and they go on.
+// An adoption fails halfway because the store becomes unavailable. Calls to its programs wait, none
+// is answered that its program does not exist, and compaction does not take the programs for ended.
+// After a retry of the adoption the programs continue.
 func TestAdoptionFailsHalfway(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -289,13 +287,13 @@
 	})
 }
 
-// An operator lists what is unknown over HTTP, resolves it, and sums earnings.
+// An operator lists unknown steps over HTTP, resolves one, and gets the sums of the earnings.
 func TestOperatorEndpoints(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		id := w.openProgram(t)
 		w.call(w.owner(), modelCall(id, 1, "hello"))
-		w.decide(func(g *gate) string {
+		w.setDecisions(func(g *gate) string {
 			if g.kind == "tool" {
 				return responseLost
 			}
--- a/internal/owner/oracle_test.go
+++ b/internal/owner/oracle_test.go
@@ -12,6 +12,8 @@
 	"foxhall/internal/step"
 )
 
+// recordResult checks the result of a call against earlier ones and moves its client to the next
+// step.
 func (m *machine) recordResult(c *client, s *plannedStep, a *sentCall) {
 	r := a.result
 	switch r.Outcome {
@@ -40,13 +42,13 @@
 	}
 }
 
-// missing sends a caller back to the step that the program has not seen. It
-// must not be one that the caller has an answer of.
+// handleMissing moves a client back to the step that its program lacks. The client must not have a
+// response to that step.
 func (m *machine) handleMissing(c *client, r step.Result) {
 	if c.steps[r.MissingStep-1].answer != "" {
-		if c.steps[r.MissingStep-1].kind != turns || m.tailLost {
-			// A turn lost with its holders is told; a tool's answer that its
-			// caller has may lack its record, never its effect.
+		if c.steps[r.MissingStep-1].kind != turns || m.recordsLost {
+			// Allowed: a lost turn is reported to the caller, and a tool call whose caller has the
+			// response may lack its record, but never its effect.
 			c.stoppedBecause = "history uncertain"
 			return
 		}
@@ -55,7 +57,7 @@
 	c.next = min(c.next, r.MissingStep-1)
 }
 
-// told lists what the client was told, for failures.
+// report lists the results that the client received, for failure messages.
 func (c *client) report() string {
 	var out strings.Builder
 	for _, s := range c.steps {
@@ -68,7 +70,7 @@
 	return out.String()
 }
 
-// check compares what was done and told so far with what may be.
+// check compares the effects, engine runs and results so far with the guarantees.
 func (m *machine) check() {
 	m.observe()
 	m.w.mu.Lock()
@@ -113,13 +115,12 @@
 		notRun = notRun && a.seen && a.result.Outcome == step.NotRun
 	}
 	if notRun && effects > 0 {
-		panic(s.body + " was told to be not run by all its answers and had its effect")
+		panic(s.body + " was reported as not run by all its results and had its effect")
 	}
 }
 
-// checkHistory compares what an engine was given with what the program's caller
-// was told: its own messages in its order, each acknowledged turn with its
-// answer, and nothing else.
+// checkHistory compares the history that an engine received with that of the program's caller: the
+// caller's messages in order, each acknowledged turn with its response, and nothing else.
 func (m *machine) checkHistory(r engineRun) {
 	c := m.clients[slices.IndexFunc(m.clients, func(c *client) bool { return c.id == r.program })]
 	var want []string
@@ -129,25 +130,25 @@
 		}
 	}
 	if len(r.history) != 2*len(want)-1 {
-		panic(fmt.Sprintf("%s %d: the engine was given %q", c.id, r.number, r.history))
+		panic(fmt.Sprintf("%s %d: the engine received %q", c.id, r.number, r.history))
 	}
 	for i, user := range want {
 		s := c.steps[slices.IndexFunc(c.steps, func(s *plannedStep) bool { return s.body == user })]
 		if r.history[2*i] != user {
-			panic(fmt.Sprintf("step %d: the engine was given %q", r.number, r.history))
+			panic(fmt.Sprintf("step %d: the engine received %q", r.number, r.history))
 		}
 		last := s.number == r.number
 		if !last && s.answer != "" && r.history[2*i+1] != s.answer && !r.fenced {
-			panic(fmt.Sprintf("step %d: the caller of %s was told %q, the engine %q", r.number, user, s.answer, r.history))
+			panic(fmt.Sprintf("step %d: the caller of %s received %q, the engine %q", r.number, user, s.answer, r.history))
 		}
 	}
 }
 
-// finish lets everything go well and sees each program to its end.
+// finish ends all faults, and checks that each program completes all its steps.
 func (m *machine) finish(rt *rapid.T) {
 	m.w.restoreStore(nil)
 	m.w.mu.Lock()
-	m.w.auto = func(*gate) string { return ok }
+	m.w.decideGate = func(*gate) string { return ok }
 	m.w.mu.Unlock()
 	for len(m.w.waitingGates()) > 0 {
 		m.w.release(0, ok)
@@ -164,14 +165,14 @@
 	for _, c := range m.clients {
 		for _, s := range c.steps[:c.next] {
 			if s.answer != "" {
-				m.send(m.w.owner(), c, s) // repeats get the recorded answers
+				m.send(m.w.owner(), c, s) // repeats get the recorded responses
 			}
 		}
 	}
 	m.check()
 }
 
-// maxTries is more than any step needs once nothing fails.
+// maxAttempts is more than any step needs once no fault occurs.
 const maxAttempts = 40
 
 func (m *machine) finishClient(c *client) {
@@ -183,10 +184,10 @@
 		advance(time.Second)
 		m.observe()
 		s := c.steps[c.next%len(c.steps)]
-		if n := len(s.attempts); n > 0 && m.tailLost && s.attempts[n-1].result.Code == step.CodeHistoryUncertain {
+		if n := len(s.attempts); n > 0 && m.recordsLost && s.attempts[n-1].result.Code == step.CodeHistoryUncertain {
 			return
 		}
 	}
 	s := c.steps[c.next]
-	panic(fmt.Sprintf("%s does not go on at step %d: %+v", c.id, s.number, s.attempts[len(s.attempts)-1].result))
+	panic(fmt.Sprintf("%s makes no progress at step %d: %+v", c.id, s.number, s.attempts[len(s.attempts)-1].result))
 }
--- a/internal/owner/succession_test.go
+++ b/internal/owner/succession_test.go
@@ -11,10 +11,10 @@
 	"foxhall/internal/step"
 )
 
-// An owner is paused in a search, step 1. A successor runs on without it, and
-// its step 1 is a charge that may have run. The old owner wakes, its log is
-// sealed, and it reported the search's answer under the number 1: the donor
-// was told that the charge was done, with the search's answer.
+// An owner is paused in a search, which is step 1. A successor continues without it, and its step 1
+// is a charge that may have run. The former owner resumes and finds its log sealed. If it reported
+// the search's response for step 1, the caller would be answered that the charge was done, with the
+// response of the search.
 func TestReportOfDifferentStepIsIgnored(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -32,9 +32,9 @@
 	})
 }
 
-// One program of a slice has a snapshot that no entry holds. Its append failed
-// the adoption each time, and the callers of all others in the slice waited for
-// good. That one is not served and listed as broken; the others go on.
+// The snapshot of one program of a shard is too large for a log entry. The program is not served and
+// is listed as broken; the others continue. Otherwise its append would fail each try of the adoption,
+// and calls to all other programs of the shard would wait forever.
 func TestTooLargeProgramDoesNotBlockShard(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -55,8 +55,8 @@
 	})
 }
 
-// A call's path, or its key, is longer than any program can carry for each of
-// its steps. It is refused before anything is done, truly as not run.
+// A call whose path or idempotency key is longer than a program can keep for each of its steps is
+// refused before anything is done.
 func TestLongNamesAreRefused(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -68,15 +68,15 @@
 	})
 }
 
-// heldOnce is the lease of an owner that is paused after its first look at it.
+// leaseLostAfterFirstCheck is the lease of an owner that is paused after it first checks the lease.
 type leaseLostAfterFirstCheck struct{ checks int }
 
 func (l *leaseLostAfterFirstCheck) Held() bool { l.checks++; return l.checks == 1 }
 
-// An owner is paused in the append of a charge's intent. Meanwhile a successor
-// lists the charge as unknown, an operator says that it did not run, and the
-// donor pays anew. The owner wakes and sent it all the same: two charges. It
-// looks at its lease again, takes the intent back, and "not run" is true.
+// An owner is paused in the append of a charge's intent. Meanwhile a successor lists the charge as
+// unknown, an operator resolves it as not run, and the caller makes a new charge. If the owner sent
+// the first charge when it resumes, there would be two. It checks its lease again and withdraws the
+// intent, and "not run" is true.
 func TestOwnerPausedDuringIntentAppend(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -92,8 +92,8 @@
 	})
 }
 
-// An owner is paused while the first attempt at a step fails, and a successor
-// runs the program on. The executor must be told that it may not try again.
+// An owner is paused while the first attempt at a step fails, and a successor continues the program.
+// Work.MaySend must tell the executor that no further attempt may be made.
 func TestReplacedOwnerMayNotSendAgain(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, w *world) {
 		is := is.New(t)
--- a/internal/owner/world_test.go
+++ b/internal/owner/world_test.go
@@ -32,22 +32,22 @@
 	os.Exit(m.Run())
 }
 
-// What a gate's keeper decides.
+// Decisions on an operation that waits at a gate.
 const (
 	ok               = "ok"
-	crash            = "crash"   // the process dies here
-	refused          = "refused" // not written, not admitted
-	responseLost     = "lost"    // done, but the answer is lost
-	dropped          = "nothing" // not done, and the answer is lost
-	delayed          = "later"   // the answer is lost, and it is done after a while
+	crash            = "crash"         // the process crashes before the operation
+	refused          = "refused"       // not written, or not admitted
+	responseLost     = "response lost" // executed, but its response is lost
+	dropped          = "dropped"       // not executed, and no response comes
+	delayed          = "delayed"       // its response is lost, and it is executed later
 	notSent          = "not sent"
-	actThenHang      = "act" // the tool acts and then hangs
-	expired          = "over"
+	actThenHang      = "act, then hang" // the tool has its effect and then hangs
+	expired          = "expired"        // the operation's context ended first
 	tooLarge         = "too large"
-	writtenThenCrash = "written, then the process dies"
+	writtenThenCrash = "written, then crash"
 )
 
-// gate is a point where a service waits for something outside.
+// gate is an operation outside the service that a service waits for.
 type gate struct {
 	kind string
 	node *node
@@ -55,25 +55,26 @@
 	ch   chan string
 }
 
-// world holds what is outside of the services: their logs, the tools and the
-// engines, and a gate wherever a service waits for one of them.
+// world simulates what is outside the services (their logs, the tools and the engines), with a gate
+// at each operation that a service waits for.
 type world struct {
 	mu    sync.Mutex
 	gates []*gate
-	// auto decides a gate at once, or leaves it to the test with "".
-	auto      func(g *gate) string
-	storeDown bool
-	nodes     []*node
-	callers   []*caller
-	effects   map[string]int
-	// engine holds the history of each model run, oldest first.
+	// decideGate returns the decision on a gate, or "" to let the operation wait for the test.
+	decideGate func(g *gate) string
+	storeDown  bool
+	nodes      []*node
+	callers    []*caller
+	effects    map[string]int
+	// engineRuns are all model runs, oldest first.
 	engineRuns  []engineRun
 	answerCount int
-	// reports are outcomes that former owners gave to the successor.
+	// reportCount is the number of outcomes that former owners reported to the successor.
 	reportCount int
-	// incomplete says that successors die before an adoption is recorded as complete.
-	incomplete bool
-	// lookups says that the pay service knows its calls.
+	// adoptionIncomplete indicates that a successor crashes before its adoption is recorded as
+	// complete.
+	adoptionIncomplete bool
+	// lookupKnows indicates that lookups find the calls that had their effect.
 	lookupKnows bool
 }
 
@@ -82,21 +83,23 @@
 	w       *world
 	svc     *Service
 	crashed atomic.Bool
-	// adopting says that slices are still being taken over.
+	// adopting indicates that shards are still being adopted.
 	adopting atomic.Bool
 	sealed   bool
-	records  []Record
-	held     []Record
-	delayed  []Record
-	// torn says that a record was lost with its entry.
-	torn bool
-	// before are records of the log that this one did not wholly adopt.
+	// records are those in the log, held those that only peers have, delayed those of appends that
+	// were answered with ErrUnsettled and are written later.
+	records []Record
+	held    []Record
+	delayed []Record
+	// recordLost indicates that the log lost a record together with its entry.
+	recordLost bool
+	// unadopted are the records of logs whose adoption into this one is not complete.
 	unadopted []Record
 }
 
 func newWorld() *world {
 	w := &world{effects: map[string]int{}}
-	w.auto = func(*gate) string { return ok }
+	w.decideGate = func(*gate) string { return ok }
 	w.start()
 	return w
 }
@@ -126,42 +129,43 @@
 // Adopted implements Residency.
 func (n *node) Adopted(program.ID) bool { return !n.adopting.Load() }
 
-// last is the node that owns everything.
+// owner returns the node that owns all programs: the last one started.
 func (w *world) owner() *node { return w.nodes[len(w.nodes)-1] }
 
-// await stops at a gate until the test, or the end of ctx, decides.
-func (w *world) await(ctx context.Context, g *gate) string {
+// waitAtGate waits for the decision on an operation. It is expired if ctx ends first.
+func (w *world) waitAtGate(ctx context.Context, g *gate) string {
 	w.mu.Lock()
 	if g.node.crashed.Load() {
 		w.mu.Unlock()
 		runtime.Goexit()
 	}
-	if d := w.auto(g); d != "" {
+	if d := w.decideGate(g); d != "" {
 		w.mu.Unlock()
-		return g.decided(d)
+		return g.proceed(d)
 	}
 	g.ch = make(chan string, 1)
 	w.gates = append(w.gates, g)
 	w.mu.Unlock()
 	select {
 	case d := <-g.ch:
-		return g.decided(d)
+		return g.proceed(d)
 	case <-ctx.Done():
 		w.mu.Lock()
 		w.gates = slices.DeleteFunc(w.gates, func(other *gate) bool { return other == g })
 		w.mu.Unlock()
-		return g.decided(expired)
+		return g.proceed(expired)
 	}
 }
 
-func (g *gate) decided(d string) string {
+// proceed returns the decision, or ends the goroutine if the process has crashed.
+func (g *gate) proceed(d string) string {
 	if d == crash || g.node.crashed.Load() {
 		runtime.Goexit()
 	}
 	return d
 }
 
-// open lets the i-th waiting gate go on.
+// release lets the i-th waiting operation proceed with the decision d.
 func (w *world) release(i int, d string) {
 	g := w.takeGate(i)
 	g.ch <- d
@@ -176,15 +180,15 @@
 	return g
 }
 
-// waiting returns the gates' kinds.
+// waitingGates returns the kinds of the waiting operations.
 func (w *world) waitingGates() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := []string{}
+	kinds := []string{}
 	for _, g := range w.gates {
-		out = append(out, g.kind)
+		kinds = append(kinds, g.kind)
 	}
-	return out
+	return kinds
 }
 
 func message(role, content string) chat.Message {
@@ -198,15 +202,15 @@
 	return body.Content
 }
 
-var buyerPlan = &plan.Plan{Name: "buyer", Customer: "kerlouan", CutBasisPoints: 1000}
+var testPlan = &plan.Plan{Name: "buyer", Customer: "kerlouan", CutBasisPoints: 1000}
 
 func modelCall(id program.ID, number int, user string) step.Call {
-	return step.Call{Plan: buyerPlan, Program: id, Number: number,
+	return step.Call{Plan: testPlan, Program: id, Number: number,
 		Model: &chat.Request{Model: "m", Messages: []chat.Message{message("user", user)}}}
 }
 
 func toolStep(id program.ID, number int, service, body string) step.Call {
-	return step.Call{Plan: buyerPlan, Program: id, Number: number,
+	return step.Call{Plan: testPlan, Program: id, Number: number,
 		Tool: &step.ToolRequest{Service: service, Method: "POST", Path: "/", Body: []byte(body)}}
 }
 
@@ -214,7 +218,7 @@
 	return toolStep(id, number, "pay", "charge "+body)
 }
 
-// sink keeps what a caller was given.
+// recordingSink records what was streamed to a caller.
 type recordingSink struct {
 	mu   sync.Mutex
 	text string
@@ -229,13 +233,13 @@
 	return nil
 }
 
-func (k *recordingSink) given() string {
+func (k *recordingSink) received() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.text
 }
 
-// caller is one call under way.
+// caller is one call in flight.
 type caller struct {
 	result step.Result
 	ended  atomic.Bool
@@ -243,7 +247,7 @@
 	cancel context.CancelFunc
 }
 
-// call starts a call and returns once all is waiting.
+// call starts a call and returns once all goroutines wait.
 func (w *world) call(n *node, call step.Call) *caller {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &caller{cancel: cancel, sink: &recordingSink{}}
@@ -280,7 +284,7 @@
 	}
 }
 
-// virtual runs a test in virtual time against a fresh world.
+// inVirtualTime runs a test in virtual time with a new world.
 func inVirtualTime(t *testing.T, test func(t *testing.T, w *world)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld()
@@ -289,19 +293,20 @@
 	})
 }
 
-// explore is virtual for rapid, whose failures are panics that must leave the bubble.
+// checkInVirtualTime is inVirtualTime for rapid tests. A rapid failure is a panic, which must be
+// passed on outside the synctest bubble.
 func checkInVirtualTime(t *testing.T, test func(rt *rapid.T, w *world)) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var failure any
 		synctest.Test(t, func(t *testing.T) {
-			cryptotest.SetGlobalRandom(t, 1) // ids, and so slices, are the same in each run
+			cryptotest.SetGlobalRandom(t, 1) // makes ids, and so shards, the same in each run
 			w := newWorld()
 			defer w.close()
 			defer func() { failure = recover() }()
 			test(rt, w)
 		})
 		if fmt.Sprintf("%T", failure) == "rapid.invalidData" {
-			panic(failure) // rapid wants its own signals back, from a line of their own
+			panic(failure) // a signal of rapid itself, which must reach it as a panic from a separate line
 		}
 		if failure != nil {
 			rt.Fatalf("%v", failure)
@@ -309,7 +314,7 @@
 	})
 }
 
-// pass lets virtual time pass.
+// advance advances virtual time by d.
 func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
