--- a/internal/owner/adopt.go
+++ b/internal/owner/adopt.go
@@ -68,7 +68,8 @@
 			continue
 		}
 		if err != nil {
-			s.log.WithError(err).WithField("program", string(record.Program)).Error("corrupt event in an adopted log skipped")
+			s.log.WithError(err).WithField("program", string(record.Program)).
+				Error("corrupt event in an adopted log skipped")
 			continue
 		}
 		byProgram[record.Program] = append(byProgram[record.Program], event)
@@ -99,7 +100,7 @@
 
 // mergeTail applies the events that a retried adoption has beyond those of the earlier try. Without
 // it, records that a former owner offered between the tries would be lost unnoticed, because the
-// shard counts as adopted with them.
+// shard then counts as adopted including them.
 func (s *Service) mergeTail(r *resident, events []program.Event, uncertain bool) {
 	for settled := r.resolutionEvents(events); len(settled) > 0; settled = r.resolutionEvents(events) {
 		r.mu.Lock()
@@ -117,7 +118,8 @@
 	r.usedAt = r.state.LastAt
 	diverged := !r.state.Contains(events)
 	if diverged {
-		s.log.WithField("program", string(r.id)).Error("held records contradict the program's history and are discarded; its history is uncertain")
+		s.log.WithField("program", string(r.id)).
+			Error("held records contradict the program's history and are discarded")
 	}
 	r.state.Uncertain = r.state.Uncertain || (uncertain || diverged) && !r.state.Account
 }
--- a/internal/owner/late.go
+++ b/internal/owner/late.go
@@ -19,7 +19,8 @@
 	for _, record := range records {
 		event, err := program.Decode(record.Event)
 		if err != nil {
-			s.log.WithError(err).WithField("program", string(record.Program)).Error("corrupt event in late records skipped")
+			s.log.WithError(err).WithField("program", string(record.Program)).
+				Error("corrupt event in late records skipped")
 			continue
 		}
 		byProgram[record.Program] = append(byProgram[record.Program], event)
@@ -92,7 +93,8 @@
 // adoptLateUnknown adopts a program that is not resident because only held records of it exist.
 func (s *Service) adoptLateUnknown(ctx context.Context, from program.Cohort, id program.ID, events []program.Event) error {
 	if events = program.FromFirst(events); len(events) == 0 {
-		s.log.WithField("program", string(id)).Warn("late records of a program that is not resident lack its first event and are discarded")
+		s.log.WithField("program", string(id)).
+			Warn("late records of a program that is not resident lack its first event and are discarded")
 		return nil
 	}
 	return s.Adopt(ctx, Adoption{Cohort: from, Shard: id.Shard(), Records: records(id, events)})
--- a/internal/owner/operator.go
+++ b/internal/owner/operator.go
@@ -73,9 +73,9 @@
 
 func statusOf(err error) int {
 	switch {
-	case errors.Is(err, ErrNoProgram):
+	case errors.Is(err, ErrNotResident):
 		return http.StatusNotFound
-	case errors.Is(err, ErrNoUnknown):
+	case errors.Is(err, ErrNotUnknown):
 		return http.StatusConflict
 	case errors.Is(err, ErrFenced):
 		return http.StatusMisdirectedRequest
--- a/internal/owner/resolve.go
+++ b/internal/owner/resolve.go
@@ -21,9 +21,9 @@
 
 // Errors of Resolve, to be tested with errors.Is.
 var (
-	ErrNoProgram = errors.New("owner: program not resident on this instance")
-	ErrBusy      = errors.New("owner: a step of the program is in flight; try again")
-	ErrNoUnknown = errors.New("owner: no such step with an unknown outcome")
+	ErrNotResident = errors.New("owner: program not resident on this instance")
+	ErrBusy        = errors.New("owner: a step of the program is in flight; try again")
+	ErrNotUnknown  = errors.New("owner: no such step with an unknown outcome")
 )
 
 // upstreamKey returns the idempotency key that identifies a step to a tool service. It is the same
@@ -37,7 +37,7 @@
 func (s *Service) Resolve(ctx context.Context, id program.ID, resolution program.Resolution) error {
 	r := s.lookup(id)
 	if r == nil {
-		return ErrNoProgram
+		return ErrNotResident
 	}
 	if !r.claim(ctx) {
 		return ErrBusy
@@ -47,7 +47,7 @@
 	event, refusal := r.state.Resolve(resolution, resolution.By == bySender)
 	r.mu.Unlock()
 	if refusal != nil {
-		return errors.Wrap(ErrNoUnknown, refusal.Message)
+		return errors.Wrap(ErrNotUnknown, refusal.Message)
 	}
 	if err := s.save(r, s.o.Log.AppendOrHold, dropUnsaved, event); err != nil {
 		return err
@@ -61,11 +61,11 @@
 // It is idempotent.
 func (s *Service) AcceptReport(ctx context.Context, report Report) error {
 	if s.moved.Load() {
-		return ErrNoProgram
+		return ErrNotResident
 	}
 	report.Resolution.By = bySender
 	err := s.Resolve(ctx, report.Program, report.Resolution)
-	if errors.Is(err, ErrNoUnknown) {
+	if errors.Is(err, ErrNotUnknown) {
 		return nil
 	}
 	return err
