--- a/internal/owner/ports.go
+++ b/internal/owner/ports.go
@@ -41,7 +41,7 @@
 	// ErrTooLarge indicates that the records exceed the size of a log entry; they were not written.
 	ErrTooLarge = errors.New("owner: records too large for the log, not written")
 	// ErrUnsettled indicates that the records may be in the log now or may appear there later.
-	ErrUnsettled = errors.New("owner: unknown whether the append was written")
+	ErrUnsettled = errors.New("owner: outcome of append not settled")
 )
 
 // Log is the log of this incarnation's cohort. The records of one append are written in order, and
--- a/internal/owner/resolve.go
+++ b/internal/owner/resolve.go
@@ -21,8 +21,8 @@
 
 // Errors of Resolve, to be tested with errors.Is.
 var (
-	ErrNotResident = errors.New("owner: program not resident on this instance")
-	ErrBusy        = errors.New("owner: a step of the program is in flight; try again")
+	ErrNotResident = errors.New("owner: no such program here")
+	ErrBusy        = errors.New("owner: a step of the program is under way; try again")
 	ErrNotUnknown  = errors.New("owner: no such step with an unknown outcome")
 )
 
