--- a/internal/owner/do.go
+++ b/internal/owner/do.go
@@ -13,10 +13,9 @@
 	"foxhall/internal/step"
 )
 
-// Do runs one step of a program owned here, joins the same step where it is
-// under way, or gives its recorded answer. sink is nil where the caller wants
-// the answer whole; a streamed answer is complete only once Do returned with
-// step.Done.
+// Do runs one step of a program owned here, joins the same step if it is in flight, or returns its
+// recorded response. sink is nil if the caller wants a non-streaming response; a streamed response
+// is complete only once Do has returned step.Done.
 func (s *Service) Do(ctx context.Context, call step.Call, sink step.Sink) step.Result {
 	result := s.do(ctx, call, sink)
 	s.meters.count(result)
@@ -27,44 +26,43 @@
 }
 
 func (s *Service) do(ctx context.Context, call step.Call, sink step.Sink) step.Result {
-	if refusal := s.check(call); refusal != nil {
+	if refusal := s.checkCall(call); refusal != nil {
 		return *refusal
 	}
 	r, refusal := s.find(ctx, call)
 	if refusal != nil {
 		return *refusal
 	}
-	result := s.enter(ctx, r, call, attemptOf(call), sink)
-	if call.Program == "" && !r.wasLaunched() {
-		s.opened(r)
+	result := s.runOrJoin(ctx, r, call, newAttempt(call), sink)
+	if call.Program == "" && !r.wasStarted() {
+		s.finishOpening(r)
 	}
 	return result
 }
 
-// check refuses calls that no program's state can make right.
-func (s *Service) check(call step.Call) *step.Result {
+// checkCall refuses calls that are invalid regardless of the program's state.
+func (s *Service) checkCall(call step.Call) *step.Result {
 	switch {
 	case s.moved.Load():
-		return moved()
+		return movedResult()
 	case (call.Model == nil) == (call.Tool == nil):
 		return refuse(http.StatusBadRequest, step.CodeBadRequest, "a step is a model call or a tool call")
 	case call.Number < 0 || call.Program == "" && call.Number > 1:
 		return refuse(http.StatusBadRequest, step.CodeBadRequest, "a new program starts with step 1")
-	case call.Model != nil && newBytes(call.Model.Messages) > maxTurnBytes:
+	case call.Model != nil && messageBytes(call.Model.Messages) > maxTurnBytes:
 		return refuse(http.StatusRequestEntityTooLarge, step.CodeBounds, "the messages are too large for one turn")
 	case len(call.IdempotencyKey) > maxNameBytes || call.Tool != nil && len(call.Tool.Path) > maxNameBytes:
 		return refuse(http.StatusRequestEntityTooLarge, step.CodeBounds, "the path or idempotency key is too long")
 	case call.Tool == nil || s.mayRepeat(call.Tool):
 		return nil
 	}
-	return checkNamed(call)
+	return checkIdentified(call)
 }
 
-// checkNamed refuses a call that may not be repeated unless it names its
-// program and itself. The failure: a balancer or a retry sends the same call
-// twice; without a name nothing tells the second from a new charge, and
-// without a program the two may open one each.
-func checkNamed(call step.Call) *step.Result {
+// checkIdentified refuses a call that may not be repeated unless it carries its program and a step
+// number or idempotency key. If a balancer or a retry sends such a call twice, the second could not
+// be distinguished from a new call without that identity, and each would open a program of its own.
+func checkIdentified(call step.Call) *step.Result {
 	switch {
 	case call.Program == "":
 		return refuse(http.StatusBadRequest, step.CodeBadRequest,
@@ -80,16 +78,16 @@
 	return s.o.Catalogue.MayRepeat(t.Service, t.Method, t.Path)
 }
 
-// maxTurnBytes bounds the messages of one call, in bytes, so that its turn fits
-// into an entry of the log (brief: values up to a megabyte).
+// maxTurnBytes bounds the messages of one call, in bytes, so that its turn fits into a log entry,
+// which holds up to a megabyte.
 const maxTurnBytes = 768 << 10
 
-// maxNameBytes bounds a call's path, query included, and its idempotency key,
-// in bytes. A program carries both for each of its steps, and all of them go
-// into one entry of the log when it is taken over.
+// maxNameBytes bounds a call's path (including the query) and its idempotency key, in bytes each. A
+// program keeps both for each of its steps, and all of them must fit into one log entry when the
+// program is taken over.
 const maxNameBytes = 2 << 10
 
-func newBytes(messages []chat.Message) int {
+func messageBytes(messages []chat.Message) int {
 	size := 0
 	for _, m := range messages {
 		size += len(m.Raw)
@@ -97,7 +95,9 @@
 	return size
 }
 
-func attemptOf(call step.Call) program.Attempt {
+// newAttempt returns the identity of the call's step. The hash covers the call's content, with the
+// fields of Extra in sorted order.
+func newAttempt(call step.Call) program.Attempt {
 	a := program.Attempt{Number: call.Number, Key: call.IdempotencyKey, After: call.After}
 	if t := call.Tool; t != nil {
 		a.Hash = program.HashBody([]byte(t.Service), []byte(t.Method), []byte(t.Path), []byte(t.ContentType), t.Body)
@@ -121,161 +121,168 @@
 	return a
 }
 
-// enter brings the call to its turn and runs it, joins its repeat under way,
-// or answers it from the record.
-func (s *Service) enter(ctx context.Context, r *resident, call step.Call, a program.Attempt, sink step.Sink) step.Result {
-	defer r.unwait()
-	if !r.wait(s.o.MaxWaiting) {
+// runOrJoin waits until it is the call's turn and runs its step, joins the same step in flight, or
+// returns its recorded response.
+func (s *Service) runOrJoin(ctx context.Context, r *resident, call step.Call, a program.Attempt, sink step.Sink) step.Result {
+	defer r.stopWaiting()
+	if !r.startWaiting(s.o.MaxWaiting) {
 		return *refuse(http.StatusTooManyRequests, step.CodeOverloaded, "too many steps of the program wait")
 	}
-	gap := gapTimer{left: s.o.GapWait}
-	following, cancel := deadline(ctx, call, deadlineGrace)
+	gap := gapTimer{remaining: s.o.GapWait}
+	followCtx, cancel := withDeadline(ctx, call, deadlineGrace)
 	defer cancel()
-	ctx, cancel = deadline(ctx, call, 0)
+	ctx, cancel = withDeadline(ctx, call, 0)
 	defer cancel()
 	for {
-		m := s.move(r, call, a, gap.left <= 0)
-		if m.flight != nil {
-			return m.flight.follow(following, m.signal, sink)
+		chosen := s.chooseAction(r, call, a, gap.remaining <= 0)
+		if chosen.flight != nil {
+			return chosen.flight.follow(followCtx, chosen.signal, sink)
 		}
-		if m.recorded {
-			return s.answerRecorded(ctx, r, a)
+		if chosen.recorded {
+			return s.replayRecorded(ctx, r, a)
 		}
-		if m.refusal != nil {
-			return *m.refusal
+		if chosen.refusal != nil {
+			return *chosen.refusal
 		}
-		if refusal := s.pause(ctx, m, &gap); refusal != nil {
+		if refusal := s.waitForChange(ctx, chosen, &gap); refusal != nil {
 			return *refusal
 		}
 	}
 }
 
-// deadlineGrace is how much longer than its deadline a call waits for the step
-// itself, which ends at that deadline and knows better than its callers
-// whether it ran.
+// deadlineGrace is how long a call waits beyond its deadline for a step in flight. The step ends at
+// that deadline and reports more precisely than its callers could whether it ran.
 const deadlineGrace = 500 * time.Millisecond
 
-func deadline(ctx context.Context, call step.Call, grace time.Duration) (context.Context, context.CancelFunc) {
+// withDeadline returns ctx with the call's deadline plus grace, if the call has a deadline.
+func withDeadline(ctx context.Context, call step.Call, grace time.Duration) (context.Context, context.CancelFunc) {
 	if call.Deadline.IsZero() {
 		return context.WithCancel(ctx)
 	}
 	return context.WithDeadline(ctx, call.Deadline.Add(grace))
 }
 
-// wait counts a call that waits for its turn or its answer, up to the limit.
-func (r *resident) wait(limit int) bool {
+// startWaiting counts a call that waits for its turn or its response, and reports whether the
+// number of waiting calls is within the limit.
+func (r *resident) startWaiting(limit int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.waiting++
-	return r.waiting <= limit
+	r.waiters++
+	return r.waiters <= limit
 }
 
-func (r *resident) unwait() {
+func (r *resident) stopWaiting() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.waiting--
+	r.waiters--
 }
 
-// next is what a call does next: follow a flight, take the recorded answer, be
-// refused, or else wait for a change.
-type next struct {
+// action is what a call does next: follow a flight, return the recorded response, return a refusal,
+// or, if none of these is set, wait for the program to change.
+type action struct {
 	flight   *flight
 	signal   chan struct{}
 	recorded bool
 	refusal  *step.Result
 	changed  <-chan struct{}
-	// idle says that nothing of the program is under way, so that the wait
-	// counts as one for a missing step.
+	// idle indicates that the program has neither a step nor another change in flight, so that the
+	// wait counts towards Options.GapWait.
 	idle bool
-	// closed says that a planned stop lets no new step start.
-	closed bool
+	// draining indicates that no new step may start because of a planned stop.
+	draining bool
 }
 
-func (s *Service) move(r *resident, call step.Call, a program.Attempt, gapOver bool) next {
+// chooseAction returns the call's next action and starts its flight if it is the call's turn.
+// gapOver indicates that the call has waited for missing earlier steps for Options.GapWait.
+func (s *Service) chooseAction(r *resident, call step.Call, a program.Attempt, gapOver bool) action {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.gone {
-		return next{refusal: s.goneResult()}
+	if r.removed {
+		return action{refusal: s.goneResult()}
 	}
 	if f := r.flight; f != nil && a.Matches(f.head) {
 		return s.joinFlight(r, f, a)
 	}
-	place, _ := r.state.Find(a)
-	switch place {
+	position, _ := r.state.Find(a)
+	switch position {
 	case program.Recorded:
-		return next{recorded: true}
+		return action{recorded: true}
 	case program.Reused:
-		return next{refusal: reused()}
+		return action{refusal: keyReused()}
 	case program.Early:
-		return early(r, gapOver)
+		return chooseForEarly(r, gapOver)
 	}
 	if r.claimed {
-		return next{changed: r.changes()}
+		return action{changed: r.changeChannel()}
 	}
 	if !s.flights.begin() {
-		return next{changed: r.changes(), closed: true}
+		return action{changed: r.changeChannel(), draining: true}
 	}
-	f, signal := s.launch(r, call, a)
-	return next{flight: f, signal: signal}
+	f, signal := s.startFlight(r, call, a)
+	return action{flight: f, signal: signal}
 }
 
-func (s *Service) joinFlight(r *resident, f *flight, a program.Attempt) next {
+func (s *Service) joinFlight(r *resident, f *flight, a program.Attempt) action {
 	if !a.Repeats(f.head) {
-		return next{refusal: reused()}
+		return action{refusal: keyReused()}
 	}
 	signal := f.join()
 	if signal == nil {
-		return next{changed: r.changes()}
+		return action{changed: r.changeChannel()}
 	}
 	s.meters.joined.Inc(1)
-	return next{flight: f, signal: signal}
+	return action{flight: f, signal: signal}
 }
 
-func reused() *step.Result {
+func keyReused() *step.Result {
 	return refuse(http.StatusConflict, step.CodeKeyReused,
 		"the step number or idempotency key belongs to a step with another content")
 }
 
-func early(r *resident, gapOver bool) next {
+// chooseForEarly returns the action of a call whose earlier steps have not arrived. The resident's
+// lock is held.
+func chooseForEarly(r *resident, gapOver bool) action {
 	if r.state.Uncertain {
 		refusal := refuse(http.StatusConflict, step.CodeHistoryUncertain, "the latest turns may not have been recovered")
 		refusal.MissingStep = r.state.Next()
-		return next{refusal: refusal}
+		return action{refusal: refusal}
 	}
 	if gapOver && !r.claimed {
 		refusal := refuse(http.StatusConflict, step.CodeMissingStep, "an earlier step of the program has not arrived")
 		refusal.MissingStep = r.state.Next()
-		refusal.RetryAfter = missingRetry
-		return next{refusal: refusal}
+		refusal.RetryAfter = shortRetryAfter
+		return action{refusal: refusal}
 	}
-	return next{changed: r.changes(), idle: !r.claimed}
+	return action{changed: r.changeChannel(), idle: !r.claimed}
 }
 
-// missingRetry is when a caller should send a step again that came too early.
-const missingRetry = time.Second
+// shortRetryAfter is the retry delay given to a caller whose step came before an earlier one, whose
+// program has moved, or whose instance is stopping.
+const shortRetryAfter = time.Second
 
 func (s *Service) goneResult() *step.Result {
 	if s.moved.Load() {
-		return moved()
+		return movedResult()
 	}
-	return notFound()
+	return notFoundResult()
 }
 
-// gapTimer measures the time that a call has waited for a missing step.
-type gapTimer struct{ left time.Duration }
+// gapTimer is the time for which a call still waits for missing earlier steps.
+type gapTimer struct{ remaining time.Duration }
 
-// drainWait bounds how long a call waits for a planned hand-over to end, which
-// the instance's own bound on a planned stop ends before.
-const drainWait = time.Minute
+// handoffTimeout bounds how long a call waits for a planned handoff to complete. The instance
+// bounds a planned stop by a shorter time.
+const handoffTimeout = time.Minute
 
-// pause waits for the program to change.
-func (s *Service) pause(ctx context.Context, m next, gap *gapTimer) *step.Result {
+// waitForChange waits for the program to change, and returns a refusal if the call must not wait
+// longer.
+func (s *Service) waitForChange(ctx context.Context, chosen action, gap *gapTimer) *step.Result {
 	limit := time.Duration(0)
 	switch {
-	case m.closed:
-		limit = drainWait
-	case m.idle:
-		limit = gap.left
+	case chosen.draining:
+		limit = handoffTimeout
+	case chosen.idle:
+		limit = gap.remaining
 	}
 	var timeout <-chan time.Time
 	if limit > 0 {
@@ -285,58 +292,60 @@
 	}
 	start := time.Now()
 	select {
-	case <-m.changed:
+	case <-chosen.changed:
 	case <-timeout:
-		if m.closed {
+		if chosen.draining {
 			return shuttingDown()
 		}
 	case <-s.movedCh:
-		return moved()
+		return movedResult()
 	case <-ctx.Done():
-		return gaveUp(ctx)
+		return contextRefusal(ctx)
 	}
-	if m.idle {
-		gap.left -= time.Since(start)
+	if chosen.idle {
+		gap.remaining -= time.Since(start)
 	}
 	return nil
 }
 
 func shuttingDown() *step.Result {
 	r := refuse(http.StatusServiceUnavailable, step.CodeShuttingDown, "the instance is stopping")
-	r.RetryAfter = missingRetry
+	r.RetryAfter = shortRetryAfter
 	return r
 }
 
-func gaveUp(ctx context.Context) *step.Result {
+// contextRefusal returns the refusal of a step that did not begin before ctx ended.
+func contextRefusal(ctx context.Context) *step.Result {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return late()
+		return deadlineExceeded()
 	}
-	return cancelled()
+	return cancelledResult()
 }
 
-// answerRecorded gives a recorded answer, once what the program did before is durable.
-func (s *Service) answerRecorded(ctx context.Context, r *resident, a program.Attempt) step.Result {
+// replayRecorded returns a recorded response once all earlier events of the program are durable.
+// The response of a step whose intent is in the log is returned even if they are not.
+func (s *Service) replayRecorded(ctx context.Context, r *resident, a program.Attempt) step.Result {
 	saved := s.flush(ctx, r)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	place, recorded := r.state.Find(a)
-	if place != program.Recorded || r.gone && s.moved.Load() {
-		return *moved()
+	position, recorded := r.state.Find(a)
+	if position != program.Recorded || r.removed && s.moved.Load() {
+		return *movedResult()
 	}
 	if !saved && (recorded.Tool == nil || !recorded.Tool.Intent) {
-		return s.unsaved()
+		return s.notDurable()
 	}
 	s.meters.replayed.Inc(1)
 	r.usedAt = time.Now()
 	return replay(r.state, recorded)
 }
 
-// flush appends what is pending and reports whether all is durable.
+// flush appends pending events and reports whether all of the program's events are durable.
 func (s *Service) flush(ctx context.Context, r *resident) bool {
 	r.mu.Lock()
-	clean := len(r.pending) == 0
+	nothingToSave := len(r.pending) == 0
 	r.mu.Unlock()
-	if clean {
+	if nothingToSave {
 		return true
 	}
 	if !r.claim(ctx) {
@@ -349,5 +358,5 @@
 func (s *Service) logFailure(call step.Call, r step.Result) {
 	entry := s.log.WithField("program", string(call.Program)).WithField("step", r.Number)
 	entry = entry.WithField("outcome", string(r.Outcome)).WithField("code", string(r.Code))
-	entry.WithField("reason", r.Message).Info("step ended without an answer")
+	entry.WithField("reason", r.Message).Info("step ended without a response")
 }
--- a/internal/owner/listing.go
+++ b/internal/owner/listing.go
@@ -8,7 +8,7 @@
 	"foxhall/internal/program"
 )
 
-// ProgramInfo is what operators see of a program.
+// ProgramInfo is an operator's view of a program.
 type ProgramInfo struct {
 	ID         program.ID `json:"id"`
 	Customer   string     `json:"customer"`
@@ -27,21 +27,21 @@
 	UsedAt     time.Time  `json:"used_at"`
 }
 
-// Programs lists the programs owned here, or only the stalled ones, the one
-// that was idle longest first.
+// Programs lists the programs owned here, or only the stalled ones. The program that has been idle
+// for longest comes first.
 func (s *Service) Programs(stalledOnly bool) []ProgramInfo {
-	out := []ProgramInfo{}
+	programs := []ProgramInfo{}
 	now := time.Now()
 	for r := range s.programs() {
 		info := r.info(now, s.o.StalledAfter)
 		if info.Stalled || !stalledOnly {
-			out = append(out, info)
+			programs = append(programs, info)
 		}
 	}
-	slices.SortFunc(out, func(a, b ProgramInfo) int {
+	slices.SortFunc(programs, func(a, b ProgramInfo) int {
 		return cmp.Or(a.UsedAt.Compare(b.UsedAt), cmp.Compare(a.ID, b.ID))
 	})
-	return out
+	return programs
 }
 
 // programs iterates over the residents that are programs.
@@ -66,7 +66,7 @@
 func (r *resident) info(now time.Time, stalledAfter time.Duration) ProgramInfo {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	running := r.claimed || r.waiting > 0
+	running := r.claimed || r.waiters > 0
 	return ProgramInfo{
 		ID:         r.id,
 		Customer:   r.state.Customer,
@@ -86,7 +86,7 @@
 	}
 }
 
-// UnknownStep is a step whose outcome nobody knows.
+// UnknownStep is a step whose outcome is unknown.
 type UnknownStep struct {
 	Program  program.ID `json:"program"`
 	Number   int        `json:"number"`
@@ -94,34 +94,34 @@
 	Service  string     `json:"service"`
 	Method   string     `json:"method"`
 	Path     string     `json:"path"`
-	// Key is the caller's idempotency key, UpstreamKey the one that the service was given.
+	// Key is the caller's idempotency key, UpstreamKey the one sent to the service.
 	Key         string    `json:"key,omitempty"`
 	UpstreamKey string    `json:"upstream_key"`
 	At          time.Time `json:"at"`
 }
 
-// UnknownSteps lists the steps whose outcome is unknown, the oldest first.
+// UnknownSteps lists the steps whose outcome is unknown, oldest first.
 func (s *Service) UnknownSteps() []UnknownStep {
-	out := []UnknownStep{}
+	steps := []UnknownStep{}
 	for r := range s.programs() {
-		out = append(out, r.unknownSteps()...)
+		steps = append(steps, r.unknownSteps()...)
 	}
-	slices.SortFunc(out, func(a, b UnknownStep) int {
+	slices.SortFunc(steps, func(a, b UnknownStep) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.UpstreamKey, b.UpstreamKey))
 	})
-	return out
+	return steps
 }
 
 func (r *resident) unknownSteps() []UnknownStep {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []UnknownStep
+	var steps []UnknownStep
 	for i := range r.state.Steps {
 		recorded := &r.state.Steps[i]
 		if recorded.Verdict != program.Unknown {
 			continue
 		}
-		out = append(out, UnknownStep{
+		steps = append(steps, UnknownStep{
 			Program:     r.id,
 			Number:      recorded.Head.Number,
 			Customer:    r.state.Customer,
@@ -133,10 +133,10 @@
 			At:          recorded.At,
 		})
 	}
-	return out
+	return steps
 }
 
-// CustomerEarnings sums what one customer's steps brought.
+// CustomerEarnings is the sum of the earnings from one customer's steps.
 type CustomerEarnings struct {
 	Customer string `json:"customer"`
 	Steps    int64  `json:"steps"`
@@ -145,27 +145,27 @@
 	Cut   int64 `json:"cut_micros"`
 }
 
-// Earnings sums by customer what the steps of the programs owned here brought
-// in the hours that begin at or after since; after two days the sums are kept
-// by day, after 64 days by spans of 32 days.
+// Earnings returns, by customer, the earnings of the programs owned here in the hours that begin at
+// or after since. Sums older than two days are kept by day, those older than 64 days by spans of 32
+// days.
 func (s *Service) Earnings(since time.Time) []CustomerEarnings {
 	sums := map[string]*CustomerEarnings{}
 	for i := range s.shards {
 		s.addEarnings(&s.shards[i], since, sums)
 	}
-	out := make([]CustomerEarnings, 0, len(sums))
+	earnings := make([]CustomerEarnings, 0, len(sums))
 	for _, sum := range sums {
-		out = append(out, *sum)
+		earnings = append(earnings, *sum)
 	}
-	slices.SortFunc(out, func(a, b CustomerEarnings) int { return cmp.Compare(a.Customer, b.Customer) })
-	return out
+	slices.SortFunc(earnings, func(a, b CustomerEarnings) int { return cmp.Compare(a.Customer, b.Customer) })
+	return earnings
 }
 
-// addEarnings adds up one slice while none of its programs can be ended, so
-// that a program is not counted beside the account that took it over.
+// addEarnings adds the earnings of one shard to sums. No program of the shard can be ended
+// meanwhile, so none is counted both by itself and in the account that its earnings are merged into.
 func (s *Service) addEarnings(sh *shard, since time.Time, sums map[string]*CustomerEarnings) {
-	sh.ending.Lock()
-	defer sh.ending.Unlock()
+	sh.endMu.Lock()
+	defer sh.endMu.Unlock()
 	for _, r := range sh.all() {
 		r.mu.Lock()
 		buckets := r.state.Earnings(since)
--- a/internal/owner/machine_test.go
+++ b/internal/owner/machine_test.go
@@ -14,51 +14,53 @@
 	"foxhall/internal/step"
 )
 
-// The kinds of step that the machine's programs make.
+// The kinds of step in the machine's programs.
 const (
 	turns = iota
 	charges
 	searches
 )
 
-// attempt is one call for a step.
-type attempt struct {
+// sentCall is one call for a step.
+type sentCall struct {
 	*caller
 	node *node
-	// lost says that the connection broke, so that the caller has no answer.
-	lost bool
+	// disconnected indicates that the connection broke, so that the caller gets no result.
+	disconnected bool
+	// seen indicates that the result was recorded.
 	seen bool
 }
 
-// wanted is a step that a program's caller wants, with all calls for it.
-type wanted struct {
+// plannedStep is a step that a client makes, with all calls for it.
+type plannedStep struct {
 	kind     int
 	number   int
 	body     string
-	attempts []*attempt
-	// answer is what the first call that got one was told.
+	attempts []*sentCall
+	// answer is the response that the first successful call received.
 	answer string
-	// unknown says that a call was told so.
-	unknown bool
+	// toldUnknown indicates that a call ended without a known outcome.
+	toldUnknown bool
 }
 
 // client is the caller of one program.
 type client struct {
 	id    program.ID
-	steps []*wanted
-	at    int
-	// gaveUp says that the program can't go on, and why that is right.
-	gaveUp string
+	steps []*plannedStep
+	// next is the index of the step to make next.
+	next int
+	// stoppedBecause is the reason for which the program legitimately can't continue, or "".
+	stoppedBecause string
 }
 
-// machine drives services through calls and faults, one at a time, and is the
-// oracle of what callers may be told.
+// machine drives services through calls and faults, one at a time, and checks the results that
+// callers receive.
 type machine struct {
 	w       *world
 	clients []*client
 	faults  map[string]int
-	// tailLost says that turns on peers were lost, which callers are told.
-	tailLost bool
+	// recordsLost indicates that held records or a log entry were lost, which callers may notice.
+	recordsLost bool
 }
 
 const machineClients = 3
@@ -66,20 +68,20 @@
 func newMachine(rt *rapid.T, w *world) *machine {
 	m := &machine{w: w, faults: map[string]int{}}
 	for i := range machineClients {
-		opened := w.last().svc.Open(context.Background(), buyer, "")
+		opened := w.owner().svc.Open(context.Background(), testPlan, "")
 		c := &client{id: opened.Program}
 		for n := 1; n <= 6; n++ {
 			kind := rapid.IntRange(turns, searches).Draw(rt, "kind")
-			c.steps = append(c.steps, &wanted{kind: kind, number: n, body: fmt.Sprintf("c%d s%d", i, n)})
+			c.steps = append(c.steps, &plannedStep{kind: kind, number: n, body: fmt.Sprintf("c%d s%d", i, n)})
 		}
 		m.clients = append(m.clients, c)
 	}
-	w.auto = func(*gate) string { return "" }
-	w.lookups = rapid.Bool().Draw(rt, "lookups")
+	w.decideGate = func(*gate) string { return "" }
+	w.lookupKnows = rapid.Bool().Draw(rt, "lookups")
 	return m
 }
 
-func (m *machine) callFor(c *client, s *wanted) step.Call {
+func (m *machine) callFor(c *client, s *plannedStep) step.Call {
 	switch s.kind {
 	case turns:
 		return modelCall(c.id, s.number, s.body)
@@ -89,30 +91,29 @@
 	return toolStep(c.id, s.number, "search", s.body)
 }
 
-func (m *machine) send(n *node, c *client, s *wanted) {
-	a := &attempt{caller: m.w.call(n, m.callFor(c, s)), node: n}
+func (m *machine) send(n *node, c *client, s *plannedStep) {
+	a := &sentCall{caller: m.w.call(n, m.callFor(c, s)), node: n}
 	s.attempts = append(s.attempts, a)
 	m.observe()
 }
 
-// observe takes in the answers that have come and moves each caller on. Of
-// those that came at once, it takes the ones that miss a step first: they may
-// have come before the missing step ran.
+// observe records new results. Of results that arrived together, it records those that report a
+// missing step first, since they may be from before the missing step ran.
 func (m *machine) observe() {
 	synctest.Wait()
 	var rest []func()
 	for _, c := range m.clients {
 		for _, s := range c.steps {
 			for _, a := range s.attempts {
-				if !a.ended.Load() || a.lost || a.seen {
+				if !a.ended.Load() || a.disconnected || a.seen {
 					continue
 				}
 				a.seen = true
 				if a.result.MissingStep > 0 {
-					m.answered(c, s, a)
+					m.recordResult(c, s, a)
 					continue
 				}
-				rest = append(rest, func() { m.answered(c, s, a) })
+				rest = append(rest, func() { m.recordResult(c, s, a) })
 			}
 		}
 	}
@@ -121,7 +122,7 @@
 	}
 }
 
-// actions are what may happen next, one at a time.
+// actions returns the actions that rapid chooses from.
 func (m *machine) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"call":   func(rt *rapid.T) { m.call(rt, 0) },
@@ -129,23 +130,23 @@
 		"more":   func(rt *rapid.T) { m.call(rt, 0) },
 		"ahead":  func(rt *rapid.T) { m.call(rt, 1) },
 		"late":   func(rt *rapid.T) { m.call(rt, -1) },
-		"gate":   m.openGate,
-		"gate 2": m.openGate,
-		"gate 3": m.openGate,
-		"gate 4": m.openGate,
-		"gate 5": m.openGate,
-		"gate 6": m.openGate,
+		"gate":   m.releaseGate,
+		"gate 2": m.releaseGate,
+		"gate 3": m.releaseGate,
+		"gate 4": m.releaseGate,
+		"gate 5": m.releaseGate,
+		"gate 6": m.releaseGate,
 		"cancel": rarely(m.cancel),
 		"store":  rarely(m.toggleStore),
 		"crash":  rarely(m.crash),
 		"pause":  rarely(m.pause),
 		"offer":  m.offer,
-		"time":   m.wait,
+		"time":   m.advanceTime,
 		"":       func(*rapid.T) { m.check() },
 	}
 }
 
-// rarely makes a fault rare enough for steps to get anywhere between two.
+// rarely skips the action most of the time, so that steps complete between faults.
 func rarely(action func(*rapid.T)) func(*rapid.T) {
 	return func(rt *rapid.T) {
 		if rapid.IntRange(0, 3).Draw(rt, "rarely") > 0 {
@@ -157,22 +158,22 @@
 
 func (m *machine) call(rt *rapid.T, offset int) {
 	c := m.clients[rapid.IntRange(0, len(m.clients)-1).Draw(rt, "client")]
-	i := c.at + offset
-	if i < 0 || i >= len(c.steps) || c.gaveUp != "" {
+	i := c.next + offset
+	if i < 0 || i >= len(c.steps) || c.stoppedBecause != "" {
 		rt.Skip()
 	}
 	m.send(m.anyNode(rt), c, c.steps[i])
 }
 
-func (m *machine) wait(rt *rapid.T) {
-	pass(time.Duration(rapid.IntRange(1, 2000).Draw(rt, "ms")) * time.Millisecond)
+func (m *machine) advanceTime(rt *rapid.T) {
+	advance(time.Duration(rapid.IntRange(1, 2000).Draw(rt, "ms")) * time.Millisecond)
 	m.observe()
 }
 
-// anyNode is mostly the owner, and at times a former one that still runs.
+// anyNode returns the owner in most cases, and otherwise any node that still runs.
 func (m *machine) anyNode(rt *rapid.T) *node {
 	if rapid.IntRange(0, 4).Draw(rt, "node") > 0 {
-		return m.w.last()
+		return m.w.owner()
 	}
 	var alive []*node
 	for _, n := range m.w.nodes {
@@ -184,15 +185,15 @@
 }
 
 var decisions = map[string][]string{
-	"append": {ok, ok, ok, ok, refused, lost, nothing, later},
+	"append": {ok, ok, ok, ok, refused, responseLost, dropped, delayed},
 	"hold":   {ok, ok, refused},
 	"admit":  {ok, ok, ok, refused},
-	"tool":   {ok, ok, act, lost, nothing, notSent},
-	"model":  {ok, ok, ok, nothing, notSent},
+	"tool":   {ok, ok, actThenHang, responseLost, dropped, notSent},
+	"model":  {ok, ok, ok, dropped, notSent},
 }
 
-func (m *machine) openGate(rt *rapid.T) {
-	waiting := m.w.waiting()
+func (m *machine) releaseGate(rt *rapid.T) {
+	waiting := m.w.waitingGates()
 	if len(waiting) == 0 {
 		rt.Skip()
 	}
@@ -201,7 +202,7 @@
 	if d != ok {
 		m.faults[waiting[i]+" "+d]++
 	}
-	m.w.open(i, d)
+	m.w.release(i, d)
 	m.observe()
 }
 
@@ -222,45 +223,44 @@
 }
 
 func (m *machine) toggleStore(*rapid.T) {
-	if m.w.down {
-		m.w.up(nil)
+	if m.w.storeDown {
+		m.w.restoreStore(nil)
 		return
 	}
 	m.faults["store down"]++
 	m.w.mu.Lock()
-	m.w.down = true
+	m.w.storeDown = true
 	m.w.mu.Unlock()
 }
 
-// crash kills the owner where it stands; a successor adopts what its log and
-// its peers hold.
+// crash crashes the owner; a successor adopts the records in its log and on its peers.
 func (m *machine) crash(rt *rapid.T) {
 	m.faults["crash"]++
-	m.kill(m.w.last())
-	m.replace(rt)
+	m.crashNode(m.w.owner())
+	m.takeOver(rt)
 }
 
-func (m *machine) kill(n *node) {
+func (m *machine) crashNode(n *node) {
 	m.w.mu.Lock()
 	n.crashed.Store(true)
-	var mine []*gate
+	var released []*gate
 	m.w.gates = slices.DeleteFunc(m.w.gates, func(g *gate) bool {
 		if g.node == n {
-			mine = append(mine, g)
+			released = append(released, g)
 		}
 		return g.node == n
 	})
 	m.w.mu.Unlock()
 	m.observe()
-	for _, g := range mine {
+	for _, g := range released {
 		g.ch <- crash
 	}
 	for _, c := range m.clients {
 		for _, s := range c.steps {
 			for _, a := range s.attempts {
 				if a.node == n && !a.ended.Load() {
-					a.lost = true
-					s.unknown = true
+					a.disconnected = true
+					s.toldUnknown = true
 					a.cancel()
 				}
 			}
@@ -269,30 +269,30 @@
 	synctest.Wait()
 }
 
-// replace seals the owner's log, for which the store must be back.
-func (m *machine) replace(rt *rapid.T) {
-	m.w.up(m.w.last())
+// takeOver seals the owner's log, for which the store must be available, and starts a successor.
+func (m *machine) takeOver(rt *rapid.T) {
+	m.w.restoreStore(m.w.owner())
 	kept := rapid.IntRange(0, 5).Draw(rt, "tail kept") > 0
-	if !kept && len(m.w.last().held) > 0 {
-		m.tailLost = true
+	if !kept && len(m.w.owner().held) > 0 {
+		m.recordsLost = true
 		m.faults["tail lost"]++
 	}
-	if rapid.IntRange(0, 7).Draw(rt, "torn") == 0 && m.w.last().tear() {
-		m.tailLost = true
+	if rapid.IntRange(0, 7).Draw(rt, "torn") == 0 && m.w.owner().loseLastRecord() {
+		m.recordsLost = true
 		m.faults["entry torn"]++
 	}
-	m.w.incomplete = rapid.Bool().Draw(rt, "adoption incomplete")
+	m.w.adoptionIncomplete = rapid.Bool().Draw(rt, "adoption incomplete")
 	m.w.takeOver(kept, rapid.Bool().Draw(rt, "late written"))
 	m.observe()
 }
 
-// pause seals the owner's log while it stands at its gates; it goes on later.
+// pause lets a successor take over while the owner is paused at its gates; the owner resumes later.
 func (m *machine) pause(rt *rapid.T) {
 	m.faults["pause"]++
-	m.replace(rt)
+	m.takeOver(rt)
 }
 
-// offer has a former owner bring what it held to the successor.
+// offer lets a former owner offer its held records to the successor.
 func (m *machine) offer(rt *rapid.T) {
 	i := rapid.IntRange(0, len(m.w.nodes)-1).Draw(rt, "former owner")
 	former := m.w.nodes[i]
@@ -302,19 +302,19 @@
 	m.faults["held records offered late"]++
 	ctx, cancel := context.WithCancel(context.Background())
 	m.w.callers = append(m.w.callers, &caller{cancel: cancel})
-	go func() { _ = m.w.last().svc.AdoptLate(ctx, former.svc.Cohort(), former.held) }()
+	go func() { _ = m.w.owner().svc.AdoptLate(ctx, former.svc.Cohort(), former.held) }()
 	m.observe()
 }
 
-// Programs of turns, charges and searches run while appends are refused, lost
-// and late, the store goes down, owners crash or are paused at any point where
-// they wait, callers go away, repeat, and send ahead. No charge has its effect
-// twice, every "not run" is true, engines get each program's history as its
-// caller was told it, and afterwards every program goes on.
-func TestMachineOfFaults(t *testing.T) {
+// Programs make model calls, charges and searches while appends are refused, lost and delayed, the
+// store becomes unavailable, owners crash or are paused at any point where they wait, and callers
+// disconnect, repeat calls and send steps ahead. No charge has its effect twice, every "not run" is
+// true, engines receive each program's history as its caller knows it, and once the faults end every
+// program continues.
+func TestRandomFaults(t *testing.T) {
 	totals := map[string]int{}
 	answered, unknown, effects := 0, 0, 0
-	explore(t, func(rt *rapid.T, w *world) {
+	checkInVirtualTime(t, func(rt *rapid.T, w *world) {
 		m := newMachine(rt, w)
 		rt.Repeat(m.actions())
 		m.finish(rt)
@@ -326,7 +326,7 @@
 				effects += m.effectsOf(s)
 				if s.answer != "" {
 					answered++
-				} else if s.unknown {
+				} else if s.toldUnknown {
 					unknown++
 				}
 			}
--- a/internal/owner/open.go
+++ b/internal/owner/open.go
@@ -12,103 +12,103 @@
 	"foxhall/internal/step"
 )
 
-// Open starts a program without a step and makes it durable. It may be
-// repeated: a program that nobody uses expires.
+// Open starts a program without a step and makes it durable. A caller may repeat it, as unused
+// programs expire.
 func (s *Service) Open(ctx context.Context, p *plan.Plan, parent program.ID) step.Result {
 	if s.moved.Load() {
-		return *moved()
+		return *movedResult()
 	}
 	if !s.flights.begin() {
-		return *s.awaitHandOver(ctx)
+		return *s.awaitHandoff(ctx)
 	}
 	defer s.flights.end()
 	call := step.Call{Plan: p, Parent: parent}
-	r, refusal := s.openAdopted(ctx, call)
+	r, refusal := s.openAfterAdoption(ctx, call)
 	if refusal != nil {
 		return *refusal
 	}
 	if !r.claim(ctx) {
-		s.opened(r)
-		return *cancelled()
+		s.finishOpening(r)
+		return *cancelledResult()
 	}
 	err := s.save(r, s.o.Log.AppendOrHold, dropUnsaved)
 	r.unclaim()
-	s.opened(r)
+	s.finishOpening(r)
 	switch {
 	case errors.Is(err, ErrFenced):
-		return *moved()
+		return *movedResult()
 	case err != nil:
-		return *s.storeDown()
+		return *s.storeUnavailable()
 	}
 	return step.Result{Outcome: step.Done, Program: r.id, Status: http.StatusCreated}
 }
 
-// awaitHandOver waits for the end of a planned hand-over.
-func (s *Service) awaitHandOver(ctx context.Context) *step.Result {
-	timeout := time.NewTimer(drainWait)
+// awaitHandoff waits until a planned handoff is complete and returns the refusal that follows.
+func (s *Service) awaitHandoff(ctx context.Context) *step.Result {
+	timeout := time.NewTimer(handoffTimeout)
 	defer timeout.Stop()
 	select {
 	case <-s.movedCh:
-		return moved()
+		return movedResult()
 	case <-timeout.C:
 		return shuttingDown()
 	case <-ctx.Done():
-		return gaveUp(ctx)
+		return contextRefusal(ctx)
 	}
 }
 
-func (r *resident) wasLaunched() bool {
+func (r *resident) wasStarted() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.launched
+	return r.started
 }
 
-// End says for its caller that a program is needed no longer, after the step
-// under way. It may be repeated.
+// End records its caller's request to end a program, after the step in flight. It is idempotent.
 func (s *Service) End(ctx context.Context, p *plan.Plan, id program.ID) step.Result {
 	r, refusal := s.find(ctx, step.Call{Plan: p, Program: id})
 	if refusal != nil {
 		return *refusal
 	}
 	if !r.claim(ctx) {
-		return *s.goneOrLate(ctx)
+		return *s.claimRefusal(ctx)
 	}
 	r.mu.Lock()
-	again := !r.state.EndRequestedAt.IsZero()
+	alreadyRequested := !r.state.EndRequestedAt.IsZero()
 	r.mu.Unlock()
 	var err error
-	if !again {
+	if !alreadyRequested {
 		err = s.save(r, s.o.Log.AppendOrHold, dropUnsaved, program.RequestEnd())
 	}
 	r.unclaim()
 	switch {
 	case errors.Is(err, ErrFenced):
-		return *moved()
+		return *movedResult()
 	case err != nil:
-		return *s.storeDown()
+		return *s.storeUnavailable()
 	}
 	s.releaseEnded(r)
 	return step.Result{Outcome: step.Done, Program: id, Status: http.StatusNoContent}
 }
 
-func (s *Service) goneOrLate(ctx context.Context) *step.Result {
+// claimRefusal returns the refusal for a call that could not claim its program.
+func (s *Service) claimRefusal(ctx context.Context) *step.Result {
 	if ctx.Err() != nil {
-		return gaveUp(ctx)
+		return contextRefusal(ctx)
 	}
 	return s.goneResult()
 }
 
-// find returns the call's program, opening it where the call starts one.
+// find returns the call's program, and opens one if the call starts a new program.
 func (s *Service) find(ctx context.Context, call step.Call) (*resident, *step.Result) {
 	if call.Program == "" {
-		return s.openAdopted(ctx, call)
+		return s.openAfterAdoption(ctx, call)
 	}
 	if refusal := s.awaitAdoption(ctx, call.Program); refusal != nil {
 		return nil, refusal
 	}
 	r := s.lookup(call.Program)
 	if r == nil || !r.belongsTo(call.Plan) {
-		return nil, s.absent(call.Program)
+		return nil, s.absentResult(call.Program)
 	}
 	return r, nil
 }
@@ -119,10 +119,10 @@
 	return !r.state.Account && r.state.Customer == p.Customer
 }
 
-// absent is the answer for an id that is not resident, or not the caller's.
-func (s *Service) absent(id program.ID) *step.Result {
+// absentResult is the refusal for a program that is not resident or belongs to another customer.
+func (s *Service) absentResult(id program.ID) *step.Result {
 	if s.moved.Load() {
-		return moved()
+		return movedResult()
 	}
 	sh := s.shard(id)
 	sh.mu.RLock()
@@ -132,25 +132,25 @@
 		return refuse(http.StatusConflict, step.CodeHistoryUncertain,
 			"programs of its owner may not have been recovered")
 	}
-	return notFound()
+	return notFoundResult()
 }
 
-// adoptionPoll is how often a call looks whether its program's slice was taken over.
-const adoptionPoll = 20 * time.Millisecond
+// adoptionPollInterval is the interval at which a waiting call checks whether its program's shard
+// was adopted.
+const adoptionPollInterval = 20 * time.Millisecond
 
-// adoptionWait is how long a call waits for a take-over under way.
-const adoptionWait = 2 * time.Second
+// adoptionTimeout bounds how long a call waits for its program's shard to be adopted.
+const adoptionTimeout = 2 * time.Second
 
-// awaitAdoption waits briefly for the program's slice to be taken over. The
-// failure: a call reaches the successor before it has read the log, and would
-// be told that its program does not exist.
+// awaitAdoption waits until the program's shard is adopted. Otherwise a call that reaches the
+// successor before it has read the log would be answered that the program does not exist.
 func (s *Service) awaitAdoption(ctx context.Context, id program.ID) *step.Result {
 	if s.o.Residency == nil || s.o.Residency.Adopted(id) {
 		return nil
 	}
-	timeout := time.NewTimer(adoptionWait)
+	timeout := time.NewTimer(adoptionTimeout)
 	defer timeout.Stop()
-	ticker := time.NewTicker(adoptionPoll)
+	ticker := time.NewTicker(adoptionPollInterval)
 	defer ticker.Stop()
 	for !s.o.Residency.Adopted(id) {
 		select {
@@ -160,16 +160,16 @@
 			r.RetryAfter = s.o.RetryAfter
 			return r
 		case <-ctx.Done():
-			return gaveUp(ctx)
+			return contextRefusal(ctx)
 		}
 	}
 	return nil
 }
 
-// openAdopted opens a program once its parent, if it has one, is taken over:
-// a sub-agent may be the first call that the parent's successor sees, and would
-// be told that its parent does not exist.
-func (s *Service) openAdopted(ctx context.Context, call step.Call) (*resident, *step.Result) {
+// openAfterAdoption opens a program once its parent, if it has one, is adopted. The first call that
+// reaches the parent's successor may open a sub-agent, and would otherwise be answered that the
+// parent does not exist.
+func (s *Service) openAfterAdoption(ctx context.Context, call step.Call) (*resident, *step.Result) {
 	if call.Parent != "" {
 		if refusal := s.awaitAdoption(ctx, call.Parent); refusal != nil {
 			return nil, refusal
@@ -178,9 +178,9 @@
 	return s.open(call)
 }
 
-// open makes a new resident; its first event goes into the log with the first
-// step's. A sub-agent is born in its parent's slice, so that the whole root
-// program stays on one instance through every take-over.
+// open creates a new program, as a sub-agent if the call names a parent. Its first event is appended
+// to the log together with those of its first step. A sub-agent is created in its parent's shard, so
+// that the root program and all its sub-agents stay on one instance through every take-over.
 func (s *Service) open(call step.Call) (*resident, *step.Result) {
 	opening := program.Opening{
 		Customer: call.Plan.Customer,
@@ -193,22 +193,24 @@
 	}
 	parent := s.lookup(call.Parent)
 	if parent == nil || !parent.belongsTo(call.Plan) {
-		return nil, s.absent(call.Parent)
+		return nil, s.absentResult(call.Parent)
 	}
 	parent.mu.Lock()
 	defer parent.mu.Unlock()
 	if refusal := parent.checkChild(time.Now()); refusal != nil {
 		return nil, refusalOf(refusal)
 	}
-	parent.opening++
+	parent.openingChildren++
 	opening.ID = program.NewIDInShard(s.o.Cohort, call.Parent.Shard())
 	opening.Parent = parent.state
 	return s.newResident(opening, parent.tree), nil
 }
 
+// checkChild checks the plan's bounds on sub-agents, counting those whose opening is not in the
+// state yet. The lock is held.
 func (r *resident) checkChild(now time.Time) *program.Refusal {
-	unrecorded := r.opening
-	for _, note := range r.notes {
+	unrecorded := r.openingChildren
+	for _, note := range r.deferred {
 		if note.GetChildOpened() != nil {
 			unrecorded++
 		}
@@ -223,15 +225,15 @@
 		state:  &program.State{ID: opening.ID},
 		usedAt: time.Now(),
 	}
-	r.decide(program.Open(opening))
+	r.applyPending(program.Open(opening))
 	s.insert(r)
 	return r
 }
 
-// opened settles a new program after its first step and reports whether it
-// stays: one of which the log knows nothing is dropped, another counts with
-// its parent.
-func (s *Service) opened(r *resident) bool {
+// finishOpening completes the opening of a program after its first step and reports whether the
+// program stays. A program of which the log can't hold any event is removed; one that stays is
+// recorded with its parent.
+func (s *Service) finishOpening(r *resident) bool {
 	r.mu.Lock()
 	saved, parentID, id := r.saved || len(r.state.Steps) > 0, r.state.Parent, r.id
 	r.mu.Unlock()
@@ -246,10 +248,10 @@
 		return saved
 	}
 	parent.mu.Lock()
-	parent.opening--
+	parent.openingChildren--
 	parent.mu.Unlock()
 	if saved {
-		parent.note(program.OpenChild(id))
+		parent.deferEvent(program.OpenChild(id))
 	}
 	return saved
 }
--- a/internal/owner/operator.go
+++ b/internal/owner/operator.go
@@ -10,13 +10,13 @@
 	"foxhall/internal/program"
 )
 
-// Resolution is an operator's word on a step of unknown outcome.
+// Resolution is an operator's decision on a step of unknown outcome.
 type Resolution struct {
 	Program program.ID `json:"program"`
 	Number  int        `json:"number"`
-	// Ran says whether the step had its effect.
+	// Ran indicates that the step had its effect.
 	Ran bool `json:"ran"`
-	// Operator is who says so, Note how it is known.
+	// Operator is the name of the operator who decides, Note the evidence for the decision.
 	Operator string `json:"operator"`
 	Note     string `json:"note"`
 }
@@ -73,9 +73,9 @@
 
 func statusOf(err error) int {
 	switch {
-	case errors.Is(err, ErrNoProgram):
+	case errors.Is(err, ErrNotResident):
 		return http.StatusNotFound
-	case errors.Is(err, ErrNoUnknown):
+	case errors.Is(err, ErrNotUnknown):
 		return http.StatusConflict
 	case errors.Is(err, ErrFenced):
 		return http.StatusMisdirectedRequest
--- a/internal/owner/result.go
+++ b/internal/owner/result.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// statusClientClosed is what proxies log for a caller that went away; no
-	// caller sees it.
+	// statusClientClosed is the status that proxies log for a caller that disconnected. No caller
+	// receives it.
 	statusClientClosed = 499
 	statusTimeout      = http.StatusGatewayTimeout
 )
 
-// reasons maps what the aggregate refuses to the API's status and code.
-var reasons = map[program.Reason]struct {
+// refusalCodes maps the aggregate's reasons for a refusal to the API's status and code.
+var refusalCodes = map[program.Reason]struct {
 	status int
 	code   step.Code
 }{
@@ -28,7 +28,7 @@
 }
 
 func refusalOf(r *program.Refusal) *step.Result {
-	reason := reasons[r.Reason]
+	reason := refusalCodes[r.Reason]
 	return refuse(reason.status, reason.code, r.Message)
 }
 
@@ -37,27 +37,28 @@
 	return &r
 }
 
-// notFound is the answer for a program that does not exist, has left or is
-// another customer's: all the same, so that an id tells nothing to a stranger.
-func notFound() *step.Result {
+// notFoundResult is the refusal for a program that does not exist, has ended or belongs to another
+// customer. It is the same in all these cases, so that other customers can't find out whether an id
+// exists.
+func notFoundResult() *step.Result {
 	return refuse(http.StatusNotFound, step.CodeNotFound, "no such program")
 }
 
-func moved() *step.Result {
+func movedResult() *step.Result {
 	r := refuse(http.StatusMisdirectedRequest, step.CodeMoved, "another instance owns the program now")
-	r.RetryAfter = missingRetry
+	r.RetryAfter = shortRetryAfter
 	return r
 }
 
-func (s *Service) storeDown() *step.Result {
+func (s *Service) storeUnavailable() *step.Result {
 	r := refuse(http.StatusServiceUnavailable, step.CodeStoreUnavailable,
 		"the log can't be written, so the step was not begun")
 	r.RetryAfter = s.o.RetryAfter
 	return r
 }
 
-// unsaved is the answer of a step that ran and whose record is not durable.
-func (s *Service) unsaved() step.Result {
+// notDurable is the result of a step that ran and whose record is not durable yet.
+func (s *Service) notDurable() step.Result {
 	return step.Result{
 		Outcome:    step.Unknown,
 		Status:     http.StatusServiceUnavailable,
@@ -67,15 +68,15 @@
 	}
 }
 
-func cancelled() *step.Result {
+func cancelledResult() *step.Result {
 	return refuse(statusClientClosed, step.CodeCancelled, "the caller went away before the step began")
 }
 
-func late() *step.Result {
+func deadlineExceeded() *step.Result {
 	return refuse(statusTimeout, step.CodeDeadline, "the deadline passed before the step began")
 }
 
-// replay gives the recorded answer of a step. The resident's lock is held.
+// replay returns the recorded response of a step. The resident's lock is held.
 func replay(state *program.State, recorded *program.Step) step.Result {
 	r := step.Result{Program: state.ID, Number: recorded.Head.Number, Replayed: true}
 	if recorded.Model != nil {
