--- a/internal/ledger/appender.go
+++ b/internal/ledger/appender.go
@@ -13,9 +13,9 @@
 const (
 	// downPoll is how often the appender looks whether the store is back;
 	// it costs no call, since the store's own probe finds out.
-	downPoll = 50 * time.Millisecond
+	downPollInterval = 50 * time.Millisecond
 	// repeatWait is the wait before a write or read-back is tried again.
-	repeatWait = 20 * time.Millisecond
+	retryDelay = 20 * time.Millisecond
 )
 
 // batch is what goes into one entry.
@@ -30,14 +30,14 @@
 func (l *Log) run() {
 	defer close(l.done)
 	defer l.shutDown()
-	if !l.create() {
+	if !l.createObject() {
 		return
 	}
 	for l.waitForWork() {
-		if l.pace.Wait(l.ctx) != nil {
+		if l.limiter.Wait(l.ctx) != nil {
 			return
 		}
-		if b := l.take(); b != nil {
+		if b := l.nextBatch(); b != nil {
 			l.write(b)
 		}
 	}
@@ -45,14 +45,14 @@
 
 // create makes the cohort's object before the first entry, so that whoever
 // reconciles the cohorts finds every log that can hold records.
-func (l *Log) create() bool {
+func (l *Log) createObject() bool {
 	for l.ctx.Err() == nil {
 		started := time.Now()
-		ctx, cancel := context.WithTimeout(l.ctx, l.o.WriteTimeout)
-		err := CreateCohort(ctx, l.o.Store, Cohort{Cohort: l.o.Cohort, Address: l.o.Address, First: 1})
+		ctx, cancel := context.WithTimeout(l.ctx, l.options.WriteTimeout)
+		err := CreateCohort(ctx, l.options.Store, Cohort{Cohort: l.options.Cohort, Address: l.options.Address, First: 1})
 		var moved *Cohort
 		if err == nil {
-			moved, err = l.findMoved(ctx)
+			moved, err = l.revertLateCreation(ctx)
 		}
 		cancel()
 		if moved != nil {
@@ -68,7 +68,7 @@
 		}
 		l.log.WithError(err).Warn("cohort not created yet")
 		l.refuseQueue()
-		l.pause(repeatWait)
+		l.pause(retryDelay)
 	}
 	return false
 }
@@ -80,8 +80,8 @@
 // The failure: an owner is paused at its start and taken over. Its creation,
 // late or made again, brings back an object that says the log begins, so that
 // the owner and the successor both own its programs.
-func (l *Log) findMoved(ctx context.Context) (*Cohort, error) {
-	object, err := l.o.Store.Get(ctx, MovedKey(l.o.Cohort))
+func (l *Log) revertLateCreation(ctx context.Context) (*Cohort, error) {
+	object, err := l.options.Store.Get(ctx, MovedKey(l.options.Cohort))
 	if errors.Is(err, store.ErrNotFound) {
 		return nil, nil
 	}
@@ -92,9 +92,9 @@
 	if err != nil {
 		return nil, err
 	}
-	created, err := l.o.Store.Get(ctx, CohortKey(l.o.Cohort))
+	created, err := l.options.Store.Get(ctx, CohortKey(l.options.Cohort))
 	if err == nil {
-		err = l.o.Store.Delete(ctx, created.Key, created.Version)
+		err = l.options.Store.Delete(ctx, created.Key, created.Version)
 	}
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return nil, err
@@ -114,12 +114,12 @@
 			return false
 		case !work:
 			select {
-			case <-l.wake:
+			case <-l.appenderWake:
 			case <-l.ctx.Done():
 			}
-		case l.o.Store.Down():
+		case l.options.Store.Down():
 			l.refuseQueue()
-			l.pause(downPoll)
+			l.pause(downPollInterval)
 		default:
 			return true
 		}
@@ -138,7 +138,7 @@
 
 // take moves what fits into one entry out of the queue: first what peers hold,
 // since a program's later records may build on it. A seal goes alone.
-func (l *Log) take() *batch {
+func (l *Log) nextBatch() *batch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := &batch{}
@@ -151,12 +151,12 @@
 		b.requests = append(b.requests, r)
 	}
 	if len(b.requests) == len(l.held) {
-		l.takeQueued(b, size)
+		l.addQueued(b, size)
 	}
 	if len(b.requests) == 0 {
 		return nil
 	}
-	b.entry = Entry{Cohort: l.o.Cohort, Number: l.next, WriteID: newWriteID()}
+	b.entry = Entry{Cohort: l.options.Cohort, Number: l.next, WriteID: newWriteID()}
 	for _, r := range b.requests {
 		b.entry.Records = append(b.entry.Records, r.records...)
 		b.entry.Seal = r.seal
@@ -165,7 +165,7 @@
 	return b
 }
 
-func (l *Log) takeQueued(b *batch, size int) {
+func (l *Log) addQueued(b *batch, size int) {
 	taken := 0
 	for _, r := range l.queue {
 		if size+r.size > MaxBatch || r.seal != nil && len(b.requests) > 0 {
@@ -183,13 +183,13 @@
 }
 
 // found is what stands under an entry's number.
-type found uint8
+type writeOutcome uint8
 
 const (
-	foundNothing found = iota
-	foundOurs
-	foundOther
-	foundUnknown
+	outcomeNotWritten writeOutcome = iota
+	outcomeWritten
+	outcomeNumberTaken
+	outcomeUnknown
 )
 
 // write puts one entry and tells its callers the outcome. A lost answer is
@@ -200,82 +200,82 @@
 // number take effect once.
 func (l *Log) write(b *batch) {
 	started := time.Now()
-	unsure := false
+	mayBeWritten := false
 	for l.ctx.Err() == nil {
 		err := l.put(b)
 		switch {
 		case err == nil:
-			l.concludeWritten(b, started)
+			l.verifyAndCommit(b, started)
 			return
 		case errors.Is(err, store.ErrRateLimited):
-			l.pause(repeatWait)
+			l.pause(retryDelay)
 			continue
-		case errors.Is(err, store.ErrUnavailable) && !unsure:
-			l.refuse(b)
+		case errors.Is(err, store.ErrUnavailable) && !mayBeWritten:
+			l.refuseBatch(b)
 			return
 		}
-		unsure = true
-		switch l.settle(b) {
-		case foundOurs:
-			l.concludeWritten(b, started)
+		mayBeWritten = true
+		switch l.resolveOutcome(b) {
+		case outcomeWritten:
+			l.verifyAndCommit(b, started)
 			return
-		case foundOther:
+		case outcomeNumberTaken:
 			return
 		}
 	}
-	l.giveUp(b, unsure)
+	l.abortBatch(b, mayBeWritten)
 }
 
 func (l *Log) put(b *batch) error {
-	ctx, cancel := context.WithTimeout(l.ctx, l.o.WriteTimeout)
+	ctx, cancel := context.WithTimeout(l.ctx, l.options.WriteTimeout)
 	defer cancel()
 	started := time.Now()
-	_, err := l.o.Store.Put(ctx, EntryKey(l.o.Cohort, b.entry.Number), b.value, 0)
-	l.meters.writes.Update(time.Since(started).Microseconds())
+	_, err := l.options.Store.Put(ctx, EntryKey(l.options.Cohort, b.entry.Number), b.value, 0)
+	l.meters.writeTime.Update(time.Since(started).Microseconds())
 	return err
 }
 
 // settle reads the entry's number back until it knows what stands there. While
 // it can't, everybody who can be told something true is told it.
-func (l *Log) settle(b *batch) found {
-	l.meters.settles.Inc(1)
+func (l *Log) resolveOutcome(b *batch) writeOutcome {
+	l.meters.readBacks.Inc(1)
 	for l.ctx.Err() == nil {
-		what, entry := l.inspect(b)
-		switch what {
-		case foundNothing:
-			l.pause(repeatWait)
-			return foundNothing
-		case foundOurs:
-			return foundOurs
-		case foundOther:
+		outcome, entry := l.readBack(b)
+		switch outcome {
+		case outcomeNotWritten:
+			l.pause(retryDelay)
+			return outcomeNotWritten
+		case outcomeWritten:
+			return outcomeWritten
+		case outcomeNumberTaken:
 			l.fence(b, entry.Seal, b.entry.Number)
-			return foundOther
+			return outcomeNumberTaken
 		}
 		l.suspend(b)
-		l.pause(downPoll)
+		l.pause(downPollInterval)
 	}
-	return foundUnknown
+	return outcomeUnknown
 }
 
-func (l *Log) inspect(b *batch) (found, Entry) {
-	if l.o.Store.Down() {
-		return foundUnknown, Entry{}
+func (l *Log) readBack(b *batch) (writeOutcome, Entry) {
+	if l.options.Store.Down() {
+		return outcomeUnknown, Entry{}
 	}
-	ctx, cancel := context.WithTimeout(l.ctx, l.o.WriteTimeout)
+	ctx, cancel := context.WithTimeout(l.ctx, l.options.WriteTimeout)
 	defer cancel()
-	object, err := l.o.Store.Get(ctx, EntryKey(l.o.Cohort, b.entry.Number))
+	object, err := l.options.Store.Get(ctx, EntryKey(l.options.Cohort, b.entry.Number))
 	if errors.Is(err, store.ErrNotFound) {
-		return foundNothing, Entry{}
+		return outcomeNotWritten, Entry{}
 	}
 	if err != nil {
-		return foundUnknown, Entry{}
+		return outcomeUnknown, Entry{}
 	}
-	entry, err := DecodeEntry(object.Value, l.o.Cohort, b.entry.Number)
+	entry, err := DecodeEntry(object.Value, l.options.Cohort, b.entry.Number)
 	if err == nil && string(entry.WriteID) == string(b.entry.WriteID) {
-		return foundOurs, entry
+		return outcomeWritten, entry
 	}
 	l.log.WithError(err).WithField("entry", object.Key.String()).Warn("entry number taken by another writer")
-	return foundOther, entry
+	return outcomeNumberTaken, entry
 }
 
 // commit tells the callers of a batch that is in the log.
@@ -285,21 +285,21 @@
 	defer l.mu.Unlock()
 	l.next = b.entry.Number + 1
 	l.suspended = false
-	l.index.committed(b.entry, len(b.value))
+	l.index.noteCommitted(b.entry, len(b.value))
 	if b.entry.Seal != nil {
 		l.seal, l.sealNumber, l.fenced = b.entry.Seal, b.entry.Number, true
 	}
 	l.dropHeld(b)
 	for _, r := range b.requests {
 		l.pending -= r.size
-		r.finish(nil)
+		r.complete(nil)
 	}
 	if b.entry.Seal != nil {
-		l.endQueue(ErrFenced)
+		l.failQueue(ErrFenced)
 	}
-	l.meters.commit(b)
-	if l.o.Compaction.due(&l.index) {
-		poke(l.compact)
+	l.meters.countCommit(b)
+	if l.options.Compaction.isDue(&l.index) {
+		trySignal(l.compactWake)
 	}
 }
 
@@ -321,14 +321,14 @@
 	if upTo == 0 {
 		return
 	}
-	l.extra.Go(func() { l.o.Holders.Release(l.ctx, l.o.Cohort, upTo) })
+	l.background.Go(func() { l.options.Holders.Release(l.ctx, l.options.Cohort, upTo) })
 }
 
 // endQueue ends all that wait. The lock is held.
-func (l *Log) endQueue(err error) {
+func (l *Log) failQueue(err error) {
 	for _, r := range l.queue {
-		l.forget(r)
-		r.finish(err)
+		l.discard(r)
+		r.complete(err)
 	}
 	l.queue = nil
 }
@@ -342,28 +342,28 @@
 	for _, r := range b.requests {
 		if !r.isHeld {
 			l.pending -= r.size
-			r.finish(ErrFenced)
+			r.complete(ErrFenced)
 		}
 	}
-	l.endQueue(ErrFenced)
+	l.failQueue(ErrFenced)
 	l.log.WithFields(log.Fields{"entry": b.entry.Number, "held": len(l.held)}).Warn("log sealed by a successor")
-	if len(l.held) > 0 && l.o.Successors != nil && seal != nil {
+	if len(l.held) > 0 && l.options.Successors != nil && seal != nil {
 		offer := l.heldCopy()
-		l.extra.Go(func() { l.offer(seal, offer) })
+		l.background.Go(func() { l.offer(seal, offer) })
 	}
 }
 
 // giveUp ends a batch when the log is closed. unsure says that a write of it
 // may have taken effect.
-func (l *Log) giveUp(b *batch, unsure bool) {
+func (l *Log) abortBatch(b *batch, mayBeWritten bool) {
 	outcome := ErrClosed
-	if unsure {
+	if mayBeWritten {
 		outcome = ErrUnsettled
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range b.requests {
-		r.finish(outcome)
+		r.complete(outcome)
 	}
 }
 
@@ -371,9 +371,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fenced {
-		l.endQueue(ErrFenced)
+		l.failQueue(ErrFenced)
 		return
 	}
 	l.closed = true
-	l.endQueue(ErrClosed)
+	l.failQueue(ErrClosed)
 }
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -16,10 +16,10 @@
 const benchDelay = 4 * time.Millisecond
 
 // benchEvent is the size of a typical intent or small turn in bytes.
-const benchEvent = 600
+const benchEventBytes = 600
 
 // appendsEach is how many appends each appender makes in a round.
-const appendsEach = 20
+const appendsPerRound = 20
 
 // BenchmarkAppend measures the batching slope: steps a second through one log
 // against the writes that it costs, by the number of steps under way.
@@ -43,9 +43,9 @@
 		b.Fatal(err)
 	}
 	defer l.Close()
-	event := bytes.Repeat([]byte("e"), benchEvent)
+	event := bytes.Repeat([]byte("e"), benchEventBytes)
 	var running sync.WaitGroup
-	each := appendsEach * b.N
+	each := appendsPerRound * b.N
 	b.ResetTimer()
 	for range appenders {
 		id := program.NewID(testCohort)
@@ -64,7 +64,7 @@
 	b.ReportMetric(steps/seconds, "steps/s")
 	b.ReportMetric(put/seconds, "writes/s")
 	b.ReportMetric(steps/put, "steps/write")
-	b.ReportMetric(float64(l.meters.bytes.Count())/steps-benchEvent, "overhead-B/record")
+	b.ReportMetric(float64(l.meters.bytes.Count())/steps-benchEventBytes, "overhead-B/record")
 }
 
 // BenchmarkRecover measures the time to read a sealed log by its length.
@@ -96,7 +96,7 @@
 	if err := CreateCohort(b.Context(), standIn, Cohort{Cohort: testCohort, First: 1}); err != nil {
 		b.Fatal(err)
 	}
-	event := bytes.Repeat([]byte("e"), benchEvent)
+	event := bytes.Repeat([]byte("e"), benchEventBytes)
 	for n := range uint64(entries) {
 		e := Entry{Cohort: testCohort, Number: n + 1, WriteID: newWriteID()}
 		for i := range uint64(64) {
--- a/internal/ledger/cohort.go
+++ b/internal/ledger/cohort.go
@@ -63,13 +63,13 @@
 	if !c.AdoptedAt.IsZero() {
 		message.AdoptedAtUnixMs = c.AdoptedAt.UnixMilli()
 	}
-	return envelop(message)
+	return encodeEnvelope(message)
 }
 
 // DecodeCohort reads a stored cohort. Its errors are ErrCorrupt with the object's name.
 func DecodeCohort(object store.Object) (Cohort, error) {
 	message := &ledgerpb.Cohort{}
-	if err := openEnvelope(object.Value, message); err != nil {
+	if err := decodeEnvelope(object.Value, message); err != nil {
 		return Cohort{}, errors.Wrap(err, object.Key.String())
 	}
 	if message.Cohort != object.Key.Name {
--- a/internal/ledger/compact.go
+++ b/internal/ledger/compact.go
@@ -26,7 +26,7 @@
 	defaultMaxEntries = 1024
 	// compactPause keeps a log whose head can't be dropped yet, since one of
 	// its programs is busy, from copying the others forward at each commit.
-	compactPause = 2 * time.Second
+	compactionInterval = 2 * time.Second
 )
 
 func (o CompactionOptions) withDefaults() CompactionOptions {
@@ -41,26 +41,26 @@
 
 // due reports whether compaction is worth its writes: more than half of the
 // log is dead, or the log is long and its entries are less than half full.
-func (o CompactionOptions) due(x *index) bool {
+func (o CompactionOptions) isDue(x *index) bool {
 	entries := int(x.next - x.first)
 	if entries < o.MinEntries {
 		return false
 	}
-	return 2*x.live < x.total || entries > o.MaxEntries && x.total/entries < store.MaxValue/2
+	return 2*x.liveBytes < x.totalBytes || entries > o.MaxEntries && x.totalBytes/entries < store.MaxValue/2
 }
 
 // compactLoop copies the head of the log forward when it is due.
 func (l *Log) compactLoop() {
 	for {
 		select {
-		case <-l.compact:
+		case <-l.compactWake:
 		case <-l.ctx.Done():
 			return
 		}
 		if err := l.compactOnce(l.ctx); err != nil && l.ctx.Err() == nil {
 			l.log.WithError(err).Warn("compaction put off")
 		}
-		l.pause(compactPause)
+		l.pause(compactionInterval)
 	}
 }
 
@@ -70,38 +70,38 @@
 // A crash between any two of these leaves a log that recovers to the same.
 func (l *Log) compactOnce(ctx context.Context) error {
 	l.mu.Lock()
-	due := l.o.Compaction.due(&l.index) && !l.fenced
+	due := l.options.Compaction.isDue(&l.index) && !l.fenced
 	first, next := l.index.first, l.index.next
 	limit := first + (next-first)/2
-	based := l.index.basedBefore(limit)
-	marks := l.index.adoptionsBefore(limit)
+	programs := l.index.programsBefore(limit)
+	adoptions := l.index.adoptionsBefore(limit)
 	l.mu.Unlock()
 	if !due {
 		return nil
 	}
-	if err := l.copyForward(ctx, based, marks); err != nil {
+	if err := l.copyForward(ctx, programs, adoptions); err != nil {
 		return err
 	}
 	l.mu.Lock()
-	limit = l.index.needed(limit)
+	limit = l.index.oldestNeeded(limit)
 	l.mu.Unlock()
 	if limit <= first {
 		return nil
 	}
-	return l.dropHead(ctx, first, limit)
+	return l.truncateHead(ctx, first, limit)
 }
 
 // copyForward appends a snapshot or tombstone of each program, and the marks.
-func (l *Log) copyForward(ctx context.Context, based map[program.ID]uint64, marks []Record) error {
+func (l *Log) copyForward(ctx context.Context, programs map[program.ID]uint64, adoptions []Record) error {
 	var pending []*request
-	for id, last := range based {
-		r := l.snapshot(id, last)
+	for id, lastSequence := range programs {
+		r := l.queueSnapshot(id, lastSequence)
 		if r != nil {
 			pending = append(pending, r)
 		}
 	}
-	for _, mark := range marks {
-		r := &request{records: []Record{mark}, size: mark.size(), done: make(chan error, 1)}
+	for _, adoption := range adoptions {
+		r := &request{records: []Record{adoption}, size: adoption.size(), outcome: make(chan error, 1)}
 		if err := l.enqueue(r); err != nil {
 			return err
 		}
@@ -109,7 +109,7 @@
 	}
 	for _, r := range pending {
 		select {
-		case err := <-r.done:
+		case err := <-r.outcome:
 			if err != nil {
 				return err
 			}
@@ -123,8 +123,8 @@
 // snapshot queues a snapshot or tombstone of the program, unless a record of
 // it was queued since last was read: the snapshot might not hold that record
 // and would hide it. Such a program is left for the next time.
-func (l *Log) snapshot(id program.ID, last uint64) *request {
-	event, live := l.o.Snapshots.Snapshot(id)
+func (l *Log) queueSnapshot(id program.ID, lastSequence uint64) *request {
+	event, live := l.options.Snapshots.Snapshot(id)
 	record := Record{Program: id, Event: event, Kind: Snapshot}
 	switch {
 	case !live:
@@ -132,11 +132,11 @@
 	case event == nil || record.size() > MaxBatch:
 		return nil
 	}
-	r := &request{records: []Record{record}, size: record.size(), done: make(chan error, 1)}
+	r := &request{records: []Record{record}, size: record.size(), outcome: make(chan error, 1)}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.index.programs[id]
-	if p == nil || p.last != last || l.admit(r) != nil {
+	if p == nil || p.lastSequence != lastSequence || l.admit(r) != nil {
 		return nil
 	}
 	l.push(r)
@@ -144,9 +144,9 @@
 }
 
 // dropHead moves the checkpoint pointer and deletes the entries before it.
-func (l *Log) dropHead(ctx context.Context, first, limit uint64) error {
+func (l *Log) truncateHead(ctx context.Context, first, limit uint64) error {
 	sealed := false
-	err := UpdateCohort(ctx, l.o.Store, l.o.Cohort, func(c *Cohort) bool {
+	err := UpdateCohort(ctx, l.options.Store, l.options.Cohort, func(c *Cohort) bool {
 		sealed = c.Sealing || c.Seal != nil
 		if sealed || c.First >= limit {
 			return false
@@ -158,11 +158,11 @@
 		return err
 	}
 	l.mu.Lock()
-	l.index.dropBefore(limit)
+	l.index.dropEntriesBefore(limit)
 	l.meters.compacted.Inc(int64(limit - first))
 	l.mu.Unlock()
 	l.log.WithFields(log.Fields{"from": first, "to": limit}).Info("log compacted")
-	return DeleteEntries(ctx, l.o.Store, l.o.Cohort, first, limit)
+	return DeleteEntries(ctx, l.options.Store, l.options.Cohort, first, limit)
 }
 
 // DeleteEntries deletes the entries from first up to, not with, limit.
--- a/internal/ledger/compact_test.go
+++ b/internal/ledger/compact_test.go
@@ -15,9 +15,9 @@
 )
 
 // snapshots is a fake of the owner: a program's state is one text.
-type snapshots map[program.ID]string
+type fakeSnapshots map[program.ID]string
 
-func (s snapshots) Snapshot(id program.ID) ([]byte, bool) {
+func (s fakeSnapshots) Snapshot(id program.ID) ([]byte, bool) {
 	state, live := s[id]
 	return []byte(state), live
 }
@@ -30,8 +30,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		living, ended := program.ID(testCohort+":living"), program.ID(testCohort+":ended")
-		states := snapshots{living: "snapshot"}
-		r := newRig(t, func(o *Options) {
+		states := fakeSnapshots{living: "snapshot"}
+		r := newHarness(t, func(o *Options) {
 			o.Snapshots = states
 			o.Compaction = CompactionOptions{MinEntries: 8, MaxEntries: 16}
 		})
@@ -57,7 +57,7 @@
 func TestTornAndMissingEntriesAreNamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		id := program.NewID(testCohort)
 		for i := range 4 {
@@ -86,13 +86,13 @@
 func TestOwnerPausedPastTheDeletionOfItsLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		is.NoErr(r.log.Append(t.Context(), event(program.NewID(testCohort), "x")))
 		cohort := r.seal(t)
 		is.NoErr(DeleteEntries(t.Context(), r.standIn, testCohort, 1, cohort.SealNumber+1))
 		is.NoErr(deleteEntry(t.Context(), r.standIn, CohortKey(testCohort)))
-		time.Sleep(2 * proofAge)
+		time.Sleep(2 * proofMaxAge)
 		err := r.log.Append(t.Context(), event(program.NewID(testCohort), "y"))
 		is.Equal(err, ErrFenced)
 	})
@@ -120,7 +120,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		owner := &appendingOwner{text: "0"}
-		r := newRig(t, func(o *Options) {
+		r := newHarness(t, func(o *Options) {
 			o.Snapshots = owner
 			o.Compaction = CompactionOptions{MinEntries: 4, MaxEntries: 8}
 		})
@@ -144,14 +144,14 @@
 func TestNothingIsHeldBehindTheOwnSeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		r.standIn.SetFaults(standin.StoreFaults{Delay: 3 * time.Second, LateWrites: true})
 		go func() { _, _, _ = r.log.Seal(t.Context(), [program.ShardCount]program.Cohort{}) }()
 		time.Sleep(2500 * time.Millisecond)
 		err := r.log.AppendOrHold(t.Context(), event(program.NewID(testCohort), "turn"))
 		is.True(errors.Is(err, ErrUnavailable))
-		is.Equal(len(r.peers.copies), 0)
+		is.Equal(len(r.holders.copies), 0)
 		r.standIn.SetFaults(standin.StoreFaults{})
 		time.Sleep(10 * time.Second)
 		_, number, fenced := r.log.Fenced()
@@ -167,9 +167,9 @@
 	is := is.New(t)
 	x := newIndex()
 	first, second := Record{Program: "p", Sequence: 1}, Record{Program: "p", Sequence: 2}
-	x.enqueued(first)
-	x.enqueued(second)
-	x.refused(second)
-	x.committed(Entry{Number: 1, Records: []Record{first}}, 100)
-	is.Equal(x.needed(10), uint64(1))
+	x.noteEnqueued(first)
+	x.noteEnqueued(second)
+	x.noteRefused(second)
+	x.noteCommitted(Entry{Number: 1, Records: []Record{first}}, 100)
+	is.Equal(x.oldestNeeded(10), uint64(1))
 }
--- a/internal/ledger/copies.go
+++ b/internal/ledger/copies.go
@@ -13,14 +13,14 @@
 )
 
 // ErrFull says that a holder has no room; nothing was held.
-var ErrFull = errors.New("ledger: no room for held copies")
+var ErrHeldLimit = errors.New("ledger: no room for held copies")
 
 // HeldCopies are the records that this instance holds for other cohorts while
 // the object API is down. They are kept in memory and, where the instance has a
 // data folder, also there, so that they survive its restart.
 type HeldCopies struct {
-	disk  *copyFolder
-	limit int
+	disk     *copyFolder
+	maxBytes int
 
 	mu      sync.Mutex
 	size    int
@@ -29,7 +29,7 @@
 
 // defaultHeldBytes bounds what an instance holds for others: at 62 turns a
 // second and 4 KB each for two peers that is over two minutes for one owner.
-const defaultHeldBytes = 64 << 20
+const defaultMaxHeldBytes = 64 << 20
 
 // OpenHeldCopies returns the copies that this instance holds, with those in
 // the folder, if it is not empty. limit is in bytes; 0 stands for 64 MiB.
@@ -37,9 +37,9 @@
 // comes beside a usable HeldCopies.
 func OpenHeldCopies(folder string, limit int) (*HeldCopies, error) {
 	if limit == 0 {
-		limit = defaultHeldBytes
+		limit = defaultMaxHeldBytes
 	}
-	h := &HeldCopies{limit: limit, cohorts: map[program.Cohort][]Record{}}
+	h := &HeldCopies{maxBytes: limit, cohorts: map[program.Cohort][]Record{}}
 	if folder == "" {
 		return h, nil
 	}
@@ -49,7 +49,7 @@
 	}
 	h.disk = disk
 	for _, c := range copies {
-		h.add(c)
+		h.merge(c)
 	}
 	return h, err
 }
@@ -58,24 +58,24 @@
 func (h *HeldCopies) Hold(c Copy) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.size+sizeOf(c.Records) > h.limit {
-		return ErrFull
+	if h.size+sizeOf(c.Records) > h.maxBytes {
+		return ErrHeldLimit
 	}
 	if h.disk != nil {
 		if err := h.disk.write(c); err != nil {
 			return err
 		}
 	}
-	h.add(c)
+	h.merge(c)
 	return nil
 }
 
 // add merges the copy's records; one that is held already is left out.
-func (h *HeldCopies) add(c Copy) {
+func (h *HeldCopies) merge(c Copy) {
 	for _, r := range c.Records {
 		records := h.cohorts[c.Cohort]
-		at, there := slices.BinarySearchFunc(records, r.Sequence, bySequence)
-		if there {
+		at, exists := slices.BinarySearchFunc(records, r.Sequence, bySequence)
+		if exists {
 			continue
 		}
 		h.cohorts[c.Cohort] = slices.Insert(records, at, r)
@@ -93,18 +93,18 @@
 }
 
 // Parts returns the same cut into parts of the size of an entry.
-func (h *HeldCopies) Parts(c program.Cohort) iter.Seq[Copy] { return copyBatches(h.Held(c)) }
+func (h *HeldCopies) Parts(c program.Cohort) iter.Seq[Copy] { return splitCopy(h.Held(c)) }
 
 // Cohorts returns the cohorts for which something is held.
 func (h *HeldCopies) Cohorts() []program.Cohort {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []program.Cohort
+	var cohorts []program.Cohort
 	for c := range h.cohorts {
-		out = append(out, c)
+		cohorts = append(cohorts, c)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(cohorts)
+	return cohorts
 }
 
 // Release forgets the cohort's records up to and with the sequence.
@@ -133,13 +133,13 @@
 
 // EncodeCopy returns the copy with a checksum, for the wire and the disk.
 func EncodeCopy(c Copy) []byte {
-	return envelop(&ledgerpb.Copy{Cohort: string(c.Cohort), Records: recordsToPB(c.Records)})
+	return encodeEnvelope(&ledgerpb.Copy{Cohort: string(c.Cohort), Records: recordsToPB(c.Records)})
 }
 
 // DecodeCopy reads an encoded copy. Its errors are ErrCorrupt.
 func DecodeCopy(data []byte) (Copy, error) {
 	message := &ledgerpb.Copy{}
-	if err := openEnvelope(data, message); err != nil {
+	if err := decodeEnvelope(data, message); err != nil {
 		return Copy{}, err
 	}
 	records, err := recordsFromPB(message.Records)
--- a/internal/ledger/copyfolder.go
+++ b/internal/ledger/copyfolder.go
@@ -24,8 +24,8 @@
 }
 
 type copyFile struct {
-	name string
-	last uint64
+	name         string
+	lastSequence uint64
 }
 
 // openCopyFolder reads what the folder holds. A torn file is named in the
@@ -48,7 +48,7 @@
 			continue
 		}
 		copies = append(copies, c)
-		f.remember(name, c)
+		f.recordFile(name, c)
 	}
 	if len(torn) > 0 {
 		return f, copies, errors.Wrapf(ErrCorrupt, "held copies %s", strings.Join(torn, ", "))
@@ -64,7 +64,7 @@
 	return DecodeCopy(data)
 }
 
-func (f *copyFolder) remember(name string, c Copy) {
+func (f *copyFolder) recordFile(name string, c Copy) {
 	last := c.Records[len(c.Records)-1].Sequence
 	f.files[c.Cohort] = append(f.files[c.Cohort], copyFile{name, last})
 }
@@ -87,7 +87,7 @@
 	if err := syncFolder(f.path); err != nil {
 		return errors.Wrap(err, "ledger: held copy")
 	}
-	f.remember(name, c)
+	f.recordFile(name, c)
 	return nil
 }
 
@@ -121,7 +121,7 @@
 	var kept []copyFile
 	var failed error
 	for _, file := range f.files[c] {
-		if file.last > upTo {
+		if file.lastSequence > upTo {
 			kept = append(kept, file)
 			continue
 		}
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -60,7 +60,7 @@
 	if e.Seal != nil {
 		message.Seal = sealToPB(e.Seal)
 	}
-	return envelop(message)
+	return encodeEnvelope(message)
 }
 
 // DecodeEntry reads a stored entry and checks that it is the one that belongs
@@ -68,7 +68,7 @@
 func DecodeEntry(value []byte, c program.Cohort, number uint64) (Entry, error) {
 	message := &ledgerpb.Entry{}
 	name := EntryKey(c, number)
-	if err := openEnvelope(value, message); err != nil {
+	if err := decodeEnvelope(value, message); err != nil {
 		return Entry{}, errors.Wrap(err, name.String())
 	}
 	if message.Cohort != string(c) || message.Number != number {
@@ -87,7 +87,7 @@
 }
 
 // envelop encodes a message with its checksum.
-func envelop(message proto.Message) []byte {
+func encodeEnvelope(message proto.Message) []byte {
 	body := mustMarshal(message)
 	return mustMarshal(&ledgerpb.Envelope{Body: body, Checksum: xxhash.Sum64(body)})
 }
@@ -102,7 +102,7 @@
 	return data
 }
 
-func openEnvelope(value []byte, into proto.Message) error {
+func decodeEnvelope(value []byte, into proto.Message) error {
 	envelope := &ledgerpb.Envelope{}
 	if err := proto.Unmarshal(value, envelope); err != nil {
 		return errors.Wrap(ErrCorrupt, "torn: "+err.Error())
@@ -117,7 +117,7 @@
 }
 
 func recordsToPB(records []Record) []*ledgerpb.Record {
-	out := make([]*ledgerpb.Record, 0, len(records))
+	messages := make([]*ledgerpb.Record, 0, len(records))
 	for _, r := range records {
 		message := &ledgerpb.Record{
 			Program: string(r.Program), Sequence: r.Sequence, Event: r.Event,
@@ -126,15 +126,15 @@
 		if r.Adoption != nil {
 			message.Adopted = adoptionToPB(r.Adoption)
 		}
-		out = append(out, message)
+		messages = append(messages, message)
 	}
-	return out
+	return messages
 }
 
 func recordsFromPB(messages []*ledgerpb.Record) ([]Record, error) {
 	records := make([]Record, 0, len(messages))
 	for _, m := range messages {
-		if m.Kind < 0 || m.Kind > ledgerpb.Kind(adopted) || (m.Kind == ledgerpb.Kind(adopted)) != (m.Adopted != nil) {
+		if m.Kind < 0 || m.Kind > ledgerpb.Kind(adoptionMark) || (m.Kind == ledgerpb.Kind(adoptionMark)) != (m.Adopted != nil) {
 			return nil, errors.Wrapf(ErrCorrupt, "record %d has kind %d", m.Sequence, m.Kind)
 		}
 		r := Record{
@@ -189,11 +189,11 @@
 		return nil, errors.Wrapf(ErrCorrupt, "seal maps %d slices", len(m.Slices))
 	}
 	seal := &Seal{By: program.Cohort(m.By), Planned: m.Planned, At: time.UnixMilli(m.AtUnixMs)}
-	for slice, i := range m.Slices {
+	for shard, i := range m.Slices {
 		if int(i) >= len(m.Successors) {
-			return nil, errors.Wrapf(ErrCorrupt, "seal gives slice %d to no successor", slice)
+			return nil, errors.Wrapf(ErrCorrupt, "seal gives slice %d to no successor", shard)
 		}
-		seal.Successors[slice] = program.Cohort(m.Successors[i])
+		seal.Successors[shard] = program.Cohort(m.Successors[i])
 	}
 	return seal, nil
 }
--- a/internal/ledger/entry_test.go
+++ b/internal/ledger/entry_test.go
@@ -28,7 +28,7 @@
 		Records: []Record{
 			{Program: "sul1.a.one:x", Event: []byte("turn"), Sequence: 3},
 			{Program: "sul1.a.one:y", Kind: Tombstone, Sequence: 4},
-			{Kind: adopted, Sequence: 5, Adoption: &Adoption{Cohort: "sul1.z.one", Shard: 9, Ancestors: []program.Cohort{"sul1.q.one"}}},
+			{Kind: adoptionMark, Sequence: 5, Adoption: &Adoption{Cohort: "sul1.z.one", Shard: 9, Ancestors: []program.Cohort{"sul1.q.one"}}},
 		},
 	}
 }
@@ -36,9 +36,9 @@
 // FuzzDecodeEntry: whatever stands in the store, decoding does not panic, and
 // what it accepts is whole: it encodes to an entry that decodes to the same.
 func FuzzDecodeEntry(f *testing.F) {
-	whole := EncodeEntry(sampleEntry())
-	f.Add(whole)
-	f.Add(whole[:len(whole)/2])
+	encoded := EncodeEntry(sampleEntry())
+	f.Add(encoded)
+	f.Add(encoded[:len(encoded)/2])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, value []byte) {
 		entry, err := DecodeEntry(value, testCohort, 7)
@@ -59,37 +59,37 @@
 // cut anywhere are refused, by the entry's name.
 func TestAlteredEntryIsNamed(t *testing.T) {
 	is := is.New(t)
-	whole := EncodeEntry(sampleEntry())
-	for i := range whole {
-		altered := bytes.Clone(whole)
+	encoded := EncodeEntry(sampleEntry())
+	for i := range encoded {
+		altered := bytes.Clone(encoded)
 		altered[i] ^= 1 << (i % 8)
 		_, err := DecodeEntry(altered, testCohort, 7)
 		is.True(errors.Is(err, ErrCorrupt))
-		_, err = DecodeEntry(whole[:i], testCohort, 7)
+		_, err = DecodeEntry(encoded[:i], testCohort, 7)
 		is.True(errors.Is(err, ErrCorrupt))
 		is.True(strings.Contains(err.Error(), "log/sul1.a.one/000000000007"))
 	}
-	_, err := DecodeEntry(whole, testCohort, 8)
+	_, err := DecodeEntry(encoded, testCohort, 8)
 	is.True(errors.Is(err, ErrCorrupt)) // whole, but under another number
 }
 
 // creation is one call of the log's use of the object API: create if absent,
 // or read.
-type creation struct {
+type storeCall struct {
 	write string
 }
 
-type created struct {
+type storeResult struct {
 	value string
 	err   error
 }
 
 // creationModel is the sequential meaning of create-if-absent. A lost answer
 // leaves both outcomes open.
-var creationModel = porcupine.NondeterministicModel{
+var createIfAbsentModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		now, call, result := state.(string), input.(creation), output.(created)
+		now, call, result := state.(string), input.(storeCall), output.(storeResult)
 		switch {
 		case call.write == "" && now == result.value:
 			return []any{now}
@@ -117,11 +117,11 @@
 	standIn := standin.NewStore()
 	standIn.SetFaults(standin.StoreFaults{LoseAnswers: 8, DropWrites: 8, Delay: 100 * time.Microsecond})
 	for number := range uint64(12) {
-		is.True(porcupine.CheckOperations(creationModel.ToModel(), race(t, standIn, EntryKey(testCohort, number+1))))
+		is.True(porcupine.CheckOperations(createIfAbsentModel.ToModel(), raceCreations(t, standIn, EntryKey(testCohort, number+1))))
 	}
 }
 
-func race(t *testing.T, standIn *standin.Store, key store.Key) []porcupine.Operation {
+func raceCreations(t *testing.T, standIn *standin.Store, key store.Key) []porcupine.Operation {
 	var mu sync.Mutex
 	var operations []porcupine.Operation
 	var clients sync.WaitGroup
@@ -132,13 +132,13 @@
 			for i := range 4 {
 				op := porcupine.Operation{ClientId: client, Call: int64(time.Since(started))}
 				if random.IntN(2) == 0 {
-					op.Input = creation{write: fmt.Sprintf("%d/%d", client, i)}
-					_, err := standIn.Put(t.Context(), key, []byte(op.Input.(creation).write), 0)
-					op.Output = created{err: err}
+					op.Input = storeCall{write: fmt.Sprintf("%d/%d", client, i)}
+					_, err := standIn.Put(t.Context(), key, []byte(op.Input.(storeCall).write), 0)
+					op.Output = storeResult{err: err}
 				} else {
-					op.Input = creation{}
+					op.Input = storeCall{}
 					object, _ := standIn.Get(t.Context(), key)
-					op.Output = created{value: string(object.Value)}
+					op.Output = storeResult{value: string(object.Value)}
 				}
 				op.Return = int64(time.Since(started))
 				mu.Lock()
@@ -174,7 +174,7 @@
 	full, err := OpenHeldCopies("", 100)
 	is.NoErr(err)
 	err = full.Hold(Copy{Cohort: testCohort, Records: []Record{{Event: make([]byte, 200)}}})
-	is.True(errors.Is(err, ErrFull))
+	is.True(errors.Is(err, ErrHeldLimit))
 }
 
 // An owner has turns 5 to 7 held again after a death. The call that first gave
--- a/internal/ledger/hold.go
+++ b/internal/ledger/hold.go
@@ -11,8 +11,8 @@
 
 // giveToHolders has peers hold the request's records. Fewer copies than needed
 // leave the outcome open: the records stay queued for the log.
-func (l *Log) giveToHolders(ctx context.Context, r *request) error {
-	n, err := l.o.Holders.Hold(ctx, Copy{Cohort: l.o.Cohort, Records: r.records})
+func (l *Log) replicateToPeers(ctx context.Context, r *request) error {
+	n, err := l.options.Holders.Hold(ctx, Copy{Cohort: l.options.Cohort, Records: r.records})
 	if n >= RequiredCopies {
 		l.meters.held.Inc(int64(len(r.records)))
 		return nil
@@ -24,7 +24,7 @@
 
 // heldCopy returns all held records. The lock is held.
 func (l *Log) heldCopy() Copy {
-	c := Copy{Cohort: l.o.Cohort}
+	c := Copy{Cohort: l.options.Cohort}
 	for _, r := range l.held {
 		c.Records = append(c.Records, r.records...)
 	}
@@ -34,7 +34,7 @@
 // offer gives held records to the successors until they have taken them.
 func (l *Log) offer(seal *Seal, c Copy) {
 	err := store.Retry(l.ctx, func() error {
-		if err := l.o.Successors.Offer(l.ctx, seal, c); err != nil {
+		if err := l.options.Successors.Offer(l.ctx, seal, c); err != nil {
 			l.log.WithError(err).Warn("held records not taken by the successors yet")
 			return store.ErrUnavailable
 		}
@@ -63,8 +63,8 @@
 	if len(c.Records) == 0 {
 		return nil
 	}
-	for batch := range copyBatches(c) {
-		n, err := l.o.Holders.Hold(ctx, batch)
+	for batch := range splitCopy(c) {
+		n, err := l.options.Holders.Hold(ctx, batch)
 		if n < RequiredCopies {
 			return errors.Wrapf(ErrUnsettled, "%d copies held: %v", n, err)
 		}
@@ -73,7 +73,7 @@
 }
 
 // copyBatches cuts a copy into parts of the size of an entry.
-func copyBatches(c Copy) iter.Seq[Copy] {
+func splitCopy(c Copy) iter.Seq[Copy] {
 	return func(yield func(Copy) bool) {
 		part := Copy{Cohort: c.Cohort}
 		size := 0
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -6,38 +6,38 @@
 
 // index knows which entries of the own log are still needed, for compaction.
 type index struct {
-	first uint64
-	next  uint64
-	sizes map[uint64]int
+	first      uint64
+	next       uint64
+	entrySizes map[uint64]int
 	// total and live are the bytes of all entries and of the records needed.
-	total    int
-	live     int
-	programs map[program.ID]*programIndex
+	totalBytes int
+	liveBytes  int
+	programs   map[program.ID]*programIndex
 	// adoptions are the adoption records and the entries that hold them.
-	adoptions []placedAdoption
+	adoptions []adoptionPosition
 }
 
 // programIndex is what compaction knows of one program.
 type programIndex struct {
 	// last is the sequence of the last record that was queued.
-	last uint64
+	lastSequence uint64
 	// base is the entry of the oldest record needed; zero if none is in the log.
-	base uint64
+	oldestEntry uint64
 	// bytes is the size of the records needed.
-	bytes int
+	liveBytes int
 }
 
-type placedAdoption struct {
+type adoptionPosition struct {
 	record Record
 	entry  uint64
 }
 
 func newIndex() index {
-	return index{first: 1, next: 1, sizes: map[uint64]int{}, programs: map[program.ID]*programIndex{}}
+	return index{first: 1, next: 1, entrySizes: map[uint64]int{}, programs: map[program.ID]*programIndex{}}
 }
 
-func (x *index) enqueued(r Record) {
-	if r.Kind == adopted {
+func (x *index) noteEnqueued(r Record) {
+	if r.Kind == adoptionMark {
 		return
 	}
 	p := x.programs[r.Program]
@@ -45,72 +45,72 @@
 		p = &programIndex{}
 		x.programs[r.Program] = p
 	}
-	p.last = r.Sequence
+	p.lastSequence = r.Sequence
 }
 
 // refused forgets a program of which nothing was ever written.
-func (x *index) refused(r Record) {
+func (x *index) noteRefused(r Record) {
 	p := x.programs[r.Program]
-	if p != nil && p.base == 0 && p.last == r.Sequence {
+	if p != nil && p.oldestEntry == 0 && p.lastSequence == r.Sequence {
 		delete(x.programs, r.Program)
 	}
 }
 
-func (x *index) committed(e Entry, size int) {
+func (x *index) noteCommitted(e Entry, size int) {
 	x.next = e.Number + 1
-	x.sizes[e.Number] = size
-	x.total += size
+	x.entrySizes[e.Number] = size
+	x.totalBytes += size
 	for _, r := range e.Records {
-		x.place(r, e.Number)
+		x.addRecord(r, e.Number)
 	}
 }
 
-func (x *index) place(r Record, entry uint64) {
-	if r.Kind == adopted {
-		x.placeAdoption(r, entry)
+func (x *index) addRecord(r Record, entry uint64) {
+	if r.Kind == adoptionMark {
+		x.addAdoption(r, entry)
 		return
 	}
 	p := x.programs[r.Program]
 	if p == nil {
 		// A later record of it was refused and took its place in the index along.
-		p = &programIndex{last: r.Sequence}
+		p = &programIndex{lastSequence: r.Sequence}
 		x.programs[r.Program] = p
 	}
 	switch {
 	case r.Kind == Tombstone:
-		x.live -= p.bytes
-		p.base, p.bytes = 0, 0
-		if p.last == r.Sequence {
+		x.liveBytes -= p.liveBytes
+		p.oldestEntry, p.liveBytes = 0, 0
+		if p.lastSequence == r.Sequence {
 			delete(x.programs, r.Program)
 		}
 		return
 	case r.Kind == Snapshot:
-		x.live -= p.bytes
-		p.base, p.bytes = entry, 0
-	case p.base == 0:
-		p.base = entry
+		x.liveBytes -= p.liveBytes
+		p.oldestEntry, p.liveBytes = entry, 0
+	case p.oldestEntry == 0:
+		p.oldestEntry = entry
 	}
-	p.bytes += r.size()
-	x.live += r.size()
+	p.liveBytes += r.size()
+	x.liveBytes += r.size()
 }
 
-func (x *index) placeAdoption(r Record, entry uint64) {
+func (x *index) addAdoption(r Record, entry uint64) {
 	for i, a := range x.adoptions {
 		if a.record.Adoption.Cohort == r.Adoption.Cohort && a.record.Adoption.Shard == r.Adoption.Shard {
-			x.adoptions[i] = placedAdoption{r, entry}
+			x.adoptions[i] = adoptionPosition{r, entry}
 			return
 		}
 	}
-	x.adoptions = append(x.adoptions, placedAdoption{r, entry})
+	x.adoptions = append(x.adoptions, adoptionPosition{r, entry})
 }
 
 // basedBefore returns the programs that need an entry before the number, and
 // the last sequence queued for each.
-func (x *index) basedBefore(number uint64) map[program.ID]uint64 {
+func (x *index) programsBefore(number uint64) map[program.ID]uint64 {
 	found := map[program.ID]uint64{}
 	for id, p := range x.programs {
-		if p.base != 0 && p.base < number {
-			found[id] = p.last
+		if p.oldestEntry != 0 && p.oldestEntry < number {
+			found[id] = p.lastSequence
 		}
 	}
 	return found
@@ -128,10 +128,10 @@
 }
 
 // needed returns the oldest entry that something needs, but at most limit.
-func (x *index) needed(limit uint64) uint64 {
+func (x *index) oldestNeeded(limit uint64) uint64 {
 	for _, p := range x.programs {
-		if p.base != 0 {
-			limit = min(limit, p.base)
+		if p.oldestEntry != 0 {
+			limit = min(limit, p.oldestEntry)
 		}
 	}
 	for _, a := range x.adoptions {
@@ -141,9 +141,9 @@
 }
 
 // dropBefore forgets the entries before the number.
-func (x *index) dropBefore(number uint64) {
+func (x *index) dropEntriesBefore(number uint64) {
 	for ; x.first < number; x.first++ {
-		x.total -= x.sizes[x.first]
-		delete(x.sizes, x.first)
+		x.totalBytes -= x.entrySizes[x.first]
+		delete(x.entrySizes, x.first)
 	}
 }
--- a/internal/ledger/log.go
+++ b/internal/ledger/log.go
@@ -15,22 +15,22 @@
 // Log is the log of this incarnation's cohort. One goroutine writes it, one
 // entry at a time, each with the records of all callers that came meanwhile.
 type Log struct {
-	o      Options
-	log    log.Interface
-	pace   *rate.Limiter
-	meters meters
+	options Options
+	log     log.Interface
+	limiter *rate.Limiter
+	meters  meters
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   chan struct{}
-	wake   chan struct{}
+	ctx          context.Context
+	cancel       context.CancelFunc
+	done         chan struct{}
+	appenderWake chan struct{}
 	// compact wakes the compaction after a commit.
-	compact chan struct{}
-	extra   sync.WaitGroup
+	compactWake chan struct{}
+	background  sync.WaitGroup
 
 	// Only the appender uses these.
 	next  uint64
-	proof proof
+	proof existenceProof
 
 	mu       sync.Mutex
 	sequence uint64
@@ -70,14 +70,14 @@
 	records []Record
 	seal    *Seal
 	size    int
-	hold    bool
+	mayHold bool
 	isHeld  bool
 	state   requestState
-	done    chan error
+	outcome chan error
 }
 
 // errHold tells a caller of AppendOrHold to give its records to the holders.
-var errHold = errors.New("ledger: hold")
+var errHoldByPeers = errors.New("ledger: hold")
 
 // Open starts the log of a new cohort. The cohort's object is created in the
 // background, so that an instance starts while the object API is down; until
@@ -88,36 +88,36 @@
 		return nil, errors.New("ledger: cohort and store are required")
 	}
 	l := &Log{
-		o:       o,
-		log:     o.Logger.WithField("cohort", string(o.Cohort)),
-		pace:    rate.NewLimiter(rate.Limit(o.Writes), max(1, int(o.Writes/paceBurstShare))),
-		meters:  newMeters(o.Registry),
-		done:    make(chan struct{}),
-		wake:    make(chan struct{}, 1),
-		compact: make(chan struct{}, 1),
-		next:    1,
-		index:   newIndex(),
+		options:      o,
+		log:          o.Logger.WithField("cohort", string(o.Cohort)),
+		limiter:      rate.NewLimiter(rate.Limit(o.Writes), max(1, int(o.Writes/burstDivisor))),
+		meters:       newMeters(o.Registry),
+		done:         make(chan struct{}),
+		appenderWake: make(chan struct{}, 1),
+		compactWake:  make(chan struct{}, 1),
+		next:         1,
+		index:        newIndex(),
 	}
 	l.ctx, l.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	go l.run()
 	if o.Snapshots != nil {
-		l.extra.Go(l.compactLoop)
+		l.background.Go(l.compactLoop)
 	}
 	return l, nil
 }
 
 // paceBurstShare is the part of a second whose writes may come in a burst, so
 // that a lone append after a quiet time doesn't wait.
-const paceBurstShare = 4
+const burstDivisor = 4
 
 // Cohort returns the cohort whose log this is.
-func (l *Log) Cohort() program.Cohort { return l.o.Cohort }
+func (l *Log) Cohort() program.Cohort { return l.options.Cohort }
 
 // Available reports whether an append would be tried now.
 func (l *Log) Available() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.created && !l.fenced && !l.closed && !l.suspended && !l.o.Store.Down()
+	return l.created && !l.fenced && !l.closed && !l.suspended && !l.options.Store.Down()
 }
 
 // Created reports whether the cohort's object was made. Until then others know
@@ -134,7 +134,7 @@
 func (l *Log) Holding() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.held) > 0 || l.suspended || l.o.Store.Down()
+	return len(l.held) > 0 || l.suspended || l.options.Store.Down()
 }
 
 // Fenced reports whether the log is sealed, and the seal and its number where
@@ -158,19 +158,19 @@
 // offered to the successor if a seal came first. It suits turns of history; a
 // record that something is sent on needs Append.
 func (l *Log) AppendOrHold(ctx context.Context, records ...Record) error {
-	r := &request{records: records, hold: l.o.Holders != nil}
+	r := &request{records: records, mayHold: l.options.Holders != nil}
 	err := l.submit(ctx, r)
-	if !errors.Is(err, errHold) {
+	if !errors.Is(err, errHoldByPeers) {
 		return err
 	}
-	return l.giveToHolders(ctx, r)
+	return l.replicateToPeers(ctx, r)
 }
 
 // Seal ends the log at a planned stop, after everything that was appended
 // before, and hands its slices to the successors named. It returns the seal
 // and its number. The errors are those of Append.
 func (l *Log) Seal(ctx context.Context, successors [program.ShardCount]program.Cohort) (*Seal, uint64, error) {
-	r := &request{seal: &Seal{By: l.o.Cohort, Planned: true, At: time.Now(), Successors: successors}}
+	r := &request{seal: &Seal{By: l.options.Cohort, Planned: true, At: time.Now(), Successors: successors}}
 	if err := l.submit(ctx, r); err != nil {
 		return nil, 0, err
 	}
@@ -184,7 +184,7 @@
 func (l *Log) Close() {
 	l.cancel()
 	<-l.done
-	l.extra.Wait()
+	l.background.Wait()
 }
 
 // submit queues the request and waits for its outcome or the end of ctx.
@@ -196,12 +196,12 @@
 	if err := ctx.Err(); err != nil {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
-	r.done = make(chan error, 1)
+	r.outcome = make(chan error, 1)
 	if err := l.enqueue(r); err != nil {
 		return err
 	}
 	select {
-	case err := <-r.done:
+	case err := <-r.outcome:
 		return err
 	case <-ctx.Done():
 		return l.abandon(ctx, r)
@@ -213,14 +213,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	err := l.admit(r)
-	if err != nil && !errors.Is(err, errHold) {
+	if err != nil && !errors.Is(err, errHoldByPeers) {
 		return err
 	}
 	if err != nil {
 		// Held records are written first. What was queued before has lower
 		// sequences: written after them and held again in the next outage, its
 		// copies would be taken for records that the log has, and be lost.
-		l.refuseQueued()
+		l.refuseQueueLocked()
 	}
 	l.push(r)
 	return err
@@ -230,19 +230,19 @@
 // record that can't be held is refused here: waiting would only bring the same
 // answer later. The lock is held.
 func (l *Log) admit(r *request) error {
-	down := l.suspended || l.o.Store.Down()
+	down := l.suspended || l.options.Store.Down()
 	switch {
 	case l.closed:
 		return ErrClosed
 	case l.fenced:
 		return ErrFenced
-	case l.pending+r.size > l.o.MaxPending:
+	case l.pending+r.size > l.options.MaxPending:
 		return errors.Wrap(ErrUnavailable, "too much is pending")
 	case l.sealing:
 		return errors.Wrap(ErrUnavailable, "the log is being sealed")
-	case down && r.hold:
+	case down && r.mayHold:
 		r.isHeld, r.state = true, finished
-		return errHold
+		return errHoldByPeers
 	case down:
 		return ErrUnavailable
 	}
@@ -251,7 +251,7 @@
 
 // push numbers and queues an admitted request. The lock is held.
 func (l *Log) push(r *request) {
-	l.number(r)
+	l.assignSequences(r)
 	l.sealing = l.sealing || r.seal != nil
 	l.pending += r.size
 	if r.isHeld {
@@ -259,24 +259,24 @@
 	} else {
 		l.queue = append(l.queue, r)
 	}
-	l.signal()
+	l.wakeAppender()
 }
 
 // number gives the records their sequences. The slice is copied since callers
 // may reuse theirs.
-func (l *Log) number(r *request) {
+func (l *Log) assignSequences(r *request) {
 	r.records = append([]Record(nil), r.records...)
 	for i := range r.records {
 		l.sequence++
 		r.records[i].Sequence = l.sequence
-		l.index.enqueued(r.records[i])
+		l.index.noteEnqueued(r.records[i])
 	}
 }
 
-func (l *Log) signal() { poke(l.wake) }
+func (l *Log) wakeAppender() { trySignal(l.appenderWake) }
 
 // poke wakes the goroutine that waits on a channel of one place.
-func poke(wake chan<- struct{}) {
+func trySignal(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
 	default:
@@ -290,7 +290,7 @@
 	defer l.mu.Unlock()
 	switch r.state {
 	case finished:
-		return <-r.done
+		return <-r.outcome
 	case writing:
 		r.state = finished
 		l.meters.unsettled.Inc(1)
@@ -302,16 +302,16 @@
 			break
 		}
 	}
-	l.forget(r)
+	l.discard(r)
 	r.state = finished
 	return errors.Wrap(ErrUnavailable, ctx.Err().Error())
 }
 
 // finish tells the caller, unless it was told before. The lock is held.
-func (r *request) finish(err error) {
+func (r *request) complete(err error) {
 	if r.state == finished {
 		return
 	}
 	r.state = finished
-	r.done <- err
+	r.outcome <- err
 }
--- a/internal/ledger/log_test.go
+++ b/internal/ledger/log_test.go
@@ -17,33 +17,33 @@
 )
 
 // peers is a fake of the peers that hold copies.
-type peers struct {
+type fakeHolders struct {
 	mu       sync.Mutex
 	copies   []Copy
 	confirm  int
 	released uint64
 }
 
-func (p *peers) Hold(_ context.Context, c Copy) (int, error) {
+func (p *fakeHolders) Hold(_ context.Context, c Copy) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.copies = append(p.copies, c)
 	return p.confirm, nil
 }
 
-func (p *peers) Release(_ context.Context, _ program.Cohort, upTo uint64) {
+func (p *fakeHolders) Release(_ context.Context, _ program.Cohort, upTo uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.released = max(p.released, upTo)
 }
 
 // offers is a fake of the successors.
-type offers struct {
+type fakeSuccessors struct {
 	mu    sync.Mutex
 	taken []Record
 }
 
-func (o *offers) Offer(_ context.Context, _ *Seal, c Copy) error {
+func (o *fakeSuccessors) Offer(_ context.Context, _ *Seal, c Copy) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.taken = append(o.taken, c.Records...)
@@ -52,20 +52,20 @@
 
 const testCohort = program.Cohort("sul1.a.one")
 
-type rig struct {
-	standIn *standin.Store
-	tracked *store.Tracked
-	log     *Log
-	peers   *peers
-	offers  *offers
+type harness struct {
+	standIn    *standin.Store
+	tracked    *store.Tracked
+	log        *Log
+	holders    *fakeHolders
+	successors *fakeSuccessors
 }
 
 // newRig opens a log over a stand-in store. It must be called in a synctest bubble.
-func newRig(t *testing.T, change func(*Options)) *rig {
+func newHarness(t *testing.T, change func(*Options)) *harness {
 	t.Helper()
-	r := &rig{standIn: standin.NewStore(), peers: &peers{confirm: RequiredCopies}, offers: &offers{}}
+	r := &harness{standIn: standin.NewStore(), holders: &fakeHolders{confirm: RequiredCopies}, successors: &fakeSuccessors{}}
 	r.tracked = store.Track(r.standIn, nil)
-	o := Options{Cohort: testCohort, Store: r.tracked, Holders: r.peers, Successors: r.offers, Writes: 1000}
+	o := Options{Cohort: testCohort, Store: r.tracked, Holders: r.holders, Successors: r.successors, Writes: 1000}
 	if change != nil {
 		change(&o)
 	}
@@ -78,12 +78,12 @@
 	return r
 }
 
-func (r *rig) close() {
+func (r *harness) close() {
 	r.log.Close()
 	r.tracked.Close()
 }
 
-func (r *rig) seal(t *testing.T) Cohort {
+func (r *harness) seal(t *testing.T) Cohort {
 	t.Helper()
 	cohort, err := SealLog(t.Context(), r.standIn, testCohort, Seal{By: "sul1.b.one", At: time.Now()})
 	if err != nil {
@@ -93,7 +93,7 @@
 }
 
 // recover reads the log as a successor does.
-func (r *rig) recover(t *testing.T) *History {
+func (r *harness) recover(t *testing.T) *History {
 	t.Helper()
 	cohort, err := ReadCohort(t.Context(), r.standIn, testCohort)
 	if err != nil {
@@ -122,7 +122,7 @@
 func TestIntentAnswerLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		id := program.NewID(testCohort)
 		r.standIn.SetFaults(standin.StoreFaults{LoseAnswers: 1})
@@ -140,7 +140,7 @@
 func TestPausedOwnerIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		id := program.NewID(testCohort)
 		is.NoErr(r.log.Append(t.Context(), event(id, "before")))
@@ -160,7 +160,7 @@
 func TestStoreDownForTheWholeStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		id := program.NewID(testCohort)
 		r.standIn.SetFaults(standin.StoreFaults{Down: true})
@@ -170,7 +170,7 @@
 		is.Equal(time.Since(started), time.Duration(0))
 		is.NoErr(r.log.AppendOrHold(t.Context(), event(id, "turn 1")))
 		is.NoErr(r.log.AppendOrHold(t.Context(), event(id, "turn 2")))
-		is.Equal(len(r.peers.copies), 2)
+		is.Equal(len(r.holders.copies), 2)
 		r.standIn.SetFaults(standin.StoreFaults{})
 		time.Sleep(10 * time.Second)
 		is.True(r.log.Available())
@@ -178,7 +178,7 @@
 		h := r.recover(t)
 		is.Equal(texts(h.Programs[id]), []string{"turn 1", "turn 2", "turn 3"})
 		synctest.Wait()
-		is.Equal(r.peers.released, h.Programs[id][1].Sequence)
+		is.Equal(r.holders.released, h.Programs[id][1].Sequence)
 	})
 }
 
@@ -188,7 +188,7 @@
 func TestUnsettledUntilTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		id := program.NewID(testCohort)
 		r.standIn.SetFaults(standin.StoreFaults{Delay: time.Second, LoseAnswers: 1})
@@ -213,7 +213,7 @@
 func TestHeldTurnsAreOfferedAfterASeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		id := program.NewID(testCohort)
 		r.standIn.SetFaults(standin.StoreFaults{Down: true})
@@ -223,7 +223,7 @@
 		r.seal(t)
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		is.Equal(texts(r.offers.taken), []string{"turn", "turn 2"})
+		is.Equal(texts(r.successors.taken), []string{"turn", "turn 2"})
 		is.True(errors.Is(r.log.Append(t.Context(), event(id, "x")), ErrFenced))
 	})
 }
@@ -235,7 +235,7 @@
 func TestSealFoundThatWasNotRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		is.NoErr(r.log.Append(t.Context(), event(program.NewID(testCohort), "x")))
 		var successors [program.ShardCount]program.Cohort
@@ -249,12 +249,12 @@
 }
 
 // blinking is a store that is known to be down for a moment.
-type blinking struct {
+type flickeringStore struct {
 	Store
 	down atomic.Bool
 }
 
-func (b *blinking) Down() bool { return b.down.Load() }
+func (b *flickeringStore) Down() bool { return b.down.Load() }
 
 // Turns 2 and 3 wait for their entry when the object API is down for a moment:
 // turn 4 is held by peers, and all are told to be durable. Written first, turn 4
@@ -263,9 +263,9 @@
 func TestHeldTurnDoesNotOvertakeQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var blip *blinking
-		r := newRig(t, func(o *Options) {
-			blip = &blinking{Store: o.Store}
+		var blip *flickeringStore
+		r := newHarness(t, func(o *Options) {
+			blip = &flickeringStore{Store: o.Store}
 			o.Store, o.Writes = blip, 1
 		})
 		defer r.close()
@@ -285,12 +285,12 @@
 }
 
 // shaky is a store that fails the first reads of entries.
-type shaky struct {
+type failingReads struct {
 	store.Client
 	failures int
 }
 
-func (s *shaky) Get(ctx context.Context, key store.Key) (store.Object, error) {
+func (s *failingReads) Get(ctx context.Context, key store.Key) (store.Object, error) {
 	if key.Kind != KindCohort && s.failures > 0 {
 		s.failures--
 		return store.Object{}, store.ErrUnavailable
@@ -304,10 +304,10 @@
 func TestSealSurvivesABlip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		is.NoErr(r.log.Append(t.Context(), event(program.NewID(testCohort), "1")))
-		sealed, err := SealLog(t.Context(), &shaky{r.standIn, 2}, testCohort, Seal{By: "sul1.b.one"})
+		sealed, err := SealLog(t.Context(), &failingReads{r.standIn, 2}, testCohort, Seal{By: "sul1.b.one"})
 		is.NoErr(err)
 		is.Equal(sealed.SealNumber, uint64(2))
 	})
--- a/internal/ledger/meters.go
+++ b/internal/ledger/meters.go
@@ -6,14 +6,14 @@
 
 // meters are the log's metrics. docs/operations/ledger.md tells what each means.
 type meters struct {
-	entries metrics.Counter
-	records metrics.Counter
-	bytes   metrics.Counter
-	batch   metrics.Histogram
+	entries      metrics.Counter
+	records      metrics.Counter
+	bytes        metrics.Counter
+	batchRecords metrics.Histogram
 	// writes is in microseconds. It is a histogram since a metrics.Timer keeps
 	// a goroutine for its rates that never ends.
-	writes    metrics.Histogram
-	settles   metrics.Counter
+	writeTime metrics.Histogram
+	readBacks metrics.Counter
 	refused   metrics.Counter
 	unsettled metrics.Counter
 	held      metrics.Counter
@@ -21,26 +21,26 @@
 }
 
 // batchSample is the number of values that a histogram keeps.
-const batchSample = 1028
+const histogramSamples = 1028
 
 func newMeters(r metrics.Registry) meters {
 	return meters{
-		entries:   metrics.GetOrRegisterCounter("ledger.entries", r),
-		records:   metrics.GetOrRegisterCounter("ledger.records", r),
-		bytes:     metrics.GetOrRegisterCounter("ledger.bytes", r),
-		batch:     metrics.GetOrRegisterHistogram("ledger.batch", r, metrics.NewUniformSample(batchSample)),
-		writes:    metrics.GetOrRegisterHistogram("ledger.write.us", r, metrics.NewUniformSample(batchSample)),
-		settles:   metrics.GetOrRegisterCounter("ledger.settled", r),
-		refused:   metrics.GetOrRegisterCounter("ledger.refused", r),
-		unsettled: metrics.GetOrRegisterCounter("ledger.unsettled", r),
-		held:      metrics.GetOrRegisterCounter("ledger.held", r),
-		compacted: metrics.GetOrRegisterCounter("ledger.compacted", r),
+		entries:      metrics.GetOrRegisterCounter("ledger.entries", r),
+		records:      metrics.GetOrRegisterCounter("ledger.records", r),
+		bytes:        metrics.GetOrRegisterCounter("ledger.bytes", r),
+		batchRecords: metrics.GetOrRegisterHistogram("ledger.batch", r, metrics.NewUniformSample(histogramSamples)),
+		writeTime:    metrics.GetOrRegisterHistogram("ledger.write.us", r, metrics.NewUniformSample(histogramSamples)),
+		readBacks:    metrics.GetOrRegisterCounter("ledger.settled", r),
+		refused:      metrics.GetOrRegisterCounter("ledger.refused", r),
+		unsettled:    metrics.GetOrRegisterCounter("ledger.unsettled", r),
+		held:         metrics.GetOrRegisterCounter("ledger.held", r),
+		compacted:    metrics.GetOrRegisterCounter("ledger.compacted", r),
 	}
 }
 
-func (m *meters) commit(b *batch) {
+func (m *meters) countCommit(b *batch) {
 	m.entries.Inc(1)
 	m.records.Inc(int64(len(b.entry.Records)))
 	m.bytes.Inc(int64(len(b.value)))
-	m.batch.Update(int64(len(b.entry.Records)))
+	m.batchRecords.Update(int64(len(b.entry.Records)))
 }
--- a/internal/ledger/read.go
+++ b/internal/ledger/read.go
@@ -13,11 +13,11 @@
 
 // readAhead is the number of entries read at the same time. It bounds the
 // memory of a recovery to readAhead values.
-const readAhead = 16
+const readWindowSize = 16
 
 // missingRetries is how often an entry that must be there is read again
 // before it counts as missing: the store may answer from an older state.
-const missingRetries = 5
+const absentRetries = 5
 
 // History is what a log holds.
 type History struct {
@@ -49,12 +49,12 @@
 // at entries that were deleted since, and the log would look empty.
 func Recover(ctx context.Context, client store.Client, c Cohort, keep func(program.ID) bool) (*History, error) {
 	h := &History{Cohort: c, Programs: map[program.ID][]Record{}}
-	for from := c.First; ; from += readAhead {
+	for from := c.First; ; from += readWindowSize {
 		window, err := readWindow(ctx, client, c, from)
 		if err != nil {
 			return nil, err
 		}
-		if !h.take(window, keep) {
+		if !h.addWindow(window, keep) {
 			return h, nil
 		}
 	}
@@ -70,14 +70,14 @@
 }
 
 // slot is the outcome of reading one number.
-type slot struct {
+type entryRead struct {
 	entry  Entry
 	absent bool
 	fault  error
 }
 
-func readWindow(ctx context.Context, client store.Client, c Cohort, from uint64) ([]slot, error) {
-	window := make([]slot, readAhead)
+func readWindow(ctx context.Context, client store.Client, c Cohort, from uint64) ([]entryRead, error) {
+	window := make([]entryRead, readWindowSize)
 	group, ctx := errgroup.WithContext(ctx)
 	for i := range window {
 		number := from + uint64(i)
@@ -87,7 +87,7 @@
 		}
 		group.Go(func() error {
 			var err error
-			window[i], err = readSlot(ctx, client, c, number)
+			window[i], err = readEntry(ctx, client, c, number)
 			return err
 		})
 	}
@@ -96,26 +96,26 @@
 
 // readSlot reads one number. In a log known to be sealed no number below the
 // seal may be absent; one that stays absent is a fault.
-func readSlot(ctx context.Context, client store.Client, c Cohort, number uint64) (slot, error) {
+func readEntry(ctx context.Context, client store.Client, c Cohort, number uint64) (entryRead, error) {
 	key := EntryKey(c.Cohort, number)
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		object, err := client.Get(ctx, key)
-		if errors.Is(err, store.ErrNotFound) && c.Seal != nil && try < missingRetries {
-			time.Sleep(repeatWait)
+		if errors.Is(err, store.ErrNotFound) && c.Seal != nil && attempt < absentRetries {
+			time.Sleep(retryDelay)
 			continue
 		}
 		if errors.Is(err, store.ErrNotFound) {
-			return slot{absent: true, fault: missing(c, number)}, nil
+			return entryRead{absent: true, fault: missingFault(c, number)}, nil
 		}
 		if err != nil {
-			return slot{}, errors.Wrap(err, key.String())
+			return entryRead{}, errors.Wrap(err, key.String())
 		}
 		entry, err := DecodeEntry(object.Value, c.Cohort, number)
-		return slot{entry: entry, fault: err}, nil
+		return entryRead{entry: entry, fault: err}, nil
 	}
 }
 
-func missing(c Cohort, number uint64) error {
+func missingFault(c Cohort, number uint64) error {
 	if c.Seal == nil || number > c.SealNumber {
 		return nil
 	}
@@ -123,7 +123,7 @@
 }
 
 // take adds a window to the history and reports whether the log goes on after it.
-func (h *History) take(window []slot, keep func(program.ID) bool) bool {
+func (h *History) addWindow(window []entryRead, keep func(program.ID) bool) bool {
 	for _, s := range window {
 		if s.fault != nil {
 			h.Faults = append(h.Faults, s.fault)
@@ -147,14 +147,14 @@
 // apply adds one record.
 func (h *History) apply(r Record, keep func(program.ID) bool) {
 	h.Sequence = max(h.Sequence, r.Sequence)
-	if r.Kind == adopted {
+	if r.Kind == adoptionMark {
 		h.Adoptions = append(h.Adoptions, *r.Adoption)
 		return
 	}
 	if keep != nil && !keep(r.Program) {
 		return
 	}
-	if before := h.Programs[r.Program]; len(before) > 0 && before[0].Kind == Tombstone {
+	if earlier := h.Programs[r.Program]; len(earlier) > 0 && earlier[0].Kind == Tombstone {
 		return
 	}
 	if r.Kind == Event {
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -63,7 +63,7 @@
 	// the program.
 	Tombstone
 	// adopted ends the adoption of a slice; it belongs to no program.
-	adopted
+	adoptionMark
 )
 
 // Record is one event of one program, or a snapshot or tombstone of it.
@@ -90,7 +90,7 @@
 }
 
 // AdoptionRecord returns the record that ends the adoption a.
-func AdoptionRecord(a Adoption) Record { return Record{Kind: adopted, Adoption: &a} }
+func AdoptionRecord(a Adoption) Record { return Record{Kind: adoptionMark, Adoption: &a} }
 
 // size bounds the encoded size in bytes.
 func (r Record) size() int {
--- a/internal/ledger/refuse.go
+++ b/internal/ledger/refuse.go
@@ -1,11 +1,11 @@
 package ledger
 
 // refuse tells the callers of a batch that was surely not written.
-func (l *Log) refuse(b *batch) {
+func (l *Log) refuseBatch(b *batch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range b.requests {
-		l.refuseOne(r)
+		l.refuseRequest(r)
 	}
 }
 
@@ -13,29 +13,29 @@
 func (l *Log) refuseQueue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.refuseQueued()
+	l.refuseQueueLocked()
 }
 
 // refuseQueued is refuseQueue for who has the lock.
-func (l *Log) refuseQueued() {
+func (l *Log) refuseQueueLocked() {
 	for _, r := range l.queue {
-		l.refuseOne(r)
+		l.refuseRequest(r)
 	}
 	l.queue = nil
 }
 
 // refuseOne refuses a request, or turns it into a held one. The lock is held.
-func (l *Log) refuseOne(r *request) {
+func (l *Log) refuseRequest(r *request) {
 	if r.isHeld {
 		return
 	}
-	if r.hold && r.state != finished {
-		l.detach(r)
+	if r.mayHold && r.state != finished {
+		l.moveToHeld(r)
 		return
 	}
-	l.forget(r)
+	l.discard(r)
 	l.meters.refused.Inc(1)
-	r.finish(ErrUnavailable)
+	r.complete(ErrUnavailable)
 }
 
 // suspend is called while a written batch can't be settled: callers that may
@@ -45,8 +45,8 @@
 	l.mu.Lock()
 	l.suspended = true
 	for _, r := range b.requests {
-		if r.hold && !r.isHeld && r.state != finished {
-			l.detach(r)
+		if r.mayHold && !r.isHeld && r.state != finished {
+			l.moveToHeld(r)
 		}
 	}
 	l.mu.Unlock()
@@ -55,23 +55,23 @@
 
 // forget takes a request out of the accounts that was surely not written. The
 // lock is held.
-func (l *Log) forget(r *request) {
+func (l *Log) discard(r *request) {
 	l.pending -= r.size
 	if r.seal != nil {
 		l.sealing = false
 	}
 	for _, record := range r.records {
-		l.index.refused(record)
+		l.index.noteRefused(record)
 	}
 }
 
 // detach makes a request a held one, in the order of sequences. The lock is held.
-func (l *Log) detach(r *request) {
+func (l *Log) moveToHeld(r *request) {
 	r.isHeld = true
 	at := len(l.held)
 	for at > 0 && l.held[at-1].records[0].Sequence > r.records[0].Sequence {
 		at--
 	}
 	l.held = append(l.held[:at:at], append([]*request{r}, l.held[at:]...)...)
-	r.finish(errHold)
+	r.complete(errHoldByPeers)
 }
--- a/internal/ledger/seal.go
+++ b/internal/ledger/seal.go
@@ -28,12 +28,12 @@
 	// live to record, and a second seal after it would name other successors.
 	entry := Entry{Cohort: c, Number: max(number-1, cohort.First), WriteID: newWriteID(), Seal: &seal}
 	for {
-		standing, err := sealAt(ctx, client, entry)
+		existing, err := sealAt(ctx, client, entry)
 		if err != nil {
 			return Cohort{}, err
 		}
-		if standing != nil {
-			return RecordSeal(ctx, client, c, standing, entry.Number)
+		if existing != nil {
+			return RecordSeal(ctx, client, c, existing, entry.Number)
 		}
 		entry.Number++
 	}
@@ -71,11 +71,11 @@
 func sealAt(ctx context.Context, client store.Client, entry Entry) (*Seal, error) {
 	key := EntryKey(entry.Cohort, entry.Number)
 	value := EncodeEntry(entry)
-	var standing *Seal
+	var found *Seal
 	err := store.Retry(ctx, func() error {
 		_, err := client.Put(ctx, key, value, 0)
 		if err == nil {
-			standing = entry.Seal
+			found = entry.Seal
 			return nil
 		}
 		if !errors.Is(err, store.ErrConflict) {
@@ -89,11 +89,11 @@
 		if err != nil {
 			return err
 		}
-		existing, _ := DecodeEntry(object.Value, entry.Cohort, entry.Number)
-		standing = existing.Seal
+		decoded, _ := DecodeEntry(object.Value, entry.Cohort, entry.Number)
+		found = decoded.Seal
 		return nil
 	})
-	return standing, errors.Wrap(err, key.String())
+	return found, errors.Wrap(err, key.String())
 }
 
 // findEnd returns the number after the last entry that it can see. The log has
@@ -103,11 +103,11 @@
 	step := uint64(1)
 	low := c.First
 	for {
-		there, err := entryExists(ctx, client, c.Cohort, c.First+step-1)
+		exists, err := entryExists(ctx, client, c.Cohort, c.First+step-1)
 		if err != nil {
 			return 0, err
 		}
-		if !there {
+		if !exists {
 			break
 		}
 		low = c.First + step
@@ -116,11 +116,11 @@
 	var failed error
 	span := int(c.First + step - 1 - low)
 	offset := sort.Search(span, func(i int) bool {
-		there, err := entryExists(ctx, client, c.Cohort, low+uint64(i))
+		exists, err := entryExists(ctx, client, c.Cohort, low+uint64(i))
 		if err != nil {
 			failed = err
 		}
-		return !there
+		return !exists
 	})
 	return low + uint64(offset), failed
 }
@@ -129,14 +129,14 @@
 // log marked as about to be sealed, which stops the compaction of its owner.
 func entryExists(ctx context.Context, client store.Client, c program.Cohort, number uint64) (bool, error) {
 	key := EntryKey(c, number)
-	there := false
+	exists := false
 	err := store.Retry(ctx, func() error {
 		_, err := client.Get(ctx, key)
-		there = err == nil
+		exists = err == nil
 		if errors.Is(err, store.ErrNotFound) {
 			return nil
 		}
 		return err
 	})
-	return there, errors.Wrap(err, key.String())
+	return exists, errors.Wrap(err, key.String())
 }
