--- a/internal/ownership/adopt.go
+++ b/internal/ownership/adopt.go
@@ -15,7 +15,7 @@
 
 // minUnasked is the number of instances that could not be asked from which on
 // both copies of a turn may be lost: ledger.CopiesNeeded of them.
-const minUnasked = ledger.RequiredCopies
+const minUnreachedHolders = ledger.RequiredCopies
 
 // deathMargin is how long before its known death an owner may have been cut
 // off from the object API and relied on peers' copies.
@@ -23,17 +23,17 @@
 
 // group is what is adopted in one go: a slice of the cohort whose seal names
 // this instance, with the same slice of older cohorts that went there.
-type group struct {
-	slice int
+type adoptionGroup struct {
+	shard int
 	// cohorts are ordered from the one sealed to this instance backwards.
 	cohorts []program.Cohort
 }
 
 // adoptAll adopts every slice that is not adopted and whose chain ends here.
 func (k *Reconciler) adoptAll(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
-	groups := k.groups(ctx, cohorts)
-	k.waiting.Update(int64(len(groups)))
-	heads := map[program.Cohort][]group{}
+	groups := k.adoptionGroups(ctx, cohorts)
+	k.waitingGauge.Update(int64(len(groups)))
+	heads := map[program.Cohort][]adoptionGroup{}
 	for _, g := range groups {
 		heads[g.cohorts[0]] = append(heads[g.cohorts[0]], g)
 	}
@@ -60,24 +60,24 @@
 }
 
 // groups collects the slices that are to be adopted here, each with its chain.
-func (k *Reconciler) groups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) []group {
-	heads := map[sliceOf]*group{}
-	var order []sliceOf
+func (k *Reconciler) adoptionGroups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) []adoptionGroup {
+	heads := map[cohortShard]*adoptionGroup{}
+	var order []cohortShard
 	for _, c := range slices.Sorted(mapKeys(cohorts)) {
-		for slice := range program.ShardCount {
-			chain := k.pending(ctx, cohorts, c, slice)
+		for shard := range program.ShardCount {
+			chain := k.pendingChain(ctx, cohorts, c, shard)
 			if len(chain) == 0 {
 				continue
 			}
-			head := sliceOf{chain[len(chain)-1], slice}
+			head := cohortShard{chain[len(chain)-1], shard}
 			if heads[head] == nil {
-				heads[head] = &group{slice: slice}
+				heads[head] = &adoptionGroup{shard: shard}
 				order = append(order, head)
 			}
 			heads[head].merge(chain)
 		}
 	}
-	groups := make([]group, 0, len(order))
+	groups := make([]adoptionGroup, 0, len(order))
 	for _, head := range order {
 		groups = append(groups, *heads[head])
 	}
@@ -85,7 +85,7 @@
 }
 
 // merge adds a chain, oldest first, to the group, newest first.
-func (g *group) merge(chain []program.Cohort) {
+func (g *adoptionGroup) merge(chain []program.Cohort) {
 	for _, c := range slices.Backward(chain) {
 		if !slices.Contains(g.cohorts, c) {
 			g.cohorts = append(g.cohorts, c)
@@ -95,23 +95,23 @@
 
 // pending returns the part of the slice's chain from c on that is not adopted
 // here, if the chain ends here and c itself is not adopted; nil otherwise.
-func (k *Reconciler) pending(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, slice int) []program.Cohort {
-	if !k.isOpen(cohorts[c], slice) {
+func (k *Reconciler) pendingChain(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, shard int) []program.Cohort {
+	if !k.awaitsAdoption(cohorts[c], shard) {
 		return nil
 	}
 	var chain []program.Cohort
 	hops := 0
-	for at := c; at != k.o.Self.Cohort; hops++ {
+	for at := c; at != k.options.Self.Cohort; hops++ {
 		// Hops are counted, not what the chain has taken in: in a ring of
 		// seals whose other cohorts are adopted the chain stays as it is, and
 		// the pass would go round for ever.
 		if hops > maxHops {
 			return nil
 		}
-		if at == c || k.isOpen(cohorts[at], slice) {
+		if at == c || k.awaitsAdoption(cohorts[at], shard) {
 			chain = append(chain, at)
 		}
-		_, next, err := k.dir.hop(ctx, at, slice)
+		_, next, err := k.directory.nextHop(ctx, at, shard)
 		if err != nil || next == "" {
 			return nil
 		}
@@ -121,105 +121,105 @@
 }
 
 // isOpen reports whether the cohort's slice is sealed and adopted by nobody.
-func (k *Reconciler) isOpen(c *ledger.Cohort, slice int) bool {
-	if c == nil || c.Seal == nil || c.Adopted&(1<<slice) != 0 {
+func (k *Reconciler) awaitsAdoption(c *ledger.Cohort, shard int) bool {
+	if c == nil || c.Seal == nil || c.Adopted&(1<<shard) != 0 {
 		return false
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return !k.complete[sliceOf{c.Cohort, slice}]
+	return !k.adoptedShards[cohortShard{c.Cohort, shard}]
 }
 
 // source is what was read of one cohort for the slices that come here.
-type source struct {
+type cohortContents struct {
 	history   *ledger.History
 	copies    []ledger.Record
 	uncertain bool
 }
 
 // adopting is the work on the groups of one head: each log is read once.
-type adopting struct {
-	cohorts map[program.Cohort]*ledger.Cohort
-	sources map[program.Cohort]*source
-	wanted  map[int]bool
+type adoptionRun struct {
+	cohorts  map[program.Cohort]*ledger.Cohort
+	contents map[program.Cohort]*cohortContents
+	shards   map[int]bool
 }
 
 // adopted is one group that the adopter has taken.
-type adopted struct {
+type plannedAdoption struct {
 	Adoption
 	// have are the cohorts whose slice came with it.
-	have map[program.Cohort]bool
+	covered map[program.Cohort]bool
 }
 
 // parallelSlices is how many slices are adopted at the same time, so that their
 // records share entries of the log.
-const parallelSlices = 16
+const parallelShards = 16
 
 // adoptGroups adopts the groups of one head and then marks them in the own log
 // in one append. A crash before the mark leaves them to be adopted again.
-func (k *Reconciler) adoptGroups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, groups []group) error {
+func (k *Reconciler) adoptGroups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, groups []adoptionGroup) error {
 	started := time.Now()
-	w := &adopting{cohorts: cohorts, sources: map[program.Cohort]*source{}, wanted: map[int]bool{}}
+	w := &adoptionRun{cohorts: cohorts, contents: map[program.Cohort]*cohortContents{}, shards: map[int]bool{}}
 	for _, g := range groups {
-		w.wanted[g.slice] = true
+		w.shards[g.shard] = true
 	}
-	plans := make([]adopted, len(groups))
+	plans := make([]plannedAdoption, len(groups))
 	for i, g := range groups {
 		var err error
-		plans[i], err = k.plan(ctx, w, g)
+		plans[i], err = k.planAdoption(ctx, w, g)
 		if err != nil {
 			return err
 		}
 	}
-	done, failed := k.adoptSlices(ctx, plans)
+	done, failed := k.adoptShards(ctx, plans)
 	if len(done) == 0 {
 		return failed
 	}
-	if err := k.o.Log.Append(ctx, marks(done)...); err != nil {
+	if err := k.options.Log.Append(ctx, adoptionMarks(done)...); err != nil {
 		return errors.Wrapf(err, "ownership: adopt slices of %s", groups[0].cohorts[0])
 	}
-	k.finish(done, time.Since(started))
+	k.completeAdoptions(done, time.Since(started))
 	return failed
 }
 
 // plan reads what belongs to a group.
-func (k *Reconciler) plan(ctx context.Context, w *adopting, g group) (adopted, error) {
-	a := adopted{have: map[program.Cohort]bool{}}
-	doubted := map[program.Cohort]bool{}
-	var read []*source
+func (k *Reconciler) planAdoption(ctx context.Context, w *adoptionRun, g adoptionGroup) (plannedAdoption, error) {
+	a := plannedAdoption{covered: map[program.Cohort]bool{}}
+	unproven := map[program.Cohort]bool{}
+	var read []*cohortContents
 	for _, c := range g.cohorts {
-		if a.have[c] {
+		if a.covered[c] {
 			continue
 		}
-		s, err := k.source(ctx, w, c)
+		s, err := k.readContents(ctx, w, c)
 		if err != nil {
 			return a, err
 		}
-		a.have[c] = true
-		include(a.have, doubted, s.history, g.slice)
+		a.covered[c] = true
+		addEarlierAdoptions(a.covered, unproven, s.history, g.shard)
 		if s.uncertain {
-			doubted[c] = true
+			unproven[c] = true
 		}
 		read = append(read, s)
 	}
 	a.Adoption = assemble(g, read)
-	a.Unproven = slices.Sorted(mapKeys(doubted))
+	a.Unproven = slices.Sorted(mapKeys(unproven))
 	return a, nil
 }
 
 // adoptSlices has the adopter take the slices and returns those that it took.
-func (k *Reconciler) adoptSlices(ctx context.Context, plans []adopted) ([]adopted, error) {
+func (k *Reconciler) adoptShards(ctx context.Context, plans []plannedAdoption) ([]plannedAdoption, error) {
 	failures := make([]error, len(plans))
 	var group errgroup.Group
-	group.SetLimit(parallelSlices)
+	group.SetLimit(parallelShards)
 	for i := range plans {
 		group.Go(func() error {
-			failures[i] = k.o.Adopter.Adopt(ctx, plans[i].Adoption)
+			failures[i] = k.options.Adopter.Adopt(ctx, plans[i].Adoption)
 			return failures[i]
 		})
 	}
 	failed := group.Wait()
-	var done []adopted
+	var done []plannedAdoption
 	for i, a := range plans {
 		if failures[i] == nil {
 			done = append(done, a)
@@ -228,69 +228,69 @@
 	return done, errors.Wrap(failed, "ownership: adopt")
 }
 
-func marks(done []adopted) []ledger.Record {
+func adoptionMarks(done []plannedAdoption) []ledger.Record {
 	var records []ledger.Record
 	for _, a := range done {
-		mark := ledger.Adoption{Cohort: a.Cohort, Shard: a.Shard, Unproven: a.Unproven}
-		for _, c := range slices.Sorted(mapKeys(a.have)) {
+		adoption := ledger.Adoption{Cohort: a.Cohort, Shard: a.Shard, Unproven: a.Unproven}
+		for _, c := range slices.Sorted(mapKeys(a.covered)) {
 			if c != a.Cohort {
-				mark.Ancestors = append(mark.Ancestors, c)
+				adoption.Ancestors = append(adoption.Ancestors, c)
 			}
 		}
-		records = append(records, ledger.AdoptionRecord(mark))
+		records = append(records, ledger.AdoptionRecord(adoption))
 	}
 	return records
 }
 
 // include adds the cohorts whose slice had been adopted into the history's log,
 // and those that were in doubt then.
-func include(have, doubted map[program.Cohort]bool, h *ledger.History, slice int) {
+func addEarlierAdoptions(covered, unproven map[program.Cohort]bool, h *ledger.History, shard int) {
 	for _, a := range h.Adoptions {
-		if a.Shard != slice {
+		if a.Shard != shard {
 			continue
 		}
-		have[a.Cohort] = true
+		covered[a.Cohort] = true
 		for _, c := range a.Ancestors {
-			have[c] = true
+			covered[c] = true
 		}
 		for _, c := range a.Unproven {
-			doubted[c] = true
+			unproven[c] = true
 		}
 	}
 }
 
 // source reads a sealed log and the copies held for its cohort, once.
-func (k *Reconciler) source(ctx context.Context, w *adopting, name program.Cohort) (*source, error) {
-	if s := w.sources[name]; s != nil {
+func (k *Reconciler) readContents(ctx context.Context, w *adoptionRun, name program.Cohort) (*cohortContents, error) {
+	if s := w.contents[name]; s != nil {
 		return s, nil
 	}
 	c := w.cohorts[name]
-	history, err := ledger.Recover(ctx, k.o.Store, *c, func(id program.ID) bool { return w.wanted[id.Shard()] })
+	history, err := ledger.Recover(ctx, k.options.Store, *c, func(id program.ID) bool { return w.shards[id.Shard()] })
 	if err != nil {
 		return nil, err
 	}
 	for _, fault := range history.Faults {
 		k.log.WithError(fault).Error("entry of a sealed log unreadable")
 	}
-	s := &source{history: history, uncertain: len(history.Faults) > 0}
+	s := &cohortContents{history: history, uncertain: len(history.Faults) > 0}
 	if !c.Seal.Planned {
-		k.collect(ctx, c, s)
+		k.collectHeldCopies(ctx, c, s)
 	}
-	w.sources[name] = s
+	w.contents[name] = s
 	return s, nil
 }
 
 // collect adds the records that only peers hold: those after the log's last.
-func (k *Reconciler) collect(ctx context.Context, c *ledger.Cohort, s *source) {
+func (k *Reconciler) collectHeldCopies(ctx context.Context, c *ledger.Cohort, s *cohortContents) {
 	k.mu.Lock()
-	records := slices.Clone(k.late[c.Cohort])
+	records := slices.Clone(k.lateRecords[c.Cohort])
 	k.mu.Unlock()
-	if k.o.Copies != nil {
-		copies, unasked := k.o.Copies.Collect(ctx, c.Cohort)
+	if k.options.Copies != nil {
+		copies, unreached := k.options.Copies.Collect(ctx, c.Cohort)
 		for _, held := range copies {
 			records = append(records, held.Records...)
 		}
-		s.uncertain = s.uncertain || unasked >= minUnasked && k.wasCutOff(c)
+		s.uncertain = s.uncertain || unreached >= minUnreachedHolders && k.mayHaveReliedOnCopies(c)
 	}
 	slices.SortFunc(records, func(a, b ledger.Record) int { return int(int64(a.Sequence) - int64(b.Sequence)) })
 	for _, r := range records {
@@ -305,9 +305,9 @@
 }
 
 // wasCutOff reports whether the owner may have relied on peers' copies.
-func (k *Reconciler) wasCutOff(c *ledger.Cohort) bool {
+func (k *Reconciler) mayHaveReliedOnCopies(c *ledger.Cohort) bool {
 	since := c.Seal.At
-	for _, d := range k.o.Members.Dead() {
+	for _, d := range k.options.Members.Dead() {
 		if d.Cohort == c.Cohort {
 			if d.StoreDown {
 				return true
@@ -315,20 +315,20 @@
 			since = d.Since
 		}
 	}
-	return k.o.Outages == nil || k.o.Outages.DownBetween(since.Add(-deathMargin), c.Seal.At)
+	return k.options.Outages == nil || k.options.Outages.DownBetween(since.Add(-deathMargin), c.Seal.At)
 }
 
 // assemble joins what was read, older logs first.
-func assemble(g group, read []*source) Adoption {
-	a := Adoption{Cohort: g.cohorts[0], Shard: g.slice}
+func assemble(g adoptionGroup, read []*cohortContents) Adoption {
+	a := Adoption{Cohort: g.cohorts[0], Shard: g.shard}
 	for _, s := range slices.Backward(read) {
 		for _, id := range slices.Sorted(mapKeys(s.history.Programs)) {
-			if id.Shard() == g.slice {
+			if id.Shard() == g.shard {
 				a.Records = append(a.Records, s.history.Programs[id]...)
 			}
 		}
 		for _, r := range s.copies {
-			if r.Program.Shard() == g.slice {
+			if r.Program.Shard() == g.shard {
 				a.Tail.Records = append(a.Tail.Records, r)
 			}
 		}
@@ -338,13 +338,13 @@
 }
 
 // finish remembers adoptions that are marked in the log.
-func (k *Reconciler) finish(done []adopted, took time.Duration) {
+func (k *Reconciler) completeAdoptions(done []plannedAdoption, took time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	records, held, uncertain := 0, 0, 0
 	for _, a := range done {
-		for c := range a.have {
-			k.complete[sliceOf{c, a.Shard}] = true
+		for c := range a.covered {
+			k.adoptedShards[cohortShard{c, a.Shard}] = true
 		}
 		records += len(a.Records)
 		held += len(a.Tail.Records)
@@ -352,8 +352,8 @@
 			uncertain++
 		}
 	}
-	k.adopted.Inc(int64(len(done)))
-	k.doubted.Inc(int64(uncertain))
+	k.adoptedCounter.Inc(int64(len(done)))
+	k.uncertainCounter.Inc(int64(uncertain))
 	k.log.WithFields(log.Fields{
 		"from": string(done[0].Cohort), "slices": len(done), "records": records, "held": held,
 		"uncertain": uncertain, "took": took,
@@ -364,8 +364,8 @@
 // one conditional update for each cohort.
 func (k *Reconciler) markAdopted(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
 	var failed error
-	for c, bits := range k.unmarked(cohorts) {
-		err := ledger.UpdateCohort(ctx, k.o.Store, c, func(current *ledger.Cohort) bool {
+	for c, bits := range k.unmarkedShards(cohorts) {
+		err := ledger.UpdateCohort(ctx, k.options.Store, c, func(current *ledger.Cohort) bool {
 			change := current.Adopted&bits != bits
 			current.Adopted |= bits
 			if change && current.Adopted == ledger.AllAdopted {
@@ -381,14 +381,14 @@
 	return failed
 }
 
-func (k *Reconciler) unmarked(cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort]uint64 {
+func (k *Reconciler) unmarkedShards(cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort]uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	found := map[program.Cohort]uint64{}
-	for at := range k.complete {
-		c := cohorts[at.cohort]
-		if c != nil && c.Seal != nil && c.Adopted&(1<<at.slice) == 0 {
-			found[at.cohort] |= 1 << at.slice
+	for key := range k.adoptedShards {
+		c := cohorts[key.cohort]
+		if c != nil && c.Seal != nil && c.Adopted&(1<<key.shard) == 0 {
+			found[key.cohort] |= 1 << key.shard
 		}
 	}
 	return found
--- a/internal/ownership/bench_test.go
+++ b/internal/ownership/bench_test.go
@@ -23,7 +23,7 @@
 		b.StopTimer()
 		w := &world{t: b, standIn: standin.NewStore(), manual: true}
 		dead := w.start(1)
-		var survivors []*node
+		var survivors []*instance
 		for range 7 {
 			survivors = append(survivors, w.start(1))
 		}
@@ -34,29 +34,29 @@
 		started := time.Now()
 		b.StartTimer()
 		survivors[0].takeOverNow(b, dead.self.Cohort)
-		passAll(b, survivors)
+		reconcileAll(b, survivors)
 		b.StopTimer()
 		after := w.standIn.Counts()
 		b.ReportMetric(time.Since(started).Seconds()*1000, "ms/take-over")
 		b.ReportMetric(float64(after.Writes-before.Writes), "writes")
 		b.ReportMetric(float64(after.Reads-before.Reads), "reads")
 		for _, n := range survivors {
-			n.shut()
+			n.close()
 		}
 	}
 }
 
-func (n *node) takeOverNow(b *testing.B, c program.Cohort) {
-	if _, err := n.keeper.takeOver(b.Context(), Dead{Cohort: c, Since: time.Now()}, n.Living()); err != nil {
+func (n *instance) takeOverNow(b *testing.B, c program.Cohort) {
+	if _, err := n.reconciler.takeOver(b.Context(), Dead{Cohort: c, Since: time.Now()}, n.Living()); err != nil {
 		b.Fatal(err)
 	}
 }
 
-func passAll(b *testing.B, nodes []*node) {
+func reconcileAll(b *testing.B, nodes []*instance) {
 	var running sync.WaitGroup
 	for _, n := range nodes {
 		running.Go(func() {
-			if err := n.keeper.Reconcile(b.Context()); err != nil {
+			if err := n.reconciler.Reconcile(b.Context()); err != nil {
 				b.Error(err)
 			}
 		})
@@ -64,7 +64,7 @@
 	running.Wait()
 }
 
-func fill(b *testing.B, n *node, programs, history int) {
+func fill(b *testing.B, n *instance, programs, history int) {
 	var running sync.WaitGroup
 	for i := range programs {
 		id := program.ID(fmt.Sprintf("%s:%026d", n.self.Cohort, i))
@@ -87,23 +87,23 @@
 	for range b.N {
 		b.StopTimer()
 		w := &world{t: b, standIn: standin.NewStore(), manual: true}
-		leaving := w.start(1)
-		var others []*node
+		stopping := w.start(1)
+		var others []*instance
 		for range 7 {
 			others = append(others, w.start(1))
 		}
-		fill(b, leaving, programs, history)
+		fill(b, stopping, programs, history)
 		w.standIn.SetFaults(standin.StoreFaults{Delay: 4 * time.Millisecond})
 		started := time.Now()
 		b.StartTimer()
-		if err := leaving.keeper.HandOver(b.Context()); err != nil {
+		if err := stopping.reconciler.HandOver(b.Context()); err != nil {
 			b.Fatal(err)
 		}
-		passAll(b, others)
+		reconcileAll(b, others)
 		b.StopTimer()
 		b.ReportMetric(time.Since(started).Seconds()*1000, "ms/gap")
-		for _, n := range append(others, leaving) {
-			n.shut()
+		for _, n := range append(others, stopping) {
+			n.close()
 		}
 	}
 }
@@ -116,21 +116,21 @@
 func BenchmarkDrainCut(b *testing.B) {
 	const steps = 64
 	random := rand.New(rand.NewPCG(1, 2))
-	var whole, perSlice float64
+	var oneSeal, perShard float64
 	for range b.N {
 		var last float64
-		var slices [program.ShardCount]float64
+		var longest [program.ShardCount]float64
 		for range steps {
-			left := random.ExpFloat64() * 10
-			last = max(last, left)
-			at := random.IntN(program.ShardCount)
-			slices[at] = max(slices[at], left)
+			remaining := random.ExpFloat64() * 10
+			last = max(last, remaining)
+			shard := random.IntN(program.ShardCount)
+			longest[shard] = max(longest[shard], remaining)
 		}
-		whole += last
-		for _, left := range slices {
-			perSlice += left / program.ShardCount
+		oneSeal += last
+		for _, left := range longest {
+			perShard += left / program.ShardCount
 		}
 	}
-	b.ReportMetric(whole/float64(b.N), "s-wait/one-seal")
-	b.ReportMetric(perSlice/float64(b.N), "s-wait/slice-markers")
+	b.ReportMetric(oneSeal/float64(b.N), "s-wait/one-seal")
+	b.ReportMetric(perShard/float64(b.N), "s-wait/slice-markers")
 }
--- a/internal/ownership/directory.go
+++ b/internal/ownership/directory.go
@@ -19,7 +19,7 @@
 	// unsealedFor is how long a cohort that was read as unsealed, or as
 	// absent, is not read again. Callers choose program ids, so that without
 	// it each wrong id would cost a read.
-	unsealedFor = 2 * time.Second
+	unsealedTTL = 2 * time.Second
 	// maxHops bounds a chain of seals. Each hop is the end of an owner; a
 	// program lives days, an instance most of a day.
 	maxHops = 64
@@ -40,19 +40,19 @@
 	store   ledger.Store
 	members Members
 	log     Log
-	cache   *lru.Cache[program.Cohort, sighting]
+	cache   *lru.Cache[program.Cohort, cohortReading]
 }
 
 // sighting is what was read of a cohort. A seal is for good; the rest ages.
-type sighting struct {
+type cohortReading struct {
 	cohort ledger.Cohort
 	absent bool
-	at     time.Time
+	readAt time.Time
 }
 
 // NewDirectory returns the directory of the instance with that cohort.
 func NewDirectory(self program.Cohort, s ledger.Store, members Members, log Log) *Directory {
-	cache, err := lru.New[program.Cohort, sighting](cachedCohorts)
+	cache, err := lru.New[program.Cohort, cohortReading](cachedCohorts)
 	if err != nil {
 		panic(errors.Wrap(err, "ownership: cache"))
 	}
@@ -63,11 +63,11 @@
 // For a program of a living instance it needs no call. Its errors are
 // ErrUnknownCohort, ErrNoOwner, with the dead owner, and those of the store.
 func (d *Directory) Locate(ctx context.Context, id program.ID) (Owner, error) {
-	return d.follow(ctx, id.Cohort(), id.Shard())
+	return d.locateShard(ctx, id.Cohort(), id.Shard())
 }
 
-func (d *Directory) follow(ctx context.Context, c program.Cohort, slice int) (Owner, error) {
-	owner, ring, err := d.walk(ctx, c, slice)
+func (d *Directory) locateShard(ctx context.Context, c program.Cohort, shard int) (Owner, error) {
+	owner, ring, err := d.followSeals(ctx, c, shard)
 	if err != nil || ring == nil {
 		return owner, err
 	}
@@ -76,7 +76,7 @@
 			return Owner{}, err
 		}
 	}
-	owner, ring, err = d.walk(ctx, c, slice)
+	owner, ring, err = d.followSeals(ctx, c, shard)
 	if err == nil && ring != nil {
 		err = errors.Wrapf(ErrNoOwner, "seals of %s form a ring", c)
 	}
@@ -86,10 +86,10 @@
 // walk follows the seals to the owner. If they lead back to a cohort that was
 // passed, it returns the cohorts of that ring: nobody owns the slice. It comes
 // about when two instances stop at the same time and name each other.
-func (d *Directory) walk(ctx context.Context, c program.Cohort, slice int) (Owner, []program.Cohort, error) {
+func (d *Directory) followSeals(ctx context.Context, c program.Cohort, shard int) (Owner, []program.Cohort, error) {
 	var passed []program.Cohort
 	for range maxHops {
-		owner, next, err := d.hop(ctx, c, slice)
+		owner, next, err := d.nextHop(ctx, c, shard)
 		if err != nil || next == "" {
 			return owner, nil, err
 		}
@@ -103,29 +103,29 @@
 }
 
 // hop returns the owner, or the next cohort of the chain.
-func (d *Directory) hop(ctx context.Context, c program.Cohort, slice int) (Owner, program.Cohort, error) {
+func (d *Directory) nextHop(ctx context.Context, c program.Cohort, shard int) (Owner, program.Cohort, error) {
 	if c == d.self {
-		return d.hopSelf(slice)
+		return d.nextHopSelf(shard)
 	}
 	if seen, ok := d.cache.Get(c); ok && seen.cohort.Seal != nil {
-		return Owner{}, seen.cohort.Seal.Successors[slice], nil
+		return Owner{}, seen.cohort.Seal.Successors[shard], nil
 	}
 	if m, ok := d.members.Find(c); ok {
 		return Owner{Cohort: c, Instance: m.Instance, Addr: m.Addr}, "", nil
 	}
-	seen, err := d.read(ctx, c)
+	reading, err := d.read(ctx, c)
 	switch {
 	case err != nil:
 		return Owner{}, "", err
-	case seen.absent:
+	case reading.absent:
 		return Owner{}, "", errors.Wrap(ErrUnknownCohort, string(c))
-	case seen.cohort.Seal != nil:
-		return Owner{}, seen.cohort.Seal.Successors[slice], nil
+	case reading.cohort.Seal != nil:
+		return Owner{}, reading.cohort.Seal.Successors[shard], nil
 	}
-	return Owner{Cohort: c, Addr: seen.cohort.Address}, "", errors.Wrap(ErrNoOwner, string(c))
+	return Owner{Cohort: c, Addr: reading.cohort.Address}, "", errors.Wrap(ErrNoOwner, string(c))
 }
 
-func (d *Directory) hopSelf(slice int) (Owner, program.Cohort, error) {
+func (d *Directory) nextHopSelf(shard int) (Owner, program.Cohort, error) {
 	seal, _, fenced := d.log.Fenced()
 	if !fenced {
 		return Owner{Cohort: d.self, IsSelf: true}, "", nil
@@ -136,7 +136,7 @@
 	if seal == nil {
 		return Owner{}, "", errors.Wrap(ErrNoOwner, string(d.self))
 	}
-	return Owner{}, seal.Successors[slice], nil
+	return Owner{}, seal.Successors[shard], nil
 }
 
 // Moved tells that the supposed owner of a cohort's programs disowned them: it
@@ -150,30 +150,30 @@
 // Learn takes a seal from a peer's word or an own read.
 func (d *Directory) ObserveSeal(c ledger.Cohort) {
 	if c.Seal != nil {
-		d.cache.Add(c.Cohort, sighting{cohort: c, at: time.Now()})
+		d.cache.Add(c.Cohort, cohortReading{cohort: c, readAt: time.Now()})
 	}
 }
 
-func (d *Directory) read(ctx context.Context, c program.Cohort) (sighting, error) {
-	if seen, ok := d.cache.Get(c); ok && (seen.cohort.Seal != nil || time.Since(seen.at) < unsealedFor) {
+func (d *Directory) read(ctx context.Context, c program.Cohort) (cohortReading, error) {
+	if seen, ok := d.cache.Get(c); ok && (seen.cohort.Seal != nil || time.Since(seen.readAt) < unsealedTTL) {
 		return seen, nil
 	}
-	seen := sighting{at: time.Now()}
+	reading := cohortReading{readAt: time.Now()}
 	object, err := d.store.Get(ctx, ledger.CohortKey(c))
 	if errors.Is(err, store.ErrNotFound) {
 		object, err = d.store.Get(ctx, ledger.MovedKey(c))
 	}
 	switch {
 	case errors.Is(err, store.ErrNotFound):
-		seen.absent = true
+		reading.absent = true
 	case err != nil:
-		return seen, errors.Wrap(err, string(c))
+		return reading, errors.Wrap(err, string(c))
 	default:
-		seen.cohort, err = ledger.DecodeCohort(object)
+		reading.cohort, err = ledger.DecodeCohort(object)
 		if err != nil {
-			return seen, err
+			return reading, err
 		}
 	}
-	d.cache.Add(c, seen)
-	return seen, nil
+	d.cache.Add(c, reading)
+	return reading, nil
 }
--- a/internal/ownership/failure_test.go
+++ b/internal/ownership/failure_test.go
@@ -15,7 +15,7 @@
 	"foxhall/internal/store"
 )
 
-func (n *node) seed(t *testing.T, programs int) []program.ID {
+func (n *instance) seed(t *testing.T, programs int) []program.ID {
 	t.Helper()
 	var ids []program.ID
 	for i := range programs {
@@ -30,15 +30,15 @@
 }
 
 // checkAllOn fails unless the node owns and holds all the programs.
-func checkAllOn(t *testing.T, n *node, ids []program.ID) {
+func checkAllOn(t *testing.T, n *instance, ids []program.ID) {
 	t.Helper()
 	for _, id := range ids {
-		owner, err := n.keeper.Directory().Locate(t.Context(), id)
+		owner, err := n.reconciler.Directory().Locate(t.Context(), id)
 		if err != nil || !owner.IsSelf {
 			t.Fatalf("%s is located at %v, %v", id, owner, err)
 		}
 		p := n.owner.lookup(id)
-		if !n.keeper.Adopted(id) || p == nil || len(p.Events) != 1 {
+		if !n.reconciler.Adopted(id) || p == nil || len(p.Events) != 1 {
 			t.Fatalf("%s is not whole on its owner: %v", id, p)
 		}
 	}
@@ -53,7 +53,7 @@
 		w := newWorld(t)
 		a, b := w.start(1), w.start(1)
 		ids := append(a.seed(t, 20), b.seed(t, 20)...)
-		for _, pair := range [][2]*node{{a, b}, {b, a}} {
+		for _, pair := range [][2]*instance{{a, b}, {b, a}} {
 			_, _, err := pair[0].log.Seal(t.Context(), DistributeShards(pair[0].self.Cohort, []Member{pair[1].self}))
 			is.NoErr(err)
 		}
@@ -61,7 +61,7 @@
 		time.Sleep(time.Minute)
 		checkAllOn(t, c, ids)
 		for _, n := range w.all(running) {
-			n.shut()
+			n.close()
 		}
 	})
 }
@@ -74,18 +74,18 @@
 		is := is.New(t)
 		w := newWorld(t)
 		w.manual = true
-		leaving, successor := w.start(1), w.start(1)
+		stopping, successor := w.start(1), w.start(1)
 		w.manual = false
 		survivor := w.start(1)
-		ids := append(leaving.seed(t, 40), successor.seed(t, 10)...)
-		is.NoErr(leaving.keeper.HandOver(t.Context()))
+		ids := append(stopping.seed(t, 40), successor.seed(t, 10)...)
+		is.NoErr(stopping.reconciler.HandOver(t.Context()))
 		// The survivor's keeper reads the world's state: it must be at rest.
 		synctest.Wait()
-		w.crash(leaving)
+		w.crash(stopping)
 		w.crash(successor)
 		time.Sleep(time.Minute)
 		checkAllOn(t, survivor, ids)
-		survivor.shut()
+		survivor.close()
 	})
 }
 
@@ -104,11 +104,11 @@
 		w.resume(paused)
 		err := paused.log.Append(context.Background(), ledger.Record{Program: ids[0], Event: []byte("late")})
 		is.True(errors.Is(err, ledger.ErrFenced))
-		owner, err := paused.keeper.Directory().Locate(t.Context(), ids[0])
+		owner, err := paused.reconciler.Directory().Locate(t.Context(), ids[0])
 		is.NoErr(err)
 		is.Equal(owner.Cohort, other.self.Cohort)
-		paused.shut()
-		other.shut()
+		paused.close()
+		other.close()
 	})
 }
 
@@ -128,7 +128,7 @@
 		many = append(many, Member{Cohort: program.Cohort(fmt.Sprintf("d.i%d.1", i))})
 	}
 	spread := DistributeShards("d.x.1", many)
-	is.Equal(len(distinct(&ledger.Seal{Successors: spread})), maxSuccessors)
+	is.Equal(len(successorSet(&ledger.Seal{Successors: spread})), maxSuccessors)
 }
 
 // An instance was paused while its log was sealed, lives again and does not know yet. A ring that
@@ -145,32 +145,32 @@
 		c.seed(t, 1)
 		_, _, err := b.log.Seal(t.Context(), DistributeShards(b.self.Cohort, []Member{a.self}))
 		is.NoErr(err)
-		is.NoErr(b.keeper.Reconcile(t.Context()))
+		is.NoErr(b.reconciler.Reconcile(t.Context()))
 		w.pause(a)
 		time.Sleep(time.Second)
-		_, err = c.keeper.takeOver(t.Context(), Dead{Cohort: a.self.Cohort}, []Member{b.self})
+		_, err = c.reconciler.takeOver(t.Context(), Dead{Cohort: a.self.Cohort}, []Member{b.self})
 		is.NoErr(err)
 		time.Sleep(time.Minute)
 		w.resume(a)
-		is.NoErr(c.keeper.Reconcile(t.Context()))
+		is.NoErr(c.reconciler.Reconcile(t.Context()))
 		checkAllOn(t, c, ids)
 		for _, n := range w.all(running) {
-			n.shut()
+			n.close()
 		}
 	})
 }
 
 // offering is an adopter that is offered a late record while it adopts.
-type offering struct {
+type offeringAdopter struct {
 	*fakeOwner
-	slice  int
-	during func()
+	shard       int
+	duringAdopt func()
 }
 
-func (o offering) Adopt(ctx context.Context, a Adoption) error {
+func (o offeringAdopter) Adopt(ctx context.Context, a Adoption) error {
 	err := o.fakeOwner.Adopt(ctx, a)
-	if a.Shard == o.slice {
-		o.during()
+	if a.Shard == o.shard {
+		o.duringAdopt()
 	}
 	return err
 }
@@ -185,16 +185,16 @@
 		w := newWorld(t)
 		w.manual = true
 		former, successor := w.start(1), w.start(1)
-		defer successor.shut()
+		defer successor.close()
 		id := former.seed(t, 1)[0]
 		w.crash(former)
 		time.Sleep(time.Minute)
 		late := ledger.Copy{Cohort: former.self.Cohort, Records: []ledger.Record{{Program: id, Sequence: 9, Event: []byte("late")}}}
 		var during error
-		successor.keeper.o.Adopter = offering{successor.owner, id.Shard(), func() { during = successor.keeper.AcceptOffered(t.Context(), late) }}
-		is.NoErr(successor.keeper.Reconcile(t.Context()))
+		successor.reconciler.options.Adopter = offeringAdopter{successor.owner, id.Shard(), func() { during = successor.reconciler.AcceptOffered(t.Context(), late) }}
+		is.NoErr(successor.reconciler.Reconcile(t.Context()))
 		is.True(errors.Is(during, ErrNotAdopted))
-		is.NoErr(successor.keeper.AcceptOffered(t.Context(), late))
+		is.NoErr(successor.reconciler.AcceptOffered(t.Context(), late))
 		is.Equal(successor.owner.lookup(id).Events, []string{"turn", "late"})
 	})
 }
@@ -207,8 +207,8 @@
 		is := is.New(t)
 		w := newWorld(t)
 		owner, other := w.start(1), w.start(1)
-		defer owner.shut()
-		defer other.shut()
+		defer owner.close()
+		defer other.close()
 		ids := owner.seed(t, 10)
 		is.NoErr(ledger.UpdateCohort(t.Context(), w.standIn, owner.self.Cohort, func(c *ledger.Cohort) bool {
 			c.Sealing = true
@@ -241,11 +241,11 @@
 		checkAllOn(t, b, ids)
 		_, err = w.standIn.Get(t.Context(), ledger.CohortKey(a.self.Cohort))
 		is.True(errors.Is(err, store.ErrNotFound))
-		owner, err := c.keeper.Directory().Locate(t.Context(), ids[0])
+		owner, err := c.reconciler.Directory().Locate(t.Context(), ids[0])
 		is.NoErr(err)
 		is.Equal(owner.Cohort, b.self.Cohort)
 		for _, n := range w.all(running) {
-			n.shut()
+			n.close()
 		}
 	})
 }
--- a/internal/ownership/machine_test.go
+++ b/internal/ownership/machine_test.go
@@ -49,19 +49,19 @@
 // oracle remembers what callers were told.
 type oracle struct {
 	mu       sync.Mutex
-	programs map[program.ID]*told
+	programs map[program.ID]*callerView
 	order    []program.ID
 }
 
 // told is what the callers of one program know.
-type told struct {
+type callerView struct {
 	acked, refused []string
 	// began and answered are the moments of each event's append and of its
 	// acknowledgement, counted over all calls.
-	began, answered map[string]int
-	moment          int
+	startedAt, ackedAt map[string]int
+	moment             int
 	// ended says that the end was acknowledged, ending that it was tried.
-	ended, ending        bool
+	ended, endAttempted  bool
 	unsettled, uncertain int
 }
 
@@ -69,8 +69,8 @@
 type machine struct {
 	*world
 	oracle
-	calls sync.WaitGroup
-	count int
+	calls      sync.WaitGroup
+	eventCount int
 }
 
 // TestOwnershipMachine runs random plans of calls and faults. An acknowledged
@@ -94,7 +94,7 @@
 }
 
 func runPlan(t *testing.T, plan []action, seen map[string]int64) string {
-	m := &machine{world: newWorld(t), oracle: oracle{programs: map[program.ID]*told{}}}
+	m := &machine{world: newWorld(t), oracle: oracle{programs: map[program.ID]*callerView{}}}
 	for i := range 4 {
 		m.start(float64(i + 1))
 	}
@@ -105,16 +105,16 @@
 	}
 	failure := m.settle()
 	for _, n := range m.all(running) {
-		n.shut()
+		n.close()
 	}
 	m.calls.Wait()
-	m.tally(seen)
+	m.countOutcomes(seen)
 	return failure
 }
 
 // tally counts what the run went through, so that a machine that no longer
 // reaches a fault is seen.
-func (m *machine) tally(seen map[string]int64) {
+func (m *machine) countOutcomes(seen map[string]int64) {
 	seen["most steps"] = max(seen["most steps"], m.steps.Load())
 	for _, t := range m.programs {
 		seen["programs"]++
@@ -123,7 +123,7 @@
 		seen["unsettled"] += int64(t.unsettled)
 		seen["uncertain"] += int64(t.uncertain)
 	}
-	for _, n := range m.all(func(*node) bool { return true }) {
+	for _, n := range m.all(func(*instance) bool { return true }) {
 		if _, _, fenced := n.log.Fenced(); fenced {
 			seen["sealed"]++
 		}
@@ -144,7 +144,7 @@
 		// Not at random: the plan has to give the same slices each time.
 		id := program.ID(fmt.Sprintf("%s:%026d", n.self.Cohort, len(m.order)))
 		m.oracle.mu.Lock()
-		m.programs[id] = &told{}
+		m.programs[id] = &callerView{}
 		m.oracle.mu.Unlock()
 		m.order = append(m.order, id)
 		n.owner.insert(id, newProgram())
@@ -203,7 +203,7 @@
 		return
 	}
 	id := m.order[a.A%len(m.order)]
-	having := m.all(func(n *node) bool { return reachable(n) && n.owner.lookup(id) != nil })
+	having := m.all(func(n *instance) bool { return reachable(n) && n.owner.lookup(id) != nil })
 	if len(having) == 0 {
 		return
 	}
@@ -212,9 +212,9 @@
 
 // call appends one event and notes what the caller is told. A paused instance
 // goes on with its call when it is resumed; a crashed one tells nothing.
-func (m *machine) call(n *node, id program.ID, timeout time.Duration, hold, end bool) {
-	m.count++
-	event := fmt.Sprintf("%d", m.count)
+func (m *machine) call(n *instance, id program.ID, timeout time.Duration, hold, end bool) {
+	m.eventCount++
+	event := fmt.Sprintf("%d", m.eventCount)
 	m.calls.Go(func() {
 		p := n.owner.lookup(id)
 		p.busy <- struct{}{}
@@ -225,9 +225,9 @@
 		record := ledger.Record{Program: id, Event: []byte(event)}
 		if end {
 			record = ledger.Record{Program: id, Kind: ledger.Tombstone}
-			m.note(id, func(t *told) { t.ending = true })
+			m.updateView(id, func(t *callerView) { t.endAttempted = true })
 		}
-		m.note(id, func(t *told) { t.mark(&t.began, event) })
+		m.updateView(id, func(t *callerView) { t.markMoment(&t.startedAt, event) })
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		var err error
@@ -236,24 +236,24 @@
 		} else {
 			err = n.log.Append(ctx, record)
 		}
-		m.outcome(p, id, event, end, err)
+		m.recordOutcome(p, id, event, end, err)
 	})
 }
 
 // owns reports whether the instance has the slice and its adoption is complete.
-func (n *node) owns(id program.ID) bool {
+func (n *instance) owns(id program.ID) bool {
 	_, _, fenced := n.log.Fenced()
-	return !fenced && n.keeper.Adopted(id)
+	return !fenced && n.reconciler.Adopted(id)
 }
 
-func (m *machine) outcome(p *fakeProgram, id program.ID, event string, end bool, err error) {
-	m.note(id, func(t *told) {
+func (m *machine) recordOutcome(p *fakeProgram, id program.ID, event string, end bool, err error) {
+	m.updateView(id, func(t *callerView) {
 		switch {
 		case err == nil && end:
 			t.ended, p.ended = true, true
 		case err == nil:
 			t.acked = append(t.acked, event)
-			t.mark(&t.answered, event)
+			t.markMoment(&t.ackedAt, event)
 			p.add(event)
 		case errors.Is(err, ledger.ErrUnsettled):
 			t.unsettled++
@@ -264,14 +264,14 @@
 	})
 }
 
-func (m *machine) note(id program.ID, change func(*told)) {
+func (m *machine) updateView(id program.ID, change func(*callerView)) {
 	m.oracle.mu.Lock()
 	defer m.oracle.mu.Unlock()
 	change(m.programs[id])
 }
 
 func (m *machine) resumeSome(a int) {
-	paused := m.all(func(n *node) bool { return n.paused })
+	paused := m.all(func(n *instance) bool { return n.paused })
 	if len(paused) > 0 {
 		m.resume(paused[a%len(paused)])
 	}
@@ -279,17 +279,17 @@
 
 // handOver stops an instance as planned. It lives on a while, as a process
 // does whose last answers are still under way.
-func (m *machine) handOver(n *node, up int, timeout time.Duration) {
+func (m *machine) handOver(n *instance, up int, timeout time.Duration) {
 	if up <= 2 {
 		return
 	}
 	m.world.mu.Lock()
 	n.stopped = true
 	m.world.mu.Unlock()
-	n.ran.Go(func() {
+	n.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		if err := n.keeper.HandOver(ctx); err != nil {
+		if err := n.reconciler.HandOver(ctx); err != nil {
 			m.world.mu.Lock()
 			defer m.world.mu.Unlock()
 			if _, _, fenced := n.log.Fenced(); !fenced {
@@ -302,7 +302,7 @@
 // settle ends all faults, waits, and compares the programs with the oracle.
 func (m *machine) settle() string {
 	m.standIn.SetFaults(standin.StoreFaults{})
-	for _, n := range m.all(func(n *node) bool { return n.paused }) {
+	for _, n := range m.all(func(n *instance) bool { return n.paused }) {
 		m.resume(n)
 	}
 	m.calls.Wait()
@@ -321,7 +321,7 @@
 // the dead are replaced, and a fenced incarnation begins as a new one. Without it
 // a plan of seed 59 ended with four dead and the fifth fenced.
 func (m *machine) replaceLast() {
-	fit := func(n *node) bool {
+	fit := func(n *instance) bool {
 		_, _, fenced := n.log.Fenced()
 		return running(n) && !fenced
 	}
@@ -330,7 +330,7 @@
 	}
 }
 
-func (m *machine) check(id program.ID, t *told) string {
+func (m *machine) check(id program.ID, t *callerView) string {
 	n, p, failure := m.ownerOf(id)
 	if failure == unknownCohort && len(t.acked) == 0 {
 		// Its owner died before it made the cohort's object.
@@ -345,12 +345,12 @@
 		}
 		return ""
 	}
-	if p == nil && n.owner.doubts(id) {
+	if p == nil && n.owner.isUnproven(id) {
 		t.uncertain++
 		return "" // answered as uncertain, not as unknown
 	}
 	if p == nil || p.ended {
-		if len(t.acked) > 0 && !t.ending {
+		if len(t.acked) > 0 && !t.endAttempted {
 			return fmt.Sprintf("lost on %s, acknowledged %v", n.self.Cohort, t.acked)
 		}
 		return ""
@@ -364,13 +364,13 @@
 		t.uncertain++
 		return ""
 	}
-	if got := only(p.Events, t.acked); len(got) != len(t.acked) || t.misplaced(got) {
+	if got := intersect(p.Events, t.acked); len(got) != len(t.acked) || t.misplaced(got) {
 		return fmt.Sprintf("has %v on %s, acknowledged %v, held by %v", p.Events, n.self.Cohort, t.acked, m.holders(t.acked))
 	}
 	return ""
 }
 
-func (t *told) mark(moments *map[string]int, event string) {
+func (t *callerView) markMoment(moments *map[string]int, event string) {
 	if *moments == nil {
 		*moments = map[string]int{}
 	}
@@ -383,10 +383,10 @@
 // owner that is paused between its write and its answer tells of the write after
 // its successor has gone on (seed 1152985: written 2, sealed, written 6, told 6,
 // told 2).
-func (t *told) misplaced(events []string) bool {
+func (t *callerView) misplaced(events []string) bool {
 	for i, early := range events {
 		for _, late := range events[i+1:] {
-			if t.answered[late] < t.began[early] {
+			if t.ackedAt[late] < t.startedAt[early] {
 				return true
 			}
 		}
@@ -399,7 +399,7 @@
 	var out []string
 	for _, e := range events {
 		for _, c := range m.heldBy[e] {
-			for _, n := range m.all(func(n *node) bool { return n.self.Cohort == c }) {
+			for _, n := range m.all(func(n *instance) bool { return n.self.Cohort == c }) {
 				out = append(out, fmt.Sprintf("%s: %s (crashed %v)", e, c, n.crashedAt))
 			}
 		}
@@ -407,7 +407,7 @@
 	return out
 }
 
-func only(events, wanted []string) []string {
+func intersect(events, wanted []string) []string {
 	var out []string
 	for _, e := range events {
 		if slices.Contains(wanted, e) {
@@ -419,10 +419,10 @@
 
 // relay locates the owner as an entry does: an instance that disowns the
 // program is reported and the owner located again.
-func (m *machine) relay(n *node, id program.ID) (Owner, error) {
+func (m *machine) relay(n *instance, id program.ID) (Owner, error) {
 	var last Owner
 	for range maxHops {
-		found, err := n.keeper.Directory().Locate(context.Background(), id)
+		found, err := n.reconciler.Directory().Locate(context.Background(), id)
 		last = found
 		if err != nil || found.IsSelf {
 			return found, err
@@ -434,7 +434,7 @@
 		if _, _, fenced := to.log.Fenced(); !fenced {
 			return found, nil
 		}
-		if err := n.keeper.Directory().Disowned(context.Background(), found.Cohort); err != nil {
+		if err := n.reconciler.Directory().Disowned(context.Background(), found.Cohort); err != nil {
 			return found, err
 		}
 	}
@@ -444,7 +444,7 @@
 const unknownCohort = "cohort unknown"
 
 // ownerOf finds the program's owner as every instance sees it.
-func (m *machine) ownerOf(id program.ID) (*node, *fakeProgram, string) {
+func (m *machine) ownerOf(id program.ID) (*instance, *fakeProgram, string) {
 	var owner Owner
 	for _, n := range m.all(running) {
 		found, err := m.relay(n, id)
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -126,7 +126,7 @@
 	// ErrNoSuccessor says that no other instance can take this one's programs.
 	ErrNoSuccessor = errors.New("ownership: no successor")
 	// ErrNotHere says that the records offered belong to another instance.
-	ErrNotHere = errors.New("ownership: slice not owned here")
+	ErrNotOwnedHere = errors.New("ownership: slice not owned here")
 	// ErrNotAdopted says that records offered are to be offered again once
 	// their slice is adopted.
 	ErrNotAdopted = errors.New("ownership: slice not adopted yet")
@@ -189,66 +189,66 @@
 // Keeper keeps every slice owned. One goroutine, Run, takes over and adopts;
 // Directory, Adopted and Offered may be used from others.
 type Reconciler struct {
-	o    Options
-	log  log.Interface
-	dir  *Directory
-	wake chan struct{}
+	options   Options
+	log       log.Interface
+	directory *Directory
+	wake      chan struct{}
 
-	taken   metrics.Counter
-	adopted metrics.Counter
-	doubted metrics.Counter
-	waiting metrics.Gauge
+	takenOverCounter metrics.Counter
+	adoptedCounter   metrics.Counter
+	uncertainCounter metrics.Counter
+	waitingGauge     metrics.Gauge
 
 	// told holds cohorts that peers said are sealed.
-	told *lru.Cache[program.Cohort, struct{}]
+	reportedSealed *lru.Cache[program.Cohort, struct{}]
 
 	mu sync.Mutex
 	// absent is when a cohort without a living instance was first seen.
-	absent map[program.Cohort]time.Time
+	absentSince map[program.Cohort]time.Time
 	// complete holds the cohorts whose slice was adopted here.
-	complete map[sliceOf]bool
+	adoptedShards map[cohortShard]bool
 	// late are records offered before their slice was adopted.
-	late map[program.Cohort][]ledger.Record
+	lateRecords map[program.Cohort][]ledger.Record
 	// nextDue is the time from the last pass to the next take-over that it left.
-	nextDue time.Duration
+	untilTakeOver time.Duration
 	// recorded says that the own seal is in the own cohort's object.
-	recorded bool
+	ownSealRecorded bool
 	// purgedAt is when old seals were last looked for.
 	purgedAt time.Time
 }
 
 // sliceOf names one slice of one cohort.
-type sliceOf struct {
+type cohortShard struct {
 	cohort program.Cohort
-	slice  int
+	shard  int
 }
 
 // New returns a Keeper. Run starts it.
 func New(o Options) *Reconciler {
 	o = o.withDefaults()
-	told, err := lru.New[program.Cohort, struct{}](toldSealed)
+	reportedSealed, err := lru.New[program.Cohort, struct{}](maxReportedSealed)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
 	k := &Reconciler{
-		o:        o,
-		log:      o.Logger.WithField("cohort", string(o.Self.Cohort)),
-		dir:      NewDirectory(o.Self.Cohort, o.Store, o.Members, o.Log),
-		wake:     make(chan struct{}, 1),
-		told:     told,
-		taken:    metrics.GetOrRegisterCounter("ownership.taken", o.Registry),
-		adopted:  metrics.GetOrRegisterCounter("ownership.adopted", o.Registry),
-		doubted:  metrics.GetOrRegisterCounter("ownership.uncertain", o.Registry),
-		waiting:  metrics.GetOrRegisterGauge("ownership.waiting", o.Registry),
-		absent:   map[program.Cohort]time.Time{},
-		complete: map[sliceOf]bool{},
-		late:     map[program.Cohort][]ledger.Record{},
+		options:          o,
+		log:              o.Logger.WithField("cohort", string(o.Self.Cohort)),
+		directory:        NewDirectory(o.Self.Cohort, o.Store, o.Members, o.Log),
+		wake:             make(chan struct{}, 1),
+		reportedSealed:   reportedSealed,
+		takenOverCounter: metrics.GetOrRegisterCounter("ownership.taken", o.Registry),
+		adoptedCounter:   metrics.GetOrRegisterCounter("ownership.adopted", o.Registry),
+		uncertainCounter: metrics.GetOrRegisterCounter("ownership.uncertain", o.Registry),
+		waitingGauge:     metrics.GetOrRegisterGauge("ownership.waiting", o.Registry),
+		absentSince:      map[program.Cohort]time.Time{},
+		adoptedShards:    map[cohortShard]bool{},
+		lateRecords:      map[program.Cohort][]ledger.Record{},
 	}
 	return k
 }
 
 // Directory returns the directory of owners.
-func (k *Reconciler) Directory() *Directory { return k.dir }
+func (k *Reconciler) Directory() *Directory { return k.directory }
 
 // Notice wakes the next pass, on a peer's word or a member's death.
 func (k *Reconciler) Wake() {
@@ -280,35 +280,35 @@
 func (k *Reconciler) untilNext() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	next := k.nextDue
-	k.nextDue = 0
-	if next == 0 {
-		return k.o.Interval
+	untilTakeOver := k.untilTakeOver
+	k.untilTakeOver = 0
+	if untilTakeOver == 0 {
+		return k.options.Interval
 	}
-	return min(k.o.Interval, max(next, minWait))
+	return min(k.options.Interval, max(untilTakeOver, minPassDelay))
 }
 
 // minWait keeps rounding from making a pass just before its time.
-const minWait = 10 * time.Millisecond
+const minPassDelay = 10 * time.Millisecond
 
 // isDue reports whether it is this instance's turn to take a dead cohort over,
 // and notes when that will be. The lock is held.
 func (k *Reconciler) isDue(d Dead, living []Member) bool {
-	left := k.o.Grace + k.turn(d.Cohort, living) - time.Since(d.Since)
-	if left <= 0 {
+	remaining := k.options.Grace + k.rankDelay(d.Cohort, living) - time.Since(d.Since)
+	if remaining <= 0 {
 		return true
 	}
-	k.nextDue = min(k.nextDue, left)
+	k.untilTakeOver = min(k.untilTakeOver, remaining)
 	return false
 }
 
 // Adopted reports whether the programs of the id's cohort and slice, as far as
 // they exist, are resident here.
 func (k *Reconciler) Adopted(id program.ID) bool {
-	if id.Cohort() == k.o.Self.Cohort {
+	if id.Cohort() == k.options.Self.Cohort {
 		return true
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.complete[sliceOf{id.Cohort(), id.Shard()}]
+	return k.adoptedShards[cohortShard{id.Cohort(), id.Shard()}]
 }
--- a/internal/ownership/retire.go
+++ b/internal/ownership/retire.go
@@ -12,15 +12,15 @@
 )
 
 // purgeEvery is how often the first in rank looks for seals past their retention.
-const purgeEvery = time.Hour
+const purgeInterval = time.Hour
 
 // retireAll deletes the logs whose slices are all adopted. Any instance may do
 // it again after another's crash; the ranks keep them from racing.
 func (k *Reconciler) retireAll(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
-	living := k.o.Members.Living()
+	living := k.options.Members.Living()
 	var failed error
 	for c, cohort := range cohorts {
-		if cohort.Adopted != ledger.AllAdopted || time.Since(cohort.AdoptedAt) < k.turn(c, living) {
+		if cohort.Adopted != ledger.AllAdopted || time.Since(cohort.AdoptedAt) < k.rankDelay(c, living) {
 			continue
 		}
 		if err := k.retire(ctx, cohort); failed == nil {
@@ -39,22 +39,22 @@
 // number taken by the seal, and one that was paused past the retention finds
 // no object (see ledger's proof of a late write).
 func (k *Reconciler) retire(ctx context.Context, c *ledger.Cohort) error {
-	_, err := k.o.Store.Put(ctx, ledger.MovedKey(c.Cohort), ledger.EncodeCohort(*c), 0)
+	_, err := k.options.Store.Put(ctx, ledger.MovedKey(c.Cohort), ledger.EncodeCohort(*c), 0)
 	if err != nil && !errors.Is(err, store.ErrConflict) {
 		return errors.Wrap(err, "ownership: retire")
 	}
-	if err := ledger.DeleteEntries(ctx, k.o.Store, c.Cohort, c.First, c.SealNumber); err != nil {
+	if err := ledger.DeleteEntries(ctx, k.options.Store, c.Cohort, c.First, c.SealNumber); err != nil {
 		return errors.Wrap(err, "ownership: retire")
 	}
-	if err := deleteObject(ctx, k.o.Store, ledger.CohortKey(c.Cohort)); err != nil {
+	if err := deleteObject(ctx, k.options.Store, ledger.CohortKey(c.Cohort)); err != nil {
 		return errors.Wrap(err, "ownership: retire")
 	}
-	if k.o.Copies != nil {
-		k.o.Copies.Forget(ctx, c.Cohort)
+	if k.options.Copies != nil {
+		k.options.Copies.Forget(ctx, c.Cohort)
 	}
 	k.mu.Lock()
-	delete(k.absent, c.Cohort)
-	delete(k.late, c.Cohort)
+	delete(k.absentSince, c.Cohort)
+	delete(k.lateRecords, c.Cohort)
 	k.mu.Unlock()
 	k.log.WithField("retired", string(c.Cohort)).Info("log of an adopted cohort deleted")
 	return nil
@@ -63,18 +63,18 @@
 // purge deletes the seals that no living program can need any more.
 func (k *Reconciler) purge(ctx context.Context, living []Member) error {
 	k.mu.Lock()
-	due := time.Since(k.purgedAt) >= purgeEvery
+	due := time.Since(k.purgedAt) >= purgeInterval
 	k.mu.Unlock()
-	if !due || k.turn(program.Cohort(k.o.Self.Cohort.DataCentre()), living) > 0 {
+	if !due || k.rankDelay(program.Cohort(k.options.Self.Cohort.DataCentre()), living) > 0 {
 		return nil
 	}
-	objects, err := k.o.Store.List(ctx, ledger.KindCohortMoved, k.o.Self.Cohort.DataCentre()+".")
+	objects, err := k.options.Store.List(ctx, ledger.KindCohortMoved, k.options.Self.Cohort.DataCentre()+".")
 	if err != nil {
 		return errors.Wrap(err, "ownership: purge")
 	}
 	for _, object := range objects {
 		c, err := ledger.DecodeCohort(object)
-		if err != nil || time.Since(c.AdoptedAt) < k.o.Retention {
+		if err != nil || time.Since(c.AdoptedAt) < k.options.Retention {
 			continue
 		}
 		if err := k.purgeOne(ctx, c); err != nil {
@@ -89,10 +89,10 @@
 
 // purgeOne forgets a cohort whose programs are past their longest life.
 func (k *Reconciler) purgeOne(ctx context.Context, c ledger.Cohort) error {
-	if err := deleteObject(ctx, k.o.Store, ledger.EntryKey(c.Cohort, c.SealNumber)); err != nil {
+	if err := deleteObject(ctx, k.options.Store, ledger.EntryKey(c.Cohort, c.SealNumber)); err != nil {
 		return err
 	}
-	return deleteObject(ctx, k.o.Store, ledger.MovedKey(c.Cohort))
+	return deleteObject(ctx, k.options.Store, ledger.MovedKey(c.Cohort))
 }
 
 func deleteObject(ctx context.Context, client store.Client, key store.Key) error {
--- a/internal/ownership/ring.go
+++ b/internal/ownership/ring.go
@@ -23,20 +23,20 @@
 func (k *Reconciler) breakRings(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
 	// An instance that lives may not know yet that its log is sealed: slices given to it would
 	// stay in a ring.
-	heirs := slices.DeleteFunc(slices.Clone(k.o.Members.Living()), func(m Member) bool {
+	candidates := slices.DeleteFunc(slices.Clone(k.options.Members.Living()), func(m Member) bool {
 		c := cohorts[m.Cohort]
 		return c != nil && c.Seal != nil
 	})
-	if len(heirs) == 0 {
+	if len(candidates) == 0 {
 		return nil // cut off, as in takeOverDead
 	}
-	exits := k.rings(ctx, cohorts)
+	exits := k.findRings(ctx, cohorts)
 	var failed error
 	for _, c := range slices.Sorted(mapKeys(exits)) {
-		if time.Since(cohorts[c].Seal.At) < k.turn(c, heirs) {
+		if time.Since(cohorts[c].Seal.At) < k.rankDelay(c, candidates) {
 			continue
 		}
-		if err := k.amend(ctx, cohorts, c, exits[c], DistributeShards(c, heirs)); failed == nil {
+		if err := k.reassignShards(ctx, cohorts, c, exits[c], DistributeShards(c, candidates)); failed == nil {
 			failed = err
 		}
 	}
@@ -44,20 +44,20 @@
 }
 
 // rings returns the slices that are in a ring by the cohort that is to let them out.
-func (k *Reconciler) rings(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort][]int {
+func (k *Reconciler) findRings(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort][]int {
 	exits := map[program.Cohort][]int{}
 	for _, c := range slices.Sorted(mapKeys(cohorts)) {
-		for slice := range program.ShardCount {
-			if !k.isOpen(cohorts[c], slice) {
+		for shard := range program.ShardCount {
+			if !k.awaitsAdoption(cohorts[c], shard) {
 				continue
 			}
-			_, ring, err := k.dir.walk(ctx, c, slice)
+			_, ring, err := k.directory.followSeals(ctx, c, shard)
 			if err != nil || ring == nil {
 				continue
 			}
 			exit := lastSealed(cohorts, ring)
-			if exit != "" && !slices.Contains(exits[exit], slice) {
-				exits[exit] = append(exits[exit], slice)
+			if exit != "" && !slices.Contains(exits[exit], shard) {
+				exits[exit] = append(exits[exit], shard)
 			}
 		}
 	}
@@ -79,13 +79,13 @@
 }
 
 // amend gives slices of a sealed cohort to other successors than its seal did.
-func (k *Reconciler) amend(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, stuck []int, to [program.ShardCount]program.Cohort) error {
-	was := cohorts[c].Seal.Successors
-	err := ledger.UpdateCohort(ctx, k.o.Store, c, func(current *ledger.Cohort) bool {
+func (k *Reconciler) reassignShards(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, shards []int, successors [program.ShardCount]program.Cohort) error {
+	previous := cohorts[c].Seal.Successors
+	err := ledger.UpdateCohort(ctx, k.options.Store, c, func(current *ledger.Cohort) bool {
 		changed := false
-		for _, slice := range stuck {
-			if current.Seal.Successors[slice] == was[slice] && to[slice] != "" {
-				current.Seal.Successors[slice] = to[slice]
+		for _, shard := range shards {
+			if current.Seal.Successors[shard] == previous[shard] && successors[shard] != "" {
+				current.Seal.Successors[shard] = successors[shard]
 				changed = true
 			}
 		}
@@ -95,8 +95,8 @@
 	if err != nil {
 		return err
 	}
-	k.dir.ObserveSeal(*cohorts[c])
-	k.log.WithFields(log.Fields{"sealed": string(c), "slices": len(stuck)}).Warn("ring of seals broken")
+	k.directory.ObserveSeal(*cohorts[c])
+	k.log.WithFields(log.Fields{"sealed": string(c), "slices": len(shards)}).Warn("ring of seals broken")
 	k.notify(ctx, *cohorts[c])
 	return nil
 }
--- a/internal/ownership/sealed.go
+++ b/internal/ownership/sealed.go
@@ -3,7 +3,7 @@
 import "foxhall/internal/program"
 
 // toldSealed is the number of cohorts kept of which peers said that they are sealed.
-const toldSealed = 4096
+const maxReportedSealed = 4096
 
 // Sealed reports whether this instance knows that the cohort's log is sealed. A
 // peer that is asked to hold a copy for such a cohort must refuse.
@@ -13,15 +13,15 @@
 // and tells its caller that the turn is durable, while the successor goes on
 // without it. The successors are the ones that hold copies, and they know.
 func (k *Reconciler) Sealed(c program.Cohort) bool {
-	if seen, ok := k.dir.cache.Get(c); ok && seen.cohort.Seal != nil {
+	if seen, ok := k.directory.cache.Get(c); ok && seen.cohort.Seal != nil {
 		return true
 	}
-	return k.told.Contains(c)
+	return k.reportedSealed.Contains(c)
 }
 
 // NoticeSealed takes a peer's word that the cohort's log is sealed, and wakes
 // the next pass.
 func (k *Reconciler) ObserveSealed(c program.Cohort) {
-	k.told.Add(c, struct{}{})
+	k.reportedSealed.Add(c, struct{}{})
 	k.Wake()
 }
--- a/internal/ownership/spread.go
+++ b/internal/ownership/spread.go
@@ -18,61 +18,61 @@
 // its share of the slices, rounded by largest remainder. The result depends
 // only on the arguments, not on the order of members.
 func DistributeShards(c program.Cohort, members []Member) [program.ShardCount]program.Cohort {
-	var spread [program.ShardCount]program.Cohort
-	chosen := Rank(c, members)
+	var successors [program.ShardCount]program.Cohort
+	chosen := RankMembers(c, members)
 	chosen = chosen[:min(len(chosen), maxSuccessors)]
 	if len(chosen) == 0 {
-		return spread
+		return successors
 	}
-	at := 0
-	for i, count := range quotas(chosen) {
+	next := 0
+	for i, count := range shardCounts(chosen) {
 		for range count {
-			spread[at] = chosen[i].Cohort
-			at++
+			successors[next] = chosen[i].Cohort
+			next++
 		}
 	}
-	return spread
+	return successors
 }
 
 // Rank orders the members by a hash with the cohort, so that different dead
 // cohorts fall to different survivors first and all survivors agree on it.
-func Rank(c program.Cohort, members []Member) []Member {
+func RankMembers(c program.Cohort, members []Member) []Member {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(rankOf(c, a), rankOf(c, b)), cmp.Compare(a.Cohort, b.Cohort))
+		return cmp.Or(cmp.Compare(rankHash(c, a), rankHash(c, b)), cmp.Compare(a.Cohort, b.Cohort))
 	})
 	return ranked
 }
 
-func rankOf(c program.Cohort, m Member) uint64 {
+func rankHash(c program.Cohort, m Member) uint64 {
 	return xxhash.Sum64String(string(c) + "\x00" + string(m.Cohort))
 }
 
 // quotas shares the slices out by weight with the largest remainders.
-func quotas(members []Member) []int {
+func shardCounts(members []Member) []int {
 	total := 0.0
 	for _, m := range members {
-		total += weight(m)
+		total += effectiveWeight(m)
 	}
 	counts := make([]int, len(members))
 	order := make([]int, len(members))
-	rest := make([]float64, len(members))
-	left := program.ShardCount
+	remainders := make([]float64, len(members))
+	unassigned := program.ShardCount
 	for i, m := range members {
-		share := weight(m) / total * program.ShardCount
+		share := effectiveWeight(m) / total * program.ShardCount
 		counts[i] = int(share)
-		rest[i] = share - float64(counts[i])
+		remainders[i] = share - float64(counts[i])
 		order[i] = i
-		left -= counts[i]
+		unassigned -= counts[i]
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(rest[b], rest[a]) })
-	for i := range left {
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(remainders[b], remainders[a]) })
+	for i := range unassigned {
 		counts[order[i%len(order)]]++
 	}
 	return counts
 }
 
-func weight(m Member) float64 {
+func effectiveWeight(m Member) float64 {
 	if m.Weight <= 0 {
 		return 1
 	}
--- a/internal/ownership/successor_test.go
+++ b/internal/ownership/successor_test.go
@@ -28,10 +28,10 @@
 		time.Sleep(time.Minute)
 		w.setIsolated(b, false)
 		time.Sleep(10 * time.Second)
-		owner, err := b.keeper.Directory().Locate(context.Background(), id)
+		owner, err := b.reconciler.Directory().Locate(context.Background(), id)
 		is.NoErr(err)
 		is.True(owner.IsSelf)
-		is.True(b.keeper.Adopted(id))
-		b.shut()
+		is.True(b.reconciler.Adopted(id))
+		b.close()
 	})
 }
--- a/internal/ownership/world_test.go
+++ b/internal/ownership/world_test.go
@@ -28,10 +28,10 @@
 	// manual worlds don't run passes by themselves.
 	manual  bool
 	standIn *standin.Store
-	born    int
+	started int
 
 	mu        sync.Mutex
-	instances []*node
+	instances []*instance
 	// heldBy tells for each event which instances held a copy, for failures.
 	heldBy map[string][]program.Cohort
 	// steps counts the calls to the store and to peers.
@@ -40,15 +40,15 @@
 
 // stepsMost is far more than the calls of any plan. Instances that call each other without
 // end stop the run there, and say in which state.
-const stepsMost = 100_000
+const maxSteps = 100_000
 
 // step counts a call of an instance.
 func (w *world) step(what string) {
-	if w.steps.Add(1) <= stepsMost {
+	if w.steps.Add(1) <= maxSteps {
 		return
 	}
-	state := fmt.Sprintf("%d calls to the store and to peers, the last to %s, at %v", stepsMost, what, time.Now())
-	for _, n := range w.all(func(*node) bool { return true }) {
+	state := fmt.Sprintf("%d calls to the store and to peers, the last to %s, at %v", maxSteps, what, time.Now())
+	for _, n := range w.all(func(*instance) bool { return true }) {
 		at, seal, fenced := n.log.Fenced()
 		state += fmt.Sprintf("\n%s: running %v, reachable %v, fenced %v (%v, %v), %d store calls",
 			n.self.Cohort, running(n), reachable(n), fenced, at, seal, n.gate.calls.Load())
@@ -126,18 +126,18 @@
 }
 
 // node is one incarnation of an instance.
-type node struct {
-	w       *world
-	self    Member
-	gate    *gate
-	tracked *store.Tracked
-	log     *ledger.Log
-	keeper  *Reconciler
-	held    *ledger.HeldCopies
-	owner   *fakeOwner
-	metrics metrics.Registry
-	cancel  context.CancelFunc
-	ran     sync.WaitGroup
+type instance struct {
+	world      *world
+	self       Member
+	gate       *gate
+	tracked    *store.Tracked
+	log        *ledger.Log
+	reconciler *Reconciler
+	held       *ledger.HeldCopies
+	owner      *fakeOwner
+	metrics    metrics.Registry
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
 	// paused, stopped and crashedAt are guarded by the world's lock.
 	paused    bool
@@ -153,10 +153,10 @@
 }
 
 // start brings up a new instance.
-func (w *world) start(weight float64) *node {
-	w.born++
-	cohort := program.Cohort(fmt.Sprintf("sul1.i%d.%04d", w.born, w.born))
-	n := &node{w: w, self: Member{Instance: fmt.Sprint("i", w.born), Cohort: cohort, Addr: "10.0.0.1:7000", Weight: weight}}
+func (w *world) start(weight float64) *instance {
+	w.started++
+	cohort := program.Cohort(fmt.Sprintf("sul1.i%d.%04d", w.started, w.started))
+	n := &instance{world: w, self: Member{Instance: fmt.Sprint("i", w.started), Cohort: cohort, Addr: "10.0.0.1:7000", Weight: weight}}
 	n.metrics = metrics.NewRegistry()
 	n.gate = &gate{Client: w.standIn, world: w}
 	n.tracked = store.Track(n.gate, nil)
@@ -171,7 +171,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	n.keeper = New(Options{
+	n.reconciler = New(Options{
 		Self: n.self, Store: n.tracked, Log: n.log, Members: n, Adopter: n.owner, Copies: n, Outages: n.tracked,
 		Notifier: n, Registry: n.metrics, Interval: 3 * time.Second, Grace: 2 * time.Second, RankDelay: 500 * time.Millisecond,
 	})
@@ -181,24 +181,24 @@
 	w.instances = append(w.instances, n)
 	w.mu.Unlock()
 	if !w.manual {
-		n.ran.Go(func() { n.keeper.Run(ctx) })
+		n.goroutines.Go(func() { n.reconciler.Run(ctx) })
 	}
 	return n
 }
 
 // all returns the instances that pass the filter.
-func (w *world) all(filter func(*node) bool) []*node {
+func (w *world) all(filter func(*instance) bool) []*instance {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(w.instances), func(n *node) bool { return !filter(n) })
+	return slices.DeleteFunc(slices.Clone(w.instances), func(n *instance) bool { return !filter(n) })
 }
 
-func reachable(n *node) bool { return n.crashedAt.IsZero() && !n.paused && !n.stopped }
+func reachable(n *instance) bool { return n.crashedAt.IsZero() && !n.paused && !n.stopped }
 
-func running(n *node) bool { return n.crashedAt.IsZero() }
+func running(n *instance) bool { return n.crashedAt.IsZero() }
 
 // crash ends an instance. What it has sent may still take effect.
-func (w *world) crash(n *node) {
+func (w *world) crash(n *instance) {
 	w.mu.Lock()
 	n.crashedAt = time.Now()
 	w.mu.Unlock()
@@ -206,20 +206,20 @@
 	n.gate.crashed = true
 	n.gate.mu.Unlock()
 	w.resume(n)
-	n.shut()
+	n.close()
 	for _, other := range w.all(reachable) {
-		other.ran.Go(func() { _ = other.log.ReplicateHeld(context.Background()) })
+		other.goroutines.Go(func() { _ = other.log.ReplicateHeld(context.Background()) })
 	}
 }
 
-func (n *node) shut() {
+func (n *instance) close() {
 	n.cancel()
 	n.log.Close()
-	n.ran.Wait()
+	n.goroutines.Wait()
 	n.tracked.Close()
 }
 
-func (w *world) pause(n *node) {
+func (w *world) pause(n *instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n.paused, n.pausedAt = true, time.Now()
@@ -228,13 +228,13 @@
 	n.gate.resume = make(chan struct{})
 }
 
-func (w *world) setIsolated(n *node, isolated bool) {
+func (w *world) setIsolated(n *instance, isolated bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n.isolated = isolated
 }
 
-func (w *world) resume(n *node) {
+func (w *world) resume(n *instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n.gate.mu.Lock()
@@ -246,9 +246,9 @@
 }
 
 // Living implements Members.
-func (n *node) Living() []Member {
+func (n *instance) Living() []Member {
 	var out []Member
-	for _, other := range n.w.all(func(other *node) bool { return reachable(other) && !n.isolated }) {
+	for _, other := range n.world.all(func(other *instance) bool { return reachable(other) && !n.isolated }) {
 		if _, _, fenced := other.log.Fenced(); !fenced {
 			out = append(out, other.self)
 		}
@@ -257,8 +257,8 @@
 }
 
 // Find implements Members.
-func (n *node) Find(c program.Cohort) (Member, bool) {
-	if other := n.w.find(c); other != nil {
+func (n *instance) Find(c program.Cohort) (Member, bool) {
+	if other := n.world.find(c); other != nil {
 		return other.self, true
 	}
 	return Member{}, false
@@ -267,9 +267,9 @@
 // Dead implements Members: every second crash is known at once, the others
 // only show by their absence, unless they never made their cohort's object or
 // their last heartbeat told that they rely on peers' copies.
-func (n *node) Dead() []Dead {
+func (n *instance) Dead() []Dead {
 	var out []Dead
-	for i, other := range n.w.all(func(*node) bool { return true }) {
+	for i, other := range n.world.all(func(*instance) bool { return true }) {
 		holding := other.log.Holding()
 		if !running(other) && (i%2 == 0 || holding || !other.log.Created()) {
 			out = append(out, Dead{Cohort: other.self.Cohort, Since: other.crashedAt, StoreDown: holding})
@@ -281,13 +281,13 @@
 }
 
 // Sealed implements Notifier.
-func (n *node) Sealed(_ context.Context, m Member, c program.Cohort) {
-	if other := n.w.find(m.Cohort); other != nil {
-		other.keeper.ObserveSealed(c)
+func (n *instance) Sealed(_ context.Context, m Member, c program.Cohort) {
+	if other := n.world.find(m.Cohort); other != nil {
+		other.reconciler.ObserveSealed(c)
 	}
 }
 
-func (w *world) find(c program.Cohort) *node {
+func (w *world) find(c program.Cohort) *instance {
 	for _, n := range w.all(reachable) {
 		if n.self.Cohort == c {
 			return n
@@ -297,13 +297,13 @@
 }
 
 // Hold implements ledger.Holders.
-func (n *node) Hold(_ context.Context, c ledger.Copy) (int, error) {
-	n.w.step("holders")
+func (n *instance) Hold(_ context.Context, c ledger.Copy) (int, error) {
+	n.world.step("holders")
 	held := 0
-	for _, other := range n.w.all(reachable) {
-		if other != n && held < ledger.RequiredCopies && !other.keeper.Sealed(c.Cohort) && other.held.Hold(c) == nil {
+	for _, other := range n.world.all(reachable) {
+		if other != n && held < ledger.RequiredCopies && !other.reconciler.Sealed(c.Cohort) && other.held.Hold(c) == nil {
 			held++
-			n.w.noteHeld(c, other.self.Cohort)
+			n.world.noteHeld(c, other.self.Cohort)
 		}
 	}
 	return held, nil
@@ -318,26 +318,26 @@
 }
 
 // Release implements ledger.Holders.
-func (n *node) Release(_ context.Context, c program.Cohort, upTo uint64) {
-	for _, other := range n.w.all(running) {
+func (n *instance) Release(_ context.Context, c program.Cohort, upTo uint64) {
+	for _, other := range n.world.all(running) {
 		_ = other.held.Release(c, upTo)
 	}
 }
 
 // Offer implements ledger.Successors.
-func (n *node) Offer(ctx context.Context, seal *ledger.Seal, c ledger.Copy) error {
-	n.w.step("successors")
+func (n *instance) Offer(ctx context.Context, seal *ledger.Seal, c ledger.Copy) error {
+	n.world.step("successors")
 	for _, r := range c.Records {
-		owner, err := n.keeper.Directory().Locate(ctx, r.Program)
+		owner, err := n.reconciler.Directory().Locate(ctx, r.Program)
 		if err != nil {
 			return err
 		}
-		other := n.w.find(owner.Cohort)
+		other := n.world.find(owner.Cohort)
 		if other == nil {
 			return errors.New("successor unreachable")
 		}
 		part := ledger.Copy{Cohort: c.Cohort, Records: []ledger.Record{r}}
-		if err := other.keeper.AcceptOffered(ctx, part); err != nil {
+		if err := other.reconciler.AcceptOffered(ctx, part); err != nil {
 			return err
 		}
 	}
@@ -345,35 +345,35 @@
 }
 
 // Collect implements Copies.
-func (n *node) Collect(_ context.Context, c program.Cohort) ([]ledger.Copy, int) {
-	n.w.step("copies")
+func (n *instance) Collect(_ context.Context, c program.Cohort) ([]ledger.Copy, int) {
+	n.world.step("copies")
 	var copies []ledger.Copy
-	unasked := 0
-	for _, other := range n.w.all(func(*node) bool { return true }) {
+	unreached := 0
+	for _, other := range n.world.all(func(*instance) bool { return true }) {
 		switch {
 		case other.self.Cohort == c:
 		case reachable(other) || other.stopped && running(other):
 			copies = append(copies, other.held.Held(c))
 		case other.paused || time.Since(other.crashedAt) < 2*deathMargin:
-			unasked++
+			unreached++
 		}
 	}
-	return copies, unasked
+	return copies, unreached
 }
 
 // Forget implements Copies.
-func (n *node) Forget(_ context.Context, c program.Cohort) {
+func (n *instance) Forget(_ context.Context, c program.Cohort) {
 	n.Release(context.Background(), c, ^uint64(0))
 }
 
 // fakeOwner is the simplest owner of programs: a program's state is the list
 // of its events.
 type fakeOwner struct {
-	n        *node
+	instance *instance
 	mu       sync.Mutex
 	programs map[program.ID]*fakeProgram
 	// doubted are the slices of which programs may be lost whole.
-	doubted map[sliceOf]bool
+	unproven map[cohortShard]bool
 }
 
 type fakeProgram struct {
@@ -387,24 +387,24 @@
 
 func newProgram() *fakeProgram { return &fakeProgram{busy: make(chan struct{}, 1)} }
 
-func newFakeOwner(n *node) *fakeOwner {
-	return &fakeOwner{n: n, programs: map[program.ID]*fakeProgram{}, doubted: map[sliceOf]bool{}}
+func newFakeOwner(n *instance) *fakeOwner {
+	return &fakeOwner{instance: n, programs: map[program.ID]*fakeProgram{}, unproven: map[cohortShard]bool{}}
 }
 
 // doubt remembers what can't be proven whole, as an owner has to for ids that
 // it does not know.
-func (o *fakeOwner) doubt(a Adoption) {
+func (o *fakeOwner) markUnproven(a Adoption) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, c := range a.Unproven {
-		o.doubted[sliceOf{c, a.Shard}] = true
+		o.unproven[cohortShard{c, a.Shard}] = true
 	}
 }
 
-func (o *fakeOwner) doubts(id program.ID) bool {
+func (o *fakeOwner) isUnproven(id program.ID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.doubted[sliceOf{id.Cohort(), id.Shard()}]
+	return o.unproven[cohortShard{id.Cohort(), id.Shard()}]
 }
 
 func (o *fakeOwner) lookup(id program.ID) *fakeProgram {
@@ -472,7 +472,7 @@
 
 // Adopt implements Adopter.
 func (o *fakeOwner) Adopt(ctx context.Context, a Adoption) error {
-	o.doubt(a)
+	o.markUnproven(a)
 	var group errgroup.Group
 	for id, p := range fold(slices.Concat(a.Records, a.Tail.Records)) {
 		if p.ended {
@@ -482,7 +482,7 @@
 		p.Uncertain = p.Uncertain || a.Tail.Uncertain
 		p = o.insert(id, p)
 		group.Go(func() error {
-			return o.n.log.Append(ctx, ledger.Record{Program: id, Event: p.encode(), Kind: ledger.Snapshot})
+			return o.instance.log.Append(ctx, ledger.Record{Program: id, Event: p.encode(), Kind: ledger.Snapshot})
 		})
 	}
 	return group.Wait()
@@ -494,10 +494,10 @@
 		// Its first record may have come late, too.
 		p := o.insert(r.Program, newProgram())
 		p.busy <- struct{}{}
-		had := slices.Contains(p.Events, string(r.Event))
+		present := slices.Contains(p.Events, string(r.Event))
 		var err error
-		if !had && !p.ended {
-			err = o.n.log.Append(ctx, ledger.Record{Program: r.Program, Event: r.Event})
+		if !present && !p.ended {
+			err = o.instance.log.Append(ctx, ledger.Record{Program: r.Program, Event: r.Event})
 		}
 		if err == nil && !p.ended {
 			p.add(string(r.Event))
@@ -517,15 +517,15 @@
 		w := newWorld(t)
 		w.manual = true
 		n := w.start(1)
-		defer n.shut()
+		defer n.close()
 		synctest.Wait() // the log's own first call must not be the one too many
-		w.steps.Store(stepsMost)
+		w.steps.Store(maxSteps)
 		defer func() {
 			w.steps.Store(0)
 			if state, _ := recover().(string); !strings.Contains(state, string(n.self.Cohort)+": running true") {
 				t.Errorf("stopped with %q", state)
 			}
 		}()
-		n.w.step("the store")
+		n.world.step("the store")
 	})
 }
