--- a/internal/ledger/appender.go
+++ b/internal/ledger/appender.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// downPoll is how often the appender looks whether the store is back;
-	// it costs no call, since the store's own probe finds out.
+	// downPollInterval is how often the appender checks whether the store is back. A check makes
+	// no call: the store's client probes by itself.
 	downPollInterval = 50 * time.Millisecond
-	// repeatWait is the wait before a write or read-back is tried again.
+	// retryDelay is the delay before a write or a read-back is repeated.
 	retryDelay = 20 * time.Millisecond
 )
 
-// batch is what goes into one entry.
+// batch is the content of one entry.
 type batch struct {
 	requests []*request
 	entry    Entry
 	value    []byte
 }
 
-// run is the appender: it creates the cohort's object and then writes batch
-// after batch until the log is closed or sealed.
+// run is the appender goroutine. It creates the cohort's object and then writes one batch at a
+// time until the log is closed or sealed.
 func (l *Log) run() {
 	defer close(l.done)
 	defer l.shutDown()
@@ -43,8 +43,9 @@
 	}
 }
 
-// create makes the cohort's object before the first entry, so that whoever
-// reconciles the cohorts finds every log that can hold records.
+// createObject creates the cohort's object before the first entry, so that reconciliation of the
+// cohorts finds every log that can have records. It returns false if the log is closed or turns
+// out to have been sealed.
 func (l *Log) createObject() bool {
 	for l.ctx.Err() == nil {
 		started := time.Now()
@@ -66,20 +67,20 @@
 			l.mu.Unlock()
 			return true
 		}
-		l.log.WithError(err).Warn("cohort not created yet")
+		l.log.WithError(err).Warn("cohort object not created; retrying")
 		l.refuseQueue()
 		l.pause(retryDelay)
 	}
 	return false
 }
 
-// findMoved returns what is left of this cohort if its log was sealed, adopted
-// and deleted before the creation of its object took effect, and takes the
-// object away again.
+// revertLateCreation checks whether this cohort's log was sealed, adopted and deleted before the
+// creation of its object took effect. If so, it deletes the object again and returns the cohort
+// as kept under its moved key; otherwise it returns nil.
 //
-// The failure: an owner is paused at its start and taken over. Its creation,
-// late or made again, brings back an object that says the log begins, so that
-// the owner and the successor both own its programs.
+// This guards against an owner that is paused at its start and taken over. Its creation, late or
+// repeated, makes an object of an unsealed log again, and the owner and the successor would both
+// own the programs.
 func (l *Log) revertLateCreation(ctx context.Context) (*Cohort, error) {
 	object, err := l.options.Store.Get(ctx, MovedKey(l.options.Cohort))
 	if errors.Is(err, store.ErrNotFound) {
@@ -102,8 +103,8 @@
 	return &moved, nil
 }
 
-// waitForWork returns true once there is something to write and the store is
-// not known to be down, and false when the log is closed or sealed.
+// waitForWork blocks until there are records to write and the store is not known to be down. It
+// returns false if the log is closed or sealed.
 func (l *Log) waitForWork() bool {
 	for {
 		l.mu.Lock()
@@ -136,8 +137,9 @@
 	}
 }
 
-// take moves what fits into one entry out of the queue: first what peers hold,
-// since a program's later records may build on it. A seal goes alone.
+// nextBatch builds a batch of the requests that fit into one entry, or returns nil if there are
+// none. Requests held by peers come first, since later records of a program may build on them. A
+// seal gets an entry of its own.
 func (l *Log) nextBatch() *batch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,6 +167,8 @@
 	return b
 }
 
+// addQueued moves requests from the queue to the batch, whose size in bytes so far is given. The
+// caller holds the lock.
 func (l *Log) addQueued(b *batch, size int) {
 	taken := 0
 	for _, r := range l.queue {
@@ -182,22 +186,25 @@
 	l.queue = append([]*request(nil), l.queue[taken:]...)
 }
 
-// found is what stands under an entry's number.
+// writeOutcome is the outcome of writing an entry, as read back under its number.
 type writeOutcome uint8
 
 const (
+	// outcomeNotWritten means that the number is free.
 	outcomeNotWritten writeOutcome = iota
+	// outcomeWritten means that the number has this batch's entry.
 	outcomeWritten
+	// outcomeNumberTaken means that the number has another writer's entry.
 	outcomeNumberTaken
+	// outcomeUnknown means that the number could not be read.
 	outcomeUnknown
 )
 
-// write puts one entry and tells its callers the outcome. A lost answer is
-// settled by reading the entry back before anybody is told anything: told
-// "written" wrongly, a step would be sent that a successor doesn't know of;
-// told "not written" wrongly, a step would be answered "not run" and stand in
-// the log. Repeating the put is safe, since the same bytes under the same
-// number take effect once.
+// write puts one entry and reports the outcome to its callers. If the response is lost, the entry
+// is read back before any outcome is reported. A wrong "written" would let a step be sent that a
+// successor does not know of; a wrong "not written" would let a step be reported as not run
+// although it is in the log. Repeating the put is safe: the same bytes under the same number take
+// effect once.
 func (l *Log) write(b *batch) {
 	started := time.Now()
 	mayBeWritten := false
@@ -226,6 +233,7 @@
 	l.abortBatch(b, mayBeWritten)
 }
 
+// put attempts once to create the batch's entry.
 func (l *Log) put(b *batch) error {
 	ctx, cancel := context.WithTimeout(l.ctx, l.options.WriteTimeout)
 	defer cancel()
@@ -235,8 +243,8 @@
 	return err
 }
 
-// settle reads the entry's number back until it knows what stands there. While
-// it can't, everybody who can be told something true is told it.
+// resolveOutcome reads the entry's number back until the outcome of the write is known. While the
+// store can't be read, suspend completes the requests whose callers need not wait.
 func (l *Log) resolveOutcome(b *batch) writeOutcome {
 	l.meters.readBacks.Inc(1)
 	for l.ctx.Err() == nil {
@@ -257,6 +265,7 @@
 	return outcomeUnknown
 }
 
+// readBack reads the batch's entry number once. The entry is set if the number is used.
 func (l *Log) readBack(b *batch) (writeOutcome, Entry) {
 	if l.options.Store.Down() {
 		return outcomeUnknown, Entry{}
@@ -274,11 +283,12 @@
 	if err == nil && string(entry.WriteID) == string(b.entry.WriteID) {
 		return outcomeWritten, entry
 	}
-	l.log.WithError(err).WithField("entry", object.Key.String()).Warn("entry number taken by another writer")
+	l.log.WithError(err).WithField("entry", object.Key.String()).Warn("entry number used by another writer; log accepts no more records")
 	return outcomeNumberTaken, entry
 }
 
-// commit tells the callers of a batch that is in the log.
+// commit updates the log's state after a batch was written and completes its requests. started is
+// when the write began.
 func (l *Log) commit(b *batch, started time.Time) {
 	l.proof.renew(started)
 	l.mu.Lock()
@@ -303,7 +313,8 @@
 	}
 }
 
-// dropHeld forgets the batch's held requests and lets the peers forget them.
+// dropHeld removes the batch's requests from the held ones and has the peers release their copies.
+// The caller holds the lock.
 func (l *Log) dropHeld(b *batch) {
 	var upTo uint64
 	for _, r := range b.requests {
@@ -324,7 +335,7 @@
 	l.background.Go(func() { l.options.Holders.Release(l.ctx, l.options.Cohort, upTo) })
 }
 
-// endQueue ends all that wait. The lock is held.
+// failQueue completes all queued requests with the error. The caller holds the lock.
 func (l *Log) failQueue(err error) {
 	for _, r := range l.queue {
 		l.discard(r)
@@ -333,8 +344,8 @@
 	l.queue = nil
 }
 
-// fence ends the log for its owner: b's number holds another writer's entry,
-// which only the seal can be. What peers hold is offered to the successors.
+// fence stops the log after another writer's entry, which can only be the seal, was found under
+// the number of b. Records held by peers are offered to the successors.
 func (l *Log) fence(b *batch, seal *Seal, number uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -353,8 +364,8 @@
 	}
 }
 
-// giveUp ends a batch when the log is closed. unsure says that a write of it
-// may have taken effect.
+// abortBatch completes the requests of a batch when the log is closed. mayBeWritten reports
+// whether a write of the batch may have taken effect.
 func (l *Log) abortBatch(b *batch, mayBeWritten bool) {
 	outcome := ErrClosed
 	if mayBeWritten {
@@ -367,6 +378,7 @@
 	}
 }
 
+// shutDown completes all queued requests when the appender stops.
 func (l *Log) shutDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ledger/compact.go
+++ b/internal/ledger/compact.go
@@ -11,21 +11,21 @@
 	"foxhall/internal/store"
 )
 
-// CompactionOptions say when the head of a log is copied forward. Zero values
-// stand for the defaults.
+// CompactionOptions configures when a log is compacted. A zero value selects the default.
 type CompactionOptions struct {
-	// MinEntries is the length below which a log is left alone. Default 64.
+	// MinEntries is the length in entries below which a log is not compacted. Default 64.
 	MinEntries int
-	// MaxEntries is the length above which a log of small entries is copied
-	// into fuller ones, and so the bound of recovery by reads. Default 1024.
+	// MaxEntries is the length in entries above which a log of small entries is copied into
+	// fuller ones. It bounds the number of reads of a recovery. Default 1024.
 	MaxEntries int
 }
 
 const (
 	defaultMinEntries = 64
 	defaultMaxEntries = 1024
-	// compactPause keeps a log whose head can't be dropped yet, since one of
-	// its programs is busy, from copying the others forward at each commit.
+	// compactionInterval is the minimum time between two compactions. If the head of a log can't
+	// be deleted because one of its programs is busy, it keeps the log from copying the other
+	// programs forward at each commit.
 	compactionInterval = 2 * time.Second
 )
 
@@ -39,8 +39,8 @@
 	return o
 }
 
-// due reports whether compaction is worth its writes: more than half of the
-// log is dead, or the log is long and its entries are less than half full.
+// isDue reports whether compaction is worth its writes: less than half of the log's bytes are still
+// needed, or the log is long and its entries are on average less than half full.
 func (o CompactionOptions) isDue(x *index) bool {
 	entries := int(x.next - x.first)
 	if entries < o.MinEntries {
@@ -49,7 +49,7 @@
 	return 2*x.liveBytes < x.totalBytes || entries > o.MaxEntries && x.totalBytes/entries < store.MaxValue/2
 }
 
-// compactLoop copies the head of the log forward when it is due.
+// compactLoop compacts the log whenever compaction is due, until the log is closed.
 func (l *Log) compactLoop() {
 	for {
 		select {
@@ -58,16 +58,16 @@
 			return
 		}
 		if err := l.compactOnce(l.ctx); err != nil && l.ctx.Err() == nil {
-			l.log.WithError(err).Warn("compaction put off")
+			l.log.WithError(err).Warn("compaction failed; retrying after a later commit")
 		}
 		l.pause(compactionInterval)
 	}
 }
 
-// compactOnce drops up to half of the log's entries: it writes a snapshot or
-// tombstone at the log's end for each program that needs one of them, moves
-// the checkpoint pointer in the cohort's object, and deletes what lies before.
-// A crash between any two of these leaves a log that recovers to the same.
+// compactOnce deletes up to half of the log's entries. It appends a snapshot or tombstone for each
+// program that still needs one of them, advances Cohort.First in the cohort's object, and deletes
+// the entries before it. A crash between any two of these steps leaves a log that recovers to the
+// same state.
 func (l *Log) compactOnce(ctx context.Context) error {
 	l.mu.Lock()
 	due := l.options.Compaction.isDue(&l.index) && !l.fenced
@@ -91,7 +91,8 @@
 	return l.truncateHead(ctx, first, limit)
 }
 
-// copyForward appends a snapshot or tombstone of each program, and the marks.
+// copyForward appends a snapshot or tombstone of each program, and the adoption records. programs
+// has the sequence of each program's last queued record.
 func (l *Log) copyForward(ctx context.Context, programs map[program.ID]uint64, adoptions []Record) error {
 	var pending []*request
 	for id, lastSequence := range programs {
@@ -120,9 +121,9 @@
 	return nil
 }
 
-// snapshot queues a snapshot or tombstone of the program, unless a record of
-// it was queued since last was read: the snapshot might not hold that record
-// and would hide it. Such a program is left for the next time.
+// queueSnapshot queues a snapshot or tombstone of the program, unless a record of the program was
+// queued after lastSequence: the snapshot might not cover that record and would hide it. Such a
+// program is left for the next compaction; the result is then nil.
 func (l *Log) queueSnapshot(id program.ID, lastSequence uint64) *request {
 	event, live := l.options.Snapshots.Snapshot(id)
 	record := Record{Program: id, Event: event, Kind: Snapshot}
@@ -143,7 +144,8 @@
 	return r
 }
 
-// dropHead moves the checkpoint pointer and deletes the entries before it.
+// truncateHead advances Cohort.First from first to limit and deletes the entries before it, unless
+// a seal was begun.
 func (l *Log) truncateHead(ctx context.Context, first, limit uint64) error {
 	sealed := false
 	err := UpdateCohort(ctx, l.options.Store, l.options.Cohort, func(c *Cohort) bool {
@@ -165,7 +167,7 @@
 	return DeleteEntries(ctx, l.options.Store, l.options.Cohort, first, limit)
 }
 
-// DeleteEntries deletes the entries from first up to, not with, limit.
+// DeleteEntries deletes the entries from first up to but not including limit.
 func DeleteEntries(ctx context.Context, client store.Client, c program.Cohort, first, limit uint64) error {
 	for n := first; n < limit; n++ {
 		err := store.Retry(ctx, func() error { return deleteEntry(ctx, client, EntryKey(c, n)) })
@@ -176,6 +178,7 @@
 	return nil
 }
 
+// deleteEntry deletes one object. It is no error if the object does not exist.
 func deleteEntry(ctx context.Context, client store.Client, key store.Key) error {
 	object, err := client.Get(ctx, key)
 	if err == nil {
--- a/internal/ledger/copies.go
+++ b/internal/ledger/copies.go
@@ -12,12 +12,12 @@
 	"foxhall/internal/program"
 )
 
-// ErrFull says that a holder has no room; nothing was held.
-var ErrHeldLimit = errors.New("ledger: no room for held copies")
+// ErrHeldLimit indicates that held copies have reached their maximum size. The copy was not taken.
+var ErrHeldLimit = errors.New("ledger: held copies at their maximum size")
 
-// HeldCopies are the records that this instance holds for other cohorts while
-// the object API is down. They are kept in memory and, where the instance has a
-// data folder, also there, so that they survive its restart.
+// HeldCopies is the set of records that this instance holds for other cohorts while the object API
+// is down. They are kept in memory and, if the instance has a data folder, also on disk, so that
+// they survive a restart.
 type HeldCopies struct {
 	disk     *copyFolder
 	maxBytes int
@@ -27,14 +27,14 @@
 	cohorts map[program.Cohort][]Record
 }
 
-// defaultHeldBytes bounds what an instance holds for others: at 62 turns a
-// second and 4 KB each for two peers that is over two minutes for one owner.
+// defaultMaxHeldBytes is the default maximum size of the copies held for others, in bytes. It has
+// room for over two minutes of one owner's turns, at 62 per second of 4 KB each and two copies of
+// each.
 const defaultMaxHeldBytes = 64 << 20
 
-// OpenHeldCopies returns the copies that this instance holds, with those in
-// the folder, if it is not empty. limit is in bytes; 0 stands for 64 MiB.
-// Files that are torn are left where they are and named in the error, which
-// comes beside a usable HeldCopies.
+// OpenHeldCopies returns the copies that this instance holds, including those in the folder, unless
+// its name is empty. limit is in bytes; 0 selects 64 MiB. Files that can't be decoded are not
+// changed. The error names them, and the HeldCopies is usable all the same.
 func OpenHeldCopies(folder string, limit int) (*HeldCopies, error) {
 	if limit == 0 {
 		limit = defaultMaxHeldBytes
@@ -54,7 +54,7 @@
 	return h, err
 }
 
-// Hold keeps the copy and returns nil once it is kept: on disk, where there is one.
+// Hold stores the copy and returns nil once it is stored, on disk if there is a data folder.
 func (h *HeldCopies) Hold(c Copy) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// add merges the copy's records; one that is held already is left out.
+// merge adds the copy's records to those held. Records that are held already are skipped.
 func (h *HeldCopies) merge(c Copy) {
 	for _, r := range c.Records {
 		records := h.cohorts[c.Cohort]
@@ -85,17 +85,17 @@
 
 func bySequence(r Record, sequence uint64) int { return cmp.Compare(r.Sequence, sequence) }
 
-// Held returns what is held for the cohort, in the order of sequences.
+// Held returns the records held for the cohort, ordered by sequence.
 func (h *HeldCopies) Held(c program.Cohort) Copy {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return Copy{Cohort: c, Records: slices.Clone(h.cohorts[c])}
 }
 
-// Parts returns the same cut into parts of the size of an entry.
+// Parts returns the records held for the cohort, split into parts that each fit into an entry.
 func (h *HeldCopies) Parts(c program.Cohort) iter.Seq[Copy] { return splitCopy(h.Held(c)) }
 
-// Cohorts returns the cohorts for which something is held.
+// Cohorts returns the cohorts for which records are held, sorted by name.
 func (h *HeldCopies) Cohorts() []program.Cohort {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -107,7 +107,7 @@
 	return cohorts
 }
 
-// Release forgets the cohort's records up to and with the sequence.
+// Release drops the cohort's records up to and including the sequence.
 func (h *HeldCopies) Release(c program.Cohort, upTo uint64) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,19 +124,19 @@
 	return h.disk.release(c, upTo)
 }
 
-// Size returns the bytes held.
+// Size returns the size of the held records in bytes.
 func (h *HeldCopies) Size() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.size
 }
 
-// EncodeCopy returns the copy with a checksum, for the wire and the disk.
+// EncodeCopy returns the copy with a checksum, as it is sent to peers and stored on disk.
 func EncodeCopy(c Copy) []byte {
 	return encodeEnvelope(&ledgerpb.Copy{Cohort: string(c.Cohort), Records: recordsToPB(c.Records)})
 }
 
-// DecodeCopy reads an encoded copy. Its errors are ErrCorrupt.
+// DecodeCopy decodes a copy. Errors are ErrCorrupt.
 func DecodeCopy(data []byte) (Copy, error) {
 	message := &ledgerpb.Copy{}
 	if err := decodeEnvelope(data, message); err != nil {
--- a/internal/ledger/copyfolder.go
+++ b/internal/ledger/copyfolder.go
@@ -12,24 +12,25 @@
 	"foxhall/internal/program"
 )
 
-// copySuffix ends the names of held copies; a file being written has another.
+// copySuffix is the file name suffix of held copies. A file being written has another suffix.
 const copySuffix = ".held"
 
-// copyFolder keeps held copies as files, one for each Hold. A file is written
-// under another name, synced and renamed, so that a crash leaves either no
-// copy or a whole one; the checksum finds what a bad disk does to it later.
+// copyFolder stores held copies as files, one for each Hold. A file is written under another name,
+// synced and renamed, so that a crash leaves either no copy or a complete one. The checksum detects
+// later damage on disk.
 type copyFolder struct {
 	path  string
 	files map[program.Cohort][]copyFile
 }
 
+// copyFile is the file of one copy and the last sequence in it.
 type copyFile struct {
 	name         string
 	lastSequence uint64
 }
 
-// openCopyFolder reads what the folder holds. A torn file is named in the
-// error, and the folder is usable all the same.
+// openCopyFolder reads the copies in the folder. The error names files that can't be decoded; the
+// folder is usable all the same.
 func openCopyFolder(path string) (*copyFolder, []Copy, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, nil, errors.Wrap(err, "ledger: held copies")
@@ -51,11 +52,12 @@
 		f.recordFile(name, c)
 	}
 	if len(torn) > 0 {
-		return f, copies, errors.Wrapf(ErrCorrupt, "held copies %s", strings.Join(torn, ", "))
+		return f, copies, errors.Wrapf(ErrCorrupt, "held copies unreadable: %s", strings.Join(torn, ", "))
 	}
 	return f, copies, nil
 }
 
+// readCopy reads and decodes one file. Errors are ErrCorrupt.
 func readCopy(name string) (Copy, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -64,17 +66,19 @@
 	return DecodeCopy(data)
 }
 
+// recordFile adds the copy's file to those known.
 func (f *copyFolder) recordFile(name string, c Copy) {
 	last := c.Records[len(c.Records)-1].Sequence
 	f.files[c.Cohort] = append(f.files[c.Cohort], copyFile{name, last})
 }
 
+// write stores the copy durably in a file of its own.
 func (f *copyFolder) write(c Copy) error {
 	if len(c.Records) == 0 {
 		return nil
 	}
-	// The name has both ends: a slow Hold of one record must not replace the
-	// file of a later one that begins with the same record and has more.
+	// The name has the first and the last sequence: a slow Hold of one record must not replace the
+	// file of a later Hold that begins with the same record and has more of them.
 	last := c.Records[len(c.Records)-1].Sequence
 	base := fmt.Sprintf("%s-%012d-%012d%s", url.PathEscape(string(c.Cohort)), c.Records[0].Sequence, last, copySuffix)
 	name := filepath.Join(f.path, base)
@@ -91,6 +95,7 @@
 	return nil
 }
 
+// writeSynced writes a file and syncs it.
 func writeSynced(name string, data []byte) error {
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -106,7 +111,7 @@
 	return err
 }
 
-// syncFolder makes a rename durable.
+// syncFolder syncs a folder, which makes a rename in it durable.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
@@ -116,7 +121,7 @@
 	return folder.Sync()
 }
 
-// release deletes the cohort's files whose records are all released.
+// release deletes the cohort's files whose records are all released, and returns the last failure.
 func (f *copyFolder) release(c program.Cohort, upTo uint64) error {
 	var kept []copyFile
 	var failed error
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -17,44 +17,45 @@
 // KindLog is the object kind of log entries.
 const KindLog = "log"
 
-// writeIDSize is the number of random bytes that tell one write from all others.
+// writeIDSize is the size in bytes of the random id that distinguishes a write from all others.
 const writeIDSize = 16
 
-// EntryKey returns the key of entry number of the cohort's log. The fixed
-// width keeps the store's name order equal to the log's order.
+// EntryKey returns the key of the entry with this number in the cohort's log. The number has a
+// fixed width, so that the order of names in the store is the order of the log.
 func EntryKey(c program.Cohort, number uint64) store.Key {
 	return store.Key{Kind: KindLog, Name: fmt.Sprintf("%s/%012d", c, number)}
 }
 
-// Entry is one decoded object of a log.
+// Entry is the decoded form of one object of a log.
 type Entry struct {
 	Cohort  program.Cohort
 	Number  uint64
 	WriteID []byte
 	Records []Record
-	// Seal is set in the last entry of a sealed log, which holds no records.
+	// Seal is set in the last entry of a sealed log, which has no records.
 	Seal *Seal
 }
 
-// Seal ends a log for good and names who goes on with each slice.
+// Seal is the last entry of a log. It names the successor of each shard.
 type Seal struct {
 	// By is the cohort that wrote the seal.
 	By program.Cohort
-	// Planned says that the owner itself wrote it at a planned stop, with
-	// nothing left to record.
+	// Planned reports whether the owner itself wrote the seal at a planned stop, with nothing
+	// left to record.
 	Planned bool
 	At      time.Time
-	// Successors holds the successor of each slice.
+	// Successors is the successor of each shard.
 	Successors [program.ShardCount]program.Cohort
 }
 
+// newWriteID returns a random write id.
 func newWriteID() []byte {
 	id := make([]byte, writeIDSize)
 	rand.Read(id)
 	return id
 }
 
-// EncodeEntry returns the entry as it is stored.
+// EncodeEntry returns the entry in its stored form.
 func EncodeEntry(e Entry) []byte {
 	message := &ledgerpb.Entry{Cohort: string(e.Cohort), Number: e.Number, WriteId: e.WriteID, Records: recordsToPB(e.Records)}
 	if e.Seal != nil {
@@ -63,8 +64,8 @@
 	return encodeEnvelope(message)
 }
 
-// DecodeEntry reads a stored entry and checks that it is the one that belongs
-// under this cohort and number. Its errors are ErrCorrupt with the entry's name.
+// DecodeEntry decodes a stored entry and checks that it has this cohort and number. Errors are
+// ErrCorrupt, wrapped with the entry's key.
 func DecodeEntry(value []byte, c program.Cohort, number uint64) (Entry, error) {
 	message := &ledgerpb.Entry{}
 	name := EntryKey(c, number)
@@ -72,7 +73,7 @@
 		return Entry{}, errors.Wrap(err, name.String())
 	}
 	if message.Cohort != string(c) || message.Number != number {
-		return Entry{}, errors.Wrapf(ErrCorrupt, "%s: holds entry %d of %q", name, message.Number, message.Cohort)
+		return Entry{}, errors.Wrapf(ErrCorrupt, "%s: expected this entry, found entry %d of %q", name, message.Number, message.Cohort)
 	}
 	records, err := recordsFromPB(message.Records)
 	if err != nil {
@@ -86,14 +87,14 @@
 	return entry, errors.Wrap(err, name.String())
 }
 
-// envelop encodes a message with its checksum.
+// encodeEnvelope encodes a message together with its checksum.
 func encodeEnvelope(message proto.Message) []byte {
 	body := mustMarshal(message)
 	return mustMarshal(&ledgerpb.Envelope{Body: body, Checksum: xxhash.Sum64(body)})
 }
 
-// mustMarshal panics on failure: the messages are built here from valid parts,
-// so that a failure is a broken invariant.
+// mustMarshal panics on an error. The messages are built in this package from valid parts, so an
+// error means a broken invariant.
 func mustMarshal(message proto.Message) []byte {
 	data, err := proto.Marshal(message)
 	if err != nil {
@@ -102,13 +103,14 @@
 	return data
 }
 
+// decodeEnvelope checks the checksum and decodes the message. Errors are ErrCorrupt.
 func decodeEnvelope(value []byte, into proto.Message) error {
 	envelope := &ledgerpb.Envelope{}
 	if err := proto.Unmarshal(value, envelope); err != nil {
-		return errors.Wrap(ErrCorrupt, "torn: "+err.Error())
+		return errors.Wrap(ErrCorrupt, "truncated or not an envelope: "+err.Error())
 	}
 	if xxhash.Sum64(envelope.Body) != envelope.Checksum || len(envelope.Body) == 0 {
-		return errors.Wrap(ErrCorrupt, "checksum differs")
+		return errors.Wrap(ErrCorrupt, "checksum does not match the body")
 	}
 	if err := proto.Unmarshal(envelope.Body, into); err != nil {
 		return errors.Wrap(ErrCorrupt, "body: "+err.Error())
@@ -135,7 +137,7 @@
 	records := make([]Record, 0, len(messages))
 	for _, m := range messages {
 		if m.Kind < 0 || m.Kind > ledgerpb.Kind(adoptionMark) || (m.Kind == ledgerpb.Kind(adoptionMark)) != (m.Adopted != nil) {
-			return nil, errors.Wrapf(ErrCorrupt, "record %d has kind %d", m.Sequence, m.Kind)
+			return nil, errors.Wrapf(ErrCorrupt, "record %d: kind %d is unknown or contradicts the adoption", m.Sequence, m.Kind)
 		}
 		r := Record{
 			Program: program.ID(m.Program), Sequence: m.Sequence, Event: m.Event,
@@ -171,6 +173,7 @@
 	return a
 }
 
+// sealToPB encodes a seal. Each successor is listed once, and each shard has its index in the list.
 func sealToPB(s *Seal) *ledgerpb.Seal {
 	message := &ledgerpb.Seal{By: string(s.By), Planned: s.Planned, AtUnixMs: s.At.UnixMilli()}
 	index := map[program.Cohort]byte{}
@@ -186,12 +189,12 @@
 
 func sealFromPB(m *ledgerpb.Seal) (*Seal, error) {
 	if len(m.Slices) != program.ShardCount {
-		return nil, errors.Wrapf(ErrCorrupt, "seal maps %d slices", len(m.Slices))
+		return nil, errors.Wrapf(ErrCorrupt, "seal: expected one successor index for each shard, found %d", len(m.Slices))
 	}
 	seal := &Seal{By: program.Cohort(m.By), Planned: m.Planned, At: time.UnixMilli(m.AtUnixMs)}
 	for shard, i := range m.Slices {
 		if int(i) >= len(m.Successors) {
-			return nil, errors.Wrapf(ErrCorrupt, "seal gives slice %d to no successor", shard)
+			return nil, errors.Wrapf(ErrCorrupt, "seal has no successor for shard %d", shard)
 		}
 		seal.Successors[shard] = program.Cohort(m.Successors[i])
 	}
--- a/internal/ledger/hold.go
+++ b/internal/ledger/hold.go
@@ -9,8 +9,8 @@
 	"foxhall/internal/store"
 )
 
-// giveToHolders has peers hold the request's records. Fewer copies than needed
-// leave the outcome open: the records stay queued for the log.
+// replicateToPeers sends the request's records to the holders. If fewer than RequiredCopies peers
+// confirm, the outcome is unknown: the records stay queued for the log.
 func (l *Log) replicateToPeers(ctx context.Context, r *request) error {
 	n, err := l.options.Holders.Hold(ctx, Copy{Cohort: l.options.Cohort, Records: r.records})
 	if n >= RequiredCopies {
@@ -18,11 +18,11 @@
 		return nil
 	}
 	l.meters.unsettled.Inc(1)
-	l.log.WithError(err).WithField("copies", n).Warn("too few peers hold a copy")
-	return errors.Wrapf(ErrUnsettled, "%d copies held", n)
+	l.log.WithError(err).WithField("copies", n).Warn("too few peers hold copies; outcome of the append unknown")
+	return errors.Wrapf(ErrUnsettled, "%d peers hold a copy, too few", n)
 }
 
-// heldCopy returns all held records. The lock is held.
+// heldCopy returns a copy with all held records. The caller holds the lock.
 func (l *Log) heldCopy() Copy {
 	c := Copy{Cohort: l.options.Cohort}
 	for _, r := range l.held {
@@ -31,17 +31,17 @@
 	return c
 }
 
-// offer gives held records to the successors until they have taken them.
+// offer sends held records to the successors until they have accepted them or the log is closed.
 func (l *Log) offer(seal *Seal, c Copy) {
 	err := store.Retry(l.ctx, func() error {
 		if err := l.options.Successors.Offer(l.ctx, seal, c); err != nil {
-			l.log.WithError(err).Warn("held records not taken by the successors yet")
+			l.log.WithError(err).Warn("successors did not accept held records; retrying")
 			return store.ErrUnavailable
 		}
 		return nil
 	})
 	if err != nil {
-		l.log.WithField("records", len(c.Records)).Error("held records not offered before the stop")
+		l.log.WithField("records", len(c.Records)).Error("log closed before the successors accepted held records")
 		return
 	}
 	l.mu.Lock()
@@ -49,10 +49,9 @@
 	l.held = nil
 }
 
-// Rehold gives everything that is held to the holders again. It is called when
-// a peer is gone: a holder that dies takes its copies with it, and a second
-// death would lose turns that callers were told are durable. On a log that was
-// closed it is ErrClosed.
+// ReplicateHeld sends all held records to the holders again. It is called when a peer has failed:
+// the copies on it are lost, and a second failure would lose turns that were reported to callers
+// as durable. On a closed log it returns ErrClosed.
 func (l *Log) ReplicateHeld(ctx context.Context) error {
 	if l.ctx.Err() != nil {
 		return ErrClosed
@@ -66,13 +65,13 @@
 	for batch := range splitCopy(c) {
 		n, err := l.options.Holders.Hold(ctx, batch)
 		if n < RequiredCopies {
-			return errors.Wrapf(ErrUnsettled, "%d copies held: %v", n, err)
+			return errors.Wrapf(ErrUnsettled, "%d peers hold a copy, too few: %v", n, err)
 		}
 	}
 	return nil
 }
 
-// copyBatches cuts a copy into parts of the size of an entry.
+// splitCopy splits a copy into parts that each fit into an entry.
 func splitCopy(c Copy) iter.Seq[Copy] {
 	return func(yield func(Copy) bool) {
 		part := Copy{Cohort: c.Cohort}
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -4,29 +4,32 @@
 	"foxhall/internal/program"
 )
 
-// index knows which entries of the own log are still needed, for compaction.
+// index records which entries of the own log are still needed. Compaction uses it.
 type index struct {
+	// first is the number of the log's oldest entry, next the number after its last one, and
+	// entrySizes the size in bytes of each entry by its number.
 	first      uint64
 	next       uint64
 	entrySizes map[uint64]int
-	// total and live are the bytes of all entries and of the records needed.
+	// totalBytes is the size of all entries, liveBytes that of the records still needed.
 	totalBytes int
 	liveBytes  int
 	programs   map[program.ID]*programIndex
-	// adoptions are the adoption records and the entries that hold them.
+	// adoptions are the adoption records and the numbers of their entries.
 	adoptions []adoptionPosition
 }
 
-// programIndex is what compaction knows of one program.
+// programIndex is the part of the index for one program.
 type programIndex struct {
-	// last is the sequence of the last record that was queued.
+	// lastSequence is the sequence of the program's last record that was queued.
 	lastSequence uint64
-	// base is the entry of the oldest record needed; zero if none is in the log.
+	// oldestEntry is the entry of the oldest record still needed; zero if none is in the log.
 	oldestEntry uint64
-	// bytes is the size of the records needed.
+	// liveBytes is the size of the records still needed.
 	liveBytes int
 }
 
+// adoptionPosition is an adoption record and the number of its entry.
 type adoptionPosition struct {
 	record Record
 	entry  uint64
@@ -36,6 +39,7 @@
 	return index{first: 1, next: 1, entrySizes: map[uint64]int{}, programs: map[program.ID]*programIndex{}}
 }
 
+// noteEnqueued is called for each record that is queued.
 func (x *index) noteEnqueued(r Record) {
 	if r.Kind == adoptionMark {
 		return
@@ -48,7 +52,8 @@
 	p.lastSequence = r.Sequence
 }
 
-// refused forgets a program of which nothing was ever written.
+// noteRefused is called for each queued record that will not be written. It removes a program of
+// which no record was ever written.
 func (x *index) noteRefused(r Record) {
 	p := x.programs[r.Program]
 	if p != nil && p.oldestEntry == 0 && p.lastSequence == r.Sequence {
@@ -56,6 +61,7 @@
 	}
 }
 
+// noteCommitted is called for each entry that was written. size is its stored size in bytes.
 func (x *index) noteCommitted(e Entry, size int) {
 	x.next = e.Number + 1
 	x.entrySizes[e.Number] = size
@@ -65,6 +71,7 @@
 	}
 }
 
+// addRecord adds a record that was written into the given entry.
 func (x *index) addRecord(r Record, entry uint64) {
 	if r.Kind == adoptionMark {
 		x.addAdoption(r, entry)
@@ -72,7 +79,7 @@
 	}
 	p := x.programs[r.Program]
 	if p == nil {
-		// A later record of it was refused and took its place in the index along.
+		// A later record of the program was refused, which removed it from the index.
 		p = &programIndex{lastSequence: r.Sequence}
 		x.programs[r.Program] = p
 	}
@@ -94,6 +101,7 @@
 	x.liveBytes += r.size()
 }
 
+// addAdoption adds an adoption record, in place of an earlier one of the same shard.
 func (x *index) addAdoption(r Record, entry uint64) {
 	for i, a := range x.adoptions {
 		if a.record.Adoption.Cohort == r.Adoption.Cohort && a.record.Adoption.Shard == r.Adoption.Shard {
@@ -104,8 +112,8 @@
 	x.adoptions = append(x.adoptions, adoptionPosition{r, entry})
 }
 
-// basedBefore returns the programs that need an entry before the number, and
-// the last sequence queued for each.
+// programsBefore returns the programs that need an entry before the number, each with the sequence
+// of its last queued record.
 func (x *index) programsBefore(number uint64) map[program.ID]uint64 {
 	found := map[program.ID]uint64{}
 	for id, p := range x.programs {
@@ -116,7 +124,7 @@
 	return found
 }
 
-// adoptionsBefore returns the adoption records that stand before the number.
+// adoptionsBefore returns the adoption records in entries before the number.
 func (x *index) adoptionsBefore(number uint64) []Record {
 	var found []Record
 	for _, a := range x.adoptions {
@@ -127,7 +135,7 @@
 	return found
 }
 
-// needed returns the oldest entry that something needs, but at most limit.
+// oldestNeeded returns the number of the oldest entry that is still needed, but at most limit.
 func (x *index) oldestNeeded(limit uint64) uint64 {
 	for _, p := range x.programs {
 		if p.oldestEntry != 0 {
@@ -140,7 +148,7 @@
 	return limit
 }
 
-// dropBefore forgets the entries before the number.
+// dropEntriesBefore removes the entries before the number.
 func (x *index) dropEntriesBefore(number uint64) {
 	for ; x.first < number; x.first++ {
 		x.totalBytes -= x.entrySizes[x.first]
--- a/internal/ledger/log.go
+++ b/internal/ledger/log.go
@@ -12,8 +12,8 @@
 	"foxhall/internal/program"
 )
 
-// Log is the log of this incarnation's cohort. One goroutine writes it, one
-// entry at a time, each with the records of all callers that came meanwhile.
+// Log is the log of this incarnation's cohort. One goroutine writes it, one entry at a time. Each
+// entry has the records of all callers that arrived during the previous write.
 type Log struct {
 	options Options
 	log     log.Interface
@@ -24,64 +24,72 @@
 	cancel       context.CancelFunc
 	done         chan struct{}
 	appenderWake chan struct{}
-	// compact wakes the compaction after a commit.
+	// compactWake wakes the compaction after a commit.
 	compactWake chan struct{}
 	background  sync.WaitGroup
 
-	// Only the appender uses these.
+	// next is the number of the next entry. Only the appender uses next and proof.
 	next  uint64
 	proof existenceProof
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// sequence is the sequence of the last record that was queued.
 	sequence uint64
 	queue    []*request
-	// held are requests whose callers rely on peers' copies, in order.
-	held    []*request
+	// held are the requests whose callers rely on peers' copies, ordered by sequence.
+	held []*request
+	// pending is the size in bytes of all requests that are queued, held or being written.
 	pending int
+	// created reports whether the cohort's object was created.
 	created bool
-	// suspended says that the appender can't settle its write at present.
+	// suspended reports whether the outcome of the current write can't be determined at present.
 	suspended bool
-	// sealing says that the own seal is on its way. A record accepted now
-	// would come after it: held by peers for a log that has ended, and not
-	// looked for, since a planned seal promises that nothing is left.
+	// sealing reports whether this log's own seal is queued or being written. A record accepted
+	// now would follow the seal. Peers would hold it for a log that has ended, and no successor
+	// would ask them for it, since a planned seal states that nothing is left to record.
 	sealing bool
 	fenced  bool
 	seal    *Seal
-	// sealNumber is the number of the seal's entry.
+	// sealNumber is the number of the seal entry.
 	sealNumber uint64
 	closed     bool
 	index      index
 }
 
-// requestState tells where a request stands.
+// requestState is the state of a request.
 type requestState uint8
 
 const (
-	// The zero state says that the request is in no entry yet.
+	// The zero state means that the request is in no entry yet.
 	_ requestState = iota
-	// writing says that the request is in an entry that is being written.
+	// writing means that the request is in an entry that is being written.
 	writing
-	// finished says that the caller was told the outcome.
+	// finished means that the outcome was reported to the caller.
 	finished
 )
 
-// request is one caller's records on their way into the log.
+// request is the records, or the seal, of one call that are to be written.
 type request struct {
 	records []Record
 	seal    *Seal
-	size    int
+	// size is an upper bound of the records' encoded size in bytes.
+	size int
+	// mayHold reports whether copies held by peers suffice while the object API is down, and
+	// isHeld whether the request is one of Log.held.
 	mayHold bool
 	isHeld  bool
 	state   requestState
+	// outcome receives the result for the caller once.
 	outcome chan error
 }
 
-// errHold tells a caller of AppendOrHold to give its records to the holders.
-var errHoldByPeers = errors.New("ledger: hold")
+// errHoldByPeers is the outcome of a request of AppendOrHold whose records have to be held by
+// peers.
+var errHoldByPeers = errors.New("ledger: records to be held by peers")
 
-// Open starts the log of a new cohort. The cohort's object is created in the
-// background, so that an instance starts while the object API is down; until
-// then the log is not available.
+// Open starts the log of a new cohort. The cohort's object is created in the background, so that
+// an instance can start while the object API is down. The log is not available until the object
+// is created.
 func Open(ctx context.Context, o Options) (*Log, error) {
 	o = o.withDefaults()
 	if o.Cohort == "" || o.Store == nil {
@@ -106,38 +114,38 @@
 	return l, nil
 }
 
-// paceBurstShare is the part of a second whose writes may come in a burst, so
-// that a lone append after a quiet time doesn't wait.
+// burstDivisor sets the burst of the write limiter: the writes of 1/burstDivisor of a second. A
+// single append after an idle period then doesn't wait.
 const burstDivisor = 4
 
-// Cohort returns the cohort whose log this is.
+// Cohort returns the cohort of this log.
 func (l *Log) Cohort() program.Cohort { return l.options.Cohort }
 
-// Available reports whether an append would be tried now.
+// Available reports whether an append would be attempted now.
 func (l *Log) Available() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.created && !l.fenced && !l.closed && !l.suspended && !l.options.Store.Down()
 }
 
-// Created reports whether the cohort's object was made. Until then others know
-// of the cohort only from membership.
+// Created reports whether the cohort's object was created. Until then other instances know of the
+// cohort only from membership.
 func (l *Log) Created() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.created
 }
 
-// Holding reports whether this owner relies on peers' copies, or may in a
-// moment. An instance tells it with its heartbeat (ownership.Dead.StoreDown):
-// it may be the only one that is cut off from the object API.
+// Holding reports whether this owner relies on peers' copies, or may start to at any moment. An
+// instance reports it in its heartbeat (see ownership.Dead.StoreDown), since it may be the only
+// one that can't reach the object API.
 func (l *Log) Holding() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.held) > 0 || l.suspended || l.options.Store.Down()
 }
 
-// Fenced reports whether the log is sealed, and the seal and its number where
+// Fenced reports whether the log is sealed. It also returns the seal and its entry number where
 // they are known.
 func (l *Log) Fenced() (*Seal, uint64, bool) {
 	l.mu.Lock()
@@ -145,18 +153,18 @@
 	return l.seal, l.sealNumber, l.fenced
 }
 
-// Append writes the records, in order and in one entry, and returns nil once
-// they are in the log. ErrUnavailable, ErrFenced, ErrTooLarge and ErrClosed say
-// that they surely are not and never will be. ErrUnsettled says that ctx ended
-// first and that they may be.
+// Append writes the records, in order and in one entry, and returns nil once they are in the log.
+// After ErrUnavailable, ErrFenced, ErrTooLarge or ErrClosed they are not in the log and never will
+// be. After ErrUnsettled they may be: ctx ended, or the log was closed, before the outcome was
+// known.
 func (l *Log) Append(ctx context.Context, records ...Record) error {
 	return l.submit(ctx, &request{records: records})
 }
 
-// AppendOrHold is Append, but while the object API is down it is content with
-// copies on two peers, which are written to the log when the API is back or
-// offered to the successor if a seal came first. It suits turns of history; a
-// record that something is sent on needs Append.
+// AppendOrHold is like Append, but while the object API is down it returns nil once two peers hold
+// copies. The records are written to the log when the API is back, or offered to the successors if
+// the log was sealed before. It is meant for turns of history; a record that must be in the log
+// before something is sent needs Append.
 func (l *Log) AppendOrHold(ctx context.Context, records ...Record) error {
 	r := &request{records: records, mayHold: l.options.Holders != nil}
 	err := l.submit(ctx, r)
@@ -166,9 +174,9 @@
 	return l.replicateToPeers(ctx, r)
 }
 
-// Seal ends the log at a planned stop, after everything that was appended
-// before, and hands its slices to the successors named. It returns the seal
-// and its number. The errors are those of Append.
+// Seal seals the log at a planned stop, after all records appended before, and hands its shards
+// over to the given successors. It returns the seal and its entry number. The errors are those of
+// Append.
 func (l *Log) Seal(ctx context.Context, successors [program.ShardCount]program.Cohort) (*Seal, uint64, error) {
 	r := &request{seal: &Seal{By: l.options.Cohort, Planned: true, At: time.Now(), Successors: successors}}
 	if err := l.submit(ctx, r); err != nil {
@@ -179,8 +187,8 @@
 	return l.seal, l.sealNumber, nil
 }
 
-// Close ends the appender. What is queued gets ErrClosed; what is being
-// written and not settled gets ErrUnsettled. The log is not sealed by it.
+// Close stops the appender. Queued requests fail with ErrClosed, and requests whose write has an
+// unknown outcome with ErrUnsettled. Close does not seal the log.
 func (l *Log) Close() {
 	l.cancel()
 	<-l.done
@@ -208,7 +216,8 @@
 	}
 }
 
-// enqueue numbers the records and queues them, or tells at once why not.
+// enqueue assigns sequences to the records and queues them, or returns the reason of a refusal.
+// With errHoldByPeers the request was accepted as a held one.
 func (l *Log) enqueue(r *request) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -217,18 +226,18 @@
 		return err
 	}
 	if err != nil {
-		// Held records are written first. What was queued before has lower
-		// sequences: written after them and held again in the next outage, its
-		// copies would be taken for records that the log has, and be lost.
+		// Held records are written first. Requests queued before have lower sequences. If those
+		// were written later and were held by peers in the next outage, a successor would take the
+		// copies for records that the log already has, and they would be lost.
 		l.refuseQueueLocked()
 	}
 	l.push(r)
 	return err
 }
 
-// admit refuses what can't be queued. While the store is known to be down, a
-// record that can't be held is refused here: waiting would only bring the same
-// answer later. The lock is held.
+// admit returns the reason if a request can't be queued. While the store is known to be down, a
+// request that can't be held is refused at once: waiting would only delay the refusal. The caller
+// holds the lock.
 func (l *Log) admit(r *request) error {
 	down := l.suspended || l.options.Store.Down()
 	switch {
@@ -237,7 +246,7 @@
 	case l.fenced:
 		return ErrFenced
 	case l.pending+r.size > l.options.MaxPending:
-		return errors.Wrap(ErrUnavailable, "too much is pending")
+		return errors.Wrap(ErrUnavailable, "too many bytes are pending")
 	case l.sealing:
 		return errors.Wrap(ErrUnavailable, "the log is being sealed")
 	case down && r.mayHold:
@@ -249,7 +258,7 @@
 	return nil
 }
 
-// push numbers and queues an admitted request. The lock is held.
+// push assigns sequences to an admitted request and queues it. The caller holds the lock.
 func (l *Log) push(r *request) {
 	l.assignSequences(r)
 	l.sealing = l.sealing || r.seal != nil
@@ -262,8 +271,8 @@
 	l.wakeAppender()
 }
 
-// number gives the records their sequences. The slice is copied since callers
-// may reuse theirs.
+// assignSequences numbers the request's records. It copies them, since callers may reuse their
+// slice. The caller holds the lock.
 func (l *Log) assignSequences(r *request) {
 	r.records = append([]Record(nil), r.records...)
 	for i := range r.records {
@@ -275,7 +284,8 @@
 
 func (l *Log) wakeAppender() { trySignal(l.appenderWake) }
 
-// poke wakes the goroutine that waits on a channel of one place.
+// trySignal wakes the goroutine that waits on a channel with a buffer of one. It does nothing if a
+// signal is pending.
 func trySignal(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -283,8 +293,8 @@
 	}
 }
 
-// abandon takes a request back whose caller gives up. One that is not yet in
-// an entry is surely not written.
+// abandon withdraws a request whose caller's context has ended and returns its outcome. If the
+// request is in no entry yet, it will not be written.
 func (l *Log) abandon(ctx context.Context, r *request) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -307,7 +317,8 @@
 	return errors.Wrap(ErrUnavailable, ctx.Err().Error())
 }
 
-// finish tells the caller, unless it was told before. The lock is held.
+// complete reports the outcome to the caller, unless it was reported before. The caller of
+// complete holds the lock.
 func (r *request) complete(err error) {
 	if r.state == finished {
 		return
--- a/internal/ledger/meters.go
+++ b/internal/ledger/meters.go
@@ -4,14 +4,14 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// meters are the log's metrics. docs/operations/ledger.md tells what each means.
+// meters is the log's metrics.
 type meters struct {
 	entries      metrics.Counter
 	records      metrics.Counter
 	bytes        metrics.Counter
 	batchRecords metrics.Histogram
-	// writes is in microseconds. It is a histogram since a metrics.Timer keeps
-	// a goroutine for its rates that never ends.
+	// writeTime is in microseconds. It is a histogram because a metrics.Timer starts a goroutine
+	// for its rates that never ends.
 	writeTime metrics.Histogram
 	readBacks metrics.Counter
 	refused   metrics.Counter
@@ -20,7 +20,7 @@
 	compacted metrics.Counter
 }
 
-// batchSample is the number of values that a histogram keeps.
+// histogramSamples is the number of values that a histogram keeps.
 const histogramSamples = 1028
 
 func newMeters(r metrics.Registry) meters {
@@ -38,6 +38,7 @@
 	}
 }
 
+// countCommit counts a batch that was written.
 func (m *meters) countCommit(b *batch) {
 	m.entries.Inc(1)
 	m.records.Inc(int64(len(b.entry.Records)))
--- a/internal/ledger/options.go
+++ b/internal/ledger/options.go
@@ -11,68 +11,67 @@
 	"foxhall/internal/store"
 )
 
-// Store is the object API as the log uses it.
+// Store is the client of the object API that the log uses.
 type Store interface {
 	store.Client
-	// Down reports whether the store is known to be down.
+	// Down reports whether the object API is known to be down.
 	Down() bool
 }
 
-// Copy is a set of records that peers hold for a cohort while the object API is down.
+// Copy is a set of a cohort's records that peers hold while the object API is down.
 type Copy struct {
 	Cohort  program.Cohort
 	Records []Record
 }
 
-// Holders are the peers that hold copies.
+// Holders sends copies of records to the peers that hold them.
 type Holders interface {
-	// Hold gives the copy to CopiesNeeded peers, those with a data folder
-	// first, and returns how many have confirmed it.
+	// Hold sends the copy to RequiredCopies peers, preferring those with a data folder, and
+	// returns the number of peers that confirmed it.
 	Hold(ctx context.Context, c Copy) (int, error)
-	// Release tells the peers that the cohort's records up to and with this
-	// sequence are in the log. It may fail silently: a copy too many does no harm.
+	// Release informs the peers that the cohort's records up to and including this sequence are
+	// in the log. It may fail silently: a surplus copy does no harm.
 	Release(ctx context.Context, c program.Cohort, upTo uint64)
 }
 
-// CopiesNeeded is the number of peers that must hold a turn before its answer
-// ends: with two, the loss of the owner and any one peer loses nothing.
+// RequiredCopies is the number of peers that must hold a turn before its response ends. With two,
+// no turn is lost if the owner and any one peer fail.
 const RequiredCopies = 2
 
-// Successors take what a fenced owner still holds.
+// Successors receives the records that a fenced owner has only as copies on peers.
 type Successors interface {
-	// Offer gives the copy's records to the successors that the seal names.
-	// It is repeated until it returns nil.
+	// Offer sends the copy's records to the successors that the seal names. It is called again
+	// until it returns nil.
 	Offer(ctx context.Context, seal *Seal, c Copy) error
 }
 
-// Snapshotter gives the present state of a program for compaction.
+// Snapshotter returns the current state of a program for compaction.
 type Snapshotter interface {
-	// Snapshot returns one event that replaces all earlier events of the
-	// program, and false if the program is not here or has ended. It must
-	// wait for an append of the program under way and its effect, so that
-	// the event holds everything that was appended. A nil event of a living
-	// program says that it can't be had now.
+	// Snapshot returns one event that replaces all earlier events of the program. live is false
+	// if the program is not on this instance or has ended. Snapshot must wait until an append to
+	// the program in flight has completed and been applied, so that the event covers everything
+	// that was appended. A nil event of a live program means that no snapshot is available now.
 	Snapshot(id program.ID) (event []byte, live bool)
 }
 
-// Options configure a Log. Zero values of the numbers stand for the defaults.
+// Options configures a Log. A zero number or duration selects the default.
 type Options struct {
 	Cohort program.Cohort
-	// Address is where peers reach the owner, host:port.
+	// Address is the host:port at which peers reach the owner.
 	Address string
 	Store   Store
-	// Holders, Successors and Snapshots may be nil: then nothing is held,
-	// nothing offered and nothing compacted.
+	// Holders, Successors and Snapshots may be nil. The log then has no copies held, offers no
+	// records and does no compaction, respectively.
 	Holders    Holders
 	Successors Successors
 	Snapshots  Snapshotter
-	// Writes is the log's share of the object API's writes, in writes a
-	// second. Batches grow as far as the share demands. Default 20.
+	// Writes is the log's share of the object API's writes, in writes per second. If records
+	// arrive faster, more of them are put into one entry. Default 20.
 	Writes float64
-	// WriteTimeout bounds one call to the object API. Default 2 s.
+	// WriteTimeout is the timeout of one call to the object API. Default 2 s.
 	WriteTimeout time.Duration
-	// MaxPending bounds the bytes that wait for the log or are held by
-	// peers. Default 32 MiB.
+	// MaxPending is the maximum number of bytes that are queued for the log or held by peers.
+	// Default 32 MiB.
 	MaxPending int
 	Compaction CompactionOptions
 	Logger     log.Interface
--- a/internal/ledger/proof.go
+++ b/internal/ledger/proof.go
@@ -9,19 +9,20 @@
 	"foxhall/internal/store"
 )
 
-// proofAge is the time for which a successful write proves that the log has
-// not been sealed, adopted and deleted. It is far below the time for which a
-// sealed log is kept (ownership.Retention).
+// proofMaxAge is how long a successful write proves that the log has not been sealed, adopted and
+// deleted. It is far shorter than the time for which the seal of an adopted log is kept (see
+// ownership.Options.Retention).
 const proofMaxAge = time.Minute
 
-// proof remembers when the log was last known to exist.
+// existenceProof is the time at which the log was last known to exist.
 type existenceProof struct{ confirmedAt time.Time }
 
+// renew records that the log existed at the given time.
 func (p *existenceProof) renew(at time.Time) { p.confirmedAt = at }
 
-// fresh reports whether the proof is young by the monotonic clock and by the
-// wall clock. The monotonic clock may stand still while a machine is
-// suspended, the wall clock may be set back.
+// isFresh reports whether the proof is younger than proofMaxAge by both the monotonic clock and the
+// wall clock. The monotonic clock may stop while a machine is suspended, and the wall clock may be
+// set back.
 func (p *existenceProof) isFresh() bool {
 	now := time.Now()
 	elapsed := now.Sub(p.confirmedAt)
@@ -29,14 +30,13 @@
 	return max(elapsed, wall) < proofMaxAge
 }
 
-// concludeWritten tells the callers of a batch whose write was accepted.
+// verifyAndCommit commits a batch whose write was accepted, if the log still exists.
 //
-// The failure: an owner is paused for so long that its log was sealed, adopted
-// and deleted. Its next number is then free again, its write succeeds, and it
-// would send a step that its successor may run too. A write later than
-// proofAge after the last proof is therefore believed only after a look at the
-// cohort's object: it is deleted before the log's seal entry is, so whoever
-// found the number free because of the deletion finds the object gone.
+// This guards against an owner that is paused for so long that its log is sealed, adopted and
+// deleted. Its next number is then free again, its write succeeds, and it would send a step that
+// its successor may run, too. If the last proof is older than proofMaxAge, the cohort's object is
+// therefore read before the write is accepted. The object is deleted before the seal entry, so an
+// owner that found the number free because of the deletion finds no object.
 func (l *Log) verifyAndCommit(b *batch, started time.Time) {
 	if l.proof.isFresh() {
 		l.commit(b, started)
@@ -49,8 +49,8 @@
 			l.suspend(b)
 			l.pause(downPollInterval)
 		case cohort.Seal == nil && err == nil, cohort.SealNumber > b.entry.Number, errors.Is(err, ErrCorrupt):
-			// In a living log, or before the seal and so adopted with the rest.
-			// An object that can't be read is still there.
+			// The entry is in an unsealed log, or before the seal and therefore adopted with the
+			// others. An object that can't be decoded still exists.
 			l.commit(b, started)
 			return
 		default:
@@ -61,7 +61,7 @@
 	l.abortBatch(b, true)
 }
 
-// readCohort returns the cohort's object, or what outlives it.
+// readCohort returns the cohort's object or, if it was deleted, the one under the moved key.
 func (l *Log) readCohort() (Cohort, error) {
 	ctx, cancel := context.WithTimeout(l.ctx, l.options.WriteTimeout)
 	defer cancel()
--- a/internal/ledger/read.go
+++ b/internal/ledger/read.go
@@ -11,42 +11,42 @@
 	"foxhall/internal/store"
 )
 
-// readAhead is the number of entries read at the same time. It bounds the
-// memory of a recovery to readAhead values.
+// readWindowSize is the number of entries read concurrently. A recovery has at most this many
+// entries in memory besides its result.
 const readWindowSize = 16
 
-// missingRetries is how often an entry that must be there is read again
-// before it counts as missing: the store may answer from an older state.
+// absentRetries is how often the read of an entry that must exist is repeated before the entry
+// counts as missing: the store may respond from an older state.
 const absentRetries = 5
 
-// History is what a log holds.
+// History is the content of a log.
 type History struct {
 	Cohort Cohort
 	// Seal and SealNumber are set if the log is sealed.
 	Seal       *Seal
 	SealNumber uint64
-	// Programs holds the records of each program in order, from its last
-	// snapshot on. Of a program that ended only the tombstone is left.
+	// Programs is the records of each program in order, from its last snapshot on. Of a program
+	// that ended there is only the tombstone.
 	Programs map[program.ID][]Record
-	// Adoptions are those that were completed in this log.
+	// Adoptions are the adoptions that were completed in this log.
 	Adoptions []Adoption
-	// Sequence is the highest sequence in the log. A held copy of a record is
-	// missing from the log exactly if its sequence is higher.
+	// Sequence is the highest sequence in the log. A held copy of a record is missing from the log
+	// if and only if its sequence is higher.
 	Sequence uint64
-	// Faults name the entries that are corrupt or missing. If there are any,
-	// no program's records are proven whole, as nobody knows whose are lost.
+	// Faults has an error for each entry that is corrupt or missing. If there are any, no program's
+	// records are proven complete, since it is unknown whose records are lost.
 	Faults []error
 	// Entries is the number of entries read.
 	Entries int
 }
 
-// Recover reads the log of a cohort and keeps the programs that keep accepts;
-// nil accepts all. A corrupt or missing entry is no error but a fault of the
-// history; an error says that the log could not be read.
+// Recover reads the log of a cohort. The result has the programs for which keep returns true; a nil
+// keep accepts all. A corrupt or missing entry is a fault in the result and not an error; an error
+// means that the log could not be read.
 //
-// For a sealed log the caller passes the object that tells of the seal. It is
-// not read here again: an answer from an older state of the store would point
-// at entries that were deleted since, and the log would look empty.
+// For a sealed log the caller passes the cohort's object with the seal. Recover does not read it
+// again: a response from an older state of the store would point to entries that have been deleted
+// since, and the log would appear empty.
 func Recover(ctx context.Context, client store.Client, c Cohort, keep func(program.ID) bool) (*History, error) {
 	h := &History{Cohort: c, Programs: map[program.ID][]Record{}}
 	for from := c.First; ; from += readWindowSize {
@@ -60,7 +60,7 @@
 	}
 }
 
-// ReadCohort reads a cohort's object.
+// ReadCohort reads a cohort's object. If it does not exist, the error is store.ErrNotFound.
 func ReadCohort(ctx context.Context, client store.Client, c program.Cohort) (Cohort, error) {
 	object, err := client.Get(ctx, CohortKey(c))
 	if err != nil {
@@ -69,13 +69,15 @@
 	return DecodeCohort(object)
 }
 
-// slot is the outcome of reading one number.
+// entryRead is the outcome of reading one entry number.
 type entryRead struct {
 	entry  Entry
 	absent bool
 	fault  error
 }
 
+// readWindow reads readWindowSize entries from a number on. In a sealed log the numbers after the
+// seal are absent and not read.
 func readWindow(ctx context.Context, client store.Client, c Cohort, from uint64) ([]entryRead, error) {
 	window := make([]entryRead, readWindowSize)
 	group, ctx := errgroup.WithContext(ctx)
@@ -94,8 +96,8 @@
 	return window, group.Wait()
 }
 
-// readSlot reads one number. In a log known to be sealed no number below the
-// seal may be absent; one that stays absent is a fault.
+// readEntry reads one entry number. In a log known to be sealed no number up to the seal may be
+// absent; one that stays absent after the retries is a fault.
 func readEntry(ctx context.Context, client store.Client, c Cohort, number uint64) (entryRead, error) {
 	key := EntryKey(c.Cohort, number)
 	for attempt := 0; ; attempt++ {
@@ -115,6 +117,7 @@
 	}
 }
 
+// missingFault returns the fault for an absent number, or nil if the number may be absent.
 func missingFault(c Cohort, number uint64) error {
 	if c.Seal == nil || number > c.SealNumber {
 		return nil
@@ -122,7 +125,8 @@
 	return errors.Wrapf(ErrCorrupt, "%s: missing", EntryKey(c.Cohort, number))
 }
 
-// take adds a window to the history and reports whether the log goes on after it.
+// addWindow adds a window of entries to the history and reports whether the log may continue after
+// it.
 func (h *History) addWindow(window []entryRead, keep func(program.ID) bool) bool {
 	for _, s := range window {
 		if s.fault != nil {
@@ -144,7 +148,7 @@
 	return true
 }
 
-// apply adds one record.
+// apply adds one record to the history, unless keep rejects its program or the program has ended.
 func (h *History) apply(r Record, keep func(program.ID) bool) {
 	h.Sequence = max(h.Sequence, r.Sequence)
 	if r.Kind == adoptionMark {
--- a/internal/ledger/refuse.go
+++ b/internal/ledger/refuse.go
@@ -1,6 +1,6 @@
 package ledger
 
-// refuse tells the callers of a batch that was surely not written.
+// refuseBatch refuses the requests of a batch that was not written and never will be.
 func (l *Log) refuseBatch(b *batch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -9,14 +9,14 @@
 	}
 }
 
-// refuseQueue does the same for all that wait.
+// refuseQueue refuses all queued requests.
 func (l *Log) refuseQueue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refuseQueueLocked()
 }
 
-// refuseQueued is refuseQueue for who has the lock.
+// refuseQueueLocked is refuseQueue for callers that hold the lock.
 func (l *Log) refuseQueueLocked() {
 	for _, r := range l.queue {
 		l.refuseRequest(r)
@@ -24,7 +24,8 @@
 	l.queue = nil
 }
 
-// refuseOne refuses a request, or turns it into a held one. The lock is held.
+// refuseRequest refuses a request, or moves it to the held ones if it may be held. The caller
+// holds the lock.
 func (l *Log) refuseRequest(r *request) {
 	if r.isHeld {
 		return
@@ -38,9 +39,9 @@
 	r.complete(ErrUnavailable)
 }
 
-// suspend is called while a written batch can't be settled: callers that may
-// hold are told to, what waits is refused, and only callers of Append whose
-// records are in the batch go on waiting.
+// suspend is called while the outcome of a batch's write can't be determined. Requests of the
+// batch that may be held are moved to the held ones, and the queue is refused. Only callers of
+// Append whose records are in the batch continue to wait.
 func (l *Log) suspend(b *batch) {
 	l.mu.Lock()
 	l.suspended = true
@@ -53,8 +54,8 @@
 	l.refuseQueue()
 }
 
-// forget takes a request out of the accounts that was surely not written. The
-// lock is held.
+// discard undoes the bookkeeping of a request that was not written and never will be. The caller
+// holds the lock.
 func (l *Log) discard(r *request) {
 	l.pending -= r.size
 	if r.seal != nil {
@@ -65,7 +66,8 @@
 	}
 }
 
-// detach makes a request a held one, in the order of sequences. The lock is held.
+// moveToHeld inserts a request into the held ones, ordered by sequence, and completes it with
+// errHoldByPeers. The caller holds the lock.
 func (l *Log) moveToHeld(r *request) {
 	r.isHeld = true
 	at := len(l.held)
--- a/internal/ledger/seal.go
+++ b/internal/ledger/seal.go
@@ -10,11 +10,10 @@
 	"foxhall/internal/store"
 )
 
-// SealLog ends a cohort's log with the seal, unless another seal came first,
-// and returns the cohort with the seal that holds. Of any number of callers
-// exactly one wins, since all create the same entry. It does not stop at a
-// living owner: deciding that the owner is dead is the caller's part, and a
-// wrong decision costs a hand-over, not a record.
+// SealLog seals a cohort's log, unless it is sealed already, and returns the cohort with the seal
+// in effect. Of several concurrent callers exactly one succeeds, since all create the same entry.
+// SealLog does not check whether the owner is alive. The caller decides that the owner is dead; a
+// wrong decision costs a hand-over but loses no record.
 func SealLog(ctx context.Context, client store.Client, c program.Cohort, seal Seal) (Cohort, error) {
 	cohort, err := markSealing(ctx, client, c)
 	if err != nil || cohort.Seal != nil {
@@ -24,8 +23,8 @@
 	if err != nil {
 		return Cohort{}, err
 	}
-	// Begin with the last entry seen: it may be a seal that its writer did not
-	// live to record, and a second seal after it would name other successors.
+	// Begin with the last entry found. It may be a seal whose writer died before recording it in
+	// the cohort's object, and a second seal after it would name other successors.
 	entry := Entry{Cohort: c, Number: max(number-1, cohort.First), WriteID: newWriteID(), Seal: &seal}
 	for {
 		existing, err := sealAt(ctx, client, entry)
@@ -39,7 +38,7 @@
 	}
 }
 
-// markSealing fixes the first entry of the log.
+// markSealing sets Cohort.Sealing, which keeps Cohort.First from changing.
 func markSealing(ctx context.Context, client store.Client, c program.Cohort) (Cohort, error) {
 	var marked Cohort
 	err := UpdateCohort(ctx, client, c, func(current *Cohort) bool {
@@ -51,8 +50,8 @@
 	return marked, err
 }
 
-// RecordSeal copies a log's seal into the cohort's object. An object that is
-// gone is store.ErrNotFound: the log was adopted and deleted meanwhile.
+// RecordSeal copies a log's seal into the cohort's object, unless the object has a seal. If the
+// log was adopted and deleted meanwhile, the error is store.ErrNotFound.
 func RecordSeal(ctx context.Context, client store.Client, c program.Cohort, seal *Seal, number uint64) (Cohort, error) {
 	var recorded Cohort
 	err := UpdateCohort(ctx, client, c, func(current *Cohort) bool {
@@ -66,8 +65,8 @@
 	return recorded, err
 }
 
-// sealAt tries to put the seal under the entry's number and returns the seal
-// that stands there, or nil if the number holds records.
+// sealAt attempts to create the seal under the entry's number. It returns the seal that is stored
+// there, or nil if the number has an entry with records.
 func sealAt(ctx context.Context, client store.Client, entry Entry) (*Seal, error) {
 	key := EntryKey(entry.Cohort, entry.Number)
 	value := EncodeEntry(entry)
@@ -83,7 +82,7 @@
 		}
 		object, err := client.Get(ctx, key)
 		if errors.Is(err, store.ErrNotFound) {
-			// An older state of the store: the number is taken.
+			// The response is from an older state of the store, since the number is in use.
 			return store.ErrUnknown
 		}
 		if err != nil {
@@ -96,9 +95,8 @@
 	return found, errors.Wrap(err, key.String())
 }
 
-// findEnd returns the number after the last entry that it can see. The log has
-// no gap, so that a search by doubling and halving finds it in about
-// 2·log2(length) reads.
+// findEnd returns the number after the last entry that it finds. The log has no gaps, so an
+// exponential search takes about 2·log2(length) reads.
 func findEnd(ctx context.Context, client store.Client, c Cohort) (uint64, error) {
 	step := uint64(1)
 	low := c.First
@@ -125,8 +123,8 @@
 	return low + uint64(offset), failed
 }
 
-// entryExists tries again in an outage: a search that is given up leaves the
-// log marked as about to be sealed, which stops the compaction of its owner.
+// entryExists reports whether the entry exists. It retries during an outage: an abandoned search
+// would leave the log marked with Cohort.Sealing, which stops its owner's compaction.
 func entryExists(ctx context.Context, client store.Client, c program.Cohort, number uint64) (bool, error) {
 	key := EntryKey(c, number)
 	exists := false
