--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -12,17 +12,17 @@
 	"foxhall/internal/store"
 )
 
-// benchDelay is how long the stand-in object API takes for a call (brief: milliseconds).
+// benchDelay is the latency of a call to the stand-in object API.
 const benchDelay = 4 * time.Millisecond
 
-// benchEvent is the size of a typical intent or small turn in bytes.
+// benchEventBytes is the size of a typical intent or small turn in bytes.
 const benchEventBytes = 600
 
-// appendsEach is how many appends each appender makes in a round.
+// appendsPerRound is the number of appends of each appender in one benchmark iteration.
 const appendsPerRound = 20
 
-// BenchmarkAppend measures the batching slope: steps a second through one log
-// against the writes that it costs, by the number of steps under way.
+// BenchmarkAppend measures batching: the steps per second through one log and the writes that they
+// cost, by the number of concurrent appenders.
 func BenchmarkAppend(b *testing.B) {
 	for _, writes := range []float64{20, 1000} {
 		for _, appenders := range []int{1, 16, 256, 2048} {
@@ -67,7 +67,7 @@
 	b.ReportMetric(float64(l.meters.bytes.Count())/steps-benchEventBytes, "overhead-B/record")
 }
 
-// BenchmarkRecover measures the time to read a sealed log by its length.
+// BenchmarkRecover measures the time to read a sealed log, by the number of its entries.
 func BenchmarkRecover(b *testing.B) {
 	for _, entries := range []int{64, 1024} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// fillLog writes a log of entries of 64 records each.
+// fillLog writes a log with the given number of entries, each with 64 records.
 func fillLog(b *testing.B, standIn *standin.Store, entries int) {
 	b.Helper()
 	if err := CreateCohort(b.Context(), standIn, Cohort{Cohort: testCohort, First: 1}); err != nil {
--- a/internal/ledger/compact_test.go
+++ b/internal/ledger/compact_test.go
@@ -14,7 +14,7 @@
 	"foxhall/internal/standin"
 )
 
-// snapshots is a fake of the owner: a program's state is one text.
+// fakeSnapshots is a fake Snapshotter. The state of each live program is one text.
 type fakeSnapshots map[program.ID]string
 
 func (s fakeSnapshots) Snapshot(id program.ID) ([]byte, bool) {
@@ -22,11 +22,11 @@
 	return []byte(state), live
 }
 
-// A program ends, its beginning is compacted away, and then its owner dies.
-// Entries that are kept still hold later turns of it; without a tombstone the
-// successor would bring back half a program. Recovery must show it as ended,
-// show the living one by its snapshot, and read a bounded number of entries.
-func TestEndedProgramDoesNotComeBack(t *testing.T) {
+// A program ends, compaction deletes its first entries, and its log is sealed. The remaining
+// entries still have later turns of the program; without a tombstone a successor would restore
+// part of it. Recovery must report the program as ended and the live one by its snapshot, and read
+// a bounded number of entries.
+func TestEndedProgramStaysEndedAfterCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		living, ended := program.ID(testCohort+":living"), program.ID(testCohort+":ended")
@@ -41,7 +41,7 @@
 			is.NoErr(r.log.Append(t.Context(), event(ended, fmt.Sprint("turn ", i))))
 			time.Sleep(time.Second)
 		}
-		r.seal(t) // else the log may be compacted under the read
+		r.seal(t) // otherwise the log may be compacted during the read
 		h := r.recover(t)
 		is.True(h.Entries <= 20)
 		is.Equal(texts(h.Programs[living]), []string{"snapshot"})
@@ -52,9 +52,9 @@
 	})
 }
 
-// An entry of a sealed log is torn and another is gone. Recovery goes on, says
-// both by name, and the caller knows that no history here is proven whole.
-func TestTornAndMissingEntriesAreNamed(t *testing.T) {
+// One entry of a sealed log is truncated and another is missing. Recovery must continue and name
+// both in its faults, which tell the caller that no history in this log is proven complete.
+func TestTruncatedAndMissingEntriesAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newHarness(t, nil)
@@ -79,11 +79,10 @@
 	})
 }
 
-// An owner is paused until its log is sealed, adopted and deleted, seal entry
-// and all. Its number is free again and its write succeeds. Only the look at
-// the cohort's object tells it; without, it would send a step that its
-// successor may run too.
-func TestOwnerPausedPastTheDeletionOfItsLog(t *testing.T) {
+// An owner is paused until its log is sealed, adopted and deleted, including the seal entry. Its
+// next number is free again, and its write succeeds. Without the check of the cohort's object the
+// owner would send a step that its successor may run, too.
+func TestOwnerPausedUntilItsLogIsDeletedIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newHarness(t, nil)
@@ -98,7 +97,8 @@
 	})
 }
 
-// appendingOwner appends a turn of the program while its snapshot is taken.
+// appendingOwner is a fake Snapshotter that appends a turn to the program while its snapshot is
+// taken.
 type appendingOwner struct {
 	log  *Log
 	text string
@@ -113,10 +113,9 @@
 	return []byte(state), true
 }
 
-// A turn is appended between the moment a snapshot is taken and the moment it
-// is queued. The snapshot stands behind the turn in the log and does not hold
-// it, so it would hide an acknowledged turn. It must be thrown away.
-func TestSnapshotOvertakenByAnAppend(t *testing.T) {
+// A turn is appended after a snapshot is taken and before it is queued. The snapshot would follow
+// the turn in the log without covering it, and so hide an acknowledged turn. It must be discarded.
+func TestSnapshotOlderThanAppendIsDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		owner := &appendingOwner{text: "0"}
@@ -138,10 +137,10 @@
 	})
 }
 
-// The owner stops as planned while the store is slow: its seal is on its way.
-// A turn that came now would be held by peers behind a seal that promises that
-// nothing is left, and nobody would ask them for it. It is refused instead.
-func TestNothingIsHeldBehindTheOwnSeal(t *testing.T) {
+// The owner stops as planned while the store is slow, so that its seal is being written. A turn
+// accepted now would be held by peers after a seal that states that nothing is left to record, and
+// no successor would ask for it. It must be refused.
+func TestTurnIsRefusedWhileSealIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newHarness(t, nil)
@@ -160,10 +159,10 @@
 	})
 }
 
-// A program's first record is being written and its answer is lost; its next
-// record is refused meanwhile. When the first turns out to be written, the
-// compaction has to know of it, or it would delete the entry with the program.
-func TestRefusalDoesNotForgetARecordUnderWay(t *testing.T) {
+// The response to the write of a program's first record is lost, and the program's next record is
+// refused meanwhile. When the first record turns out to be written, the index must have it again;
+// otherwise compaction would delete the entry with the program.
+func TestRefusalKeepsRecordInFlightInIndex(t *testing.T) {
 	is := is.New(t)
 	x := newIndex()
 	first, second := Record{Program: "p", Sequence: 1}, Record{Program: "p", Sequence: 2}
--- a/internal/ledger/entry_test.go
+++ b/internal/ledger/entry_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// FuzzDecodeEntry: whatever stands in the store, decoding does not panic, and
-// what it accepts is whole: it encodes to an entry that decodes to the same.
+// FuzzDecodeEntry checks that decoding any stored bytes does not panic, and that an accepted entry
+// encodes to an entry that decodes to the same.
 func FuzzDecodeEntry(f *testing.F) {
 	encoded := EncodeEntry(sampleEntry())
 	f.Add(encoded)
@@ -50,14 +50,14 @@
 		}
 		again, err := DecodeEntry(EncodeEntry(entry), testCohort, 7)
 		if err != nil || !bytes.Equal(EncodeEntry(again), EncodeEntry(entry)) {
-			t.Fatalf("does not survive a round trip: %v", err)
+			t.Fatalf("entry differs after encoding and decoding it again: %v", err)
 		}
 	})
 }
 
-// A disk or the store alters or tears an entry: a flipped bit anywhere and a
-// cut anywhere are refused, by the entry's name.
-func TestAlteredEntryIsNamed(t *testing.T) {
+// A disk or the store alters or truncates an entry. A bit flipped anywhere and a truncation anywhere
+// must be refused with an error that names the entry.
+func TestAlteredEntryIsRefused(t *testing.T) {
 	is := is.New(t)
 	encoded := EncodeEntry(sampleEntry())
 	for i := range encoded {
@@ -70,22 +70,23 @@
 		is.True(strings.Contains(err.Error(), "log/sul1.a.one/000000000007"))
 	}
 	_, err := DecodeEntry(encoded, testCohort, 8)
-	is.True(errors.Is(err, ErrCorrupt)) // whole, but under another number
+	is.True(errors.Is(err, ErrCorrupt)) // undamaged, but under another number
 }
 
-// creation is one call of the log's use of the object API: create if absent,
-// or read.
+// storeCall is one call to the object API as the log uses it: a creation if the object is absent,
+// or, with an empty write, a read.
 type storeCall struct {
 	write string
 }
 
+// storeResult is the result of a storeCall.
 type storeResult struct {
 	value string
 	err   error
 }
 
-// creationModel is the sequential meaning of create-if-absent. A lost answer
-// leaves both outcomes open.
+// createIfAbsentModel is the sequential specification of create-if-absent. After a lost response
+// both outcomes are possible.
 var createIfAbsentModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
@@ -109,9 +110,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Several instances race to create the same entries while answers are lost and
-// writes dropped. The history of all calls is linearisable against
-// create-if-absent: no number is ever given twice.
+// Several instances race to create the same entries while responses are lost and writes dropped. The
+// history of all calls must be linearisable against create-if-absent: no number is ever used twice.
 func TestEntryCreationIsLinearisable(t *testing.T) {
 	is := is.New(t)
 	standIn := standin.NewStore()
@@ -121,6 +121,7 @@
 	}
 }
 
+// raceCreations has five clients create and read the object concurrently and returns their calls.
 func raceCreations(t *testing.T, standIn *standin.Store, key store.Key) []porcupine.Operation {
 	var mu sync.Mutex
 	var operations []porcupine.Operation
@@ -151,9 +152,9 @@
 	return operations
 }
 
-// Copies held for others survive the holder's restart on its data folder; a
-// torn file is named and the others are kept.
-func TestHeldCopiesOnDisk(t *testing.T) {
+// Copies held for others must survive the holder's restart on its data folder. A truncated file
+// must be named in the error and the others loaded.
+func TestHeldCopiesSurviveRestart(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	h, err := OpenHeldCopies(folder, 0)
@@ -177,10 +178,10 @@
 	is.True(errors.Is(err, ErrHeldLimit))
 }
 
-// An owner has turns 5 to 7 held again after a death. The call that first gave
-// turn 5, slow on its way, comes last. Written under the same name, its file
-// would replace the larger one, and turns 6 and 7 be lost at the holder's restart.
-func TestSlowCopyKeepsALargerOne(t *testing.T) {
+// An owner has turns 5 to 7 held again after a peer's failure. The earlier, slow call with turn 5
+// alone arrives last. Under the same file name it would replace the larger file, and turns 6 and 7
+// would be lost at the holder's restart.
+func TestLateHoldDoesNotReplaceLargerCopy(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	h, err := OpenHeldCopies(folder, 0)
--- a/internal/ledger/log_test.go
+++ b/internal/ledger/log_test.go
@@ -16,7 +16,7 @@
 	"foxhall/internal/store"
 )
 
-// peers is a fake of the peers that hold copies.
+// fakeHolders is a fake of Holders. Each Hold is confirmed by a fixed number of peers.
 type fakeHolders struct {
 	mu       sync.Mutex
 	copies   []Copy
@@ -37,7 +37,7 @@
 	p.released = max(p.released, upTo)
 }
 
-// offers is a fake of the successors.
+// fakeSuccessors is a fake of Successors that records what it is offered.
 type fakeSuccessors struct {
 	mu    sync.Mutex
 	taken []Record
@@ -52,6 +52,7 @@
 
 const testCohort = program.Cohort("sul1.a.one")
 
+// harness is a log over a stand-in store, with fakes of its peers.
 type harness struct {
 	standIn    *standin.Store
 	tracked    *store.Tracked
@@ -60,7 +61,7 @@
 	successors *fakeSuccessors
 }
 
-// newRig opens a log over a stand-in store. It must be called in a synctest bubble.
+// newHarness opens a log over a stand-in store. It must be called in a synctest bubble.
 func newHarness(t *testing.T, change func(*Options)) *harness {
 	t.Helper()
 	r := &harness{standIn: standin.NewStore(), holders: &fakeHolders{confirm: RequiredCopies}, successors: &fakeSuccessors{}}
@@ -83,6 +84,7 @@
 	r.tracked.Close()
 }
 
+// seal seals the log as a successor does and returns the sealed cohort.
 func (r *harness) seal(t *testing.T) Cohort {
 	t.Helper()
 	cohort, err := SealLog(t.Context(), r.standIn, testCohort, Seal{By: "sul1.b.one", At: time.Now()})
@@ -116,10 +118,9 @@
 	return out
 }
 
-// An intent is written and the store applies it, but the answer is lost. The
-// caller must get nil, not "not run" and not a second entry: the log reads the
-// number back and finds its own write id.
-func TestIntentAnswerLost(t *testing.T) {
+// The store applies the write of an intent, but the response is lost. The log reads the number back
+// and finds its own write id. The caller must get nil, and no second entry may be written.
+func TestAppendSucceedsAfterLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newHarness(t, nil)
@@ -134,9 +135,9 @@
 	})
 }
 
-// The owner is paused; a successor seals the log and goes on. When the owner
-// wakes and appends an intent, its number is taken by the seal: the caller gets
-// ErrFenced, which is a true "not run", and the record never appears.
+// The owner is paused, and a successor seals the log. When the owner resumes and appends an intent,
+// the number is used by the seal. The caller must get ErrFenced, which correctly means that the step
+// was not run, and the record must never appear.
 func TestPausedOwnerIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -154,10 +155,10 @@
 	})
 }
 
-// The store is down for the whole step. The first append finds out; the next
-// is refused at once, without a call or a wait. A turn is content with two
-// peers' copies and is in the log, in order, once the store is back.
-func TestStoreDownForTheWholeStep(t *testing.T) {
+// The store is down for the duration of a step. The first append detects it; the next is refused at
+// once, without a call or a wait. Turns are accepted with copies on two peers, and must be in the
+// log, in order, once the store is back.
+func TestStoreDownDuringStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newHarness(t, nil)
@@ -182,10 +183,10 @@
 	})
 }
 
-// The store goes down after a write was sent and before its answer: it may or
-// may not have taken effect. A caller whose deadline ends is told just that;
-// nobody is told "not written".
-func TestUnsettledUntilTheDeadline(t *testing.T) {
+// The store goes down after a write was sent and before its response: the write may or may not have
+// taken effect. A caller whose deadline passes must get ErrUnsettled, and nobody may be told that the
+// record was not written.
+func TestUnknownOutcomeAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newHarness(t, nil)
@@ -207,9 +208,9 @@
 	})
 }
 
-// The store goes down, turns are held by peers, and a successor seals the log
-// before the store is back for the owner. The owner's turns, promised to
-// callers as durable, are offered to the successors.
+// The store goes down, turns are held by peers, and a successor seals the log before the owner can
+// reach the store again. The held turns were reported to callers as durable, and must be offered to
+// the successors.
 func TestHeldTurnsAreOfferedAfterASeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -228,11 +229,10 @@
 	})
 }
 
-// A sealer dies between its seal entry and the cohort's object, which then
-// still says "not sealed". The next sealer must find that seal and not put
-// another behind it: the two would name different successors, and both would
-// own the programs.
-func TestSealFoundThatWasNotRecorded(t *testing.T) {
+// An instance writes a seal entry and dies before it records the seal in the cohort's object. The
+// next instance that seals the log must find that seal and not write another after it: the two would
+// name different successors, and both would own the programs.
+func TestUnrecordedSealIsFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newHarness(t, nil)
@@ -248,7 +248,7 @@
 	})
 }
 
-// blinking is a store that is known to be down for a moment.
+// flickeringStore is a store that can be reported down for a moment while its calls still succeed.
 type flickeringStore struct {
 	Store
 	down atomic.Bool
@@ -256,10 +256,10 @@
 
 func (b *flickeringStore) Down() bool { return b.down.Load() }
 
-// Turns 2 and 3 wait for their entry when the object API is down for a moment:
-// turn 4 is held by peers, and all are told to be durable. Written first, turn 4
-// would have turns 2 and 3, held in the next outage, pass for written when their
-// owner dies. The log must hold turns in the order of their sequences.
+// Turns 2 and 3 are queued when the object API is down for a moment, and turn 4 is held by peers. All
+// are reported as durable. If turn 4 were written first, and turns 2 and 3 held in the next outage,
+// a successor would take turns 2 and 3 for written, and they would be lost. The log must have turns
+// in the order of their sequences.
 func TestHeldTurnDoesNotOvertakeQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -284,7 +284,7 @@
 	})
 }
 
-// shaky is a store that fails the first reads of entries.
+// failingReads is a store whose first reads of entries fail.
 type failingReads struct {
 	store.Client
 	failures int
@@ -298,10 +298,10 @@
 	return s.Client.Get(ctx, key)
 }
 
-// The object API fails for a moment while a successor, which has marked the log
-// as about to be sealed, searches its end. Given up, the mark stays, and a
-// living owner can't compact its log any more. The search must go on.
-func TestSealSurvivesABlip(t *testing.T) {
+// The object API fails for a moment while a successor, which has set Cohort.Sealing, searches for the
+// end of the log. If the search were abandoned, the mark would stay and a living owner could never
+// compact its log again. The search must continue.
+func TestSealLogRetriesDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newHarness(t, nil)
--- a/internal/ledger/moved_test.go
+++ b/internal/ledger/moved_test.go
@@ -13,10 +13,10 @@
 	"foxhall/internal/store"
 )
 
-// An owner is paused at its start, taken over, and its log adopted and deleted.
-// It wakes and makes its object: two instances would own its programs. It finds
-// what is left of the cohort instead, is fenced, and leaves no object behind.
-func TestCreationAfterTheLogIsGone(t *testing.T) {
+// An owner is paused at its start and taken over, and its log is adopted and deleted. When it resumes
+// it creates its cohort's object, with which two instances would own its programs. It must find the
+// object under the moved key, be fenced, and delete the object that it created.
+func TestLateCreationAfterLogDeletionIsReverted(t *testing.T) {
 	is := is.New(t)
 	var appended, absent error
 	var fenced bool
