--- a/internal/ownership/adopt.go
+++ b/internal/ownership/adopt.go
@@ -13,42 +13,43 @@
 	"foxhall/internal/program"
 )
 
-// minUnasked is the number of instances that could not be asked from which on
-// both copies of a turn may be lost: ledger.CopiesNeeded of them.
+// minUnreachedHolders is the number of instances that could not be asked at which all
+// ledger.RequiredCopies copies of a turn may be lost.
 const minUnreachedHolders = ledger.RequiredCopies
 
-// deathMargin is how long before its known death an owner may have been cut
-// off from the object API and relied on peers' copies.
+// deathMargin is how long before its detected death an owner may have lost the object API and have
+// relied on peers' copies.
 const deathMargin = time.Minute
 
-// group is what is adopted in one go: a slice of the cohort whose seal names
-// this instance, with the same slice of older cohorts that went there.
+// adoptionGroup is a unit of adoption: a shard of the cohort whose seal names this instance,
+// together with the same shard of older cohorts whose chain of seals leads to that cohort.
 type adoptionGroup struct {
 	shard int
-	// cohorts are ordered from the one sealed to this instance backwards.
+	// cohorts begin with the one whose seal names this instance; older ones follow.
 	cohorts []program.Cohort
 }
 
-// adoptAll adopts every slice that is not adopted and whose chain ends here.
-func (k *Reconciler) adoptAll(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
-	groups := k.adoptionGroups(ctx, cohorts)
-	k.waitingGauge.Update(int64(len(groups)))
-	heads := map[program.Cohort][]adoptionGroup{}
+// adoptAll adopts every shard that is not adopted yet and whose chain of seals ends here.
+func (rc *Reconciler) adoptAll(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
+	groups := rc.adoptionGroups(ctx, cohorts)
+	rc.waitingGauge.Update(int64(len(groups)))
+	groupsByNewest := map[program.Cohort][]adoptionGroup{}
 	for _, g := range groups {
-		heads[g.cohorts[0]] = append(heads[g.cohorts[0]], g)
+		groupsByNewest[g.cohorts[0]] = append(groupsByNewest[g.cohorts[0]], g)
 	}
 	var failed error
-	for _, head := range slices.Sorted(mapKeys(heads)) {
-		if err := k.adoptGroups(ctx, cohorts, heads[head]); failed == nil {
+	for _, newest := range slices.Sorted(mapKeys(groupsByNewest)) {
+		if err := rc.adoptGroups(ctx, cohorts, groupsByNewest[newest]); failed == nil {
 			failed = err
 		}
 	}
-	if err := k.markAdopted(ctx, cohorts); failed == nil {
+	if err := rc.markAdopted(ctx, cohorts); failed == nil {
 		failed = err
 	}
 	return failed
 }
 
+// mapKeys iterates over the keys of the map.
 func mapKeys[K comparable, V any](m map[K]V) func(yield func(K) bool) {
 	return func(yield func(K) bool) {
 		for key := range m {
@@ -59,32 +60,33 @@
 	}
 }
 
-// groups collects the slices that are to be adopted here, each with its chain.
-func (k *Reconciler) adoptionGroups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) []adoptionGroup {
-	heads := map[cohortShard]*adoptionGroup{}
+// adoptionGroups returns the shards that are to be adopted here, each with its chain of cohorts.
+func (rc *Reconciler) adoptionGroups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) []adoptionGroup {
+	groupsByNewest := map[cohortShard]*adoptionGroup{}
 	var order []cohortShard
 	for _, c := range slices.Sorted(mapKeys(cohorts)) {
 		for shard := range program.ShardCount {
-			chain := k.pendingChain(ctx, cohorts, c, shard)
+			chain := rc.pendingChain(ctx, cohorts, c, shard)
 			if len(chain) == 0 {
 				continue
 			}
-			head := cohortShard{chain[len(chain)-1], shard}
-			if heads[head] == nil {
-				heads[head] = &adoptionGroup{shard: shard}
-				order = append(order, head)
+			newest := cohortShard{chain[len(chain)-1], shard}
+			if groupsByNewest[newest] == nil {
+				groupsByNewest[newest] = &adoptionGroup{shard: shard}
+				order = append(order, newest)
 			}
-			heads[head].merge(chain)
+			groupsByNewest[newest].merge(chain)
 		}
 	}
 	groups := make([]adoptionGroup, 0, len(order))
-	for _, head := range order {
-		groups = append(groups, *heads[head])
+	for _, newest := range order {
+		groups = append(groups, *groupsByNewest[newest])
 	}
 	return groups
 }
 
-// merge adds a chain, oldest first, to the group, newest first.
+// merge adds the cohorts of a chain to the group. The chain begins with its oldest cohort, the group
+// with its newest.
 func (g *adoptionGroup) merge(chain []program.Cohort) {
 	for _, c := range slices.Backward(chain) {
 		if !slices.Contains(g.cohorts, c) {
@@ -93,25 +95,24 @@
 	}
 }
 
-// pending returns the part of the slice's chain from c on that is not adopted
-// here, if the chain ends here and c itself is not adopted; nil otherwise.
-func (k *Reconciler) pendingChain(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, shard int) []program.Cohort {
-	if !k.awaitsAdoption(cohorts[c], shard) {
+// pendingChain returns the cohorts on the shard's chain of seals, from c on, that still have to be
+// adopted. It returns nil if c itself is adopted or the chain does not end at this instance.
+func (rc *Reconciler) pendingChain(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, shard int) []program.Cohort {
+	if !rc.awaitsAdoption(cohorts[c], shard) {
 		return nil
 	}
 	var chain []program.Cohort
 	hops := 0
-	for at := c; at != k.options.Self.Cohort; hops++ {
-		// Hops are counted, not what the chain has taken in: in a ring of
-		// seals whose other cohorts are adopted the chain stays as it is, and
-		// the pass would go round for ever.
+	for at := c; at != rc.options.Self.Cohort; hops++ {
+		// The limit counts hops and not the length of the chain: in a ring of seals whose other
+		// cohorts are adopted the chain does not grow, and the loop would never end.
 		if hops > maxHops {
 			return nil
 		}
-		if at == c || k.awaitsAdoption(cohorts[at], shard) {
+		if at == c || rc.awaitsAdoption(cohorts[at], shard) {
 			chain = append(chain, at)
 		}
-		_, next, err := k.directory.nextHop(ctx, at, shard)
+		_, next, err := rc.directory.nextHop(ctx, at, shard)
 		if err != nil || next == "" {
 			return nil
 		}
@@ -120,101 +121,103 @@
 	return chain
 }
 
-// isOpen reports whether the cohort's slice is sealed and adopted by nobody.
-func (k *Reconciler) awaitsAdoption(c *ledger.Cohort, shard int) bool {
+// awaitsAdoption reports whether the cohort is sealed and its shard not adopted yet.
+func (rc *Reconciler) awaitsAdoption(c *ledger.Cohort, shard int) bool {
 	if c == nil || c.Seal == nil || c.Adopted&(1<<shard) != 0 {
 		return false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return !k.adoptedShards[cohortShard{c.Cohort, shard}]
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	return !rc.adoptedShards[cohortShard{c.Cohort, shard}]
 }
 
-// source is what was read of one cohort for the slices that come here.
+// cohortContents is what was read of one cohort for the shards that are adopted here.
 type cohortContents struct {
 	history   *ledger.History
 	copies    []ledger.Record
 	uncertain bool
 }
 
-// adopting is the work on the groups of one head: each log is read once.
+// adoptionRun is the adoption of all groups with the same newest cohort. It caches what was read, so
+// that each log is read once.
 type adoptionRun struct {
 	cohorts  map[program.Cohort]*ledger.Cohort
 	contents map[program.Cohort]*cohortContents
 	shards   map[int]bool
 }
 
-// adopted is one group that the adopter has taken.
+// plannedAdoption is the adoption of one group.
 type plannedAdoption struct {
 	Adoption
-	// have are the cohorts whose slice came with it.
+	// covered are the cohorts whose shard is adopted with it.
 	covered map[program.Cohort]bool
 }
 
-// parallelSlices is how many slices are adopted at the same time, so that their
-// records share entries of the log.
+// parallelShards is the maximum number of shards that are adopted concurrently. Concurrency lets
+// their records share entries of the log.
 const parallelShards = 16
 
-// adoptGroups adopts the groups of one head and then marks them in the own log
-// in one append. A crash before the mark leaves them to be adopted again.
-func (k *Reconciler) adoptGroups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, groups []adoptionGroup) error {
+// adoptGroups adopts the groups of one newest cohort and then writes their adoption records to the
+// own log in one append. After a crash before that append they are adopted again.
+func (rc *Reconciler) adoptGroups(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, groups []adoptionGroup) error {
 	started := time.Now()
-	w := &adoptionRun{cohorts: cohorts, contents: map[program.Cohort]*cohortContents{}, shards: map[int]bool{}}
+	run := &adoptionRun{cohorts: cohorts, contents: map[program.Cohort]*cohortContents{}, shards: map[int]bool{}}
 	for _, g := range groups {
-		w.shards[g.shard] = true
+		run.shards[g.shard] = true
 	}
 	plans := make([]plannedAdoption, len(groups))
 	for i, g := range groups {
 		var err error
-		plans[i], err = k.planAdoption(ctx, w, g)
+		plans[i], err = rc.planAdoption(ctx, run, g)
 		if err != nil {
 			return err
 		}
 	}
-	done, failed := k.adoptShards(ctx, plans)
+	done, failed := rc.adoptShards(ctx, plans)
 	if len(done) == 0 {
 		return failed
 	}
-	if err := k.options.Log.Append(ctx, adoptionMarks(done)...); err != nil {
-		return errors.Wrapf(err, "ownership: adopt slices of %s", groups[0].cohorts[0])
+	if err := rc.options.Log.Append(ctx, adoptionMarks(done)...); err != nil {
+		return errors.Wrapf(err, "ownership: adopt shards of %s", groups[0].cohorts[0])
 	}
-	k.completeAdoptions(done, time.Since(started))
+	rc.completeAdoptions(done, time.Since(started))
 	return failed
 }
 
-// plan reads what belongs to a group.
-func (k *Reconciler) planAdoption(ctx context.Context, w *adoptionRun, g adoptionGroup) (plannedAdoption, error) {
+// planAdoption reads the records of a group.
+func (rc *Reconciler) planAdoption(ctx context.Context, run *adoptionRun, g adoptionGroup) (plannedAdoption, error) {
 	a := plannedAdoption{covered: map[program.Cohort]bool{}}
 	unproven := map[program.Cohort]bool{}
-	var read []*cohortContents
+	var allContents []*cohortContents
 	for _, c := range g.cohorts {
 		if a.covered[c] {
 			continue
 		}
-		s, err := k.readContents(ctx, w, c)
+		contents, err := rc.readContents(ctx, run, c)
 		if err != nil {
 			return a, err
 		}
 		a.covered[c] = true
-		addEarlierAdoptions(a.covered, unproven, s.history, g.shard)
-		if s.uncertain {
+		addEarlierAdoptions(a.covered, unproven, contents.history, g.shard)
+		if contents.uncertain {
 			unproven[c] = true
 		}
-		read = append(read, s)
+		allContents = append(allContents, contents)
 	}
-	a.Adoption = assemble(g, read)
+	a.Adoption = assemble(g, allContents)
 	a.Unproven = slices.Sorted(mapKeys(unproven))
 	return a, nil
 }
 
-// adoptSlices has the adopter take the slices and returns those that it took.
-func (k *Reconciler) adoptShards(ctx context.Context, plans []plannedAdoption) ([]plannedAdoption, error) {
+// adoptShards passes the adoptions to the adopter. It returns those that succeeded and the first
+// error.
+func (rc *Reconciler) adoptShards(ctx context.Context, plans []plannedAdoption) ([]plannedAdoption, error) {
 	failures := make([]error, len(plans))
 	var group errgroup.Group
 	group.SetLimit(parallelShards)
 	for i := range plans {
 		group.Go(func() error {
-			failures[i] = k.options.Adopter.Adopt(ctx, plans[i].Adoption)
+			failures[i] = rc.options.Adopter.Adopt(ctx, plans[i].Adoption)
 			return failures[i]
 		})
 	}
@@ -228,6 +231,7 @@
 	return done, errors.Wrap(failed, "ownership: adopt")
 }
 
+// adoptionMarks returns the log records that complete the adoptions.
 func adoptionMarks(done []plannedAdoption) []ledger.Record {
 	var records []ledger.Record
 	for _, a := range done {
@@ -242,8 +246,8 @@
 	return records
 }
 
-// include adds the cohorts whose slice had been adopted into the history's log,
-// and those that were in doubt then.
+// addEarlierAdoptions adds to covered the cohorts whose shard was adopted into the history's log, and
+// to unproven those that could not be proven complete then.
 func addEarlierAdoptions(covered, unproven map[program.Cohort]bool, h *ledger.History, shard int) {
 	for _, a := range h.Adoptions {
 		if a.Shard != shard {
@@ -259,38 +263,40 @@
 	}
 }
 
-// source reads a sealed log and the copies held for its cohort, once.
-func (k *Reconciler) readContents(ctx context.Context, w *adoptionRun, name program.Cohort) (*cohortContents, error) {
-	if s := w.contents[name]; s != nil {
+// readContents reads a sealed log and the copies held for its cohort, once in a run.
+func (rc *Reconciler) readContents(ctx context.Context, run *adoptionRun, name program.Cohort) (*cohortContents, error) {
+	if s := run.contents[name]; s != nil {
 		return s, nil
 	}
-	c := w.cohorts[name]
-	history, err := ledger.Recover(ctx, k.options.Store, *c, func(id program.ID) bool { return w.shards[id.Shard()] })
+	c := run.cohorts[name]
+	history, err := ledger.Recover(ctx, rc.options.Store, *c, func(id program.ID) bool { return run.shards[id.Shard()] })
 	if err != nil {
 		return nil, err
 	}
 	for _, fault := range history.Faults {
-		k.log.WithError(fault).Error("entry of a sealed log unreadable")
+		rc.log.WithError(fault).Error("entry of a sealed log unreadable; programs of the log count as uncertain")
 	}
 	s := &cohortContents{history: history, uncertain: len(history.Faults) > 0}
 	if !c.Seal.Planned {
-		k.collectHeldCopies(ctx, c, s)
+		rc.collectHeldCopies(ctx, c, s)
 	}
-	w.contents[name] = s
+	run.contents[name] = s
 	return s, nil
 }
 
-// collect adds the records that only peers hold: those after the log's last.
-func (k *Reconciler) collectHeldCopies(ctx context.Context, c *ledger.Cohort, s *cohortContents) {
-	k.mu.Lock()
-	records := slices.Clone(k.lateRecords[c.Cohort])
-	k.mu.Unlock()
-	if k.options.Copies != nil {
-		copies, unreached := k.options.Copies.Collect(ctx, c.Cohort)
+// collectHeldCopies adds the records that are missing from the log, which are those with a sequence
+// after the log's last one. They come from copies on peers and from records that the former owner
+// offered before the adoption.
+func (rc *Reconciler) collectHeldCopies(ctx context.Context, c *ledger.Cohort, s *cohortContents) {
+	rc.mu.Lock()
+	records := slices.Clone(rc.lateRecords[c.Cohort])
+	rc.mu.Unlock()
+	if rc.options.Copies != nil {
+		copies, unreached := rc.options.Copies.Collect(ctx, c.Cohort)
 		for _, held := range copies {
 			records = append(records, held.Records...)
 		}
-		s.uncertain = s.uncertain || unreached >= minUnreachedHolders && k.mayHaveReliedOnCopies(c)
+		s.uncertain = s.uncertain || unreached >= minUnreachedHolders && rc.mayHaveReliedOnCopies(c)
 	}
 	slices.SortFunc(records, func(a, b ledger.Record) int { return int(int64(a.Sequence) - int64(b.Sequence)) })
 	for _, r := range records {
@@ -304,10 +310,12 @@
 	}
 }
 
-// wasCutOff reports whether the owner may have relied on peers' copies.
-func (k *Reconciler) mayHaveReliedOnCopies(c *ledger.Cohort) bool {
+// mayHaveReliedOnCopies reports whether the owner may have relied on peers' copies: its last heartbeat
+// said so, or this instance saw the object API down between deathMargin before the owner's death and
+// the seal. Without a record of outages it returns true.
+func (rc *Reconciler) mayHaveReliedOnCopies(c *ledger.Cohort) bool {
 	since := c.Seal.At
-	for _, d := range k.options.Members.Dead() {
+	for _, d := range rc.options.Members.Dead() {
 		if d.Cohort == c.Cohort {
 			if d.StoreDown {
 				return true
@@ -315,13 +323,13 @@
 			since = d.Since
 		}
 	}
-	return k.options.Outages == nil || k.options.Outages.DownBetween(since.Add(-deathMargin), c.Seal.At)
+	return rc.options.Outages == nil || rc.options.Outages.DownBetween(since.Add(-deathMargin), c.Seal.At)
 }
 
-// assemble joins what was read, older logs first.
-func assemble(g adoptionGroup, read []*cohortContents) Adoption {
+// assemble combines the contents of a group's cohorts into an adoption, older logs first.
+func assemble(g adoptionGroup, contents []*cohortContents) Adoption {
 	a := Adoption{Cohort: g.cohorts[0], Shard: g.shard}
-	for _, s := range slices.Backward(read) {
+	for _, s := range slices.Backward(contents) {
 		for _, id := range slices.Sorted(mapKeys(s.history.Programs)) {
 			if id.Shard() == g.shard {
 				a.Records = append(a.Records, s.history.Programs[id]...)
@@ -337,14 +345,14 @@
 	return a
 }
 
-// finish remembers adoptions that are marked in the log.
-func (k *Reconciler) completeAdoptions(done []plannedAdoption, took time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// completeAdoptions records adoptions whose adoption records are in the own log.
+func (rc *Reconciler) completeAdoptions(done []plannedAdoption, took time.Duration) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	records, held, uncertain := 0, 0, 0
 	for _, a := range done {
 		for c := range a.covered {
-			k.adoptedShards[cohortShard{c, a.Shard}] = true
+			rc.adoptedShards[cohortShard{c, a.Shard}] = true
 		}
 		records += len(a.Records)
 		held += len(a.Tail.Records)
@@ -352,20 +360,20 @@
 			uncertain++
 		}
 	}
-	k.adoptedCounter.Inc(int64(len(done)))
-	k.uncertainCounter.Inc(int64(uncertain))
-	k.log.WithFields(log.Fields{
+	rc.adoptedCounter.Inc(int64(len(done)))
+	rc.uncertainCounter.Inc(int64(uncertain))
+	rc.log.WithFields(log.Fields{
 		"from": string(done[0].Cohort), "slices": len(done), "records": records, "held": held,
 		"uncertain": uncertain, "took": took,
-	}).Info("slices taken over")
+	}).Info("shards adopted")
 }
 
-// markAdopted sets the bits of what is adopted here in the cohorts' objects,
-// one conditional update for each cohort.
-func (k *Reconciler) markAdopted(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
+// markAdopted sets the bits of the shards adopted here in the cohorts' objects, with one conditional
+// update for each cohort.
+func (rc *Reconciler) markAdopted(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
 	var failed error
-	for c, bits := range k.unmarkedShards(cohorts) {
-		err := ledger.UpdateCohort(ctx, k.options.Store, c, func(current *ledger.Cohort) bool {
+	for c, bits := range rc.unmarkedShards(cohorts) {
+		err := ledger.UpdateCohort(ctx, rc.options.Store, c, func(current *ledger.Cohort) bool {
 			change := current.Adopted&bits != bits
 			current.Adopted |= bits
 			if change && current.Adopted == ledger.AllAdopted {
@@ -381,11 +389,13 @@
 	return failed
 }
 
-func (k *Reconciler) unmarkedShards(cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort]uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// unmarkedShards returns, by cohort, the bits of shards that are adopted here but not marked so in
+// the cohort's object.
+func (rc *Reconciler) unmarkedShards(cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort]uint64 {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	found := map[program.Cohort]uint64{}
-	for key := range k.adoptedShards {
+	for key := range rc.adoptedShards {
 		c := cohorts[key.cohort]
 		if c != nil && c.Seal != nil && c.Adopted&(1<<key.shard) == 0 {
 			found[key.cohort] |= 1 << key.shard
--- a/internal/ownership/bench_test.go
+++ b/internal/ownership/bench_test.go
@@ -14,9 +14,9 @@
 	"foxhall/internal/standin"
 )
 
-// BenchmarkTakeOver measures the time from the decision to take a dead owner's
-// 2,000 programs over until its seven survivors have adopted them all, and the
-// store writes that it costs. Each program has 4 KB of history.
+// BenchmarkTakeOver measures the take-over of a dead owner's 2,000 programs by seven survivors: the
+// time from the decision until all are adopted, and the store's reads and writes that it costs. Each
+// program has 4 KB of history.
 func BenchmarkTakeOver(b *testing.B) {
 	const programs, history = 2000, 4096
 	for range b.N {
@@ -40,23 +40,25 @@
 		b.ReportMetric(time.Since(started).Seconds()*1000, "ms/take-over")
 		b.ReportMetric(float64(after.Writes-before.Writes), "writes")
 		b.ReportMetric(float64(after.Reads-before.Reads), "reads")
-		for _, n := range survivors {
-			n.close()
+		for _, inst := range survivors {
+			inst.close()
 		}
 	}
 }
 
-func (n *instance) takeOverNow(b *testing.B, c program.Cohort) {
-	if _, err := n.reconciler.takeOver(b.Context(), Dead{Cohort: c, Since: time.Now()}, n.Living()); err != nil {
+// takeOverNow seals the cohort's log without waiting for the grace period.
+func (inst *instance) takeOverNow(b *testing.B, c program.Cohort) {
+	if _, err := inst.reconciler.takeOver(b.Context(), Dead{Cohort: c, Since: time.Now()}, inst.Living()); err != nil {
 		b.Fatal(err)
 	}
 }
 
+// reconcileAll runs one pass on each instance, concurrently.
 func reconcileAll(b *testing.B, nodes []*instance) {
 	var running sync.WaitGroup
-	for _, n := range nodes {
+	for _, inst := range nodes {
 		running.Go(func() {
-			if err := n.reconciler.Reconcile(b.Context()); err != nil {
+			if err := inst.reconciler.Reconcile(b.Context()); err != nil {
 				b.Error(err)
 			}
 		})
@@ -64,15 +66,16 @@
 	running.Wait()
 }
 
-func fill(b *testing.B, n *instance, programs, history int) {
+// fill creates programs with one event of history bytes each.
+func fill(b *testing.B, inst *instance, programs, history int) {
 	var running sync.WaitGroup
 	for i := range programs {
-		id := program.ID(fmt.Sprintf("%s:%026d", n.self.Cohort, i))
-		p := n.owner.insert(id, newProgram())
+		id := program.ID(fmt.Sprintf("%s:%026d", inst.self.Cohort, i))
+		p := inst.owner.insert(id, newProgram())
 		event := strings.Repeat("h", history)
 		p.add(event)
 		running.Go(func() {
-			if err := n.log.Append(context.Background(), ledger.Record{Program: id, Event: []byte(event)}); err != nil {
+			if err := inst.log.Append(context.Background(), ledger.Record{Program: id, Event: []byte(event)}); err != nil {
 				b.Error(err)
 			}
 		})
@@ -80,8 +83,8 @@
 	running.Wait()
 }
 
-// BenchmarkHandOver measures a planned hand-over of 2,000 programs to seven
-// successors: the gap in which a program has no owner that can answer.
+// BenchmarkHandOver measures a planned hand-over of 2,000 programs, each with 4 KB of history, to
+// seven successors: the gap in which a program has no owner that can respond.
 func BenchmarkHandOver(b *testing.B) {
 	const programs, history = 2000, 4096
 	for range b.N {
@@ -102,17 +105,16 @@
 		reconcileAll(b, others)
 		b.StopTimer()
 		b.ReportMetric(time.Since(started).Seconds()*1000, "ms/gap")
-		for _, n := range append(others, stopping) {
-			n.close()
+		for _, inst := range append(others, stopping) {
+			inst.close()
 		}
 	}
 }
 
-// BenchmarkDrainCut compares two cuts of a planned stop by drawing the rest of
-// the steps under way (exponential, mean 10 s) at random: one seal after all
-// steps ended, and one marker for each slice after that slice's steps ended, as
-// with the barriers of aligned snapshots. It reports how long a program waits
-// that has no step under way itself.
+// BenchmarkDrainCut compares two kinds of planned stop by simulation: one seal after all steps in
+// flight have ended, and one marker for each shard after that shard's steps have ended, as with the
+// barriers of aligned snapshots. The remaining times of the steps are random (exponential, mean
+// 10 s). It reports how long a program without a step in flight waits.
 func BenchmarkDrainCut(b *testing.B) {
 	const steps = 64
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/ownership/directory.go
+++ b/internal/ownership/directory.go
@@ -14,23 +14,22 @@
 )
 
 const (
-	// cachedCohorts bounds the directory's memory: about 0.5 KB each.
-	cachedCohorts = 4096
-	// unsealedFor is how long a cohort that was read as unsealed, or as
-	// absent, is not read again. Callers choose program ids, so that without
-	// it each wrong id would cost a read.
+	// maxCachedCohorts is the size of the directory's cache, with about 0.5 KB for each cohort.
+	maxCachedCohorts = 4096
+	// unsealedTTL is how long a cohort that was read as unsealed or absent is not read again.
+	// Callers choose program ids, so each wrong id would otherwise cost a read.
 	unsealedTTL = 2 * time.Second
-	// maxHops bounds a chain of seals. Each hop is the end of an owner; a
-	// program lives days, an instance most of a day.
+	// maxHops is the maximum length of a chain of seals. Each hop is one owner's end; a program
+	// lives for days and an instance for most of a day.
 	maxHops = 64
 )
 
-// Owner is who owns a program.
+// Owner is the instance that owns a program.
 type Owner struct {
 	Cohort   program.Cohort
 	Instance string
 	Addr     string
-	// Local says that it is this instance.
+	// IsSelf reports whether the owner is this instance.
 	IsSelf bool
 }
 
@@ -43,29 +42,32 @@
 	cache   *lru.Cache[program.Cohort, cohortReading]
 }
 
-// sighting is what was read of a cohort. A seal is for good; the rest ages.
+// cohortReading is what was read of a cohort at some time. A seal remains valid; other readings
+// expire after unsealedTTL.
 type cohortReading struct {
 	cohort ledger.Cohort
 	absent bool
 	readAt time.Time
 }
 
-// NewDirectory returns the directory of the instance with that cohort.
+// NewDirectory returns the directory of the instance whose cohort is self.
 func NewDirectory(self program.Cohort, s ledger.Store, members Members, log Log) *Directory {
-	cache, err := lru.New[program.Cohort, cohortReading](cachedCohorts)
+	cache, err := lru.New[program.Cohort, cohortReading](maxCachedCohorts)
 	if err != nil {
 		panic(errors.Wrap(err, "ownership: cache"))
 	}
 	return &Directory{self: self, store: s, members: members, log: log, cache: cache}
 }
 
-// Locate returns the program's owner by following the seals from its cohort.
-// For a program of a living instance it needs no call. Its errors are
-// ErrUnknownCohort, ErrNoOwner, with the dead owner, and those of the store.
+// Locate returns the program's owner by following the seals from the program's cohort. It makes no
+// call if that cohort's instance is alive and not known to be sealed. Errors are ErrUnknownCohort,
+// ErrNoOwner (with the dead owner in the result) and those of the store.
 func (d *Directory) Locate(ctx context.Context, id program.ID) (Owner, error) {
 	return d.locateShard(ctx, id.Cohort(), id.Shard())
 }
 
+// locateShard returns the owner of a cohort's shard. If the seals form a ring, it reads the cohorts
+// of the ring again, since another instance may have broken it meanwhile.
 func (d *Directory) locateShard(ctx context.Context, c program.Cohort, shard int) (Owner, error) {
 	owner, ring, err := d.followSeals(ctx, c, shard)
 	if err != nil || ring == nil {
@@ -83,9 +85,9 @@
 	return owner, err
 }
 
-// walk follows the seals to the owner. If they lead back to a cohort that was
-// passed, it returns the cohorts of that ring: nobody owns the slice. It comes
-// about when two instances stop at the same time and name each other.
+// followSeals follows the seals to the owner. If they lead back to a cohort that was passed, nobody
+// owns the shard, and it returns the cohorts of that ring. A ring arises if two instances stop at the
+// same time and name each other.
 func (d *Directory) followSeals(ctx context.Context, c program.Cohort, shard int) (Owner, []program.Cohort, error) {
 	var passed []program.Cohort
 	for range maxHops {
@@ -102,7 +104,7 @@
 	return Owner{}, nil, errors.Wrapf(ErrNoOwner, "more than %d hops", maxHops)
 }
 
-// hop returns the owner, or the next cohort of the chain.
+// nextHop returns the owner or, if the cohort is sealed, the next cohort of the chain.
 func (d *Directory) nextHop(ctx context.Context, c program.Cohort, shard int) (Owner, program.Cohort, error) {
 	if c == d.self {
 		return d.nextHopSelf(shard)
@@ -125,6 +127,7 @@
 	return Owner{Cohort: c, Addr: reading.cohort.Address}, "", errors.Wrap(ErrNoOwner, string(c))
 }
 
+// nextHopSelf is nextHop for this instance's cohort.
 func (d *Directory) nextHopSelf(shard int) (Owner, program.Cohort, error) {
 	seal, _, fenced := d.log.Fenced()
 	if !fenced {
@@ -139,21 +142,23 @@
 	return Owner{}, seal.Successors[shard], nil
 }
 
-// Moved tells that the supposed owner of a cohort's programs disowned them: it
-// lives and its log is sealed. The cohort is read anew.
+// Disowned is called if the supposed owner of a cohort's programs is alive but disowns them, since
+// its log is sealed. It reads the cohort again.
 func (d *Directory) Disowned(ctx context.Context, c program.Cohort) error {
 	d.cache.Remove(c)
 	_, err := d.read(ctx, c)
 	return err
 }
 
-// Learn takes a seal from a peer's word or an own read.
+// ObserveSeal adds a cohort to the cache if it is sealed.
 func (d *Directory) ObserveSeal(c ledger.Cohort) {
 	if c.Seal != nil {
 		d.cache.Add(c.Cohort, cohortReading{cohort: c, readAt: time.Now()})
 	}
 }
 
+// read returns the cohort from the cache, or else from the store: its object or, if that was
+// deleted, the one under the moved key.
 func (d *Directory) read(ctx context.Context, c program.Cohort) (cohortReading, error) {
 	if seen, ok := d.cache.Get(c); ok && (seen.cohort.Seal != nil || time.Since(seen.readAt) < unsealedTTL) {
 		return seen, nil
--- a/internal/ownership/failure_test.go
+++ b/internal/ownership/failure_test.go
@@ -15,13 +15,14 @@
 	"foxhall/internal/store"
 )
 
-func (n *instance) seed(t *testing.T, programs int) []program.ID {
+// seed creates programs with one turn each on the instance and returns their ids.
+func (inst *instance) seed(t *testing.T, programs int) []program.ID {
 	t.Helper()
 	var ids []program.ID
 	for i := range programs {
-		id := program.ID(fmt.Sprintf("%s:%026d", n.self.Cohort, i))
-		n.owner.insert(id, newProgram()).add("turn")
-		if err := n.log.Append(t.Context(), ledger.Record{Program: id, Event: []byte("turn")}); err != nil {
+		id := program.ID(fmt.Sprintf("%s:%026d", inst.self.Cohort, i))
+		inst.owner.insert(id, newProgram()).add("turn")
+		if err := inst.log.Append(t.Context(), ledger.Record{Program: id, Event: []byte("turn")}); err != nil {
 			t.Fatal(err)
 		}
 		ids = append(ids, id)
@@ -29,24 +30,24 @@
 	return ids
 }
 
-// checkAllOn fails unless the node owns and holds all the programs.
-func checkAllOn(t *testing.T, n *instance, ids []program.ID) {
+// checkAllOn fails the test unless the instance owns all the programs and each has its one event.
+func checkAllOn(t *testing.T, inst *instance, ids []program.ID) {
 	t.Helper()
 	for _, id := range ids {
-		owner, err := n.reconciler.Directory().Locate(t.Context(), id)
+		owner, err := inst.reconciler.Directory().Locate(t.Context(), id)
 		if err != nil || !owner.IsSelf {
-			t.Fatalf("%s is located at %v, %v", id, owner, err)
+			t.Fatalf("%s: expected this instance as owner, found %v, %v", id, owner, err)
 		}
-		p := n.owner.lookup(id)
-		if !n.reconciler.Adopted(id) || p == nil || len(p.Events) != 1 {
-			t.Fatalf("%s is not whole on its owner: %v", id, p)
+		p := inst.owner.lookup(id)
+		if !inst.reconciler.Adopted(id) || p == nil || len(p.Events) != 1 {
+			t.Fatalf("%s: expected an adopted program with one event on its owner, found %v", id, p)
 		}
 	}
 }
 
-// Two instances stop at the same moment. Each seals its log before it learns
-// of the other and names it: the seals form a ring and nobody owns the
-// programs. The third instance breaks the ring and adopts them all.
+// Two instances stop at the same time. Each seals its log and names the other as successor before it
+// knows of the other's stop: the seals form a ring, and nobody owns the programs. A third instance must
+// break the ring and adopt all of them.
 func TestRingOfSealsIsBroken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -60,16 +61,16 @@
 		c := w.start(1)
 		time.Sleep(time.Minute)
 		checkAllOn(t, c, ids)
-		for _, n := range w.all(running) {
-			n.close()
+		for _, inst := range w.all(running) {
+			inst.close()
 		}
 	})
 }
 
-// A planned stop hands over to two instances. The one that left and one of the
-// successors are killed before the successor has adopted. The chain of seals
-// leads on to the survivor, which adopts the slices of both.
-func TestBothInstancesOfAHandOverKilled(t *testing.T) {
+// An instance hands over to two successors at a planned stop. It and one of the successors are killed
+// before that successor has adopted its shards. The chain of seals leads to the survivor, which must
+// adopt the shards of both.
+func TestHandOverWithBothInstancesKilled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -79,7 +80,7 @@
 		survivor := w.start(1)
 		ids := append(stopping.seed(t, 40), successor.seed(t, 10)...)
 		is.NoErr(stopping.reconciler.HandOver(t.Context()))
-		// The survivor's keeper reads the world's state: it must be at rest.
+		// The survivor's reconciler reads the state of the test's instances, so it must be idle.
 		synctest.Wait()
 		w.crash(stopping)
 		w.crash(successor)
@@ -89,10 +90,10 @@
 	})
 }
 
-// An owner is paused between its intent and the next one while a successor
-// takes over. Awake, its append is refused as fenced, which is a true "not
-// run", and it can tell its caller where the program is now.
-func TestOwnerPausedPastTakeOver(t *testing.T) {
+// An owner is paused between two intents while a successor takes over. When it resumes, its append must
+// be refused as fenced, which correctly means that the step was not run, and it must locate the
+// program's new owner for its caller.
+func TestOwnerPausedDuringTakeOverIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -112,9 +113,9 @@
 	})
 }
 
-// Members of different size get slices by their size, the same whoever works
-// it out, and at most maxSuccessors of them read the log.
-func TestSpreadBySize(t *testing.T) {
+// Members must get shards in proportion to their weights, independent of the order of members, and at
+// most maxSuccessors of them may read the log.
+func TestDistributeShardsByWeight(t *testing.T) {
 	is := is.New(t)
 	members := []Member{{Cohort: "d.a.1", Weight: 1}, {Cohort: "d.b.1", Weight: 2}, {Cohort: "d.c.1", Weight: 5}}
 	counts := map[program.Cohort]int{}
@@ -131,10 +132,10 @@
 	is.Equal(len(successorSet(&ledger.Seal{Successors: spread})), maxSuccessors)
 }
 
-// An instance was paused while its log was sealed, lives again and does not know yet. A ring that
-// its seal is part of is broken into its own log: nobody owns its slices, and the others wake each
-// other without end to break the ring again.
-func TestRingIsNotBrokenIntoASealedLog(t *testing.T) {
+// An instance is paused while its log is sealed; it resumes and does not know of the seal yet. Its seal
+// is part of a ring. If the ring were broken by naming this instance as successor, its shards would
+// still have no owner, and the others would wake each other endlessly to break the ring again.
+func TestRingIsNotReassignedToSealedLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -154,13 +155,13 @@
 		w.resume(a)
 		is.NoErr(c.reconciler.Reconcile(t.Context()))
 		checkAllOn(t, c, ids)
-		for _, n := range w.all(running) {
-			n.close()
+		for _, inst := range w.all(running) {
+			inst.close()
 		}
 	})
 }
 
-// offering is an adopter that is offered a late record while it adopts.
+// offeringAdopter is an adopter that calls duringAdopt while it adopts one shard.
 type offeringAdopter struct {
 	*fakeOwner
 	shard       int
@@ -175,11 +176,11 @@
 	return err
 }
 
-// A former owner offers a turn, which its caller was told is durable, while the
-// successor has read its log and writes the snapshots. Told "taken", it drops
-// the turn, the slice counts as adopted, and nobody looks at the turn again. So
-// the offer must fail until the slice is adopted, and bring the turn then.
-func TestOfferDuringAdoption(t *testing.T) {
+// A former owner offers a turn that was reported as durable to its caller, after the successor has read
+// the log and while it writes the snapshots. If the offer were accepted then, the former owner would
+// drop the turn, the shard would count as adopted, and the turn would be lost. The offer must fail until
+// the shard is adopted, and succeed with the turn then.
+func TestOfferDuringAdoptionIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -199,10 +200,10 @@
 	})
 }
 
-// An instance marks a log as about to be sealed and dies before the seal; the
-// owner lives after all. Nobody would look at the log again, and the mark keeps
-// its owner from compacting it for ever. Another instance ends what was begun.
-func TestBegunSealOfALivingOwnerIsEnded(t *testing.T) {
+// An instance sets Cohort.Sealing and dies before it writes the seal, while the owner is alive. The mark
+// would keep the owner from compacting its log for ever, as no instance examines the log of a living
+// owner. Another instance must finish the seal and adopt the programs.
+func TestUnfinishedSealOfLivingOwnerIsFinished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -219,12 +220,11 @@
 	})
 }
 
-// A program has two owners. Its cohort was taken over, adopted and deleted; then a
-// create of the cohort's object takes effect that was sent long before, since
-// nothing is there any more. The object has no seal, and the cohort's owner is
-// dead: it is sealed again, with another successor. The adoption that was must
-// hold, and the object go.
-func TestLateCreateOfADeletedCohortChangesNoOwner(t *testing.T) {
+// A cohort is taken over, adopted and deleted. Then a creation of its object takes effect that was sent
+// long before, since the object does not exist. It has no seal, and the cohort's owner is dead; sealed
+// again with another successor, its programs would have two owners. The earlier adoption must stay in
+// effect and the object be deleted.
+func TestLateCreationOfDeletedCohortKeepsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -244,8 +244,8 @@
 		owner, err := c.reconciler.Directory().Locate(t.Context(), ids[0])
 		is.NoErr(err)
 		is.Equal(owner.Cohort, b.self.Cohort)
-		for _, n := range w.all(running) {
-			n.close()
+		for _, inst := range w.all(running) {
+			inst.close()
 		}
 	})
 }
--- a/internal/ownership/machine_test.go
+++ b/internal/ownership/machine_test.go
@@ -19,7 +19,7 @@
 	"foxhall/internal/standin"
 )
 
-// action is one step of a plan, drawn before the run so that it can be replayed.
+// action is one step of a plan. Plans are drawn before the run, so that they can be replayed.
 type action struct {
 	Kind    string
 	A, B    int
@@ -33,6 +33,7 @@
 	"wait", "wait", "longwait",
 }
 
+// drawPlan draws 20 to 80 actions.
 func drawPlan(rt *rapid.T) []action {
 	kind := rapid.SampledFrom(actionKinds)
 	one := rapid.Custom(func(rt *rapid.T) action {
@@ -46,26 +47,26 @@
 	return rapid.SliceOfN(one, 20, 80).Draw(rt, "plan")
 }
 
-// oracle remembers what callers were told.
+// oracle records the outcomes that were reported to callers.
 type oracle struct {
 	mu       sync.Mutex
 	programs map[program.ID]*callerView
 	order    []program.ID
 }
 
-// told is what the callers of one program know.
+// callerView is what the callers of one program know.
 type callerView struct {
 	acked, refused []string
-	// began and answered are the moments of each event's append and of its
-	// acknowledgement, counted over all calls.
+	// startedAt and ackedAt are the logical times at which each event's append began and was
+	// acknowledged. moment is the program's logical clock.
 	startedAt, ackedAt map[string]int
 	moment             int
-	// ended says that the end was acknowledged, ending that it was tried.
+	// ended reports whether the end was acknowledged, endAttempted whether it was attempted.
 	ended, endAttempted  bool
 	unsettled, uncertain int
 }
 
-// machine runs a plan in a world against the oracle.
+// machine runs a plan in a world and compares the result with the oracle.
 type machine struct {
 	*world
 	oracle
@@ -73,9 +74,9 @@
 	eventCount int
 }
 
-// TestOwnershipMachine runs random plans of calls and faults. An acknowledged
-// record is never lost, one that was refused as not written never appears, an
-// ended program never comes back, and each program ends up with one owner.
+// TestOwnershipMachine runs random plans of calls and faults. An acknowledged record must never be
+// lost, one that was refused as not written must never appear, an ended program must stay ended, and
+// each program must have exactly one owner at the end.
 func TestOwnershipMachine(t *testing.T) {
 	seen := map[string]int64{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -93,6 +94,7 @@
 	t.Log(seen)
 }
 
+// runPlan runs a plan on four instances and returns a description of the failures, or "".
 func runPlan(t *testing.T, plan []action, seen map[string]int64) string {
 	m := &machine{world: newWorld(t), oracle: oracle{programs: map[program.ID]*callerView{}}}
 	for i := range 4 {
@@ -103,17 +105,16 @@
 		m.act(a)
 		time.Sleep(10 * time.Millisecond)
 	}
-	failure := m.settle()
-	for _, n := range m.all(running) {
-		n.close()
+	failure := m.finish()
+	for _, inst := range m.all(running) {
+		inst.close()
 	}
 	m.calls.Wait()
 	m.countOutcomes(seen)
 	return failure
 }
 
-// tally counts what the run went through, so that a machine that no longer
-// reaches a fault is seen.
+// countOutcomes adds the run's outcomes to the totals, which show whether the plans reach each fault.
 func (m *machine) countOutcomes(seen map[string]int64) {
 	seen["most steps"] = max(seen["most steps"], m.steps.Load())
 	for _, t := range m.programs {
@@ -123,11 +124,11 @@
 		seen["unsettled"] += int64(t.unsettled)
 		seen["uncertain"] += int64(t.uncertain)
 	}
-	for _, n := range m.all(func(*instance) bool { return true }) {
-		if _, _, fenced := n.log.Fenced(); fenced {
+	for _, inst := range m.all(func(*instance) bool { return true }) {
+		if _, _, fenced := inst.log.Fenced(); fenced {
 			seen["sealed"]++
 		}
-		n.metrics.Each(func(name string, metric any) {
+		inst.metrics.Each(func(name string, metric any) {
 			if c, ok := metric.(metrics.Counter); ok {
 				seen[name] += c.Count()
 			}
@@ -135,29 +136,31 @@
 	}
 }
 
+// act performs one action. It leaves at least two instances reachable, and starts one only if fewer than
+// six are reachable.
 func (m *machine) act(a action) {
 	up := m.all(reachable)
-	n := up[a.A%len(up)]
+	inst := up[a.A%len(up)]
 	f := m.faults()
 	switch a.Kind {
 	case "open":
-		// Not at random: the plan has to give the same slices each time.
-		id := program.ID(fmt.Sprintf("%s:%026d", n.self.Cohort, len(m.order)))
+		// The id is not random, so that a replayed plan has the same shards.
+		id := program.ID(fmt.Sprintf("%s:%026d", inst.self.Cohort, len(m.order)))
 		m.oracle.mu.Lock()
 		m.programs[id] = &callerView{}
 		m.oracle.mu.Unlock()
 		m.order = append(m.order, id)
-		n.owner.insert(id, newProgram())
-		m.call(n, id, a.Timeout, false, false)
+		inst.owner.insert(id, newProgram())
+		m.call(inst, id, a.Timeout, false, false)
 	case "append", "hold", "end":
 		m.callSome(a)
 	case "crash":
 		if len(up) > 2 {
-			m.crash(n)
+			m.crash(inst)
 		}
 	case "pause":
 		if len(up) > 2 {
-			m.pause(n)
+			m.pause(inst)
 		}
 	case "resume":
 		m.resumeSome(a.A)
@@ -166,7 +169,7 @@
 			m.start(1)
 		}
 	case "handover":
-		m.handOver(n, len(up), a.Timeout)
+		m.handOver(inst, len(up), a.Timeout)
 	case "down":
 		m.standIn.SetFaults(standin.StoreFaults{Down: true})
 	case "slow":
@@ -196,30 +199,30 @@
 
 func (m *machine) faults() standin.StoreFaults { return m.standIn.Faults() }
 
-// callSome appends to some program on any instance that has it, also one that
-// does not know yet that it lost it.
+// callSome appends to a program on an instance that has it, which may be one that does not know yet
+// that it has lost the program.
 func (m *machine) callSome(a action) {
 	if len(m.order) == 0 {
 		return
 	}
 	id := m.order[a.A%len(m.order)]
-	having := m.all(func(n *instance) bool { return reachable(n) && n.owner.lookup(id) != nil })
+	having := m.all(func(inst *instance) bool { return reachable(inst) && inst.owner.lookup(id) != nil })
 	if len(having) == 0 {
 		return
 	}
 	m.call(having[a.B%len(having)], id, a.Timeout, a.Kind == "hold", a.Kind == "end")
 }
 
-// call appends one event and notes what the caller is told. A paused instance
-// goes on with its call when it is resumed; a crashed one tells nothing.
-func (m *machine) call(n *instance, id program.ID, timeout time.Duration, hold, end bool) {
+// call appends one event, or the program's end, and records the outcome that is reported to the caller.
+// A paused instance continues its call when it is resumed; a crashed one reports nothing.
+func (m *machine) call(inst *instance, id program.ID, timeout time.Duration, hold, end bool) {
 	m.eventCount++
 	event := fmt.Sprintf("%d", m.eventCount)
 	m.calls.Go(func() {
-		p := n.owner.lookup(id)
+		p := inst.owner.lookup(id)
 		p.busy <- struct{}{}
 		defer func() { <-p.busy }()
-		if p.ended || !n.owns(id) {
+		if p.ended || !inst.owns(id) {
 			return
 		}
 		record := ledger.Record{Program: id, Event: []byte(event)}
@@ -232,20 +235,21 @@
 		defer cancel()
 		var err error
 		if hold {
-			err = n.log.AppendOrHold(ctx, record)
+			err = inst.log.AppendOrHold(ctx, record)
 		} else {
-			err = n.log.Append(ctx, record)
+			err = inst.log.Append(ctx, record)
 		}
 		m.recordOutcome(p, id, event, end, err)
 	})
 }
 
-// owns reports whether the instance has the slice and its adoption is complete.
-func (n *instance) owns(id program.ID) bool {
-	_, _, fenced := n.log.Fenced()
-	return !fenced && n.reconciler.Adopted(id)
+// owns reports whether the instance is not fenced and has adopted the id's shard.
+func (inst *instance) owns(id program.ID) bool {
+	_, _, fenced := inst.log.Fenced()
+	return !fenced && inst.reconciler.Adopted(id)
 }
 
+// recordOutcome applies the outcome of an append to the program and to the oracle.
 func (m *machine) recordOutcome(p *fakeProgram, id program.ID, event string, end bool, err error) {
 	m.updateView(id, func(t *callerView) {
 		switch {
@@ -264,6 +268,7 @@
 	})
 }
 
+// updateView changes the oracle's view of a program under its lock.
 func (m *machine) updateView(id program.ID, change func(*callerView)) {
 	m.oracle.mu.Lock()
 	defer m.oracle.mu.Unlock()
@@ -271,39 +276,39 @@
 }
 
 func (m *machine) resumeSome(a int) {
-	paused := m.all(func(n *instance) bool { return n.paused })
+	paused := m.all(func(inst *instance) bool { return inst.paused })
 	if len(paused) > 0 {
 		m.resume(paused[a%len(paused)])
 	}
 }
 
-// handOver stops an instance as planned. It lives on a while, as a process
-// does whose last answers are still under way.
-func (m *machine) handOver(n *instance, up int, timeout time.Duration) {
+// handOver stops an instance as planned. The instance continues to run for a while, like a process
+// whose last responses are in flight.
+func (m *machine) handOver(inst *instance, up int, timeout time.Duration) {
 	if up <= 2 {
 		return
 	}
 	m.world.mu.Lock()
-	n.stopped = true
+	inst.stopped = true
 	m.world.mu.Unlock()
-	n.goroutines.Go(func() {
+	inst.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		if err := n.reconciler.HandOver(ctx); err != nil {
+		if err := inst.reconciler.HandOver(ctx); err != nil {
 			m.world.mu.Lock()
 			defer m.world.mu.Unlock()
-			if _, _, fenced := n.log.Fenced(); !fenced {
-				n.stopped = false
+			if _, _, fenced := inst.log.Fenced(); !fenced {
+				inst.stopped = false
 			}
 		}
 	})
 }
 
-// settle ends all faults, waits, and compares the programs with the oracle.
-func (m *machine) settle() string {
+// finish ends all faults, waits, and compares the programs with the oracle. It returns the failures.
+func (m *machine) finish() string {
 	m.standIn.SetFaults(standin.StoreFaults{})
-	for _, n := range m.all(func(n *instance) bool { return n.paused }) {
-		m.resume(n)
+	for _, inst := range m.all(func(inst *instance) bool { return inst.paused }) {
+		m.resume(inst)
 	}
 	m.calls.Wait()
 	m.replaceLast()
@@ -317,23 +322,24 @@
 	return strings.Join(failures, "\n")
 }
 
-// replaceLast starts an instance where the plan left none that could take over:
-// the dead are replaced, and a fenced incarnation begins as a new one. Without it
-// a plan of seed 59 ended with four dead and the fifth fenced.
+// replaceLast starts an instance if the plan left none that can take over: in operation dead instances
+// are replaced, and a fenced one restarts as a new incarnation. The plan of rapid seed 59, for example,
+// ends with four dead instances and the fifth fenced.
 func (m *machine) replaceLast() {
-	fit := func(n *instance) bool {
-		_, _, fenced := n.log.Fenced()
-		return running(n) && !fenced
+	fit := func(inst *instance) bool {
+		_, _, fenced := inst.log.Fenced()
+		return running(inst) && !fenced
 	}
 	if len(m.all(fit)) == 0 {
 		m.start(1)
 	}
 }
 
+// check compares one program with the oracle and returns the failure, or "".
 func (m *machine) check(id program.ID, t *callerView) string {
-	n, p, failure := m.ownerOf(id)
+	inst, p, failure := m.ownerOf(id)
 	if failure == unknownCohort && len(t.acked) == 0 {
-		// Its owner died before it made the cohort's object.
+		// The owner died before it created the cohort's object.
 		return ""
 	}
 	if failure != "" {
@@ -341,23 +347,23 @@
 	}
 	if t.ended {
 		if p != nil && !p.ended {
-			return "ended and came back on " + string(n.self.Cohort)
+			return "expected the program to stay ended, found it alive on " + string(inst.self.Cohort)
 		}
 		return ""
 	}
-	if p == nil && n.owner.isUnproven(id) {
+	if p == nil && inst.owner.isUnproven(id) {
 		t.uncertain++
-		return "" // answered as uncertain, not as unknown
+		return "" // callers are told that it is uncertain, not unknown
 	}
 	if p == nil || p.ended {
 		if len(t.acked) > 0 && !t.endAttempted {
-			return fmt.Sprintf("lost on %s, acknowledged %v", n.self.Cohort, t.acked)
+			return fmt.Sprintf("lost on %s, acknowledged %v", inst.self.Cohort, t.acked)
 		}
 		return ""
 	}
 	for _, event := range t.refused {
 		if slices.Contains(p.Events, event) {
-			return fmt.Sprintf("refused event %s appears in %v on %s", event, p.Events, n.self.Cohort)
+			return fmt.Sprintf("refused event %s appears in %v on %s", event, p.Events, inst.self.Cohort)
 		}
 	}
 	if p.Uncertain {
@@ -365,11 +371,12 @@
 		return ""
 	}
 	if got := intersect(p.Events, t.acked); len(got) != len(t.acked) || t.misplaced(got) {
-		return fmt.Sprintf("has %v on %s, acknowledged %v, held by %v", p.Events, n.self.Cohort, t.acked, m.holders(t.acked))
+		return fmt.Sprintf("has %v on %s, acknowledged %v, held by %v", p.Events, inst.self.Cohort, t.acked, m.holders(t.acked))
 	}
 	return ""
 }
 
+// markMoment records the logical time of an event.
 func (t *callerView) markMoment(moments *map[string]int, event string) {
 	if *moments == nil {
 		*moments = map[string]int{}
@@ -378,11 +385,10 @@
 	(*moments)[event] = t.moment
 }
 
-// misplaced reports whether an event stands behind one whose append began only
-// after its own acknowledgement. Appends that overlap may stand in any order: an
-// owner that is paused between its write and its answer tells of the write after
-// its successor has gone on (seed 1152985: written 2, sealed, written 6, told 6,
-// told 2).
+// misplaced reports whether an event follows one whose append began only after the event was
+// acknowledged. Overlapping appends may be in any order: an owner that is paused between its write and
+// the response reports the write after its successor has continued (rapid seed 1152985: 2 written, log
+// sealed, 6 written, 6 acknowledged, 2 acknowledged).
 func (t *callerView) misplaced(events []string) bool {
 	for i, early := range events {
 		for _, late := range events[i+1:] {
@@ -394,19 +400,20 @@
 	return false
 }
 
-// holders tells who held copies of the events and what became of them.
+// holders describes which instances held copies of the events, and when they crashed.
 func (m *machine) holders(events []string) []string {
 	var out []string
 	for _, e := range events {
 		for _, c := range m.heldBy[e] {
-			for _, n := range m.all(func(n *instance) bool { return n.self.Cohort == c }) {
-				out = append(out, fmt.Sprintf("%s: %s (crashed %v)", e, c, n.crashedAt))
+			for _, inst := range m.all(func(inst *instance) bool { return inst.self.Cohort == c }) {
+				out = append(out, fmt.Sprintf("%s: %s (crashed %v)", e, c, inst.crashedAt))
 			}
 		}
 	}
 	return out
 }
 
+// intersect returns the events that are wanted, in their order.
 func intersect(events, wanted []string) []string {
 	var out []string
 	for _, e := range events {
@@ -417,12 +424,12 @@
 	return out
 }
 
-// relay locates the owner as an entry does: an instance that disowns the
-// program is reported and the owner located again.
-func (m *machine) relay(n *instance, id program.ID) (Owner, error) {
+// relay locates the owner as an entry does: if the instance found disowns the program, the directory
+// reads that cohort again and the owner is located again.
+func (m *machine) relay(inst *instance, id program.ID) (Owner, error) {
 	var last Owner
 	for range maxHops {
-		found, err := n.reconciler.Directory().Locate(context.Background(), id)
+		found, err := inst.reconciler.Directory().Locate(context.Background(), id)
 		last = found
 		if err != nil || found.IsSelf {
 			return found, err
@@ -434,37 +441,37 @@
 		if _, _, fenced := to.log.Fenced(); !fenced {
 			return found, nil
 		}
-		if err := n.reconciler.Directory().Disowned(context.Background(), found.Cohort); err != nil {
+		if err := inst.reconciler.Directory().Disowned(context.Background(), found.Cohort); err != nil {
 			return found, err
 		}
 	}
-	return last, errors.New("moved without end")
+	return last, errors.New("no owner found within the maximum number of hops")
 }
 
 const unknownCohort = "cohort unknown"
 
-// ownerOf finds the program's owner as every instance sees it.
+// ownerOf returns the program's owner, on which all running instances must agree, or the failure.
 func (m *machine) ownerOf(id program.ID) (*instance, *fakeProgram, string) {
 	var owner Owner
-	for _, n := range m.all(running) {
-		found, err := m.relay(n, id)
+	for _, inst := range m.all(running) {
+		found, err := m.relay(inst, id)
 		if errors.Is(err, ErrUnknownCohort) {
 			return nil, nil, unknownCohort
 		}
 		if err != nil {
-			return nil, nil, fmt.Sprintf("not located by %s: %v", n.self.Cohort, err)
+			return nil, nil, fmt.Sprintf("not located by %s: %v", inst.self.Cohort, err)
 		}
 		if owner.Cohort != "" && owner.Cohort != found.Cohort {
-			return nil, nil, fmt.Sprintf("owned by %s and, says %s, by %s", owner.Cohort, n.self.Cohort, found.Cohort)
+			return nil, nil, fmt.Sprintf("owned by %s and, according to %s, by %s", owner.Cohort, inst.self.Cohort, found.Cohort)
 		}
 		owner = found
 	}
-	n := m.find(owner.Cohort)
-	if n == nil {
-		return nil, nil, "owner is not there: " + string(owner.Cohort)
+	inst := m.find(owner.Cohort)
+	if inst == nil {
+		return nil, nil, "owner is not reachable: " + string(owner.Cohort)
 	}
-	if !n.owns(id) {
+	if !inst.owns(id) {
 		return nil, nil, "not adopted by its owner " + string(owner.Cohort)
 	}
-	return n, n.owner.lookup(id), ""
+	return inst, inst.owner.lookup(id), ""
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,11 +1,10 @@
-// Package ownership decides which instance owns a program and moves the
-// programs of dead and stopping instances.
+// Package ownership determines which instance owns a program and moves the programs of dead and
+// stopping instances to others.
 //
-// Nobody holds a lease on a program. A cohort's programs belong to its
-// incarnation until its log is sealed, and from then on slice by slice to the
-// successors that the seal names. Everything here only finds out who that is
-// and brings it about again and again until it is so (level-triggered): a lost
-// notice or a crash between two steps is made good by the next pass.
+// There is no lease on a program. A cohort's programs belong to its incarnation until its log is
+// sealed, and from then on, shard by shard, to the successors that the seal names. Reconciliation
+// is level-triggered: each pass compares the stored cohorts with this state and does what is
+// missing, so that the next pass makes up for a lost notice or a crash between two steps.
 package ownership
 
 import (
@@ -26,17 +25,17 @@
 type Member struct {
 	Instance string
 	Cohort   program.Cohort
-	// Addr is where peers reach it, host:port.
+	// Addr is the host:port at which peers reach the instance.
 	Addr string
-	// Weight is its size relative to others; at most 0 counts as 1.
+	// Weight is the instance's capacity relative to others. A value of at most 0 counts as 1.
 	Weight float64
 }
 
-// Members is what is known of the fleet. It is read on the control goroutine's
-// snapshot and must not block.
+// Members is this instance's view of the fleet. It reads the control goroutine's snapshot and must
+// not block.
 type Members interface {
-	// Living returns the instances of this data centre that can take
-	// programs, this one included, without those that are stopping.
+	// Living returns the instances of this data centre that can adopt programs, including this one
+	// and excluding those that are stopping.
 	Living() []Member
 	// Find returns the living instance of a cohort, in any data centre.
 	Find(c program.Cohort) (Member, bool)
@@ -44,95 +43,96 @@
 	Dead() []Dead
 }
 
-// Dead is a cohort whose instance is gone.
+// Dead is a cohort whose instance is dead.
 type Dead struct {
 	Cohort program.Cohort
 	Since  time.Time
-	// StoreDown says that its last heartbeat told that it could not use the object API.
+	// StoreDown reports whether the instance's last heartbeat said that it could not use the object
+	// API.
 	StoreDown bool
 }
 
-// Copies finds what peers hold for a cohort.
+// Copies is a client of the copies that peers hold for a cohort.
 type Copies interface {
-	// Collect asks all instances of the data centre that lived when the
-	// cohort's owner died, this one included. unasked is the number of
-	// those that gave no answer, or that have died since and held copies
-	// in memory only.
-	Collect(ctx context.Context, c program.Cohort) (copies []ledger.Copy, unasked int)
-	// Forget tells them all that nothing is needed any more.
+	// Collect asks all instances of the data centre that were alive when the cohort's owner died,
+	// including this one. unreached is the number of those that did not respond, or that have died
+	// since and held copies in memory only.
+	Collect(ctx context.Context, c program.Cohort) (copies []ledger.Copy, unreached int)
+	// Forget has these instances drop all copies of the cohort.
 	Forget(ctx context.Context, c program.Cohort)
 }
 
-// Outages tells when the object API was down, as this instance saw it.
+// Outages records when the object API was down, as seen by this instance.
 type Outages interface {
+	// DownBetween reports whether the object API was down at any time between from and to.
 	DownBetween(from, to time.Time) bool
 }
 
-// Tail is what held copies add to a log that was taken over.
+// Tail is the records that held copies add to a log that was taken over.
 type Tail struct {
 	Records []ledger.Record
-	// Uncertain says that the history can't be proven whole: copies may be
-	// held where nobody could be asked, or entries are corrupt.
+	// Uncertain reports whether the history can't be proven complete: instances that could not be
+	// asked may hold copies, or entries are corrupt.
 	Uncertain bool
 }
 
-// Adoption is one slice that goes over to this instance.
+// Adoption is one shard that this instance adopts.
 type Adoption struct {
-	// Cohort is the one whose seal names this instance.
+	// Cohort is the cohort whose seal names this instance.
 	Cohort program.Cohort
 	Shard  int
-	// Records are the slice's records of the cohort's log together with
-	// those of every log whose adoption into it was not complete, older
-	// logs first.
+	// Records are the shard's records in the cohort's log and in every log whose adoption into it
+	// was not completed, older logs first.
 	Records []ledger.Record
 	Tail    Tail
-	// Doubted are the cohorts, former owners' included, of whose slice a
-	// program may be lost whole. One that is not known must not be answered
-	// as if it never existed.
+	// Unproven are the cohorts, including earlier owners, of whose shard all records of a program
+	// may be lost. A program of theirs that is unknown here must not be reported as one that never
+	// existed.
 	Unproven []program.Cohort
 }
 
-// Adopter makes programs resident.
+// Adopter makes programs resident on this instance.
 type Adopter interface {
-	// Adopt makes the slice's programs resident here and has their state in
-	// this instance's log when it returns nil. It is called again after an
-	// error, and after a crash by whoever owns the slice then.
+	// Adopt makes the shard's programs resident here. When it returns nil, their state is in this
+	// instance's log. It is called again after an error and, after a crash, by the instance that
+	// then owns the shard.
 	Adopt(ctx context.Context, a Adoption) error
-	// Late brings records that a former owner held and offered only after
-	// the slice was adopted. Callers were told that they are durable. The
-	// program may be unknown here, if all its records come this way.
+	// AdoptLate adds records that a former owner offered after the shard was adopted. Callers were
+	// told that these records are durable. The program may be unknown here, if all its records
+	// arrive this way.
 	AdoptLate(ctx context.Context, c program.Cohort, records []ledger.Record) error
 }
 
-// Notifier tells instances that something awaits them. It may fail silently.
+// Notifier informs instances of seals. It may fail silently.
 type Notifier interface {
+	// Sealed informs the member that the cohort's log is sealed and names it as a successor.
 	Sealed(ctx context.Context, m Member, c program.Cohort)
 }
 
-// Log is this instance's own log.
+// Log is this instance's own log (see ledger.Log).
 type Log interface {
 	Append(ctx context.Context, records ...ledger.Record) error
 	Seal(ctx context.Context, successors [program.ShardCount]program.Cohort) (*ledger.Seal, uint64, error)
 	Fenced() (*ledger.Seal, uint64, bool)
 }
 
-// The errors of this package, to be tested with errors.Is.
+// Errors of this package, to be tested with errors.Is.
 var (
-	// ErrUnknownCohort says that no such cohort exists, or none that has
-	// programs left: the program does not exist.
+	// ErrUnknownCohort indicates that the cohort does not exist, or that no program of it can still
+	// exist: the program is unknown.
 	ErrUnknownCohort = errors.New("ownership: unknown cohort")
-	// ErrNoOwner says that the program's owner is dead and its log not sealed yet.
+	// ErrNoOwner indicates that the program has no owner at present: its owner is dead and its log
+	// not sealed yet, or the seals form a ring or too long a chain.
 	ErrNoOwner = errors.New("ownership: owner dead, not taken over yet")
-	// ErrNoSuccessor says that no other instance can take this one's programs.
-	ErrNoSuccessor = errors.New("ownership: no successor")
-	// ErrNotHere says that the records offered belong to another instance.
-	ErrNotOwnedHere = errors.New("ownership: slice not owned here")
-	// ErrNotAdopted says that records offered are to be offered again once
-	// their slice is adopted.
-	ErrNotAdopted = errors.New("ownership: slice not adopted yet")
+	// ErrNoSuccessor indicates that no other instance can adopt this one's programs.
+	ErrNoSuccessor = errors.New("ownership: no other instance can adopt the programs")
+	// ErrNotOwnedHere indicates that offered records belong to another instance.
+	ErrNotOwnedHere = errors.New("ownership: shard not owned here")
+	// ErrNotAdopted indicates that records have to be offered again once their shard is adopted.
+	ErrNotAdopted = errors.New("ownership: shard not adopted yet")
 )
 
-// Options configure a Keeper. Zero values of the durations stand for the defaults.
+// Options configures a Reconciler. A zero duration selects the default.
 type Options struct {
 	// Self is this instance.
 	Self    Member
@@ -144,16 +144,15 @@
 	Copies   Copies
 	Outages  Outages
 	Notifier Notifier
-	// Interval is the time between two passes without a notice. Default 10 s.
+	// Interval is the time between two passes if nothing wakes the reconciler. Default 10 s.
 	Interval time.Duration
-	// Grace is how long an instance is dead before its programs are taken
-	// over. Default 10 s.
+	// Grace is how long an instance must be dead before its programs are taken over. Default 10 s.
 	Grace time.Duration
-	// RankDelay keeps the survivors from racing: the one of rank r waits r
-	// times as long. Default 2 s.
+	// RankDelay keeps the survivors from racing: the one of rank r waits r times RankDelay longer.
+	// Default 2 s.
 	RankDelay time.Duration
-	// Retention is how long the seal of an adopted cohort is kept to find
-	// its programs. It must exceed the longest life of a program. Default 14 days.
+	// Retention is how long the seal of an adopted cohort is kept, so that its programs can be
+	// located. It must exceed the maximum lifetime of a program. Default 14 days.
 	Retention time.Duration
 	Logger    log.Interface
 	Registry  metrics.Registry
@@ -186,8 +185,9 @@
 	}
 }
 
-// Keeper keeps every slice owned. One goroutine, Run, takes over and adopts;
-// Directory, Adopted and Offered may be used from others.
+// Reconciler takes over the programs of dead instances and adopts the shards that belong to this
+// instance. Run does both on one goroutine. Directory, Wake, Sealed, ObserveSealed, Adopted and
+// AcceptOffered may be called from other goroutines.
 type Reconciler struct {
 	options   Options
 	log       log.Interface
@@ -199,38 +199,38 @@
 	uncertainCounter metrics.Counter
 	waitingGauge     metrics.Gauge
 
-	// told holds cohorts that peers said are sealed.
+	// reportedSealed are the cohorts that peers reported as sealed.
 	reportedSealed *lru.Cache[program.Cohort, struct{}]
 
 	mu sync.Mutex
-	// absent is when a cohort without a living instance was first seen.
+	// absentSince is when a cohort was first seen without a living instance.
 	absentSince map[program.Cohort]time.Time
-	// complete holds the cohorts whose slice was adopted here.
+	// adoptedShards are the shards that were adopted by this instance.
 	adoptedShards map[cohortShard]bool
-	// late are records offered before their slice was adopted.
+	// lateRecords are the records that were offered before their shard was adopted.
 	lateRecords map[program.Cohort][]ledger.Record
-	// nextDue is the time from the last pass to the next take-over that it left.
+	// untilTakeOver is the time from the last pass to the next take-over that was not yet due.
 	untilTakeOver time.Duration
-	// recorded says that the own seal is in the own cohort's object.
+	// ownSealRecorded reports whether this log's own seal is in its cohort's object.
 	ownSealRecorded bool
-	// purgedAt is when old seals were last looked for.
+	// purgedAt is the time of the last search for expired seals.
 	purgedAt time.Time
 }
 
-// sliceOf names one slice of one cohort.
+// cohortShard is one shard of one cohort.
 type cohortShard struct {
 	cohort program.Cohort
 	shard  int
 }
 
-// New returns a Keeper. Run starts it.
+// New returns a Reconciler. Run starts it.
 func New(o Options) *Reconciler {
 	o = o.withDefaults()
 	reportedSealed, err := lru.New[program.Cohort, struct{}](maxReportedSealed)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
-	k := &Reconciler{
+	rc := &Reconciler{
 		options:          o,
 		log:              o.Logger.WithField("cohort", string(o.Self.Cohort)),
 		directory:        NewDirectory(o.Self.Cohort, o.Store, o.Members, o.Log),
@@ -244,71 +244,70 @@
 		adoptedShards:    map[cohortShard]bool{},
 		lateRecords:      map[program.Cohort][]ledger.Record{},
 	}
-	return k
+	return rc
 }
 
 // Directory returns the directory of owners.
-func (k *Reconciler) Directory() *Directory { return k.directory }
+func (rc *Reconciler) Directory() *Directory { return rc.directory }
 
-// Notice wakes the next pass, on a peer's word or a member's death.
-func (k *Reconciler) Wake() {
+// Wake makes Run start the next pass without delay, for example after a member's death.
+func (rc *Reconciler) Wake() {
 	select {
-	case k.wake <- struct{}{}:
+	case rc.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run passes until ctx ends.
-func (k *Reconciler) Run(ctx context.Context) {
+// Run reconciles periodically and when woken, until ctx ends.
+func (rc *Reconciler) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := k.Reconcile(ctx); err != nil && ctx.Err() == nil {
-			k.log.WithError(err).Warn("ownership pass incomplete")
+		if err := rc.Reconcile(ctx); err != nil && ctx.Err() == nil {
+			rc.log.WithError(err).Warn("ownership pass failed in part; retrying in the next pass")
 		}
-		timer := time.NewTimer(k.untilNext())
+		timer := time.NewTimer(rc.untilNext())
 		select {
 		case <-timer.C:
-		case <-k.wake:
+		case <-rc.wake:
 		case <-ctx.Done():
 		}
 		timer.Stop()
 	}
 }
 
-// untilNext is the time to the next pass: the interval, or less if a dead
-// owner's grace ends before. A death wakes a pass at once, which finds the
-// grace not over; without this its programs would wait a whole interval more.
-func (k *Reconciler) untilNext() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	untilTakeOver := k.untilTakeOver
-	k.untilTakeOver = 0
+// untilNext returns the time to the next pass: the interval, or less if a dead owner's grace period
+// ends earlier. A death starts a pass at once, which finds that the grace period is not over; with
+// a fixed interval the programs would wait for up to a full interval longer.
+func (rc *Reconciler) untilNext() time.Duration {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	untilTakeOver := rc.untilTakeOver
+	rc.untilTakeOver = 0
 	if untilTakeOver == 0 {
-		return k.options.Interval
+		return rc.options.Interval
 	}
-	return min(k.options.Interval, max(untilTakeOver, minPassDelay))
+	return min(rc.options.Interval, max(untilTakeOver, minPassDelay))
 }
 
-// minWait keeps rounding from making a pass just before its time.
+// minPassDelay keeps rounding from starting a pass just before a take-over is due.
 const minPassDelay = 10 * time.Millisecond
 
-// isDue reports whether it is this instance's turn to take a dead cohort over,
-// and notes when that will be. The lock is held.
-func (k *Reconciler) isDue(d Dead, living []Member) bool {
-	remaining := k.options.Grace + k.rankDelay(d.Cohort, living) - time.Since(d.Since)
+// isDue reports whether this instance may take a dead cohort over now. If not, it updates
+// untilTakeOver with the time that remains. The caller holds the lock.
+func (rc *Reconciler) isDue(d Dead, living []Member) bool {
+	remaining := rc.options.Grace + rc.rankDelay(d.Cohort, living) - time.Since(d.Since)
 	if remaining <= 0 {
 		return true
 	}
-	k.untilTakeOver = min(k.untilTakeOver, remaining)
+	rc.untilTakeOver = min(rc.untilTakeOver, remaining)
 	return false
 }
 
-// Adopted reports whether the programs of the id's cohort and slice, as far as
-// they exist, are resident here.
-func (k *Reconciler) Adopted(id program.ID) bool {
-	if id.Cohort() == k.options.Self.Cohort {
+// Adopted reports whether all existing programs of the id's cohort and shard are resident here.
+func (rc *Reconciler) Adopted(id program.ID) bool {
+	if id.Cohort() == rc.options.Self.Cohort {
 		return true
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.adoptedShards[cohortShard{id.Cohort(), id.Shard()}]
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	return rc.adoptedShards[cohortShard{id.Cohort(), id.Shard()}]
 }
--- a/internal/ownership/ring.go
+++ b/internal/ownership/ring.go
@@ -12,59 +12,61 @@
 	"foxhall/internal/program"
 )
 
-// breakRings gives an owner to slices whose seals form a ring.
+// breakRings gives an owner to shards whose seals form a ring.
 //
-// The failure: two instances stop at the same time and each names the other
-// before it knows. Both logs are sealed, the chain of seals never ends, and
-// the programs are owned by nobody for good. The map in the object of one
-// cohort of the ring is changed by conditional update; everybody picks the
-// same one, the last sealed, so that the ring gets exactly one way out and all
-// that was in it leaves there.
-func (k *Reconciler) breakRings(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
-	// An instance that lives may not know yet that its log is sealed: slices given to it would
-	// stay in a ring.
-	candidates := slices.DeleteFunc(slices.Clone(k.options.Members.Living()), func(m Member) bool {
+// A ring arises if two instances stop at the same time and each names the other as its successor
+// before it knows of the other's stop. Both logs are sealed, the chain of seals never ends, and the
+// programs would have no owner for ever. breakRings changes the successors in the object of one
+// cohort of the ring by conditional update. All instances choose the same cohort, the one sealed
+// last, so that the chain leaves the ring at exactly one cohort, and the programs of all cohorts in
+// the ring get the same owner.
+func (rc *Reconciler) breakRings(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
+	// A living instance may not know yet that its log is sealed: shards given to it would stay in
+	// a ring.
+	candidates := slices.DeleteFunc(slices.Clone(rc.options.Members.Living()), func(m Member) bool {
 		c := cohorts[m.Cohort]
 		return c != nil && c.Seal != nil
 	})
 	if len(candidates) == 0 {
-		return nil // cut off, as in takeOverDead
+		return nil // isolated, as in takeOverDead
 	}
-	exits := k.findRings(ctx, cohorts)
+	reassignments := rc.findRings(ctx, cohorts)
 	var failed error
-	for _, c := range slices.Sorted(mapKeys(exits)) {
-		if time.Since(cohorts[c].Seal.At) < k.rankDelay(c, candidates) {
+	for _, c := range slices.Sorted(mapKeys(reassignments)) {
+		if time.Since(cohorts[c].Seal.At) < rc.rankDelay(c, candidates) {
 			continue
 		}
-		if err := k.reassignShards(ctx, cohorts, c, exits[c], DistributeShards(c, candidates)); failed == nil {
+		if err := rc.reassignShards(ctx, cohorts, c, reassignments[c], DistributeShards(c, candidates)); failed == nil {
 			failed = err
 		}
 	}
 	return failed
 }
 
-// rings returns the slices that are in a ring by the cohort that is to let them out.
-func (k *Reconciler) findRings(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort][]int {
-	exits := map[program.Cohort][]int{}
+// findRings returns the shards whose chain of seals ends in a ring, by the cohort whose successors
+// are to be changed.
+func (rc *Reconciler) findRings(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) map[program.Cohort][]int {
+	reassignments := map[program.Cohort][]int{}
 	for _, c := range slices.Sorted(mapKeys(cohorts)) {
 		for shard := range program.ShardCount {
-			if !k.awaitsAdoption(cohorts[c], shard) {
+			if !rc.awaitsAdoption(cohorts[c], shard) {
 				continue
 			}
-			_, ring, err := k.directory.followSeals(ctx, c, shard)
+			_, ring, err := rc.directory.followSeals(ctx, c, shard)
 			if err != nil || ring == nil {
 				continue
 			}
-			exit := lastSealed(cohorts, ring)
-			if exit != "" && !slices.Contains(exits[exit], shard) {
-				exits[exit] = append(exits[exit], shard)
+			last := lastSealed(cohorts, ring)
+			if last != "" && !slices.Contains(reassignments[last], shard) {
+				reassignments[last] = append(reassignments[last], shard)
 			}
 		}
 	}
-	return exits
+	return reassignments
 }
 
-// lastSealed picks the ring's cohort with the latest seal among those that still have their object.
+// lastSealed returns the ring's cohort with the latest seal among those that still have an object,
+// or "" if there is none.
 func lastSealed(cohorts map[program.Cohort]*ledger.Cohort, ring []program.Cohort) program.Cohort {
 	var last program.Cohort
 	for _, c := range ring {
@@ -78,10 +80,10 @@
 	return last
 }
 
-// amend gives slices of a sealed cohort to other successors than its seal did.
-func (k *Reconciler) reassignShards(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, shards []int, successors [program.ShardCount]program.Cohort) error {
+// reassignShards changes the successors of some shards in a sealed cohort's object.
+func (rc *Reconciler) reassignShards(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, c program.Cohort, shards []int, successors [program.ShardCount]program.Cohort) error {
 	previous := cohorts[c].Seal.Successors
-	err := ledger.UpdateCohort(ctx, k.options.Store, c, func(current *ledger.Cohort) bool {
+	err := ledger.UpdateCohort(ctx, rc.options.Store, c, func(current *ledger.Cohort) bool {
 		changed := false
 		for _, shard := range shards {
 			if current.Seal.Successors[shard] == previous[shard] && successors[shard] != "" {
@@ -95,8 +97,8 @@
 	if err != nil {
 		return err
 	}
-	k.directory.ObserveSeal(*cohorts[c])
-	k.log.WithFields(log.Fields{"sealed": string(c), "slices": len(shards)}).Warn("ring of seals broken")
-	k.notify(ctx, *cohorts[c])
+	rc.directory.ObserveSeal(*cohorts[c])
+	rc.log.WithFields(log.Fields{"sealed": string(c), "slices": len(shards)}).Warn("ring of seals broken")
+	rc.notify(ctx, *cohorts[c])
 	return nil
 }
--- a/internal/ownership/sealed.go
+++ b/internal/ownership/sealed.go
@@ -2,26 +2,25 @@
 
 import "foxhall/internal/program"
 
-// toldSealed is the number of cohorts kept of which peers said that they are sealed.
+// maxReportedSealed is the maximum number of cohorts remembered that peers reported as sealed.
 const maxReportedSealed = 4096
 
-// Sealed reports whether this instance knows that the cohort's log is sealed. A
-// peer that is asked to hold a copy for such a cohort must refuse.
+// Sealed reports whether this instance knows that the cohort's log is sealed. An instance that is
+// asked to hold a copy for such a cohort must refuse.
 //
-// The failure: an owner is paused, its programs are taken over, and the object
-// API goes down before it wakes. It can't see the seal, gives a turn to two peers
-// and tells its caller that the turn is durable, while the successor goes on
-// without it. The successors are the ones that hold copies, and they know.
-func (k *Reconciler) Sealed(c program.Cohort) bool {
-	if seen, ok := k.directory.cache.Get(c); ok && seen.cohort.Seal != nil {
+// This guards against an owner that is paused and taken over, and resumes while the object API is
+// down. It can't see the seal, so it would send a turn to two peers and report the turn to its caller
+// as durable, while the successor continues without it. The peers that hold copies are the ones that
+// become successors, so they know of the seal.
+func (rc *Reconciler) Sealed(c program.Cohort) bool {
+	if seen, ok := rc.directory.cache.Get(c); ok && seen.cohort.Seal != nil {
 		return true
 	}
-	return k.reportedSealed.Contains(c)
+	return rc.reportedSealed.Contains(c)
 }
 
-// NoticeSealed takes a peer's word that the cohort's log is sealed, and wakes
-// the next pass.
-func (k *Reconciler) ObserveSealed(c program.Cohort) {
-	k.reportedSealed.Add(c, struct{}{})
-	k.Wake()
+// ObserveSealed records a peer's report that the cohort's log is sealed, and wakes the reconciler.
+func (rc *Reconciler) ObserveSealed(c program.Cohort) {
+	rc.reportedSealed.Add(c, struct{}{})
+	rc.Wake()
 }
--- a/internal/ownership/spread.go
+++ b/internal/ownership/spread.go
@@ -9,14 +9,13 @@
 	"foxhall/internal/program"
 )
 
-// maxSuccessors bounds how many instances read one sealed log. Each reads all
-// of it: at 74 instances in a data centre (letter 1) and 1,024 entries a spread
-// over all would take 75,000 reads, 38 s of all the object API's reads.
+// maxSuccessors is the maximum number of instances that read one sealed log. Each reads all of it:
+// with 74 instances in a data centre and 1,024 entries, a distribution over all of them would take
+// 75,000 reads, which take the object API's whole read rate for 38 s.
 const maxSuccessors = 8
 
-// Spread maps the slices of a cohort to the members by their weights: each gets
-// its share of the slices, rounded by largest remainder. The result depends
-// only on the arguments, not on the order of members.
+// DistributeShards maps the shards of a cohort to at most maxSuccessors members in proportion to
+// their weights, rounded by largest remainder. The result does not depend on the order of members.
 func DistributeShards(c program.Cohort, members []Member) [program.ShardCount]program.Cohort {
 	var successors [program.ShardCount]program.Cohort
 	chosen := RankMembers(c, members)
@@ -34,8 +33,8 @@
 	return successors
 }
 
-// Rank orders the members by a hash with the cohort, so that different dead
-// cohorts fall to different survivors first and all survivors agree on it.
+// RankMembers orders the members by a hash of each with the cohort. All survivors compute the same
+// order, and different dead cohorts have different survivors in the first rank.
 func RankMembers(c program.Cohort, members []Member) []Member {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b Member) int {
@@ -48,7 +47,7 @@
 	return xxhash.Sum64String(string(c) + "\x00" + string(m.Cohort))
 }
 
-// quotas shares the slices out by weight with the largest remainders.
+// shardCounts returns the number of shards for each member, by weight with largest remainders.
 func shardCounts(members []Member) []int {
 	total := 0.0
 	for _, m := range members {
@@ -72,6 +71,7 @@
 	return counts
 }
 
+// effectiveWeight returns the member's weight, or 1 if none is set.
 func effectiveWeight(m Member) float64 {
 	if m.Weight <= 0 {
 		return 1
--- a/internal/ownership/successor_test.go
+++ b/internal/ownership/successor_test.go
@@ -12,10 +12,9 @@
 	"foxhall/internal/program"
 )
 
-// A caller's program is answered "moved" for ever. Its owner dies, and the only
-// other instance of the data centre sees itself cut off just then, so that it
-// counts nobody as living. It sealed the dead log all the same, with no
-// successor: the chain ended nowhere, and nobody could own the program again.
+// An owner dies while the only other instance of the data centre considers itself isolated, so that it
+// counts nobody as living. If it sealed the log then, the seal would name no successor, no instance
+// could ever own the programs, and their callers would be redirected for ever.
 func TestNoSealWithoutASuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/ownership/takeover.go
+++ b/internal/ownership/takeover.go
@@ -14,40 +14,39 @@
 	"foxhall/internal/store"
 )
 
-// Pass looks at all cohorts of the data centre once and does what is missing:
-// it seals the logs of dead owners, adopts slices whose chain of seals ends
-// here, and deletes what is adopted. One list call tells it all. It goes on
-// after a failure and returns the first.
-func (k *Reconciler) Reconcile(ctx context.Context) error {
-	if seal, number, fenced := k.options.Log.Fenced(); fenced {
-		return k.recordOwnSeal(ctx, seal, number)
+// Reconcile examines all cohorts of the data centre once, which takes one list call, and does what is
+// missing: it seals the logs of dead owners, breaks rings of seals, adopts shards whose chain of
+// seals ends here, and deletes adopted logs. It continues after a failure and returns the first one.
+func (rc *Reconciler) Reconcile(ctx context.Context) error {
+	if seal, number, fenced := rc.options.Log.Fenced(); fenced {
+		return rc.recordOwnSeal(ctx, seal, number)
 	}
-	cohorts, err := k.listCohorts(ctx)
+	cohorts, err := rc.listCohorts(ctx)
 	if err != nil {
 		return err
 	}
-	if own := cohorts[k.options.Self.Cohort]; own == nil || own.Seal != nil {
-		// Sealed, or adopted and deleted meanwhile. An empty append makes the
-		// log find that out now and not at the next caller's expense.
-		return k.options.Log.Append(ctx)
+	if own := cohorts[rc.options.Self.Cohort]; own == nil || own.Seal != nil {
+		// The own log is sealed, or was adopted and deleted. An empty append makes the log detect
+		// that now instead of in the next caller's append.
+		return rc.options.Log.Append(ctx)
 	}
-	failed := k.takeOverDead(ctx, cohorts)
-	if err := k.breakRings(ctx, cohorts); failed == nil {
+	failed := rc.takeOverDead(ctx, cohorts)
+	if err := rc.breakRings(ctx, cohorts); failed == nil {
 		failed = err
 	}
-	if err := k.adoptAll(ctx, cohorts); failed == nil {
+	if err := rc.adoptAll(ctx, cohorts); failed == nil {
 		failed = err
 	}
-	if err := k.retireAll(ctx, cohorts); failed == nil {
+	if err := rc.retireAll(ctx, cohorts); failed == nil {
 		failed = err
 	}
 	return failed
 }
 
-// list returns the data centre's cohorts by name. A corrupt object is logged
-// by name and left out: nothing is known of its log.
-func (k *Reconciler) listCohorts(ctx context.Context) (map[program.Cohort]*ledger.Cohort, error) {
-	objects, err := k.options.Store.List(ctx, ledger.KindCohort, k.options.Self.Cohort.DataCentre()+".")
+// listCohorts returns the data centre's cohorts by name. A corrupt object is logged with its key and
+// left out, since nothing is known about its log.
+func (rc *Reconciler) listCohorts(ctx context.Context) (map[program.Cohort]*ledger.Cohort, error) {
+	objects, err := rc.options.Store.List(ctx, ledger.KindCohort, rc.options.Self.Cohort.DataCentre()+".")
 	if err != nil {
 		return nil, errors.Wrap(err, "ownership: cohorts")
 	}
@@ -55,41 +54,42 @@
 	for _, object := range objects {
 		c, err := ledger.DecodeCohort(object)
 		if err != nil {
-			k.log.WithError(err).Error("cohort object unreadable")
+			rc.log.WithError(err).Error("cohort object unreadable; cohort left out of this pass")
 			continue
 		}
 		cohorts[c.Cohort] = &c
-		k.directory.ObserveSeal(c)
+		rc.directory.ObserveSeal(c)
 	}
-	return cohorts, k.loadSuccessorSeals(ctx, cohorts)
+	return cohorts, rc.loadSuccessorSeals(ctx, cohorts)
 }
 
-// learnSuccessors reads what became of successors without an object. One of
-// them may be alive, paused until its log was adopted and deleted, and not know
-// it: membership would then end a chain of seals at it for good.
-func (k *Reconciler) loadSuccessorSeals(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
+// loadSuccessorSeals reads the seals of successors that have no object. Such a successor may be alive,
+// paused until its log was adopted and deleted, and not know of it: by membership alone, the chain of
+// seals would then end at it for ever.
+func (rc *Reconciler) loadSuccessorSeals(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
 	for _, cohort := range cohorts {
 		if cohort.Seal == nil {
 			continue
 		}
-		if err := k.loadSealChain(ctx, cohorts, cohort.Seal); err != nil {
+		if err := rc.loadSealChain(ctx, cohorts, cohort.Seal); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (k *Reconciler) loadSealChain(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, seal *ledger.Seal) error {
+// loadSealChain reads the seals of all cohorts without an object that a seal leads to.
+func (rc *Reconciler) loadSealChain(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort, seal *ledger.Seal) error {
 	passed := map[program.Cohort]bool{}
 	next := successorSet(seal)
 	for len(next) > 0 {
 		found := map[program.Cohort]bool{}
 		for c := range next {
-			if passed[c] || cohorts[c] != nil || c == k.options.Self.Cohort {
+			if passed[c] || cohorts[c] != nil || c == rc.options.Self.Cohort {
 				continue
 			}
 			passed[c] = true
-			seen, err := k.directory.read(ctx, c)
+			seen, err := rc.directory.read(ctx, c)
 			if err != nil {
 				return err
 			}
@@ -102,23 +102,23 @@
 	return nil
 }
 
-// takeOverDead seals the logs whose owner is dead long enough for this
-// instance's rank. The sealed cohorts replace those in the map.
-func (k *Reconciler) takeOverDead(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
-	living := k.options.Members.Living()
+// takeOverDead seals the logs whose owners have been dead long enough for this instance's rank. It
+// replaces their cohorts in the map by the sealed ones.
+func (rc *Reconciler) takeOverDead(ctx context.Context, cohorts map[program.Cohort]*ledger.Cohort) error {
+	living := rc.options.Members.Living()
 	if len(living) == 0 {
-		// An instance that sees itself cut off counts nobody as living, itself
-		// included. A seal needs a successor: one without would end the chain
-		// nowhere, and no instance could ever own the dead one's programs.
+		// An instance that considers itself isolated counts nobody as living, including itself. A
+		// seal needs a successor: after a seal without one, no instance could ever own the dead
+		// cohort's programs.
 		return nil
 	}
 	var failed error
-	for _, dead := range k.dueTakeOvers(cohorts, living) {
+	for _, dead := range rc.dueTakeOvers(cohorts, living) {
 		candidates := slices.DeleteFunc(slices.Clone(living), func(m Member) bool { return m.Cohort == dead.Cohort })
 		if len(candidates) == 0 {
 			continue
 		}
-		sealed, err := k.takeOver(ctx, dead, candidates)
+		sealed, err := rc.takeOver(ctx, dead, candidates)
 		if err != nil {
 			failed = err
 			continue
@@ -128,109 +128,110 @@
 	return failed
 }
 
-// dead returns the unsealed cohorts that it is this instance's turn to take
-// over: those of dead owners, and those that somebody began to seal and did not
-// end. Left so, a living owner could never compact its log again.
-func (k *Reconciler) dueTakeOvers(cohorts map[program.Cohort]*ledger.Cohort, living []Member) []Dead {
+// dueTakeOvers returns the unsealed cohorts that this instance may take over now: those of dead
+// owners, and those that an instance began to seal without finishing. If the latter were left, a
+// living owner could never compact its log again.
+func (rc *Reconciler) dueTakeOvers(cohorts map[program.Cohort]*ledger.Cohort, living []Member) []Dead {
 	reportedDead := map[program.Cohort]Dead{}
-	for _, d := range k.options.Members.Dead() {
+	for _, d := range rc.options.Members.Dead() {
 		reportedDead[d.Cohort] = d
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.untilTakeOver = k.options.Interval
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.untilTakeOver = rc.options.Interval
 	var due []Dead
 	for c, cohort := range cohorts {
-		_, lives := k.options.Members.Find(c)
-		if lives && !cohort.Sealing || cohort.Seal != nil || c == k.options.Self.Cohort {
-			delete(k.absentSince, c)
+		_, lives := rc.options.Members.Find(c)
+		if lives && !cohort.Sealing || cohort.Seal != nil || c == rc.options.Self.Cohort {
+			delete(rc.absentSince, c)
 			continue
 		}
-		if k.absentSince[c].IsZero() {
-			k.absentSince[c] = time.Now()
+		if rc.absentSince[c].IsZero() {
+			rc.absentSince[c] = time.Now()
 		}
 		d, ok := reportedDead[c]
 		if !ok {
-			d = Dead{Cohort: c, Since: k.absentSince[c]}
+			d = Dead{Cohort: c, Since: rc.absentSince[c]}
 		}
-		if k.isDue(d, living) {
+		if rc.isDue(d, living) {
 			due = append(due, d)
 		}
 		delete(reportedDead, c)
 	}
-	return append(due, k.dueWithoutObject(reportedDead, cohorts, living)...)
+	return append(due, rc.dueWithoutObject(reportedDead, cohorts, living)...)
 }
 
-// unrecorded returns dead cohorts that never made their object: the object API
-// was down for all their life, and peers may hold copies for them.
-func (k *Reconciler) dueWithoutObject(reportedDead map[program.Cohort]Dead, cohorts map[program.Cohort]*ledger.Cohort, living []Member) []Dead {
+// dueWithoutObject returns the dead cohorts, of those given, that never created their object and that
+// this instance may take over now. The object API was down for all their life, and peers may hold
+// copies for them. The caller holds the lock.
+func (rc *Reconciler) dueWithoutObject(reportedDead map[program.Cohort]Dead, cohorts map[program.Cohort]*ledger.Cohort, living []Member) []Dead {
 	var due []Dead
 	for c, d := range reportedDead {
-		seen, ok := k.directory.cache.Get(c)
+		seen, ok := rc.directory.cache.Get(c)
 		sealed := ok && seen.cohort.Seal != nil
-		if cohorts[c] == nil && !sealed && c != k.options.Self.Cohort && k.isDue(d, living) {
+		if cohorts[c] == nil && !sealed && c != rc.options.Self.Cohort && rc.isDue(d, living) {
 			due = append(due, d)
 		}
 	}
 	return due
 }
 
-// turn returns how much longer than the first in rank this instance waits.
-func (k *Reconciler) rankDelay(c program.Cohort, living []Member) time.Duration {
-	rank := slices.IndexFunc(RankMembers(c, living), func(m Member) bool { return m.Cohort == k.options.Self.Cohort })
-	return time.Duration(max(rank, 0)) * k.options.RankDelay
+// rankDelay returns how much longer than the first in rank this instance waits.
+func (rc *Reconciler) rankDelay(c program.Cohort, living []Member) time.Duration {
+	rank := slices.IndexFunc(RankMembers(c, living), func(m Member) bool { return m.Cohort == rc.options.Self.Cohort })
+	return time.Duration(max(rank, 0)) * rc.options.RankDelay
 }
 
-// takeOver seals a dead cohort's log. Whoever wins, the seal that holds is
-// followed by all.
-func (k *Reconciler) takeOver(ctx context.Context, dead Dead, candidates []Member) (ledger.Cohort, error) {
-	if err := k.ensureObject(ctx, dead.Cohort); err != nil {
+// takeOver seals a dead cohort's log. If another instance sealed it first, that seal is in effect and
+// is returned.
+func (rc *Reconciler) takeOver(ctx context.Context, dead Dead, candidates []Member) (ledger.Cohort, error) {
+	if err := rc.ensureObject(ctx, dead.Cohort); err != nil {
 		return ledger.Cohort{}, err
 	}
-	seal := ledger.Seal{By: k.options.Self.Cohort, At: time.Now(), Successors: DistributeShards(dead.Cohort, candidates)}
-	sealed, err := ledger.SealLog(ctx, k.options.Store, dead.Cohort, seal)
+	seal := ledger.Seal{By: rc.options.Self.Cohort, At: time.Now(), Successors: DistributeShards(dead.Cohort, candidates)}
+	sealed, err := ledger.SealLog(ctx, rc.options.Store, dead.Cohort, seal)
 	if err != nil {
 		return ledger.Cohort{}, errors.Wrap(err, "ownership: take-over")
 	}
-	k.takenOverCounter.Inc(1)
-	k.directory.ObserveSeal(sealed)
-	k.log.WithFields(log.Fields{
+	rc.takenOverCounter.Inc(1)
+	rc.directory.ObserveSeal(sealed)
+	rc.log.WithFields(log.Fields{
 		"dead": string(dead.Cohort), "since": dead.Since, "entry": sealed.SealNumber,
 		"by": string(sealed.Seal.By), "successors": len(successorSet(sealed.Seal)),
 	}).Info("log of a dead owner sealed")
-	k.notify(ctx, sealed)
+	rc.notify(ctx, sealed)
 	return sealed, nil
 }
 
-// ensureObject makes the object of a cohort that died before it could, unless
-// the cohort was adopted and deleted before. A create that takes effect late
-// brings the object of such a cohort back, without its seal: sealed again, at an
-// entry that was deleted, its programs would have two owners. What outlives the
-// object tells, and is asked first.
-func (k *Reconciler) ensureObject(ctx context.Context, c program.Cohort) error {
-	moved, err := k.movedCohort(ctx, c)
+// ensureObject creates the object of a cohort whose owner died before it did so. If the cohort was
+// adopted and deleted before, it deletes the object instead and returns store.ErrNotFound: a creation
+// that takes effect late can bring such an object back without its seal. If the log were then sealed
+// again, at an entry that was deleted, its programs would have two owners. The object under the moved
+// key shows such a cohort, and is therefore read first.
+func (rc *Reconciler) ensureObject(ctx context.Context, c program.Cohort) error {
+	moved, err := rc.movedCohort(ctx, c)
 	if err != nil {
 		return err
 	}
 	if moved != nil {
-		k.directory.ObserveSeal(*moved)
-		if err := deleteObject(ctx, k.options.Store, ledger.CohortKey(c)); err != nil {
+		rc.directory.ObserveSeal(*moved)
+		if err := deleteObject(ctx, rc.options.Store, ledger.CohortKey(c)); err != nil {
 			return errors.Wrap(err, string(c))
 		}
-		return errors.Wrapf(store.ErrNotFound, "%s: adopted before", c)
+		return errors.Wrapf(store.ErrNotFound, "%s: cohort already adopted and deleted", c)
 	}
-	_, err = k.options.Store.Get(ctx, ledger.CohortKey(c))
+	_, err = rc.options.Store.Get(ctx, ledger.CohortKey(c))
 	if !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
-	return ledger.CreateCohort(ctx, k.options.Store, ledger.Cohort{Cohort: c, First: 1})
+	return ledger.CreateCohort(ctx, rc.options.Store, ledger.Cohort{Cohort: c, First: 1})
 }
 
-// moved returns what outlives the object of an adopted cohort, or nil. It asks
-// for a listing: the read of a single object may come from an older state, in
-// which there is none, and a cohort would be sealed a second time.
-func (k *Reconciler) movedCohort(ctx context.Context, c program.Cohort) (*ledger.Cohort, error) {
-	objects, err := k.options.Store.List(ctx, ledger.KindCohortMoved, ledger.MovedKey(c).Name)
+// movedCohort returns the cohort that is kept under the moved key, or nil. It uses a list call: the
+// read of a single object may return an older state in which the object does not exist yet, and the
+// cohort would be sealed a second time.
+func (rc *Reconciler) movedCohort(ctx context.Context, c program.Cohort) (*ledger.Cohort, error) {
+	objects, err := rc.options.Store.List(ctx, ledger.KindCohortMoved, ledger.MovedKey(c).Name)
 	if err != nil {
 		return nil, errors.Wrap(err, string(c))
 	}
@@ -244,18 +245,19 @@
 	return nil, nil
 }
 
-// notify tells the successors, so that they don't wait for their next pass.
-func (k *Reconciler) notify(ctx context.Context, sealed ledger.Cohort) {
-	if k.options.Notifier == nil {
+// notify informs the successors of a seal, so that they need not wait for their next pass.
+func (rc *Reconciler) notify(ctx context.Context, sealed ledger.Cohort) {
+	if rc.options.Notifier == nil {
 		return
 	}
 	for c := range successorSet(sealed.Seal) {
-		if m, ok := k.options.Members.Find(c); ok && c != k.options.Self.Cohort {
-			k.options.Notifier.Sealed(ctx, m, sealed.Cohort)
+		if m, ok := rc.options.Members.Find(c); ok && c != rc.options.Self.Cohort {
+			rc.options.Notifier.Sealed(ctx, m, sealed.Cohort)
 		}
 	}
 }
 
+// successorSet returns the distinct successors that the seal names.
 func successorSet(seal *ledger.Seal) map[program.Cohort]bool {
 	found := map[program.Cohort]bool{}
 	for _, c := range seal.Successors {
@@ -264,48 +266,48 @@
 	return found
 }
 
-// HandOver seals this instance's own log at a planned stop and tells the
-// successors. The caller has drained before: what is appended afterwards is
-// refused as fenced. With nobody to take the programs it is ErrNoSuccessor.
-func (k *Reconciler) HandOver(ctx context.Context) error {
-	others := slices.DeleteFunc(slices.Clone(k.options.Members.Living()), func(m Member) bool {
-		return m.Cohort == k.options.Self.Cohort
+// HandOver seals this instance's own log at a planned stop and informs the successors. The caller must
+// have drained the instance before: later appends are refused with ledger.ErrFenced. If there is no
+// other instance to adopt the programs, it returns ErrNoSuccessor.
+func (rc *Reconciler) HandOver(ctx context.Context) error {
+	others := slices.DeleteFunc(slices.Clone(rc.options.Members.Living()), func(m Member) bool {
+		return m.Cohort == rc.options.Self.Cohort
 	})
 	if len(others) == 0 {
 		return ErrNoSuccessor
 	}
-	seal, number, err := k.options.Log.Seal(ctx, DistributeShards(k.options.Self.Cohort, others))
+	seal, number, err := rc.options.Log.Seal(ctx, DistributeShards(rc.options.Self.Cohort, others))
 	if err != nil {
 		return errors.Wrap(err, "ownership: hand-over")
 	}
-	k.log.WithFields(log.Fields{"entry": number, "successors": len(successorSet(seal))}).Info("log handed over")
-	return errors.Wrap(k.recordOwnSeal(ctx, seal, number), "ownership: hand-over")
+	rc.log.WithFields(log.Fields{"entry": number, "successors": len(successorSet(seal))}).Info("log handed over")
+	return errors.Wrap(rc.recordOwnSeal(ctx, seal, number), "ownership: hand-over")
 }
 
-// recordOwn makes the own log's seal known in the cohort's object, from where
-// others learn it. A hand-over whose answer was lost would else leave a sealed
-// log whose owner lives, and which therefore nobody looks into.
-func (k *Reconciler) recordOwnSeal(ctx context.Context, seal *ledger.Seal, number uint64) error {
-	k.mu.Lock()
-	nothingToDo := k.ownSealRecorded || seal == nil
-	k.mu.Unlock()
+// recordOwnSeal copies the own log's seal into the cohort's object, where other instances find it.
+// Otherwise a hand-over whose response was lost would leave a sealed log that no instance examines,
+// since its owner is alive.
+func (rc *Reconciler) recordOwnSeal(ctx context.Context, seal *ledger.Seal, number uint64) error {
+	rc.mu.Lock()
+	nothingToDo := rc.ownSealRecorded || seal == nil
+	rc.mu.Unlock()
 	if nothingToDo {
 		return nil
 	}
-	sealed, err := ledger.RecordSeal(ctx, k.options.Store, k.options.Self.Cohort, seal, number)
+	sealed, err := ledger.RecordSeal(ctx, rc.options.Store, rc.options.Self.Cohort, seal, number)
 	if errors.Is(err, store.ErrNotFound) {
-		// Adopted and deleted, unless the answer came from an older state of
-		// the store: only what outlives the object proves that it is gone.
-		_, err = k.options.Store.Get(ctx, ledger.MovedKey(k.options.Self.Cohort))
-		sealed = ledger.Cohort{Cohort: k.options.Self.Cohort, Seal: seal, SealNumber: number}
+		// The cohort was adopted and deleted, unless the response came from an older state of the
+		// store. Only the object under the moved key proves the deletion.
+		_, err = rc.options.Store.Get(ctx, ledger.MovedKey(rc.options.Self.Cohort))
+		sealed = ledger.Cohort{Cohort: rc.options.Self.Cohort, Seal: seal, SealNumber: number}
 	}
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	k.ownSealRecorded = true
-	k.mu.Unlock()
-	k.directory.ObserveSeal(sealed)
-	k.notify(ctx, sealed)
+	rc.mu.Lock()
+	rc.ownSealRecorded = true
+	rc.mu.Unlock()
+	rc.directory.ObserveSeal(sealed)
+	rc.notify(ctx, sealed)
 	return nil
 }
--- a/internal/ownership/world_test.go
+++ b/internal/ownership/world_test.go
@@ -22,42 +22,42 @@
 	"foxhall/internal/store"
 )
 
-// world is a data centre of instances over one stand-in store.
+// world is a data centre of instances with one stand-in store.
 type world struct {
 	t testing.TB
-	// manual worlds don't run passes by themselves.
-	manual  bool
-	standIn *standin.Store
-	started int
+	// manual reports whether instances reconcile only when the test calls Reconcile.
+	manual       bool
+	standIn      *standin.Store
+	startedCount int
 
 	mu        sync.Mutex
 	instances []*instance
-	// heldBy tells for each event which instances held a copy, for failures.
+	// heldBy is the cohorts of the instances that held a copy of each event, for failure reports.
 	heldBy map[string][]program.Cohort
 	// steps counts the calls to the store and to peers.
 	steps atomic.Int64
 }
 
-// stepsMost is far more than the calls of any plan. Instances that call each other without
-// end stop the run there, and say in which state.
+// maxSteps is far more than the calls of any plan. If instances call each other endlessly, the run
+// stops at this number and reports their state.
 const maxSteps = 100_000
 
-// step counts a call of an instance.
+// step counts a call of an instance and panics with the state of all instances after maxSteps calls.
 func (w *world) step(what string) {
 	if w.steps.Add(1) <= maxSteps {
 		return
 	}
 	state := fmt.Sprintf("%d calls to the store and to peers, the last to %s, at %v", maxSteps, what, time.Now())
-	for _, n := range w.all(func(*instance) bool { return true }) {
-		at, seal, fenced := n.log.Fenced()
+	for _, inst := range w.all(func(*instance) bool { return true }) {
+		seal, number, fenced := inst.log.Fenced()
 		state += fmt.Sprintf("\n%s: running %v, reachable %v, fenced %v (%v, %v), %d store calls",
-			n.self.Cohort, running(n), reachable(n), fenced, at, seal, n.gate.calls.Load())
+			inst.self.Cohort, running(inst), reachable(inst), fenced, seal, number, inst.gate.calls.Load())
 	}
 	panic(state)
 }
 
-// gate is a store client that stops while its instance is paused: before a
-// call leaves and before its answer is seen. After a crash nothing passes.
+// gate is a store client that blocks while its instance is paused, both before a call is sent and before
+// its response is returned. After a crash every call fails.
 type gate struct {
 	store.Client
 	world   *world
@@ -67,6 +67,7 @@
 	crashed bool
 }
 
+// pass blocks while the instance is paused and fails after a crash.
 func (g *gate) pass() error {
 	g.calls.Add(1)
 	g.world.step("the store")
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// node is one incarnation of an instance.
+// instance is one incarnation of an instance.
 type instance struct {
 	world      *world
 	self       Member
@@ -144,7 +145,7 @@
 	pausedAt  time.Time
 	stopped   bool
 	crashedAt time.Time
-	// isolated says that the instance sees itself cut off: it counts nobody as living.
+	// isolated reports whether the instance considers itself isolated: it counts nobody as living.
 	isolated bool
 }
 
@@ -152,103 +153,104 @@
 	return &world{t: t, standIn: standin.NewStore(), heldBy: map[string][]program.Cohort{}}
 }
 
-// start brings up a new instance.
+// start starts a new instance.
 func (w *world) start(weight float64) *instance {
-	w.started++
-	cohort := program.Cohort(fmt.Sprintf("sul1.i%d.%04d", w.started, w.started))
-	n := &instance{world: w, self: Member{Instance: fmt.Sprint("i", w.started), Cohort: cohort, Addr: "10.0.0.1:7000", Weight: weight}}
-	n.metrics = metrics.NewRegistry()
-	n.gate = &gate{Client: w.standIn, world: w}
-	n.tracked = store.Track(n.gate, nil)
-	n.held, _ = ledger.OpenHeldCopies("", 0)
-	n.owner = newFakeOwner(n)
+	w.startedCount++
+	cohort := program.Cohort(fmt.Sprintf("sul1.i%d.%04d", w.startedCount, w.startedCount))
+	inst := &instance{world: w, self: Member{Instance: fmt.Sprint("i", w.startedCount), Cohort: cohort, Addr: "10.0.0.1:7000", Weight: weight}}
+	inst.metrics = metrics.NewRegistry()
+	inst.gate = &gate{Client: w.standIn, world: w}
+	inst.tracked = store.Track(inst.gate, nil)
+	inst.held, _ = ledger.OpenHeldCopies("", 0)
+	inst.owner = newFakeOwner(inst)
 	var err error
-	n.log, err = ledger.Open(context.Background(), ledger.Options{
-		Cohort: cohort, Address: n.self.Addr, Store: n.tracked, Holders: n, Successors: n, Snapshots: n.owner,
-		Registry: n.metrics, Writes: 200, WriteTimeout: time.Second,
+	inst.log, err = ledger.Open(context.Background(), ledger.Options{
+		Cohort: cohort, Address: inst.self.Addr, Store: inst.tracked, Holders: inst, Successors: inst, Snapshots: inst.owner,
+		Registry: inst.metrics, Writes: 200, WriteTimeout: time.Second,
 		Compaction: ledger.CompactionOptions{MinEntries: 6, MaxEntries: 12},
 	})
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	n.reconciler = New(Options{
-		Self: n.self, Store: n.tracked, Log: n.log, Members: n, Adopter: n.owner, Copies: n, Outages: n.tracked,
-		Notifier: n, Registry: n.metrics, Interval: 3 * time.Second, Grace: 2 * time.Second, RankDelay: 500 * time.Millisecond,
+	inst.reconciler = New(Options{
+		Self: inst.self, Store: inst.tracked, Log: inst.log, Members: inst, Adopter: inst.owner, Copies: inst, Outages: inst.tracked,
+		Notifier: inst, Registry: inst.metrics, Interval: 3 * time.Second, Grace: 2 * time.Second, RankDelay: 500 * time.Millisecond,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	n.cancel = cancel
+	inst.cancel = cancel
 	w.mu.Lock()
-	w.instances = append(w.instances, n)
+	w.instances = append(w.instances, inst)
 	w.mu.Unlock()
 	if !w.manual {
-		n.goroutines.Go(func() { n.reconciler.Run(ctx) })
+		inst.goroutines.Go(func() { inst.reconciler.Run(ctx) })
 	}
-	return n
+	return inst
 }
 
 // all returns the instances that pass the filter.
 func (w *world) all(filter func(*instance) bool) []*instance {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(w.instances), func(n *instance) bool { return !filter(n) })
+	return slices.DeleteFunc(slices.Clone(w.instances), func(inst *instance) bool { return !filter(inst) })
 }
 
-func reachable(n *instance) bool { return n.crashedAt.IsZero() && !n.paused && !n.stopped }
+func reachable(inst *instance) bool { return inst.crashedAt.IsZero() && !inst.paused && !inst.stopped }
 
-func running(n *instance) bool { return n.crashedAt.IsZero() }
+func running(inst *instance) bool { return inst.crashedAt.IsZero() }
 
-// crash ends an instance. What it has sent may still take effect.
-func (w *world) crash(n *instance) {
+// crash ends an instance. Calls that it has sent may still take effect.
+func (w *world) crash(inst *instance) {
 	w.mu.Lock()
-	n.crashedAt = time.Now()
+	inst.crashedAt = time.Now()
 	w.mu.Unlock()
-	n.gate.mu.Lock()
-	n.gate.crashed = true
-	n.gate.mu.Unlock()
-	w.resume(n)
-	n.close()
+	inst.gate.mu.Lock()
+	inst.gate.crashed = true
+	inst.gate.mu.Unlock()
+	w.resume(inst)
+	inst.close()
 	for _, other := range w.all(reachable) {
 		other.goroutines.Go(func() { _ = other.log.ReplicateHeld(context.Background()) })
 	}
 }
 
-func (n *instance) close() {
-	n.cancel()
-	n.log.Close()
-	n.goroutines.Wait()
-	n.tracked.Close()
+// close stops the instance and waits for its goroutines.
+func (inst *instance) close() {
+	inst.cancel()
+	inst.log.Close()
+	inst.goroutines.Wait()
+	inst.tracked.Close()
 }
 
-func (w *world) pause(n *instance) {
+func (w *world) pause(inst *instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n.paused, n.pausedAt = true, time.Now()
-	n.gate.mu.Lock()
-	defer n.gate.mu.Unlock()
-	n.gate.resume = make(chan struct{})
+	inst.paused, inst.pausedAt = true, time.Now()
+	inst.gate.mu.Lock()
+	defer inst.gate.mu.Unlock()
+	inst.gate.resume = make(chan struct{})
 }
 
-func (w *world) setIsolated(n *instance, isolated bool) {
+func (w *world) setIsolated(inst *instance, isolated bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n.isolated = isolated
+	inst.isolated = isolated
 }
 
-func (w *world) resume(n *instance) {
+func (w *world) resume(inst *instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n.gate.mu.Lock()
-	defer n.gate.mu.Unlock()
-	if n.paused {
-		close(n.gate.resume)
+	inst.gate.mu.Lock()
+	defer inst.gate.mu.Unlock()
+	if inst.paused {
+		close(inst.gate.resume)
 	}
-	n.paused, n.gate.resume = false, nil
+	inst.paused, inst.gate.resume = false, nil
 }
 
 // Living implements Members.
-func (n *instance) Living() []Member {
+func (inst *instance) Living() []Member {
 	var out []Member
-	for _, other := range n.world.all(func(other *instance) bool { return reachable(other) && !n.isolated }) {
+	for _, other := range inst.world.all(func(other *instance) bool { return reachable(other) && !inst.isolated }) {
 		if _, _, fenced := other.log.Fenced(); !fenced {
 			out = append(out, other.self)
 		}
@@ -257,19 +259,19 @@
 }
 
 // Find implements Members.
-func (n *instance) Find(c program.Cohort) (Member, bool) {
-	if other := n.world.find(c); other != nil {
+func (inst *instance) Find(c program.Cohort) (Member, bool) {
+	if other := inst.world.find(c); other != nil {
 		return other.self, true
 	}
 	return Member{}, false
 }
 
-// Dead implements Members: every second crash is known at once, the others
-// only show by their absence, unless they never made their cohort's object or
-// their last heartbeat told that they rely on peers' copies.
-func (n *instance) Dead() []Dead {
+// Dead implements Members. Every second crash is known at once. The others are noticed only by their
+// absence, unless they never created their cohort's object or their last heartbeat said that they rely
+// on peers' copies.
+func (inst *instance) Dead() []Dead {
 	var out []Dead
-	for i, other := range n.world.all(func(*instance) bool { return true }) {
+	for i, other := range inst.world.all(func(*instance) bool { return true }) {
 		holding := other.log.Holding()
 		if !running(other) && (i%2 == 0 || holding || !other.log.Created()) {
 			out = append(out, Dead{Cohort: other.self.Cohort, Since: other.crashedAt, StoreDown: holding})
@@ -281,29 +283,29 @@
 }
 
 // Sealed implements Notifier.
-func (n *instance) Sealed(_ context.Context, m Member, c program.Cohort) {
-	if other := n.world.find(m.Cohort); other != nil {
+func (inst *instance) Sealed(_ context.Context, m Member, c program.Cohort) {
+	if other := inst.world.find(m.Cohort); other != nil {
 		other.reconciler.ObserveSealed(c)
 	}
 }
 
 func (w *world) find(c program.Cohort) *instance {
-	for _, n := range w.all(reachable) {
-		if n.self.Cohort == c {
-			return n
+	for _, inst := range w.all(reachable) {
+		if inst.self.Cohort == c {
+			return inst
 		}
 	}
 	return nil
 }
 
 // Hold implements ledger.Holders.
-func (n *instance) Hold(_ context.Context, c ledger.Copy) (int, error) {
-	n.world.step("holders")
+func (inst *instance) Hold(_ context.Context, c ledger.Copy) (int, error) {
+	inst.world.step("holders")
 	held := 0
-	for _, other := range n.world.all(reachable) {
-		if other != n && held < ledger.RequiredCopies && !other.reconciler.Sealed(c.Cohort) && other.held.Hold(c) == nil {
+	for _, other := range inst.world.all(reachable) {
+		if other != inst && held < ledger.RequiredCopies && !other.reconciler.Sealed(c.Cohort) && other.held.Hold(c) == nil {
 			held++
-			n.world.noteHeld(c, other.self.Cohort)
+			inst.world.noteHeld(c, other.self.Cohort)
 		}
 	}
 	return held, nil
@@ -318,21 +320,21 @@
 }
 
 // Release implements ledger.Holders.
-func (n *instance) Release(_ context.Context, c program.Cohort, upTo uint64) {
-	for _, other := range n.world.all(running) {
+func (inst *instance) Release(_ context.Context, c program.Cohort, upTo uint64) {
+	for _, other := range inst.world.all(running) {
 		_ = other.held.Release(c, upTo)
 	}
 }
 
 // Offer implements ledger.Successors.
-func (n *instance) Offer(ctx context.Context, seal *ledger.Seal, c ledger.Copy) error {
-	n.world.step("successors")
+func (inst *instance) Offer(ctx context.Context, seal *ledger.Seal, c ledger.Copy) error {
+	inst.world.step("successors")
 	for _, r := range c.Records {
-		owner, err := n.reconciler.Directory().Locate(ctx, r.Program)
+		owner, err := inst.reconciler.Directory().Locate(ctx, r.Program)
 		if err != nil {
 			return err
 		}
-		other := n.world.find(owner.Cohort)
+		other := inst.world.find(owner.Cohort)
 		if other == nil {
 			return errors.New("successor unreachable")
 		}
@@ -345,11 +347,11 @@
 }
 
 // Collect implements Copies.
-func (n *instance) Collect(_ context.Context, c program.Cohort) ([]ledger.Copy, int) {
-	n.world.step("copies")
+func (inst *instance) Collect(_ context.Context, c program.Cohort) ([]ledger.Copy, int) {
+	inst.world.step("copies")
 	var copies []ledger.Copy
 	unreached := 0
-	for _, other := range n.world.all(func(*instance) bool { return true }) {
+	for _, other := range inst.world.all(func(*instance) bool { return true }) {
 		switch {
 		case other.self.Cohort == c:
 		case reachable(other) || other.stopped && running(other):
@@ -362,23 +364,22 @@
 }
 
 // Forget implements Copies.
-func (n *instance) Forget(_ context.Context, c program.Cohort) {
-	n.Release(context.Background(), c, ^uint64(0))
+func (inst *instance) Forget(_ context.Context, c program.Cohort) {
+	inst.Release(context.Background(), c, ^uint64(0))
 }
 
-// fakeOwner is the simplest owner of programs: a program's state is the list
-// of its events.
+// fakeOwner is a minimal owner of programs. The state of a program is the list of its events.
 type fakeOwner struct {
 	instance *instance
 	mu       sync.Mutex
 	programs map[program.ID]*fakeProgram
-	// doubted are the slices of which programs may be lost whole.
+	// unproven are the shards of which all records of a program may be lost.
 	unproven map[cohortShard]bool
 }
 
 type fakeProgram struct {
-	// busy serialises what is done with the program. It is a channel since a
-	// goroutine that waits for a mutex stops a bubble's clock.
+	// busy is a semaphore that serialises access to the program. It is a channel because the clock
+	// of a synctest bubble stops while a goroutine waits for a mutex.
 	busy      chan struct{}
 	Events    []string
 	Uncertain bool
@@ -387,12 +388,12 @@
 
 func newProgram() *fakeProgram { return &fakeProgram{busy: make(chan struct{}, 1)} }
 
-func newFakeOwner(n *instance) *fakeOwner {
-	return &fakeOwner{instance: n, programs: map[program.ID]*fakeProgram{}, unproven: map[cohortShard]bool{}}
+func newFakeOwner(inst *instance) *fakeOwner {
+	return &fakeOwner{instance: inst, programs: map[program.ID]*fakeProgram{}, unproven: map[cohortShard]bool{}}
 }
 
-// doubt remembers what can't be proven whole, as an owner has to for ids that
-// it does not know.
+// markUnproven records the shards that can't be proven complete, as an owner has to for ids that it does
+// not know.
 func (o *fakeOwner) markUnproven(a Adoption) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -401,6 +402,7 @@
 	}
 }
 
+// isUnproven reports whether the id's shard can't be proven complete.
 func (o *fakeOwner) isUnproven(id program.ID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -476,7 +478,7 @@
 	var group errgroup.Group
 	for id, p := range fold(slices.Concat(a.Records, a.Tail.Records)) {
 		if p.ended {
-			o.insert(id, p) // late records must not bring it back
+			o.insert(id, p) // otherwise late records would restore the program
 			continue
 		}
 		p.Uncertain = p.Uncertain || a.Tail.Uncertain
@@ -488,10 +490,10 @@
 	return group.Wait()
 }
 
-// Late implements Adopter.
+// AdoptLate implements Adopter.
 func (o *fakeOwner) AdoptLate(ctx context.Context, _ program.Cohort, records []ledger.Record) error {
 	for _, r := range records {
-		// Its first record may have come late, too.
+		// All records of the program may arrive late.
 		p := o.insert(r.Program, newProgram())
 		p.busy <- struct{}{}
 		present := slices.Contains(p.Events, string(r.Event))
@@ -510,22 +512,22 @@
 	return nil
 }
 
-// A run of the machine is busy for minutes and tells nothing: instances call each other
-// without end. It must stop, and say who they are and how they stand.
-func TestEndlessCallsAreStoppedWithTheirState(t *testing.T) {
+// Instances call each other endlessly, so that a run of the machine would take minutes without any
+// output. The run must stop and report the instances and their state.
+func TestEndlessCallsStopWithStateReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t)
 		w.manual = true
-		n := w.start(1)
-		defer n.close()
-		synctest.Wait() // the log's own first call must not be the one too many
+		inst := w.start(1)
+		defer inst.close()
+		synctest.Wait() // the log's own first call must not be the one that exceeds maxSteps
 		w.steps.Store(maxSteps)
 		defer func() {
 			w.steps.Store(0)
-			if state, _ := recover().(string); !strings.Contains(state, string(n.self.Cohort)+": running true") {
+			if state, _ := recover().(string); !strings.Contains(state, string(inst.self.Cohort)+": running true") {
 				t.Errorf("stopped with %q", state)
 			}
 		}()
-		n.world.step("the store")
+		inst.world.step("the store")
 	})
 }
