--- a/internal/ledger/appender.go
+++ b/internal/ledger/appender.go
@@ -194,7 +194,8 @@
 	outcomeNotWritten writeOutcome = iota
 	// outcomeWritten means that the number has this batch's entry.
 	outcomeWritten
-	// outcomeNumberTaken means that the number has another writer's entry.
+	// outcomeNumberTaken means that the number has another writer's entry, which can only be the
+	// seal.
 	outcomeNumberTaken
 	// outcomeUnknown means that the number could not be read.
 	outcomeUnknown
@@ -344,8 +345,9 @@
 	l.queue = nil
 }
 
-// fence stops the log after another writer's entry, which can only be the seal, was found under
-// the number of b. Records held by peers are offered to the successors.
+// fence stops the log after the seal was found, either as another writer's entry under the number
+// of b or in the cohort's object. Records held by peers are offered to the successors. The seal is
+// nil if it could not be decoded.
 func (l *Log) fence(b *batch, seal *Seal, number uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ledger/hold.go
+++ b/internal/ledger/hold.go
@@ -17,7 +17,7 @@
 		l.meters.held.Inc(int64(len(r.records)))
 		return nil
 	}
-	l.meters.unsettled.Inc(1)
+	l.meters.unknownOutcomes.Inc(1)
 	l.log.WithError(err).WithField("copies", n).Warn("too few peers hold copies; outcome of the append unknown")
 	return errors.Wrapf(ErrUnsettled, "%d peers hold a copy, too few", n)
 }
--- a/internal/ledger/log.go
+++ b/internal/ledger/log.go
@@ -303,7 +303,7 @@
 		return <-r.outcome
 	case writing:
 		r.state = finished
-		l.meters.unsettled.Inc(1)
+		l.meters.unknownOutcomes.Inc(1)
 		return errors.Wrap(ErrUnsettled, ctx.Err().Error())
 	}
 	for i, other := range l.queue {
--- a/internal/ledger/log_test.go
+++ b/internal/ledger/log_test.go
@@ -24,17 +24,17 @@
 	released uint64
 }
 
-func (p *fakeHolders) Hold(_ context.Context, c Copy) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.copies = append(p.copies, c)
-	return p.confirm, nil
+func (f *fakeHolders) Hold(_ context.Context, c Copy) (int, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.copies = append(f.copies, c)
+	return f.confirm, nil
 }
 
-func (p *fakeHolders) Release(_ context.Context, _ program.Cohort, upTo uint64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.released = max(p.released, upTo)
+func (f *fakeHolders) Release(_ context.Context, _ program.Cohort, upTo uint64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.released = max(f.released, upTo)
 }
 
 // fakeSuccessors is a fake of Successors that records what it is offered.
@@ -43,10 +43,10 @@
 	taken []Record
 }
 
-func (o *fakeSuccessors) Offer(_ context.Context, _ *Seal, c Copy) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.taken = append(o.taken, c.Records...)
+func (f *fakeSuccessors) Offer(_ context.Context, _ *Seal, c Copy) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.taken = append(f.taken, c.Records...)
 	return nil
 }
 
@@ -254,7 +254,7 @@
 	down atomic.Bool
 }
 
-func (b *flickeringStore) Down() bool { return b.down.Load() }
+func (s *flickeringStore) Down() bool { return s.down.Load() }
 
 // Turns 2 and 3 are queued when the object API is down for a moment, and turn 4 is held by peers. All
 // are reported as durable. If turn 4 were written first, and turns 2 and 3 held in the next outage,
--- a/internal/ledger/meters.go
+++ b/internal/ledger/meters.go
@@ -12,12 +12,12 @@
 	batchRecords metrics.Histogram
 	// writeTime is in microseconds. It is a histogram because a metrics.Timer starts a goroutine
 	// for its rates that never ends.
-	writeTime metrics.Histogram
-	readBacks metrics.Counter
-	refused   metrics.Counter
-	unsettled metrics.Counter
-	held      metrics.Counter
-	compacted metrics.Counter
+	writeTime       metrics.Histogram
+	readBacks       metrics.Counter
+	refused         metrics.Counter
+	unknownOutcomes metrics.Counter
+	held            metrics.Counter
+	compacted       metrics.Counter
 }
 
 // histogramSamples is the number of values that a histogram keeps.
@@ -25,16 +25,16 @@
 
 func newMeters(r metrics.Registry) meters {
 	return meters{
-		entries:      metrics.GetOrRegisterCounter("ledger.entries", r),
-		records:      metrics.GetOrRegisterCounter("ledger.records", r),
-		bytes:        metrics.GetOrRegisterCounter("ledger.bytes", r),
-		batchRecords: metrics.GetOrRegisterHistogram("ledger.batch", r, metrics.NewUniformSample(histogramSamples)),
-		writeTime:    metrics.GetOrRegisterHistogram("ledger.write.us", r, metrics.NewUniformSample(histogramSamples)),
-		readBacks:    metrics.GetOrRegisterCounter("ledger.settled", r),
-		refused:      metrics.GetOrRegisterCounter("ledger.refused", r),
-		unsettled:    metrics.GetOrRegisterCounter("ledger.unsettled", r),
-		held:         metrics.GetOrRegisterCounter("ledger.held", r),
-		compacted:    metrics.GetOrRegisterCounter("ledger.compacted", r),
+		entries:         metrics.GetOrRegisterCounter("ledger.entries", r),
+		records:         metrics.GetOrRegisterCounter("ledger.records", r),
+		bytes:           metrics.GetOrRegisterCounter("ledger.bytes", r),
+		batchRecords:    metrics.GetOrRegisterHistogram("ledger.batch", r, metrics.NewUniformSample(histogramSamples)),
+		writeTime:       metrics.GetOrRegisterHistogram("ledger.write.us", r, metrics.NewUniformSample(histogramSamples)),
+		readBacks:       metrics.GetOrRegisterCounter("ledger.settled", r),
+		refused:         metrics.GetOrRegisterCounter("ledger.refused", r),
+		unknownOutcomes: metrics.GetOrRegisterCounter("ledger.unsettled", r),
+		held:            metrics.GetOrRegisterCounter("ledger.held", r),
+		compacted:       metrics.GetOrRegisterCounter("ledger.compacted", r),
 	}
 }
 
--- a/internal/ledger/moved_test.go
+++ b/internal/ledger/moved_test.go
@@ -22,8 +22,8 @@
 	var fenced bool
 	synctest.Test(t, func(t *testing.T) {
 		ctx, platform := context.Background(), standin.NewStore()
-		gone := Cohort{Cohort: testCohort, First: 1, Seal: &Seal{By: "sul1.b.two"}, SealNumber: 1}
-		_, _ = platform.Put(ctx, MovedKey(testCohort), EncodeCohort(gone), 0)
+		moved := Cohort{Cohort: testCohort, First: 1, Seal: &Seal{By: "sul1.b.two"}, SealNumber: 1}
+		_, _ = platform.Put(ctx, MovedKey(testCohort), EncodeCohort(moved), 0)
 		tracked := store.Track(platform, nil)
 		log, _ := Open(ctx, Options{Cohort: testCohort, Store: tracked})
 		time.Sleep(time.Second)
