--- a/internal/ledger/appender.go
+++ b/internal/ledger/appender.go
@@ -11,48 +11,49 @@
 )
 
 const (
-	// downPoll is how often the appender looks whether the store is back;
-	// it costs no call, since the store's own probe finds out.
-	downPoll = 50 * time.Millisecond
-	// repeatWait is the wait before a write or read-back is tried again.
-	repeatWait = 20 * time.Millisecond
+	// downPollInterval is how often the appender checks whether the store is back. A check makes
+	// no call: the store's client probes by itself.
+	downPollInterval = 50 * time.Millisecond
+	// retryDelay is the delay before a write or a read-back is repeated.
+	retryDelay = 20 * time.Millisecond
 )
 
-// batch is what goes into one entry.
+// batch is the content of one entry.
 type batch struct {
 	requests []*request
 	entry    Entry
 	value    []byte
 }
 
-// run is the appender: it creates the cohort's object and then writes batch
-// after batch until the log is closed or sealed.
+// run is the appender goroutine. It creates the cohort's object and then writes one batch at a
+// time until the log is closed or sealed.
 func (l *Log) run() {
 	defer close(l.done)
 	defer l.shutDown()
-	if !l.create() {
+	if !l.createObject() {
 		return
 	}
 	for l.waitForWork() {
-		if l.pace.Wait(l.ctx) != nil {
+		if l.limiter.Wait(l.ctx) != nil {
 			return
 		}
-		if b := l.take(); b != nil {
+		if b := l.nextBatch(); b != nil {
 			l.write(b)
 		}
 	}
 }
 
-// create makes the cohort's object before the first entry, so that whoever
-// reconciles the cohorts finds every log that can hold records.
-func (l *Log) create() bool {
+// createObject creates the cohort's object before the first entry, so that reconciliation of the
+// cohorts finds every log that can have records. It returns false if the log is closed or turns
+// out to have been sealed.
+func (l *Log) createObject() bool {
 	for l.ctx.Err() == nil {
 		started := time.Now()
-		ctx, cancel := context.WithTimeout(l.ctx, l.o.WriteTimeout)
-		err := CreateCohort(ctx, l.o.Store, Cohort{Cohort: l.o.Cohort, Address: l.o.Address, First: 1})
+		ctx, cancel := context.WithTimeout(l.ctx, l.options.WriteTimeout)
+		err := CreateCohort(ctx, l.options.Store, Cohort{Cohort: l.options.Cohort, Address: l.options.Address, First: 1})
 		var moved *Cohort
 		if err == nil {
-			moved, err = l.findMoved(ctx)
+			moved, err = l.revertLateCreation(ctx)
 		}
 		cancel()
 		if moved != nil {
@@ -66,22 +67,22 @@
 			l.mu.Unlock()
 			return true
 		}
-		l.log.WithError(err).Warn("cohort not created yet")
+		l.log.WithError(err).Warn("cohort object not created; retrying")
 		l.refuseQueue()
-		l.pause(repeatWait)
+		l.pause(retryDelay)
 	}
 	return false
 }
 
-// findMoved returns what is left of this cohort if its log was sealed, adopted
-// and deleted before the creation of its object took effect, and takes the
-// object away again.
+// revertLateCreation checks whether this cohort's log was sealed, adopted and deleted before the
+// creation of its object took effect. If so, it deletes the object again and returns the cohort
+// as kept under its moved key; otherwise it returns nil.
 //
-// The failure: an owner is paused at its start and taken over. Its creation,
-// late or made again, brings back an object that says the log begins, so that
-// the owner and the successor both own its programs.
-func (l *Log) findMoved(ctx context.Context) (*Cohort, error) {
-	object, err := l.o.Store.Get(ctx, MovedKey(l.o.Cohort))
+// This guards against an owner that is paused at its start and taken over. Its creation, late or
+// repeated, makes an object of an unsealed log again, and the owner and the successor would both
+// own the programs.
+func (l *Log) revertLateCreation(ctx context.Context) (*Cohort, error) {
+	object, err := l.options.Store.Get(ctx, MovedKey(l.options.Cohort))
 	if errors.Is(err, store.ErrNotFound) {
 		return nil, nil
 	}
@@ -92,9 +93,9 @@
 	if err != nil {
 		return nil, err
 	}
-	created, err := l.o.Store.Get(ctx, CohortKey(l.o.Cohort))
+	created, err := l.options.Store.Get(ctx, CohortKey(l.options.Cohort))
 	if err == nil {
-		err = l.o.Store.Delete(ctx, created.Key, created.Version)
+		err = l.options.Store.Delete(ctx, created.Key, created.Version)
 	}
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return nil, err
@@ -102,8 +103,8 @@
 	return &moved, nil
 }
 
-// waitForWork returns true once there is something to write and the store is
-// not known to be down, and false when the log is closed or sealed.
+// waitForWork blocks until there are records to write and the store is not known to be down. It
+// returns false if the log is closed or sealed.
 func (l *Log) waitForWork() bool {
 	for {
 		l.mu.Lock()
@@ -114,12 +115,12 @@
 			return false
 		case !work:
 			select {
-			case <-l.wake:
+			case <-l.appenderWake:
 			case <-l.ctx.Done():
 			}
-		case l.o.Store.Down():
+		case l.options.Store.Down():
 			l.refuseQueue()
-			l.pause(downPoll)
+			l.pause(downPollInterval)
 		default:
 			return true
 		}
@@ -136,9 +137,10 @@
 	}
 }
 
-// take moves what fits into one entry out of the queue: first what peers hold,
-// since a program's later records may build on it. A seal goes alone.
-func (l *Log) take() *batch {
+// nextBatch builds a batch of the requests that fit into one entry, or returns nil if there are
+// none. Requests held by peers come first, since later records of a program may build on them. A
+// seal gets an entry of its own.
+func (l *Log) nextBatch() *batch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := &batch{}
@@ -151,12 +153,12 @@
 		b.requests = append(b.requests, r)
 	}
 	if len(b.requests) == len(l.held) {
-		l.takeQueued(b, size)
+		l.addQueued(b, size)
 	}
 	if len(b.requests) == 0 {
 		return nil
 	}
-	b.entry = Entry{Cohort: l.o.Cohort, Number: l.next, WriteID: newWriteID()}
+	b.entry = Entry{Cohort: l.options.Cohort, Number: l.next, WriteID: newWriteID()}
 	for _, r := range b.requests {
 		b.entry.Records = append(b.entry.Records, r.records...)
 		b.entry.Seal = r.seal
@@ -165,7 +167,9 @@
 	return b
 }
 
-func (l *Log) takeQueued(b *batch, size int) {
+// addQueued moves requests from the queue to the batch, whose size in bytes so far is given. The
+// caller holds the lock.
+func (l *Log) addQueued(b *batch, size int) {
 	taken := 0
 	for _, r := range l.queue {
 		if size+r.size > MaxBatch || r.seal != nil && len(b.requests) > 0 {
@@ -182,128 +186,136 @@
 	l.queue = append([]*request(nil), l.queue[taken:]...)
 }
 
-// found is what stands under an entry's number.
-type found uint8
+// writeOutcome is the outcome of writing an entry, as read back under its number.
+type writeOutcome uint8
 
 const (
-	foundNothing found = iota
-	foundOurs
-	foundOther
-	foundUnknown
+	// outcomeNotWritten means that the number is free.
+	outcomeNotWritten writeOutcome = iota
+	// outcomeWritten means that the number has this batch's entry.
+	outcomeWritten
+	// outcomeNumberTaken means that the number has another writer's entry, which can only be the
+	// seal.
+	outcomeNumberTaken
+	// outcomeUnknown means that the number could not be read.
+	outcomeUnknown
 )
 
-// write puts one entry and tells its callers the outcome. A lost answer is
-// settled by reading the entry back before anybody is told anything: told
-// "written" wrongly, a step would be sent that a successor doesn't know of;
-// told "not written" wrongly, a step would be answered "not run" and stand in
-// the log. Repeating the put is safe, since the same bytes under the same
-// number take effect once.
+// write puts one entry and reports the outcome to its callers. If the response is lost, the entry
+// is read back before any outcome is reported. A wrong "written" would let a step be sent that a
+// successor does not know of; a wrong "not written" would let a step be reported as not run
+// although it is in the log. Repeating the put is safe: the same bytes under the same number take
+// effect once.
 func (l *Log) write(b *batch) {
 	started := time.Now()
-	unsure := false
+	mayBeWritten := false
 	for l.ctx.Err() == nil {
 		err := l.put(b)
 		switch {
 		case err == nil:
-			l.concludeWritten(b, started)
+			l.verifyAndCommit(b, started)
 			return
 		case errors.Is(err, store.ErrRateLimited):
-			l.pause(repeatWait)
+			l.pause(retryDelay)
 			continue
-		case errors.Is(err, store.ErrUnavailable) && !unsure:
-			l.refuse(b)
+		case errors.Is(err, store.ErrUnavailable) && !mayBeWritten:
+			l.refuseBatch(b)
 			return
 		}
-		unsure = true
-		switch l.settle(b) {
-		case foundOurs:
-			l.concludeWritten(b, started)
+		mayBeWritten = true
+		switch l.resolveOutcome(b) {
+		case outcomeWritten:
+			l.verifyAndCommit(b, started)
 			return
-		case foundOther:
+		case outcomeNumberTaken:
 			return
 		}
 	}
-	l.giveUp(b, unsure)
+	l.abortBatch(b, mayBeWritten)
 }
 
+// put attempts once to create the batch's entry.
 func (l *Log) put(b *batch) error {
-	ctx, cancel := context.WithTimeout(l.ctx, l.o.WriteTimeout)
+	ctx, cancel := context.WithTimeout(l.ctx, l.options.WriteTimeout)
 	defer cancel()
 	started := time.Now()
-	_, err := l.o.Store.Put(ctx, EntryKey(l.o.Cohort, b.entry.Number), b.value, 0)
-	l.meters.writes.Update(time.Since(started).Microseconds())
+	_, err := l.options.Store.Put(ctx, EntryKey(l.options.Cohort, b.entry.Number), b.value, 0)
+	l.meters.writeTime.Update(time.Since(started).Microseconds())
 	return err
 }
 
-// settle reads the entry's number back until it knows what stands there. While
-// it can't, everybody who can be told something true is told it.
-func (l *Log) settle(b *batch) found {
-	l.meters.settles.Inc(1)
+// resolveOutcome reads the entry's number back until the outcome of the write is known. While the
+// store can't be read, suspend completes the requests whose callers need not wait.
+func (l *Log) resolveOutcome(b *batch) writeOutcome {
+	l.meters.readBacks.Inc(1)
 	for l.ctx.Err() == nil {
-		what, entry := l.inspect(b)
-		switch what {
-		case foundNothing:
-			l.pause(repeatWait)
-			return foundNothing
-		case foundOurs:
-			return foundOurs
-		case foundOther:
+		outcome, entry := l.readBack(b)
+		switch outcome {
+		case outcomeNotWritten:
+			l.pause(retryDelay)
+			return outcomeNotWritten
+		case outcomeWritten:
+			return outcomeWritten
+		case outcomeNumberTaken:
 			l.fence(b, entry.Seal, b.entry.Number)
-			return foundOther
+			return outcomeNumberTaken
 		}
 		l.suspend(b)
-		l.pause(downPoll)
+		l.pause(downPollInterval)
 	}
-	return foundUnknown
+	return outcomeUnknown
 }
 
-func (l *Log) inspect(b *batch) (found, Entry) {
-	if l.o.Store.Down() {
-		return foundUnknown, Entry{}
+// readBack reads the batch's entry number once. The entry is set if the number is used.
+func (l *Log) readBack(b *batch) (writeOutcome, Entry) {
+	if l.options.Store.Down() {
+		return outcomeUnknown, Entry{}
 	}
-	ctx, cancel := context.WithTimeout(l.ctx, l.o.WriteTimeout)
+	ctx, cancel := context.WithTimeout(l.ctx, l.options.WriteTimeout)
 	defer cancel()
-	object, err := l.o.Store.Get(ctx, EntryKey(l.o.Cohort, b.entry.Number))
+	object, err := l.options.Store.Get(ctx, EntryKey(l.options.Cohort, b.entry.Number))
 	if errors.Is(err, store.ErrNotFound) {
-		return foundNothing, Entry{}
+		return outcomeNotWritten, Entry{}
 	}
 	if err != nil {
-		return foundUnknown, Entry{}
+		return outcomeUnknown, Entry{}
 	}
-	entry, err := DecodeEntry(object.Value, l.o.Cohort, b.entry.Number)
+	entry, err := DecodeEntry(object.Value, l.options.Cohort, b.entry.Number)
 	if err == nil && string(entry.WriteID) == string(b.entry.WriteID) {
-		return foundOurs, entry
+		return outcomeWritten, entry
 	}
-	l.log.WithError(err).WithField("entry", object.Key.String()).Warn("entry number taken by another writer")
-	return foundOther, entry
+	l.log.WithError(err).WithField("entry", object.Key.String()).Warn("entry number used by another writer; log accepts no more records")
+	return outcomeNumberTaken, entry
 }
 
-// commit tells the callers of a batch that is in the log.
+// commit updates the log's state after a batch was written and completes its requests. started is
+// when the write began.
 func (l *Log) commit(b *batch, started time.Time) {
 	l.proof.renew(started)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.next = b.entry.Number + 1
 	l.suspended = false
-	l.index.committed(b.entry, len(b.value))
+	l.index.noteCommitted(b.entry, len(b.value))
 	if b.entry.Seal != nil {
 		l.seal, l.sealNumber, l.fenced = b.entry.Seal, b.entry.Number, true
 	}
 	l.dropHeld(b)
 	for _, r := range b.requests {
 		l.pending -= r.size
-		r.finish(nil)
+		r.complete(nil)
 	}
 	if b.entry.Seal != nil {
-		l.endQueue(ErrFenced)
+		l.failQueue(ErrFenced)
 	}
-	l.meters.commit(b)
-	if l.o.Compaction.due(&l.index) {
-		poke(l.compact)
+	l.meters.countCommit(b)
+	if l.options.Compaction.isDue(&l.index) {
+		trySignal(l.compactWake)
 	}
 }
 
-// dropHeld forgets the batch's held requests and lets the peers forget them.
+// dropHeld removes the batch's requests from the held ones and has the peers release their copies.
+// The caller holds the lock.
 func (l *Log) dropHeld(b *batch) {
 	var upTo uint64
 	for _, r := range b.requests {
@@ -321,20 +333,21 @@
 	if upTo == 0 {
 		return
 	}
-	l.extra.Go(func() { l.o.Holders.Release(l.ctx, l.o.Cohort, upTo) })
+	l.background.Go(func() { l.options.Holders.Release(l.ctx, l.options.Cohort, upTo) })
 }
 
-// endQueue ends all that wait. The lock is held.
-func (l *Log) endQueue(err error) {
+// failQueue completes all queued requests with the error. The caller holds the lock.
+func (l *Log) failQueue(err error) {
 	for _, r := range l.queue {
-		l.forget(r)
-		r.finish(err)
+		l.discard(r)
+		r.complete(err)
 	}
 	l.queue = nil
 }
 
-// fence ends the log for its owner: b's number holds another writer's entry,
-// which only the seal can be. What peers hold is offered to the successors.
+// fence stops the log after the seal was found, either as another writer's entry under the number
+// of b or in the cohort's object. Records held by peers are offered to the successors. The seal is
+// nil if it could not be decoded.
 func (l *Log) fence(b *batch, seal *Seal, number uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -342,38 +355,39 @@
 	for _, r := range b.requests {
 		if !r.isHeld {
 			l.pending -= r.size
-			r.finish(ErrFenced)
+			r.complete(ErrFenced)
 		}
 	}
-	l.endQueue(ErrFenced)
+	l.failQueue(ErrFenced)
 	l.log.WithFields(log.Fields{"entry": b.entry.Number, "held": len(l.held)}).Warn("log sealed by a successor")
-	if len(l.held) > 0 && l.o.Successors != nil && seal != nil {
+	if len(l.held) > 0 && l.options.Successors != nil && seal != nil {
 		offer := l.heldCopy()
-		l.extra.Go(func() { l.offer(seal, offer) })
+		l.background.Go(func() { l.offer(seal, offer) })
 	}
 }
 
-// giveUp ends a batch when the log is closed. unsure says that a write of it
-// may have taken effect.
-func (l *Log) giveUp(b *batch, unsure bool) {
+// abortBatch completes the requests of a batch when the log is closed. mayBeWritten reports
+// whether a write of the batch may have taken effect.
+func (l *Log) abortBatch(b *batch, mayBeWritten bool) {
 	outcome := ErrClosed
-	if unsure {
+	if mayBeWritten {
 		outcome = ErrUnsettled
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range b.requests {
-		r.finish(outcome)
+		r.complete(outcome)
 	}
 }
 
+// shutDown completes all queued requests when the appender stops.
 func (l *Log) shutDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fenced {
-		l.endQueue(ErrFenced)
+		l.failQueue(ErrFenced)
 		return
 	}
 	l.closed = true
-	l.endQueue(ErrClosed)
+	l.failQueue(ErrClosed)
 }
--- a/internal/ledger/copies.go
+++ b/internal/ledger/copies.go
@@ -12,34 +12,34 @@
 	"foxhall/internal/program"
 )
 
-// ErrFull says that a holder has no room; nothing was held.
-var ErrFull = errors.New("ledger: no room for held copies")
+// ErrHeldLimit indicates that held copies have reached their maximum size. The copy was not taken.
+var ErrHeldLimit = errors.New("ledger: held copies at their maximum size")
 
-// HeldCopies are the records that this instance holds for other cohorts while
-// the object API is down. They are kept in memory and, where the instance has a
-// data folder, also there, so that they survive its restart.
+// HeldCopies is the set of records that this instance holds for other cohorts while the object API
+// is down. They are kept in memory and, if the instance has a data folder, also on disk, so that
+// they survive a restart.
 type HeldCopies struct {
-	disk  *copyFolder
-	limit int
+	disk     *copyFolder
+	maxBytes int
 
 	mu      sync.Mutex
 	size    int
 	cohorts map[program.Cohort][]Record
 }
 
-// defaultHeldBytes bounds what an instance holds for others: at 62 turns a
-// second and 4 KB each for two peers that is over two minutes for one owner.
-const defaultHeldBytes = 64 << 20
+// defaultMaxHeldBytes is the default maximum size of the copies held for others, in bytes. It has
+// room for over two minutes of one owner's turns, at 62 per second of 4 KB each and two copies of
+// each.
+const defaultMaxHeldBytes = 64 << 20
 
-// OpenHeldCopies returns the copies that this instance holds, with those in
-// the folder, if it is not empty. limit is in bytes; 0 stands for 64 MiB.
-// Files that are torn are left where they are and named in the error, which
-// comes beside a usable HeldCopies.
+// OpenHeldCopies returns the copies that this instance holds, including those in the folder, unless
+// its name is empty. limit is in bytes; 0 selects 64 MiB. Files that can't be decoded are not
+// changed. The error names them, and the HeldCopies is usable all the same.
 func OpenHeldCopies(folder string, limit int) (*HeldCopies, error) {
 	if limit == 0 {
-		limit = defaultHeldBytes
+		limit = defaultMaxHeldBytes
 	}
-	h := &HeldCopies{limit: limit, cohorts: map[program.Cohort][]Record{}}
+	h := &HeldCopies{maxBytes: limit, cohorts: map[program.Cohort][]Record{}}
 	if folder == "" {
 		return h, nil
 	}
@@ -49,33 +49,33 @@
 	}
 	h.disk = disk
 	for _, c := range copies {
-		h.add(c)
+		h.merge(c)
 	}
 	return h, err
 }
 
-// Hold keeps the copy and returns nil once it is kept: on disk, where there is one.
+// Hold stores the copy and returns nil once it is stored, on disk if there is a data folder.
 func (h *HeldCopies) Hold(c Copy) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.size+sizeOf(c.Records) > h.limit {
-		return ErrFull
+	if h.size+sizeOf(c.Records) > h.maxBytes {
+		return ErrHeldLimit
 	}
 	if h.disk != nil {
 		if err := h.disk.write(c); err != nil {
 			return err
 		}
 	}
-	h.add(c)
+	h.merge(c)
 	return nil
 }
 
-// add merges the copy's records; one that is held already is left out.
-func (h *HeldCopies) add(c Copy) {
+// merge adds the copy's records to those held. Records that are held already are skipped.
+func (h *HeldCopies) merge(c Copy) {
 	for _, r := range c.Records {
 		records := h.cohorts[c.Cohort]
-		at, there := slices.BinarySearchFunc(records, r.Sequence, bySequence)
-		if there {
+		at, exists := slices.BinarySearchFunc(records, r.Sequence, bySequence)
+		if exists {
 			continue
 		}
 		h.cohorts[c.Cohort] = slices.Insert(records, at, r)
@@ -85,29 +85,29 @@
 
 func bySequence(r Record, sequence uint64) int { return cmp.Compare(r.Sequence, sequence) }
 
-// Held returns what is held for the cohort, in the order of sequences.
+// Held returns the records held for the cohort, ordered by sequence.
 func (h *HeldCopies) Held(c program.Cohort) Copy {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return Copy{Cohort: c, Records: slices.Clone(h.cohorts[c])}
 }
 
-// Parts returns the same cut into parts of the size of an entry.
-func (h *HeldCopies) Parts(c program.Cohort) iter.Seq[Copy] { return copyBatches(h.Held(c)) }
+// Parts returns the records held for the cohort, split into parts that each fit into an entry.
+func (h *HeldCopies) Parts(c program.Cohort) iter.Seq[Copy] { return splitCopy(h.Held(c)) }
 
-// Cohorts returns the cohorts for which something is held.
+// Cohorts returns the cohorts for which records are held, sorted by name.
 func (h *HeldCopies) Cohorts() []program.Cohort {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []program.Cohort
+	var cohorts []program.Cohort
 	for c := range h.cohorts {
-		out = append(out, c)
+		cohorts = append(cohorts, c)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(cohorts)
+	return cohorts
 }
 
-// Release forgets the cohort's records up to and with the sequence.
+// Release drops the cohort's records up to and including the sequence.
 func (h *HeldCopies) Release(c program.Cohort, upTo uint64) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,22 +124,22 @@
 	return h.disk.release(c, upTo)
 }
 
-// Size returns the bytes held.
+// Size returns the size of the held records in bytes.
 func (h *HeldCopies) Size() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.size
 }
 
-// EncodeCopy returns the copy with a checksum, for the wire and the disk.
+// EncodeCopy returns the copy with a checksum, as it is sent to peers and stored on disk.
 func EncodeCopy(c Copy) []byte {
-	return envelop(&ledgerpb.Copy{Cohort: string(c.Cohort), Records: recordsToPB(c.Records)})
+	return encodeEnvelope(&ledgerpb.Copy{Cohort: string(c.Cohort), Records: recordsToPB(c.Records)})
 }
 
-// DecodeCopy reads an encoded copy. Its errors are ErrCorrupt.
+// DecodeCopy decodes a copy. Errors are ErrCorrupt.
 func DecodeCopy(data []byte) (Copy, error) {
 	message := &ledgerpb.Copy{}
-	if err := openEnvelope(data, message); err != nil {
+	if err := decodeEnvelope(data, message); err != nil {
 		return Copy{}, err
 	}
 	records, err := recordsFromPB(message.Records)
--- a/internal/ledger/entry_test.go
+++ b/internal/ledger/entry_test.go
@@ -28,17 +28,17 @@
 		Records: []Record{
 			{Program: "sul1.a.one:x", Event: []byte("turn"), Sequence: 3},
 			{Program: "sul1.a.one:y", Kind: Tombstone, Sequence: 4},
-			{Kind: adopted, Sequence: 5, Adoption: &Adoption{Cohort: "sul1.z.one", Shard: 9, Ancestors: []program.Cohort{"sul1.q.one"}}},
+			{Kind: adoptionMark, Sequence: 5, Adoption: &Adoption{Cohort: "sul1.z.one", Shard: 9, Ancestors: []program.Cohort{"sul1.q.one"}}},
 		},
 	}
 }
 
-// FuzzDecodeEntry: whatever stands in the store, decoding does not panic, and
-// what it accepts is whole: it encodes to an entry that decodes to the same.
+// FuzzDecodeEntry checks that decoding any stored bytes does not panic, and that an accepted entry
+// encodes to an entry that decodes to the same.
 func FuzzDecodeEntry(f *testing.F) {
-	whole := EncodeEntry(sampleEntry())
-	f.Add(whole)
-	f.Add(whole[:len(whole)/2])
+	encoded := EncodeEntry(sampleEntry())
+	f.Add(encoded)
+	f.Add(encoded[:len(encoded)/2])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, value []byte) {
 		entry, err := DecodeEntry(value, testCohort, 7)
@@ -50,46 +50,47 @@
 		}
 		again, err := DecodeEntry(EncodeEntry(entry), testCohort, 7)
 		if err != nil || !bytes.Equal(EncodeEntry(again), EncodeEntry(entry)) {
-			t.Fatalf("does not survive a round trip: %v", err)
+			t.Fatalf("entry differs after encoding and decoding it again: %v", err)
 		}
 	})
 }
 
-// A disk or the store alters or tears an entry: a flipped bit anywhere and a
-// cut anywhere are refused, by the entry's name.
-func TestAlteredEntryIsNamed(t *testing.T) {
+// A disk or the store alters or truncates an entry. A bit flipped anywhere and a truncation anywhere
+// must be refused with an error that names the entry.
+func TestAlteredEntryIsRefused(t *testing.T) {
 	is := is.New(t)
-	whole := EncodeEntry(sampleEntry())
-	for i := range whole {
-		altered := bytes.Clone(whole)
+	encoded := EncodeEntry(sampleEntry())
+	for i := range encoded {
+		altered := bytes.Clone(encoded)
 		altered[i] ^= 1 << (i % 8)
 		_, err := DecodeEntry(altered, testCohort, 7)
 		is.True(errors.Is(err, ErrCorrupt))
-		_, err = DecodeEntry(whole[:i], testCohort, 7)
+		_, err = DecodeEntry(encoded[:i], testCohort, 7)
 		is.True(errors.Is(err, ErrCorrupt))
 		is.True(strings.Contains(err.Error(), "log/sul1.a.one/000000000007"))
 	}
-	_, err := DecodeEntry(whole, testCohort, 8)
-	is.True(errors.Is(err, ErrCorrupt)) // whole, but under another number
+	_, err := DecodeEntry(encoded, testCohort, 8)
+	is.True(errors.Is(err, ErrCorrupt)) // undamaged, but under another number
 }
 
-// creation is one call of the log's use of the object API: create if absent,
-// or read.
-type creation struct {
+// storeCall is one call to the object API as the log uses it: a creation if the object is absent,
+// or, with an empty write, a read.
+type storeCall struct {
 	write string
 }
 
-type created struct {
+// storeResult is the result of a storeCall.
+type storeResult struct {
 	value string
 	err   error
 }
 
-// creationModel is the sequential meaning of create-if-absent. A lost answer
-// leaves both outcomes open.
-var creationModel = porcupine.NondeterministicModel{
+// createIfAbsentModel is the sequential specification of create-if-absent. After a lost response
+// both outcomes are possible.
+var createIfAbsentModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		now, call, result := state.(string), input.(creation), output.(created)
+		now, call, result := state.(string), input.(storeCall), output.(storeResult)
 		switch {
 		case call.write == "" && now == result.value:
 			return []any{now}
@@ -109,19 +110,19 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Several instances race to create the same entries while answers are lost and
-// writes dropped. The history of all calls is linearisable against
-// create-if-absent: no number is ever given twice.
+// Several instances race to create the same entries while responses are lost and writes dropped. The
+// history of all calls must be linearisable against create-if-absent: no number is ever used twice.
 func TestEntryCreationIsLinearisable(t *testing.T) {
 	is := is.New(t)
 	standIn := standin.NewStore()
 	standIn.SetFaults(standin.StoreFaults{LoseAnswers: 8, DropWrites: 8, Delay: 100 * time.Microsecond})
 	for number := range uint64(12) {
-		is.True(porcupine.CheckOperations(creationModel.ToModel(), race(t, standIn, EntryKey(testCohort, number+1))))
+		is.True(porcupine.CheckOperations(createIfAbsentModel.ToModel(), raceCreations(t, standIn, EntryKey(testCohort, number+1))))
 	}
 }
 
-func race(t *testing.T, standIn *standin.Store, key store.Key) []porcupine.Operation {
+// raceCreations has five clients create and read the object concurrently and returns their calls.
+func raceCreations(t *testing.T, standIn *standin.Store, key store.Key) []porcupine.Operation {
 	var mu sync.Mutex
 	var operations []porcupine.Operation
 	var clients sync.WaitGroup
@@ -132,13 +133,13 @@
 			for i := range 4 {
 				op := porcupine.Operation{ClientId: client, Call: int64(time.Since(started))}
 				if random.IntN(2) == 0 {
-					op.Input = creation{write: fmt.Sprintf("%d/%d", client, i)}
-					_, err := standIn.Put(t.Context(), key, []byte(op.Input.(creation).write), 0)
-					op.Output = created{err: err}
+					op.Input = storeCall{write: fmt.Sprintf("%d/%d", client, i)}
+					_, err := standIn.Put(t.Context(), key, []byte(op.Input.(storeCall).write), 0)
+					op.Output = storeResult{err: err}
 				} else {
-					op.Input = creation{}
+					op.Input = storeCall{}
 					object, _ := standIn.Get(t.Context(), key)
-					op.Output = created{value: string(object.Value)}
+					op.Output = storeResult{value: string(object.Value)}
 				}
 				op.Return = int64(time.Since(started))
 				mu.Lock()
@@ -151,9 +152,9 @@
 	return operations
 }
 
-// Copies held for others survive the holder's restart on its data folder; a
-// torn file is named and the others are kept.
-func TestHeldCopiesOnDisk(t *testing.T) {
+// Copies held for others must survive the holder's restart on its data folder. A truncated file
+// must be named in the error and the others loaded.
+func TestHeldCopiesSurviveRestart(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	h, err := OpenHeldCopies(folder, 0)
@@ -174,13 +175,13 @@
 	full, err := OpenHeldCopies("", 100)
 	is.NoErr(err)
 	err = full.Hold(Copy{Cohort: testCohort, Records: []Record{{Event: make([]byte, 200)}}})
-	is.True(errors.Is(err, ErrFull))
+	is.True(errors.Is(err, ErrHeldLimit))
 }
 
-// An owner has turns 5 to 7 held again after a death. The call that first gave
-// turn 5, slow on its way, comes last. Written under the same name, its file
-// would replace the larger one, and turns 6 and 7 be lost at the holder's restart.
-func TestSlowCopyKeepsALargerOne(t *testing.T) {
+// An owner has turns 5 to 7 held again after a peer's failure. The earlier, slow call with turn 5
+// alone arrives last. Under the same file name it would replace the larger file, and turns 6 and 7
+// would be lost at the holder's restart.
+func TestLateHoldDoesNotReplaceLargerCopy(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	h, err := OpenHeldCopies(folder, 0)
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -4,40 +4,44 @@
 	"foxhall/internal/program"
 )
 
-// index knows which entries of the own log are still needed, for compaction.
+// index records which entries of the own log are still needed. Compaction uses it.
 type index struct {
-	first uint64
-	next  uint64
-	sizes map[uint64]int
-	// total and live are the bytes of all entries and of the records needed.
-	total    int
-	live     int
-	programs map[program.ID]*programIndex
-	// adoptions are the adoption records and the entries that hold them.
-	adoptions []placedAdoption
+	// first is the number of the log's oldest entry, next the number after its last one, and
+	// entrySizes the size in bytes of each entry by its number.
+	first      uint64
+	next       uint64
+	entrySizes map[uint64]int
+	// totalBytes is the size of all entries, liveBytes that of the records still needed.
+	totalBytes int
+	liveBytes  int
+	programs   map[program.ID]*programIndex
+	// adoptions are the adoption records and the numbers of their entries.
+	adoptions []adoptionPosition
 }
 
-// programIndex is what compaction knows of one program.
+// programIndex is the part of the index for one program.
 type programIndex struct {
-	// last is the sequence of the last record that was queued.
-	last uint64
-	// base is the entry of the oldest record needed; zero if none is in the log.
-	base uint64
-	// bytes is the size of the records needed.
-	bytes int
+	// lastSequence is the sequence of the program's last record that was queued.
+	lastSequence uint64
+	// oldestEntry is the entry of the oldest record still needed; zero if none is in the log.
+	oldestEntry uint64
+	// liveBytes is the size of the records still needed.
+	liveBytes int
 }
 
-type placedAdoption struct {
+// adoptionPosition is an adoption record and the number of its entry.
+type adoptionPosition struct {
 	record Record
 	entry  uint64
 }
 
 func newIndex() index {
-	return index{first: 1, next: 1, sizes: map[uint64]int{}, programs: map[program.ID]*programIndex{}}
+	return index{first: 1, next: 1, entrySizes: map[uint64]int{}, programs: map[program.ID]*programIndex{}}
 }
 
-func (x *index) enqueued(r Record) {
-	if r.Kind == adopted {
+// noteEnqueued is called for each record that is queued.
+func (x *index) noteEnqueued(r Record) {
+	if r.Kind == adoptionMark {
 		return
 	}
 	p := x.programs[r.Program]
@@ -45,78 +49,82 @@
 		p = &programIndex{}
 		x.programs[r.Program] = p
 	}
-	p.last = r.Sequence
+	p.lastSequence = r.Sequence
 }
 
-// refused forgets a program of which nothing was ever written.
-func (x *index) refused(r Record) {
+// noteRefused is called for each queued record that will not be written. It removes a program of
+// which no record was ever written.
+func (x *index) noteRefused(r Record) {
 	p := x.programs[r.Program]
-	if p != nil && p.base == 0 && p.last == r.Sequence {
+	if p != nil && p.oldestEntry == 0 && p.lastSequence == r.Sequence {
 		delete(x.programs, r.Program)
 	}
 }
 
-func (x *index) committed(e Entry, size int) {
+// noteCommitted is called for each entry that was written. size is its stored size in bytes.
+func (x *index) noteCommitted(e Entry, size int) {
 	x.next = e.Number + 1
-	x.sizes[e.Number] = size
-	x.total += size
+	x.entrySizes[e.Number] = size
+	x.totalBytes += size
 	for _, r := range e.Records {
-		x.place(r, e.Number)
+		x.addRecord(r, e.Number)
 	}
 }
 
-func (x *index) place(r Record, entry uint64) {
-	if r.Kind == adopted {
-		x.placeAdoption(r, entry)
+// addRecord adds a record that was written into the given entry.
+func (x *index) addRecord(r Record, entry uint64) {
+	if r.Kind == adoptionMark {
+		x.addAdoption(r, entry)
 		return
 	}
 	p := x.programs[r.Program]
 	if p == nil {
-		// A later record of it was refused and took its place in the index along.
-		p = &programIndex{last: r.Sequence}
+		// A later record of the program was refused, which removed it from the index.
+		p = &programIndex{lastSequence: r.Sequence}
 		x.programs[r.Program] = p
 	}
 	switch {
 	case r.Kind == Tombstone:
-		x.live -= p.bytes
-		p.base, p.bytes = 0, 0
-		if p.last == r.Sequence {
+		x.liveBytes -= p.liveBytes
+		p.oldestEntry, p.liveBytes = 0, 0
+		if p.lastSequence == r.Sequence {
 			delete(x.programs, r.Program)
 		}
 		return
 	case r.Kind == Snapshot:
-		x.live -= p.bytes
-		p.base, p.bytes = entry, 0
-	case p.base == 0:
-		p.base = entry
+		x.liveBytes -= p.liveBytes
+		p.oldestEntry, p.liveBytes = entry, 0
+	case p.oldestEntry == 0:
+		p.oldestEntry = entry
 	}
-	p.bytes += r.size()
-	x.live += r.size()
+	p.liveBytes += r.size()
+	x.liveBytes += r.size()
 }
 
-func (x *index) placeAdoption(r Record, entry uint64) {
+// addAdoption adds an adoption record, in place of an earlier one of the same shard.
+func (x *index) addAdoption(r Record, entry uint64) {
 	for i, a := range x.adoptions {
 		if a.record.Adoption.Cohort == r.Adoption.Cohort && a.record.Adoption.Shard == r.Adoption.Shard {
-			x.adoptions[i] = placedAdoption{r, entry}
+			x.adoptions[i] = adoptionPosition{r, entry}
 			return
 		}
 	}
-	x.adoptions = append(x.adoptions, placedAdoption{r, entry})
+	x.adoptions = append(x.adoptions, adoptionPosition{r, entry})
 }
 
-// basedBefore returns the programs that need an entry before the number, and
-// the last sequence queued for each.
-func (x *index) basedBefore(number uint64) map[program.ID]uint64 {
+// programsBefore returns the programs that need an entry before the number, each with the sequence
+// of its last queued record.
+func (x *index) programsBefore(number uint64) map[program.ID]uint64 {
 	found := map[program.ID]uint64{}
 	for id, p := range x.programs {
-		if p.base != 0 && p.base < number {
-			found[id] = p.last
+		if p.oldestEntry != 0 && p.oldestEntry < number {
+			found[id] = p.lastSequence
 		}
 	}
 	return found
 }
 
-// adoptionsBefore returns the adoption records that stand before the number.
+// adoptionsBefore returns the adoption records in entries before the number.
 func (x *index) adoptionsBefore(number uint64) []Record {
 	var found []Record
 	for _, a := range x.adoptions {
@@ -127,11 +135,11 @@
 	return found
 }
 
-// needed returns the oldest entry that something needs, but at most limit.
-func (x *index) needed(limit uint64) uint64 {
+// oldestNeeded returns the number of the oldest entry that is still needed, but at most limit.
+func (x *index) oldestNeeded(limit uint64) uint64 {
 	for _, p := range x.programs {
-		if p.base != 0 {
-			limit = min(limit, p.base)
+		if p.oldestEntry != 0 {
+			limit = min(limit, p.oldestEntry)
 		}
 	}
 	for _, a := range x.adoptions {
@@ -140,10 +148,10 @@
 	return limit
 }
 
-// dropBefore forgets the entries before the number.
-func (x *index) dropBefore(number uint64) {
+// dropEntriesBefore removes the entries before the number.
+func (x *index) dropEntriesBefore(number uint64) {
 	for ; x.first < number; x.first++ {
-		x.total -= x.sizes[x.first]
-		delete(x.sizes, x.first)
+		x.totalBytes -= x.entrySizes[x.first]
+		delete(x.entrySizes, x.first)
 	}
 }
--- a/internal/ledger/log_test.go
+++ b/internal/ledger/log_test.go
@@ -16,56 +16,57 @@
 	"foxhall/internal/store"
 )
 
-// peers is a fake of the peers that hold copies.
-type peers struct {
+// fakeHolders is a fake of Holders. Each Hold is confirmed by a fixed number of peers.
+type fakeHolders struct {
 	mu       sync.Mutex
 	copies   []Copy
 	confirm  int
 	released uint64
 }
 
-func (p *peers) Hold(_ context.Context, c Copy) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.copies = append(p.copies, c)
-	return p.confirm, nil
+func (f *fakeHolders) Hold(_ context.Context, c Copy) (int, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.copies = append(f.copies, c)
+	return f.confirm, nil
 }
 
-func (p *peers) Release(_ context.Context, _ program.Cohort, upTo uint64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.released = max(p.released, upTo)
+func (f *fakeHolders) Release(_ context.Context, _ program.Cohort, upTo uint64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.released = max(f.released, upTo)
 }
 
-// offers is a fake of the successors.
-type offers struct {
+// fakeSuccessors is a fake of Successors that records what it is offered.
+type fakeSuccessors struct {
 	mu    sync.Mutex
 	taken []Record
 }
 
-func (o *offers) Offer(_ context.Context, _ *Seal, c Copy) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.taken = append(o.taken, c.Records...)
+func (f *fakeSuccessors) Offer(_ context.Context, _ *Seal, c Copy) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.taken = append(f.taken, c.Records...)
 	return nil
 }
 
 const testCohort = program.Cohort("sul1.a.one")
 
-type rig struct {
-	standIn *standin.Store
-	tracked *store.Tracked
-	log     *Log
-	peers   *peers
-	offers  *offers
+// harness is a log over a stand-in store, with fakes of its peers.
+type harness struct {
+	standIn    *standin.Store
+	tracked    *store.Tracked
+	log        *Log
+	holders    *fakeHolders
+	successors *fakeSuccessors
 }
 
-// newRig opens a log over a stand-in store. It must be called in a synctest bubble.
-func newRig(t *testing.T, change func(*Options)) *rig {
+// newHarness opens a log over a stand-in store. It must be called in a synctest bubble.
+func newHarness(t *testing.T, change func(*Options)) *harness {
 	t.Helper()
-	r := &rig{standIn: standin.NewStore(), peers: &peers{confirm: RequiredCopies}, offers: &offers{}}
+	r := &harness{standIn: standin.NewStore(), holders: &fakeHolders{confirm: RequiredCopies}, successors: &fakeSuccessors{}}
 	r.tracked = store.Track(r.standIn, nil)
-	o := Options{Cohort: testCohort, Store: r.tracked, Holders: r.peers, Successors: r.offers, Writes: 1000}
+	o := Options{Cohort: testCohort, Store: r.tracked, Holders: r.holders, Successors: r.successors, Writes: 1000}
 	if change != nil {
 		change(&o)
 	}
@@ -78,12 +79,13 @@
 	return r
 }
 
-func (r *rig) close() {
+func (r *harness) close() {
 	r.log.Close()
 	r.tracked.Close()
 }
 
-func (r *rig) seal(t *testing.T) Cohort {
+// seal seals the log as a successor does and returns the sealed cohort.
+func (r *harness) seal(t *testing.T) Cohort {
 	t.Helper()
 	cohort, err := SealLog(t.Context(), r.standIn, testCohort, Seal{By: "sul1.b.one", At: time.Now()})
 	if err != nil {
@@ -93,7 +95,7 @@
 }
 
 // recover reads the log as a successor does.
-func (r *rig) recover(t *testing.T) *History {
+func (r *harness) recover(t *testing.T) *History {
 	t.Helper()
 	cohort, err := ReadCohort(t.Context(), r.standIn, testCohort)
 	if err != nil {
@@ -116,13 +118,12 @@
 	return out
 }
 
-// An intent is written and the store applies it, but the answer is lost. The
-// caller must get nil, not "not run" and not a second entry: the log reads the
-// number back and finds its own write id.
-func TestIntentAnswerLost(t *testing.T) {
+// The store applies the write of an intent, but the response is lost. The log reads the number back
+// and finds its own write id. The caller must get nil, and no second entry may be written.
+func TestAppendSucceedsAfterLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		id := program.NewID(testCohort)
 		r.standIn.SetFaults(standin.StoreFaults{LoseAnswers: 1})
@@ -134,13 +135,13 @@
 	})
 }
 
-// The owner is paused; a successor seals the log and goes on. When the owner
-// wakes and appends an intent, its number is taken by the seal: the caller gets
-// ErrFenced, which is a true "not run", and the record never appears.
+// The owner is paused, and a successor seals the log. When the owner resumes and appends an intent,
+// the number is used by the seal. The caller must get ErrFenced, which correctly means that the step
+// was not run, and the record must never appear.
 func TestPausedOwnerIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		id := program.NewID(testCohort)
 		is.NoErr(r.log.Append(t.Context(), event(id, "before")))
@@ -154,13 +155,13 @@
 	})
 }
 
-// The store is down for the whole step. The first append finds out; the next
-// is refused at once, without a call or a wait. A turn is content with two
-// peers' copies and is in the log, in order, once the store is back.
-func TestStoreDownForTheWholeStep(t *testing.T) {
+// The store is down for the duration of a step. The first append detects it; the next is refused at
+// once, without a call or a wait. Turns are accepted with copies on two peers, and must be in the
+// log, in order, once the store is back.
+func TestStoreDownDuringStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		id := program.NewID(testCohort)
 		r.standIn.SetFaults(standin.StoreFaults{Down: true})
@@ -170,7 +171,7 @@
 		is.Equal(time.Since(started), time.Duration(0))
 		is.NoErr(r.log.AppendOrHold(t.Context(), event(id, "turn 1")))
 		is.NoErr(r.log.AppendOrHold(t.Context(), event(id, "turn 2")))
-		is.Equal(len(r.peers.copies), 2)
+		is.Equal(len(r.holders.copies), 2)
 		r.standIn.SetFaults(standin.StoreFaults{})
 		time.Sleep(10 * time.Second)
 		is.True(r.log.Available())
@@ -178,17 +179,17 @@
 		h := r.recover(t)
 		is.Equal(texts(h.Programs[id]), []string{"turn 1", "turn 2", "turn 3"})
 		synctest.Wait()
-		is.Equal(r.peers.released, h.Programs[id][1].Sequence)
+		is.Equal(r.holders.released, h.Programs[id][1].Sequence)
 	})
 }
 
-// The store goes down after a write was sent and before its answer: it may or
-// may not have taken effect. A caller whose deadline ends is told just that;
-// nobody is told "not written".
-func TestUnsettledUntilTheDeadline(t *testing.T) {
+// The store goes down after a write was sent and before its response: the write may or may not have
+// taken effect. A caller whose deadline passes must get ErrUnsettled, and nobody may be told that the
+// record was not written.
+func TestUnknownOutcomeAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		id := program.NewID(testCohort)
 		r.standIn.SetFaults(standin.StoreFaults{Delay: time.Second, LoseAnswers: 1})
@@ -207,13 +208,13 @@
 	})
 }
 
-// The store goes down, turns are held by peers, and a successor seals the log
-// before the store is back for the owner. The owner's turns, promised to
-// callers as durable, are offered to the successors.
+// The store goes down, turns are held by peers, and a successor seals the log before the owner can
+// reach the store again. The held turns were reported to callers as durable, and must be offered to
+// the successors.
 func TestHeldTurnsAreOfferedAfterASeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		id := program.NewID(testCohort)
 		r.standIn.SetFaults(standin.StoreFaults{Down: true})
@@ -223,19 +224,18 @@
 		r.seal(t)
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		is.Equal(texts(r.offers.taken), []string{"turn", "turn 2"})
+		is.Equal(texts(r.successors.taken), []string{"turn", "turn 2"})
 		is.True(errors.Is(r.log.Append(t.Context(), event(id, "x")), ErrFenced))
 	})
 }
 
-// A sealer dies between its seal entry and the cohort's object, which then
-// still says "not sealed". The next sealer must find that seal and not put
-// another behind it: the two would name different successors, and both would
-// own the programs.
-func TestSealFoundThatWasNotRecorded(t *testing.T) {
+// An instance writes a seal entry and dies before it records the seal in the cohort's object. The
+// next instance that seals the log must find that seal and not write another after it: the two would
+// name different successors, and both would own the programs.
+func TestUnrecordedSealIsFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		is.NoErr(r.log.Append(t.Context(), event(program.NewID(testCohort), "x")))
 		var successors [program.ShardCount]program.Cohort
@@ -248,24 +248,24 @@
 	})
 }
 
-// blinking is a store that is known to be down for a moment.
-type blinking struct {
+// flickeringStore is a store that can be reported down for a moment while its calls still succeed.
+type flickeringStore struct {
 	Store
 	down atomic.Bool
 }
 
-func (b *blinking) Down() bool { return b.down.Load() }
+func (s *flickeringStore) Down() bool { return s.down.Load() }
 
-// Turns 2 and 3 wait for their entry when the object API is down for a moment:
-// turn 4 is held by peers, and all are told to be durable. Written first, turn 4
-// would have turns 2 and 3, held in the next outage, pass for written when their
-// owner dies. The log must hold turns in the order of their sequences.
+// Turns 2 and 3 are queued when the object API is down for a moment, and turn 4 is held by peers. All
+// are reported as durable. If turn 4 were written first, and turns 2 and 3 held in the next outage,
+// a successor would take turns 2 and 3 for written, and they would be lost. The log must have turns
+// in the order of their sequences.
 func TestHeldTurnDoesNotOvertakeQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var blip *blinking
-		r := newRig(t, func(o *Options) {
-			blip = &blinking{Store: o.Store}
+		var blip *flickeringStore
+		r := newHarness(t, func(o *Options) {
+			blip = &flickeringStore{Store: o.Store}
 			o.Store, o.Writes = blip, 1
 		})
 		defer r.close()
@@ -284,13 +284,13 @@
 	})
 }
 
-// shaky is a store that fails the first reads of entries.
-type shaky struct {
+// failingReads is a store whose first reads of entries fail.
+type failingReads struct {
 	store.Client
 	failures int
 }
 
-func (s *shaky) Get(ctx context.Context, key store.Key) (store.Object, error) {
+func (s *failingReads) Get(ctx context.Context, key store.Key) (store.Object, error) {
 	if key.Kind != KindCohort && s.failures > 0 {
 		s.failures--
 		return store.Object{}, store.ErrUnavailable
@@ -298,16 +298,16 @@
 	return s.Client.Get(ctx, key)
 }
 
-// The object API fails for a moment while a successor, which has marked the log
-// as about to be sealed, searches its end. Given up, the mark stays, and a
-// living owner can't compact its log any more. The search must go on.
-func TestSealSurvivesABlip(t *testing.T) {
+// The object API fails for a moment while a successor, which has set Cohort.Sealing, searches for the
+// end of the log. If the search were abandoned, the mark would stay and a living owner could never
+// compact its log again. The search must continue.
+func TestSealLogRetriesDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		defer r.close()
 		is.NoErr(r.log.Append(t.Context(), event(program.NewID(testCohort), "1")))
-		sealed, err := SealLog(t.Context(), &shaky{r.standIn, 2}, testCohort, Seal{By: "sul1.b.one"})
+		sealed, err := SealLog(t.Context(), &failingReads{r.standIn, 2}, testCohort, Seal{By: "sul1.b.one"})
 		is.NoErr(err)
 		is.Equal(sealed.SealNumber, uint64(2))
 	})
--- a/internal/ledger/moved_test.go
+++ b/internal/ledger/moved_test.go
@@ -13,17 +13,17 @@
 	"foxhall/internal/store"
 )
 
-// An owner is paused at its start, taken over, and its log adopted and deleted.
-// It wakes and makes its object: two instances would own its programs. It finds
-// what is left of the cohort instead, is fenced, and leaves no object behind.
-func TestCreationAfterTheLogIsGone(t *testing.T) {
+// An owner is paused at its start and taken over, and its log is adopted and deleted. When it resumes
+// it creates its cohort's object, with which two instances would own its programs. It must find the
+// object under the moved key, be fenced, and delete the object that it created.
+func TestLateCreationAfterLogDeletionIsReverted(t *testing.T) {
 	is := is.New(t)
 	var appended, absent error
 	var fenced bool
 	synctest.Test(t, func(t *testing.T) {
 		ctx, platform := context.Background(), standin.NewStore()
-		gone := Cohort{Cohort: testCohort, First: 1, Seal: &Seal{By: "sul1.b.two"}, SealNumber: 1}
-		_, _ = platform.Put(ctx, MovedKey(testCohort), EncodeCohort(gone), 0)
+		moved := Cohort{Cohort: testCohort, First: 1, Seal: &Seal{By: "sul1.b.two"}, SealNumber: 1}
+		_, _ = platform.Put(ctx, MovedKey(testCohort), EncodeCohort(moved), 0)
 		tracked := store.Track(platform, nil)
 		log, _ := Open(ctx, Options{Cohort: testCohort, Store: tracked})
 		time.Sleep(time.Second)
--- a/internal/ownership/failure_test.go
+++ b/internal/ownership/failure_test.go
@@ -15,13 +15,14 @@
 	"foxhall/internal/store"
 )
 
-func (n *node) seed(t *testing.T, programs int) []program.ID {
+// seed creates programs with one turn each on the instance and returns their ids.
+func (inst *instance) seed(t *testing.T, programs int) []program.ID {
 	t.Helper()
 	var ids []program.ID
 	for i := range programs {
-		id := program.ID(fmt.Sprintf("%s:%026d", n.self.Cohort, i))
-		n.owner.insert(id, newProgram()).add("turn")
-		if err := n.log.Append(t.Context(), ledger.Record{Program: id, Event: []byte("turn")}); err != nil {
+		id := program.ID(fmt.Sprintf("%s:%026d", inst.self.Cohort, i))
+		inst.owner.insert(id, newProgram()).add("turn")
+		if err := inst.log.Append(t.Context(), ledger.Record{Program: id, Event: []byte("turn")}); err != nil {
 			t.Fatal(err)
 		}
 		ids = append(ids, id)
@@ -29,70 +30,70 @@
 	return ids
 }
 
-// checkAllOn fails unless the node owns and holds all the programs.
-func checkAllOn(t *testing.T, n *node, ids []program.ID) {
+// checkAllOn fails the test unless the instance owns all the programs and each has its one event.
+func checkAllOn(t *testing.T, inst *instance, ids []program.ID) {
 	t.Helper()
 	for _, id := range ids {
-		owner, err := n.keeper.Directory().Locate(t.Context(), id)
+		owner, err := inst.reconciler.Directory().Locate(t.Context(), id)
 		if err != nil || !owner.IsSelf {
-			t.Fatalf("%s is located at %v, %v", id, owner, err)
+			t.Fatalf("%s: expected this instance as owner, found %v, %v", id, owner, err)
 		}
-		p := n.owner.lookup(id)
-		if !n.keeper.Adopted(id) || p == nil || len(p.Events) != 1 {
-			t.Fatalf("%s is not whole on its owner: %v", id, p)
+		p := inst.owner.lookup(id)
+		if !inst.reconciler.Adopted(id) || p == nil || len(p.Events) != 1 {
+			t.Fatalf("%s: expected an adopted program with one event on its owner, found %v", id, p)
 		}
 	}
 }
 
-// Two instances stop at the same moment. Each seals its log before it learns
-// of the other and names it: the seals form a ring and nobody owns the
-// programs. The third instance breaks the ring and adopts them all.
+// Two instances stop at the same time. Each seals its log and names the other as successor before it
+// knows of the other's stop: the seals form a ring, and nobody owns the programs. A third instance must
+// break the ring and adopt all of them.
 func TestRingOfSealsIsBroken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
 		a, b := w.start(1), w.start(1)
 		ids := append(a.seed(t, 20), b.seed(t, 20)...)
-		for _, pair := range [][2]*node{{a, b}, {b, a}} {
+		for _, pair := range [][2]*instance{{a, b}, {b, a}} {
 			_, _, err := pair[0].log.Seal(t.Context(), DistributeShards(pair[0].self.Cohort, []Member{pair[1].self}))
 			is.NoErr(err)
 		}
 		c := w.start(1)
 		time.Sleep(time.Minute)
 		checkAllOn(t, c, ids)
-		for _, n := range w.all(running) {
-			n.shut()
+		for _, inst := range w.all(running) {
+			inst.close()
 		}
 	})
 }
 
-// A planned stop hands over to two instances. The one that left and one of the
-// successors are killed before the successor has adopted. The chain of seals
-// leads on to the survivor, which adopts the slices of both.
-func TestBothInstancesOfAHandOverKilled(t *testing.T) {
+// An instance hands over to two successors at a planned stop. It and one of the successors are killed
+// before that successor has adopted its shards. The chain of seals leads to the survivor, which must
+// adopt the shards of both.
+func TestHandOverWithBothInstancesKilled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
 		w.manual = true
-		leaving, successor := w.start(1), w.start(1)
+		stopping, successor := w.start(1), w.start(1)
 		w.manual = false
 		survivor := w.start(1)
-		ids := append(leaving.seed(t, 40), successor.seed(t, 10)...)
-		is.NoErr(leaving.keeper.HandOver(t.Context()))
-		// The survivor's keeper reads the world's state: it must be at rest.
+		ids := append(stopping.seed(t, 40), successor.seed(t, 10)...)
+		is.NoErr(stopping.reconciler.HandOver(t.Context()))
+		// The survivor's reconciler reads the state of the test's instances, so it must be idle.
 		synctest.Wait()
-		w.crash(leaving)
+		w.crash(stopping)
 		w.crash(successor)
 		time.Sleep(time.Minute)
 		checkAllOn(t, survivor, ids)
-		survivor.shut()
+		survivor.close()
 	})
 }
 
-// An owner is paused between its intent and the next one while a successor
-// takes over. Awake, its append is refused as fenced, which is a true "not
-// run", and it can tell its caller where the program is now.
-func TestOwnerPausedPastTakeOver(t *testing.T) {
+// An owner is paused between two intents while a successor takes over. When it resumes, its append must
+// be refused as fenced, which correctly means that the step was not run, and it must locate the
+// program's new owner for its caller.
+func TestOwnerPausedDuringTakeOverIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -104,17 +105,17 @@
 		w.resume(paused)
 		err := paused.log.Append(context.Background(), ledger.Record{Program: ids[0], Event: []byte("late")})
 		is.True(errors.Is(err, ledger.ErrFenced))
-		owner, err := paused.keeper.Directory().Locate(t.Context(), ids[0])
+		owner, err := paused.reconciler.Directory().Locate(t.Context(), ids[0])
 		is.NoErr(err)
 		is.Equal(owner.Cohort, other.self.Cohort)
-		paused.shut()
-		other.shut()
+		paused.close()
+		other.close()
 	})
 }
 
-// Members of different size get slices by their size, the same whoever works
-// it out, and at most maxSuccessors of them read the log.
-func TestSpreadBySize(t *testing.T) {
+// Members must get shards in proportion to their weights, independent of the order of members, and at
+// most maxSuccessors of them may read the log.
+func TestDistributeShardsByWeight(t *testing.T) {
 	is := is.New(t)
 	members := []Member{{Cohort: "d.a.1", Weight: 1}, {Cohort: "d.b.1", Weight: 2}, {Cohort: "d.c.1", Weight: 5}}
 	counts := map[program.Cohort]int{}
@@ -128,13 +129,13 @@
 		many = append(many, Member{Cohort: program.Cohort(fmt.Sprintf("d.i%d.1", i))})
 	}
 	spread := DistributeShards("d.x.1", many)
-	is.Equal(len(distinct(&ledger.Seal{Successors: spread})), maxSuccessors)
+	is.Equal(len(successorSet(&ledger.Seal{Successors: spread})), maxSuccessors)
 }
 
-// An instance was paused while its log was sealed, lives again and does not know yet. A ring that
-// its seal is part of is broken into its own log: nobody owns its slices, and the others wake each
-// other without end to break the ring again.
-func TestRingIsNotBrokenIntoASealedLog(t *testing.T) {
+// An instance is paused while its log is sealed; it resumes and does not know of the seal yet. Its seal
+// is part of a ring. If the ring were broken by naming this instance as successor, its shards would
+// still have no owner, and the others would wake each other endlessly to break the ring again.
+func TestRingIsNotReassignedToSealedLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -145,70 +146,70 @@
 		c.seed(t, 1)
 		_, _, err := b.log.Seal(t.Context(), DistributeShards(b.self.Cohort, []Member{a.self}))
 		is.NoErr(err)
-		is.NoErr(b.keeper.Reconcile(t.Context()))
+		is.NoErr(b.reconciler.Reconcile(t.Context()))
 		w.pause(a)
 		time.Sleep(time.Second)
-		_, err = c.keeper.takeOver(t.Context(), Dead{Cohort: a.self.Cohort}, []Member{b.self})
+		_, err = c.reconciler.takeOver(t.Context(), Dead{Cohort: a.self.Cohort}, []Member{b.self})
 		is.NoErr(err)
 		time.Sleep(time.Minute)
 		w.resume(a)
-		is.NoErr(c.keeper.Reconcile(t.Context()))
+		is.NoErr(c.reconciler.Reconcile(t.Context()))
 		checkAllOn(t, c, ids)
-		for _, n := range w.all(running) {
-			n.shut()
+		for _, inst := range w.all(running) {
+			inst.close()
 		}
 	})
 }
 
-// offering is an adopter that is offered a late record while it adopts.
-type offering struct {
+// offeringAdopter is an adopter that calls duringAdopt while it adopts one shard.
+type offeringAdopter struct {
 	*fakeOwner
-	slice  int
-	during func()
+	shard       int
+	duringAdopt func()
 }
 
-func (o offering) Adopt(ctx context.Context, a Adoption) error {
+func (o offeringAdopter) Adopt(ctx context.Context, a Adoption) error {
 	err := o.fakeOwner.Adopt(ctx, a)
-	if a.Shard == o.slice {
-		o.during()
+	if a.Shard == o.shard {
+		o.duringAdopt()
 	}
 	return err
 }
 
-// A former owner offers a turn, which its caller was told is durable, while the
-// successor has read its log and writes the snapshots. Told "taken", it drops
-// the turn, the slice counts as adopted, and nobody looks at the turn again. So
-// the offer must fail until the slice is adopted, and bring the turn then.
-func TestOfferDuringAdoption(t *testing.T) {
+// A former owner offers a turn that was reported as durable to its caller, after the successor has read
+// the log and while it writes the snapshots. If the offer were accepted then, the former owner would
+// drop the turn, the shard would count as adopted, and the turn would be lost. The offer must fail until
+// the shard is adopted, and succeed with the turn then.
+func TestOfferDuringAdoptionIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
 		w.manual = true
 		former, successor := w.start(1), w.start(1)
-		defer successor.shut()
+		defer successor.close()
 		id := former.seed(t, 1)[0]
 		w.crash(former)
 		time.Sleep(time.Minute)
 		late := ledger.Copy{Cohort: former.self.Cohort, Records: []ledger.Record{{Program: id, Sequence: 9, Event: []byte("late")}}}
 		var during error
-		successor.keeper.o.Adopter = offering{successor.owner, id.Shard(), func() { during = successor.keeper.AcceptOffered(t.Context(), late) }}
-		is.NoErr(successor.keeper.Reconcile(t.Context()))
+		successor.reconciler.options.Adopter = offeringAdopter{successor.owner, id.Shard(), func() { during = successor.reconciler.AcceptOffered(t.Context(), late) }}
+		is.NoErr(successor.reconciler.Reconcile(t.Context()))
 		is.True(errors.Is(during, ErrNotAdopted))
-		is.NoErr(successor.keeper.AcceptOffered(t.Context(), late))
+		is.NoErr(successor.reconciler.AcceptOffered(t.Context(), late))
 		is.Equal(successor.owner.lookup(id).Events, []string{"turn", "late"})
 	})
 }
 
-// An instance marks a log as about to be sealed and dies before the seal; the
-// owner lives after all. Nobody would look at the log again, and the mark keeps
-// its owner from compacting it for ever. Another instance ends what was begun.
-func TestBegunSealOfALivingOwnerIsEnded(t *testing.T) {
+// An instance sets Cohort.Sealing and dies before it writes the seal, while the owner is alive. The mark
+// would keep the owner from compacting its log for ever, as no instance examines the log of a living
+// owner. Another instance must finish the seal and adopt the programs.
+func TestUnfinishedSealOfLivingOwnerIsFinished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
 		owner, other := w.start(1), w.start(1)
-		defer owner.shut()
-		defer other.shut()
+		defer owner.close()
+		defer other.close()
 		ids := owner.seed(t, 10)
 		is.NoErr(ledger.UpdateCohort(t.Context(), w.standIn, owner.self.Cohort, func(c *ledger.Cohort) bool {
 			c.Sealing = true
@@ -219,12 +220,11 @@
 	})
 }
 
-// A program has two owners. Its cohort was taken over, adopted and deleted; then a
-// create of the cohort's object takes effect that was sent long before, since
-// nothing is there any more. The object has no seal, and the cohort's owner is
-// dead: it is sealed again, with another successor. The adoption that was must
-// hold, and the object go.
-func TestLateCreateOfADeletedCohortChangesNoOwner(t *testing.T) {
+// A cohort is taken over, adopted and deleted. Then a creation of its object takes effect that was sent
+// long before, since the object does not exist. It has no seal, and the cohort's owner is dead; sealed
+// again with another successor, its programs would have two owners. The earlier adoption must stay in
+// effect and the object be deleted.
+func TestLateCreationOfDeletedCohortKeepsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -241,11 +241,11 @@
 		checkAllOn(t, b, ids)
 		_, err = w.standIn.Get(t.Context(), ledger.CohortKey(a.self.Cohort))
 		is.True(errors.Is(err, store.ErrNotFound))
-		owner, err := c.keeper.Directory().Locate(t.Context(), ids[0])
+		owner, err := c.reconciler.Directory().Locate(t.Context(), ids[0])
 		is.NoErr(err)
 		is.Equal(owner.Cohort, b.self.Cohort)
-		for _, n := range w.all(running) {
-			n.shut()
+		for _, inst := range w.all(running) {
+			inst.close()
 		}
 	})
 }
--- a/internal/ownership/successor_test.go
+++ b/internal/ownership/successor_test.go
@@ -12,10 +12,9 @@
 	"foxhall/internal/program"
 )
 
-// A caller's program is answered "moved" for ever. Its owner dies, and the only
-// other instance of the data centre sees itself cut off just then, so that it
-// counts nobody as living. It sealed the dead log all the same, with no
-// successor: the chain ended nowhere, and nobody could own the program again.
+// An owner dies while the only other instance of the data centre considers itself isolated, so that it
+// counts nobody as living. If it sealed the log then, the seal would name no successor, no instance
+// could ever own the programs, and their callers would be redirected for ever.
 func TestNoSealWithoutASuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -28,10 +27,10 @@
 		time.Sleep(time.Minute)
 		w.setIsolated(b, false)
 		time.Sleep(10 * time.Second)
-		owner, err := b.keeper.Directory().Locate(context.Background(), id)
+		owner, err := b.reconciler.Directory().Locate(context.Background(), id)
 		is.NoErr(err)
 		is.True(owner.IsSelf)
-		is.True(b.keeper.Adopted(id))
-		b.shut()
+		is.True(b.reconciler.Adopted(id))
+		b.close()
 	})
 }
