--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -29,7 +29,7 @@
 
 // settle waits until the changes of n instances' start have been carried as
 // often as they are; a quiet fleet is measured.
-func settle(n int) { time.Sleep(time.Duration(benchPeriods+3*n/2) * benchPeriod) }
+func awaitQuiet(n int) { time.Sleep(time.Duration(benchPeriods+3*n/2) * benchPeriod) }
 
 // cpu returns the processor time that this process has used.
 func cpu() time.Duration {
@@ -42,7 +42,7 @@
 
 // benchTimes are the default times with probes on the benchmark's period. The
 // probe timeout stays, so that a busy machine does not turn into suspicions.
-func benchTimes() Timing {
+func benchTiming() Timing {
 	times := DefaultTiming()
 	times.SuspectTimeout = times.SuspectTimeout * benchPeriod / times.Period
 	times.Period = benchPeriod
@@ -68,7 +68,7 @@
 			Report:    Report{Size: 16, ConfigVersion: 123456, StoreHealthy: true, Load: 500},
 			Seeds:     []string{seed},
 			Transport: PeerTransport{client},
-			Timing:    benchTimes(),
+			Timing:    benchTiming(),
 			Seed:      uint64(i),
 			Log:       &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
 			Registry:  metrics.NewRegistry(),
@@ -101,7 +101,7 @@
 				var wait sync.WaitGroup
 				runners, registry := startLoopback(b, ctx, n, &wait)
 				awaitAll(runners, n)
-				settle(n)
+				awaitQuiet(n)
 				count := func(name string) int64 { return metrics.GetOrRegisterCounter(name, registry).Count() }
 				traffic := func() int64 { return count("peer.client.bytes_in") + count("peer.client.bytes_out") }
 				calls, bytes, used := count("peer.client.calls.Ping"), traffic(), cpu()
@@ -138,17 +138,17 @@
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
 			for range b.N {
 				net := newNetwork()
-				net.times = benchTimes()
+				net.timing = benchTiming()
 				var runners []*Runner
 				for i := range n {
 					runners = append(runners, net.start(fmt.Sprintf("dc%d", i%5), fmt.Sprintf("instance-%03d", i), 1).runner)
 				}
 				awaitAll(runners, n)
-				settle(n)
-				sent, bytes, used := net.totals(), net.totalBytes(), cpu()
+				awaitQuiet(n)
+				sent, bytes, used := net.totalMessages(), net.totalBytes(), cpu()
 				time.Sleep(benchPeriods * benchPeriod)
 				perInstance := float64(n * benchPeriods)
-				b.ReportMetric(float64(net.totals()-sent)/perInstance, "messages/period")
+				b.ReportMetric(float64(net.totalMessages()-sent)/perInstance, "messages/period")
 				b.ReportMetric(2*float64(net.totalBytes()-bytes)/perInstance, "payload_bytes/period")
 				b.ReportMetric(float64((cpu()-used).Microseconds())/perInstance, "cpu_us/period")
 				b.ReportMetric(periodsUntil(net, runners[0], Leaving), "leave_periods")
@@ -176,22 +176,22 @@
 }
 
 // memoryCopies is the number of tables over which memory is averaged.
-const memoryCopies = 50
+const tableCopies = 50
 
 // BenchmarkMemory measures the heap for each member held, views included.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{10, 100, 370} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
 			for range b.N {
-				var tables [memoryCopies]*Table
-				var views [memoryCopies]*View
+				var tables [tableCopies]*Table
+				var views [tableCopies]*View
 				before := heap()
 				for i := range tables {
 					tables[i] = fullTable(n)
 					views[i] = tables[i].View(time.Now())
 				}
 				used := int64(heap()) - int64(before)
-				b.ReportMetric(float64(used)/float64(n*memoryCopies), "bytes/member")
+				b.ReportMetric(float64(used)/float64(n*tableCopies), "bytes/member")
 				runtime.KeepAlive(tables)
 				runtime.KeepAlive(views)
 			}
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -40,7 +40,7 @@
 // One instance can't reach another although everybody else can: a broken
 // link, in one direction. It is one witness and must not get the other killed,
 // nor even suspected: helpers reach it and say so.
-func TestOneBrokenLinkKillsNobody(t *testing.T) {
+func TestOneBrokenLinkCausesNoDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -51,8 +51,8 @@
 		net.mu.Unlock()
 		time.Sleep(10 * time.Minute)
 		for _, nd := range nodes {
-			is.Equal(nd.declared(DeclaredDead, nodes[1].cohort), 0)
-			is.Equal(nd.declared(Suspected, nodes[1].cohort), 0)
+			is.Equal(nd.eventCount(DeclaredDead, nodes[1].cohort), 0)
+			is.Equal(nd.eventCount(Suspected, nodes[1].cohort), 0)
 			is.Equal(nd.stateOf(nodes[1]), Live)
 		}
 	})
@@ -73,7 +73,7 @@
 		is.Equal(nodes[1].stateOf(nodes[0]), Dead)
 		nodes[0].resume()
 		time.Sleep(deathBound)
-		is.True(nodes[0].declared(SelfDead, nodes[0].cohort) > 0) // it learned of its death
+		is.True(nodes[0].eventCount(SelfDead, nodes[0].cohort) > 0) // it learned of its death
 		is.True(nodes[0].runner.View().Self.Incarnation > before)
 		for _, nd := range nodes {
 			is.Equal(nd.stateOf(nodes[0]), Live)
@@ -105,7 +105,7 @@
 // A process is paused until its object has been swept, and a crashed one's has
 // been too. The first wakes up and writes its object again, so that newcomers
 // find it; the second's is gone, so that objects don't pile up.
-func TestObjectsFollowTheProcesses(t *testing.T) {
+func TestInstanceObjectsMatchRunningProcesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := context.Background()
@@ -114,13 +114,13 @@
 		defer net.stop()
 		nodes[0].kill()
 		nodes[1].pause()
-		time.Sleep(4 * syncEvery)
+		time.Sleep(4 * listInterval)
 		for _, nd := range nodes[:2] {
 			_, err := net.objects.Get(ctx, storeKey(nd.cohort))
 			is.True(errors.Is(err, store.ErrNotFound))
 		}
 		nodes[1].resume()
-		time.Sleep(2 * syncEvery)
+		time.Sleep(2 * listInterval)
 		_, err := net.objects.Get(ctx, storeKey(nodes[1].cohort))
 		is.NoErr(err)
 		is.Equal(nodes[2].stateOf(nodes[1]), Live)
@@ -147,7 +147,7 @@
 		time.Sleep(leaveBound)
 		for _, nd := range nodes[1:] {
 			is.Equal(nd.stateOf(nodes[0]), Dead)
-			is.Equal(nd.declared(Suspected, nodes[0].cohort), 0)
+			is.Equal(nd.eventCount(Suspected, nodes[0].cohort), 0)
 		}
 		_, err := net.objects.Get(ctx, storeKey(nodes[0].cohort))
 		is.True(errors.Is(err, store.ErrNotFound))
@@ -182,12 +182,12 @@
 		defer net.stop()
 		first := net.start("dc0", "i0", 1)
 		time.Sleep(time.Second)
-		net.setDown(true)
+		net.setStoreDown(true)
 		second := net.startSeeded("dc1", "i0", 1, first.address)
 		time.Sleep(10 * time.Second)
 		is.Equal(first.stateOf(second), Live)
 		is.Equal(second.stateOf(first), Live)
-		net.setDown(false)
+		net.setStoreDown(false)
 		time.Sleep(2 * time.Minute)
 		_, err := net.objects.Get(context.Background(), storeKey(second.cohort))
 		is.NoErr(err)
@@ -203,9 +203,9 @@
 			net := newNetwork()
 			nodes := net.startFleet(2, size)
 			defer net.stop()
-			before := net.totals()
+			before := net.totalMessages()
 			time.Sleep(time.Minute)
-			rate = float64(net.totals()-before) / float64(len(nodes)) / 60
+			rate = float64(net.totalMessages()-before) / float64(len(nodes)) / 60
 		})
 		return rate
 	}
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -28,7 +28,7 @@
 	os.Exit(fuzzing.RunWithoutLeaks(m))
 }
 
-var errCut = errors.New("cut")
+var errNoConnection = errors.New("cut")
 
 // network carries encoded messages between instances in memory.
 type network struct {
@@ -41,7 +41,7 @@
 	sent    map[string]int
 	bytes   map[string]int
 	objects *standin.Store
-	times   Timing
+	timing  Timing
 }
 
 // node is a running or stopped process.
@@ -65,7 +65,7 @@
 		sent:    map[string]int{},
 		bytes:   map[string]int{},
 		objects: standin.NewStore(),
-		times:   DefaultTiming(),
+		timing:  DefaultTiming(),
 	}
 }
 
@@ -82,9 +82,9 @@
 		Address:   nd.address,
 		Report:    Report{Size: 1, StoreHealthy: true},
 		Seeds:     seeds,
-		Store:     gated{n.objects, nd},
-		Transport: memory{nd},
-		Timing:    n.times,
+		Store:     pausableStore{n.objects, nd},
+		Transport: memoryTransport{nd},
+		Timing:    n.timing,
 		Seed:      uint64(len(n.nodes)*100 + incarnation),
 		OnEvent:   func(e Event) { nd.events = append(nd.events, e) },
 		Log:       &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
@@ -133,7 +133,7 @@
 	}
 }
 
-func (nd *node) frozen() chan struct{} {
+func (nd *node) pauseEnd() chan struct{} {
 	nd.net.mu.Lock()
 	defer nd.net.mu.Unlock()
 	return nd.resumed
@@ -141,7 +141,7 @@
 
 func (n *network) cut(from, to string) { n.cuts[[2]string{from, to}] = true }
 
-func (n *network) cutBoth(a, b string) {
+func (n *network) cutBothWays(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut(a, b)
@@ -164,7 +164,7 @@
 // route finds the receiver of a message, or waits as a caller whose message
 // is lost does.
 func (n *network) route(ctx context.Context, from *node, to string) (*node, error) {
-	if frozen := from.frozen(); frozen != nil {
+	if frozen := from.pauseEnd(); frozen != nil {
 		<-frozen // a paused process does not even see its own deadline
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
@@ -181,9 +181,9 @@
 		return nil, ctx.Err()
 	}
 	if !up {
-		return nil, errCut
+		return nil, errNoConnection
 	}
-	if frozen := receiver.frozen(); frozen != nil {
+	if frozen := receiver.pauseEnd(); frozen != nil {
 		select {
 		case <-frozen:
 		case <-ctx.Done():
@@ -202,7 +202,7 @@
 }
 
 // totals returns the messages sent by all.
-func (n *network) totals() int {
+func (n *network) totalMessages() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	total := 0
@@ -225,7 +225,7 @@
 
 // memory is a node's Transport over the network, with each message encoded
 // and decoded as on the wire.
-type memory struct{ from *node }
+type memoryTransport struct{ from *node }
 
 func recode[M proto.Message](m M, into M) M {
 	data, err := proto.Marshal(m)
@@ -238,7 +238,7 @@
 	return into
 }
 
-func (m memory) Ping(ctx context.Context, to string, p Ping) (Pong, error) {
+func (m memoryTransport) Ping(ctx context.Context, to string, p Ping) (Pong, error) {
 	receiver, err := m.from.net.route(ctx, m.from, to)
 	if err != nil {
 		return Pong{}, err
@@ -253,20 +253,20 @@
 	return pongFromWire(answer.GetResponder(), answer.GetRecords())
 }
 
-func (m memory) PingVia(ctx context.Context, to string, v IndirectPing) (IndirectPong, error) {
+func (m memoryTransport) PingVia(ctx context.Context, to string, v IndirectPing) (IndirectPong, error) {
 	receiver, err := m.from.net.route(ctx, m.from, to)
 	if err != nil {
 		return IndirectPong{}, err
 	}
-	answer, err := Service{receiver.runner}.PingVia(ctx, recode(viaToWire(v), &peerpb.PingViaRequest{}))
+	answer, err := Service{receiver.runner}.PingVia(ctx, recode(indirectPingToWire(v), &peerpb.PingViaRequest{}))
 	if err != nil || ctx.Err() != nil {
-		return IndirectPong{}, errors.Wrap(errCut, "no answer in time")
+		return IndirectPong{}, errors.Wrap(errNoConnection, "no answer in time")
 	}
 	record, ok := fromWire(answer.GetTarget())
 	return IndirectPong{Reached: answer.GetReached() && ok, Target: record}, nil
 }
 
-func (m memory) Join(ctx context.Context, to string, sender Record) (Pong, error) {
+func (m memoryTransport) Join(ctx context.Context, to string, sender Record) (Pong, error) {
 	receiver, err := m.from.net.route(ctx, m.from, to)
 	if err != nil {
 		return Pong{}, err
@@ -291,7 +291,7 @@
 	return nodes
 }
 
-func (n *network) setDown(down bool) { n.objects.SetFaults(standin.StoreFaults{Down: down}) }
+func (n *network) setStoreDown(down bool) { n.objects.SetFaults(standin.StoreFaults{Down: down}) }
 
 func (n *network) stop() {
 	n.heal()
@@ -316,14 +316,14 @@
 }
 
 // noneDead checks that the node declared none of the others dead.
-func (nd *node) noneDead(is *is.I, others []*node) {
+func (nd *node) checkNoneDeclaredDead(is *is.I, others []*node) {
 	is.Helper()
 	for _, other := range others {
-		is.Equal(nd.declared(DeclaredDead, other.cohort), 0)
+		is.Equal(nd.eventCount(DeclaredDead, other.cohort), 0)
 	}
 }
 
-func (nd *node) declared(kind EventKind, of program.Cohort) int {
+func (nd *node) eventCount(kind EventKind, of program.Cohort) int {
 	nd.runner.mu.Lock()
 	defer nd.runner.mu.Unlock()
 	count := 0
@@ -336,28 +336,28 @@
 }
 
 // gated is a node's object API; it waits while the node is paused.
-type gated struct {
+type pausableStore struct {
 	store.Client
 	node *node
 }
 
-func (g gated) wait() {
-	if frozen := g.node.frozen(); frozen != nil {
+func (g pausableStore) wait() {
+	if frozen := g.node.pauseEnd(); frozen != nil {
 		<-frozen
 	}
 }
 
-func (g gated) List(ctx context.Context, kind, prefix string) ([]store.Object, error) {
+func (g pausableStore) List(ctx context.Context, kind, prefix string) ([]store.Object, error) {
 	g.wait()
 	return g.Client.List(ctx, kind, prefix)
 }
 
-func (g gated) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
+func (g pausableStore) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
 	g.wait()
 	return g.Client.Put(ctx, key, value, base)
 }
 
-func (g gated) Delete(ctx context.Context, key store.Key, base store.Version) error {
+func (g pausableStore) Delete(ctx context.Context, key store.Key, base store.Version) error {
 	g.wait()
 	return g.Client.Delete(ctx, key, base)
 }
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -16,7 +16,7 @@
 // healBound is within which all agree after the last fault: survivors of a
 // majority loss first hold back, then probes, suspicion and spread follow, and
 // members that were wrongly declared dead are tried again now and then.
-const healBound = 6 * time.Minute
+const convergenceBound = 6 * time.Minute
 
 // fault is one step of a drawn history.
 type fault struct {
@@ -39,33 +39,33 @@
 
 // oracle is the truth that the views must come to: which processes run.
 type oracle struct {
-	net      *network
-	slots    []*node // the newest process at each address
-	up       []bool
-	replaced []*node // processes that are gone
+	net     *network
+	newest  []*node // the newest process at each address
+	running []bool
+	ended   []*node // processes that are gone
 }
 
 func (o *oracle) apply(f fault) {
-	a, b := o.slots[f.a], o.slots[f.b]
+	a, b := o.newest[f.a], o.newest[f.b]
 	switch f.kind {
 	case "kill":
-		if o.up[f.a] && o.runningIn(a) > 1 {
+		if o.running[f.a] && o.runningIn(a) > 1 {
 			a.kill()
-			o.up[f.a] = false
-			o.replaced = append(o.replaced, a)
+			o.running[f.a] = false
+			o.ended = append(o.ended, a)
 		}
 	case "restart":
-		if o.up[f.a] {
+		if o.running[f.a] {
 			a.kill()
-			o.replaced = append(o.replaced, a)
+			o.ended = append(o.ended, a)
 		}
-		o.slots[f.a] = o.net.start(a.cohort.DataCentre(), a.runner.View().Self.Instance(), len(o.replaced)+2)
-		o.up[f.a] = true
+		o.newest[f.a] = o.net.start(a.cohort.DataCentre(), a.runner.View().Self.Instance(), len(o.ended)+2)
+		o.running[f.a] = true
 	case "leave":
-		if o.up[f.a] && o.runningIn(a) > 1 {
+		if o.running[f.a] && o.runningIn(a) > 1 {
 			o.leave(a)
-			o.up[f.a] = false
-			o.replaced = append(o.replaced, a)
+			o.running[f.a] = false
+			o.ended = append(o.ended, a)
 		}
 	case "pause":
 		a.pause()
@@ -74,16 +74,16 @@
 		o.net.cut(a.address, b.address)
 		o.net.mu.Unlock()
 	case "cut both":
-		o.net.cutBoth(a.address, b.address)
+		o.net.cutBothWays(a.address, b.address)
 	case "isolate":
-		for _, other := range o.slots {
-			o.net.cutBoth(a.address, other.address)
+		for _, other := range o.newest {
+			o.net.cutBothWays(a.address, other.address)
 		}
 	case "partition":
-		for _, x := range o.slots {
-			for _, y := range o.slots {
+		for _, x := range o.newest {
+			for _, y := range o.newest {
 				if x.cohort.DataCentre() == a.cohort.DataCentre() && y.cohort.DataCentre() != a.cohort.DataCentre() {
-					o.net.cutBoth(x.address, y.address)
+					o.net.cutBothWays(x.address, y.address)
 				}
 			}
 		}
@@ -92,14 +92,14 @@
 		o.net.loss = 0.2
 		o.net.mu.Unlock()
 	case "store":
-		o.net.setDown(f.b%2 == 0)
+		o.net.setStoreDown(f.b%2 == 0)
 	case "heal":
 		o.net.heal()
 	}
 }
 
 func (o *oracle) leave(nd *node) {
-	if nd.frozen() != nil {
+	if nd.pauseEnd() != nil {
 		nd.kill()
 		return
 	}
@@ -110,8 +110,8 @@
 
 func (o *oracle) runningIn(nd *node) int {
 	running := 0
-	for i, other := range o.slots {
-		if o.up[i] && other.cohort.DataCentre() == nd.cohort.DataCentre() {
+	for i, other := range o.newest {
+		if o.running[i] && other.cohort.DataCentre() == nd.cohort.DataCentre() {
 			running++
 		}
 	}
@@ -120,24 +120,24 @@
 
 // check compares every running process's view with the truth.
 func (o *oracle) check() error {
-	for i, nd := range o.slots {
-		if !o.up[i] {
+	for i, nd := range o.newest {
+		if !o.running[i] {
 			continue
 		}
 		view := nd.runner.View()
 		if view.Isolated {
 			return fmt.Errorf("%s holds itself isolated", nd.cohort)
 		}
-		for j, other := range o.slots {
-			if want, got := Live, nd.stateOf(other); o.up[j] && got != want {
+		for j, other := range o.newest {
+			if want, got := Live, nd.stateOf(other); o.running[j] && got != want {
 				return fmt.Errorf("%s holds the running %s %v", nd.cohort, other.cohort, got)
 			}
 			m, _ := view.Member(other.cohort)
-			if o.up[j] && m.Incarnation != other.runner.View().Self.Incarnation {
+			if o.running[j] && m.Incarnation != other.runner.View().Self.Incarnation {
 				return fmt.Errorf("%s holds %s at an outdated incarnation", nd.cohort, other.cohort)
 			}
 		}
-		for _, gone := range o.replaced {
+		for _, gone := range o.ended {
 			if got := nd.stateOf(gone); got != Dead {
 				return fmt.Errorf("%s holds the ended %s %v", nd.cohort, gone.cohort, got)
 			}
@@ -159,18 +159,18 @@
 		synctest.Test(t, func(*testing.T) {
 			net := newNetwork()
 			defer net.stop()
-			o := &oracle{net: net, slots: net.startFleet(centres, size)}
-			o.up = make([]bool, len(o.slots))
-			for i := range o.up {
-				o.up[i] = true
+			o := &oracle{net: net, newest: net.startFleet(centres, size)}
+			o.running = make([]bool, len(o.newest))
+			for i := range o.running {
+				o.running[i] = true
 			}
 			for _, f := range faults {
 				o.apply(f)
 				time.Sleep(f.wait)
 			}
 			net.heal()
-			net.setDown(false)
-			time.Sleep(healBound)
+			net.setStoreDown(false)
+			time.Sleep(convergenceBound)
 			failure = o.check()
 		})
 		if failure != nil {
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -23,16 +23,16 @@
 	joinContacts = 3
 	// aloneRetry and aloneRetryMax bound the pause between attempts to find
 	// anybody, doubled each time.
-	aloneRetry    = 2 * time.Second
-	aloneRetryMax = 30 * time.Second
+	joinRetry        = 2 * time.Second
+	maxRetryInterval = 30 * time.Second
 	// syncEvery is the time between two listings of the instance objects by an
 	// instance that has company: one read in ten minutes.
-	syncEvery = 10 * time.Minute
+	listInterval = 10 * time.Minute
 	// syncContacts bounds the unknown addresses tried after a listing.
-	syncContacts = 8
+	maxListedAddresses = 8
 	// strikesToDelete is how many listings in a row an object must be found
 	// without a process before it is deleted.
-	strikesToDelete = 2
+	missesToDelete = 2
 )
 
 // instanceObject is the value of an instance's object.
@@ -42,16 +42,16 @@
 
 // keepJoined finds other members: at once, again while there are none, and
 // then rarely, so that two groups that know nothing of each other meet.
-func (r *Runner) keepJoined(ctx context.Context) error {
+func (r *Runner) maintainJoin(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval, retry.MaxInterval = aloneRetry, aloneRetryMax
+	retry.InitialInterval, retry.MaxInterval = joinRetry, maxRetryInterval
 	strikes := map[program.Cohort]int{}
 	for {
 		r.join(ctx, strikes)
 		pause := retry.NextBackOff()
-		if !r.alone() {
+		if !r.isAlone() {
 			retry.Reset()
-			pause = r.jitter(syncEvery)
+			pause = r.jitter(listInterval)
 		}
 		select {
 		case <-ctx.Done():
@@ -69,19 +69,19 @@
 	return d*3/4 + time.Duration(r.rng.Int64N(int64(d/2)))
 }
 
-func (r *Runner) alone() bool {
+func (r *Runner) isAlone() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.table.among(func(e *entry) bool { return e.State.Present() })) == 0
+	return len(r.table.otherMembers(func(e *entry) bool { return e.State.Present() })) == 0
 }
 
 // join asks some of the known addresses for their records.
 func (r *Runner) join(ctx context.Context, strikes map[program.Cohort]int) {
-	objects := r.listed(ctx)
+	objects := r.listInstances(ctx)
 	candidates := r.candidates(objects)
 	contacts := 0
 	for i, address := range candidates {
-		if contacts == joinContacts || i == syncContacts+len(r.options.Seeds) || ctx.Err() != nil {
+		if contacts == joinContacts || i == maxListedAddresses+len(r.options.Seeds) || ctx.Err() != nil {
 			break
 		}
 		if r.joinAt(ctx, address) == nil {
@@ -90,7 +90,7 @@
 	}
 	if len(objects) > 0 {
 		r.reregister(ctx, objects)
-		r.sweep(ctx, objects, strikes)
+		r.sweepObjects(ctx, objects, strikes)
 	}
 }
 
@@ -116,13 +116,13 @@
 	if err != nil {
 		return err
 	}
-	r.takeIn("", pong)
+	r.mergePong("", pong)
 	return nil
 }
 
 // listed returns the instance objects, nothing when the store does not answer:
 // seeds and members already known serve then.
-func (r *Runner) listed(ctx context.Context) []store.Object {
+func (r *Runner) listInstances(ctx context.Context) []store.Object {
 	if r.options.Store == nil {
 		return nil
 	}
@@ -172,9 +172,9 @@
 }
 
 // keepRegistered writes this instance's object, trying until the store takes it.
-func (r *Runner) keepRegistered(ctx context.Context) error {
+func (r *Runner) registerWithRetry(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
-	retry.MaxInterval = aloneRetryMax
+	retry.MaxInterval = maxRetryInterval
 	for r.register(ctx) != nil {
 		select {
 		case <-ctx.Done():
@@ -217,18 +217,18 @@
 // the first in the object's rank does it, after finding the object without a
 // known process several times; a process that lives after all is still found
 // by its heartbeats.
-func (r *Runner) sweep(ctx context.Context, objects []store.Object, strikes map[program.Cohort]int) {
+func (r *Runner) sweepObjects(ctx context.Context, objects []store.Object, strikes map[program.Cohort]int) {
 	view := r.View()
 	var seen []program.Cohort
 	for _, o := range objects {
 		c := program.Cohort(o.Key.Name)
 		seen = append(seen, c)
-		if m, ok := view.Member(c); (ok && m.State != Dead) || !view.firstFor(c) {
+		if m, ok := view.Member(c); (ok && m.State != Dead) || !view.ranksFirst(c) {
 			delete(strikes, c)
 			continue
 		}
 		strikes[c]++
-		if strikes[c] < strikesToDelete {
+		if strikes[c] < missesToDelete {
 			continue
 		}
 		if err := r.options.Store.Delete(ctx, o.Key, o.Version); err == nil {
@@ -244,7 +244,7 @@
 
 // firstFor reports whether this instance is the first of all living members
 // in the rank of a key.
-func (v *View) firstFor(c program.Cohort) bool {
+func (v *View) ranksFirst(c program.Cohort) bool {
 	ranked := v.Ranked("", string(c))
 	return len(ranked) > 0 && ranked[0].Cohort == v.Self.Cohort
 }
--- a/internal/membership/loopback_test.go
+++ b/internal/membership/loopback_test.go
@@ -18,7 +18,7 @@
 
 // startServed starts an instance whose heartbeats go through package peer over
 // loopback, without running its periods.
-func startServed(t *testing.T, cohort program.Cohort, secret string) *Runner {
+func startOverTwirp(t *testing.T, cohort program.Cohort, secret string) *Runner {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	registry := metrics.NewRegistry()
@@ -52,7 +52,7 @@
 func TestProtocolOverTwirp(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	a, b, c := startServed(t, "dc0.a.1", "s"), startServed(t, "dc0.b.1", "s"), startServed(t, "dc1.c.1", "s")
+	a, b, c := startOverTwirp(t, "dc0.a.1", "s"), startOverTwirp(t, "dc0.b.1", "s"), startOverTwirp(t, "dc1.c.1", "s")
 	is.NoErr(b.joinAt(ctx, a.options.Address))
 	is.NoErr(c.joinAt(ctx, a.options.Address))
 	result, err := a.options.Transport.PingVia(ctx, b.options.Address, IndirectPing{
@@ -67,7 +67,7 @@
 	is.True(ok)
 	is.Equal(m.Report, Report{Size: 8, ConfigVersion: 6, Load: 900})
 
-	stranger := startServed(t, "dc0.x.1", "other")
+	stranger := startOverTwirp(t, "dc0.x.1", "other")
 	is.True(stranger.joinAt(ctx, a.options.Address) != nil)
 	is.Equal(len(stranger.View().Members()), 1)
 	is.Equal(len(a.View().Members()), 3)
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -40,7 +40,7 @@
 		return
 	}
 	t.self.Incarnation++
-	t.self.sent = 0
+	t.self.transmissions = 0
 	t.changed = true
 	if r.State == Dead {
 		t.emit(SelfDead, t.self)
@@ -50,7 +50,7 @@
 // add takes in a member not known so far. A dead one is kept only while others
 // keep it too; otherwise the dead would be handed around for ever.
 func (t *Table) add(r Record, now time.Time) {
-	if r.State == Dead && r.DeadFor >= t.times.DeadRetention {
+	if r.State == Dead && r.DeadFor >= t.timing.DeadRetention {
 		return
 	}
 	e := &entry{Member: Member{Record: r, Since: now, LastReport: now}}
@@ -58,13 +58,13 @@
 		e.Since = now.Add(-r.DeadFor)
 	}
 	if len(r.Witnesses) > 0 {
-		e.suspected = now
+		e.suspectedSince = now
 	}
 	t.entries[r.Cohort] = e
-	t.centre(r.DataCentre())
+	t.link(r.DataCentre())
 	t.emit(Joined, e)
 	if r.State != Joining {
-		t.emit(eventOf(r.State), e)
+		t.emit(eventKindOf(r.State), e)
 	}
 }
 
@@ -77,20 +77,20 @@
 	}
 	refuted := r.Incarnation > e.Incarnation && (e.State == Suspect || e.State == Dead) && r.State.Present()
 	moved := r.State != e.State
-	e.confirmed = r.State == Dead && t.countWitnesses(e).foreign > 0
+	e.confirmed = r.State == Dead && t.countWitnesses(e).remote > 0
 	witnesses := r.Witnesses
 	if r.Incarnation == e.Incarnation && r.State != Dead {
-		witnesses = t.joinWitnesses(e, r.Witnesses)
+		witnesses = t.mergeWitnesses(e, r.Witnesses)
 	}
 	e.State, e.Incarnation, e.LeftGracefully = r.State, r.Incarnation, r.LeftGracefully
 	e.Witnesses = witnesses
-	e.sent = 0
+	e.transmissions = 0
 	t.changed = true
 	switch {
 	case len(witnesses) == 0:
-		e.suspected = time.Time{}
-	case e.suspected.IsZero():
-		e.suspected = now
+		e.suspectedSince = time.Time{}
+	case e.suspectedSince.IsZero():
+		e.suspectedSince = now
 	}
 	if !moved {
 		return
@@ -102,7 +102,7 @@
 	if refuted {
 		t.emit(Refuted, e)
 	}
-	t.emit(eventOf(e.State), e)
+	t.emit(eventKindOf(e.State), e)
 }
 
 func (t *Table) mergeReport(e *entry, r Record, now time.Time) {
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -11,7 +11,7 @@
 // A data centre is cut off from the others for ten minutes. Both sides see
 // the other fall silent at once; neither may declare a single death, or each
 // would take over programs that run on. After healing all is as before.
-func TestPartitionBetweenDataCentresKillsNobody(t *testing.T) {
+func TestPartitionBetweenDataCentresCausesNoDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -19,7 +19,7 @@
 		defer net.stop()
 		for _, a := range nodes[:4] {
 			for _, b := range nodes[4:] {
-				net.cutBoth(a.address, b.address)
+				net.cutBothWays(a.address, b.address)
 			}
 		}
 		time.Sleep(10 * time.Minute)
@@ -33,7 +33,7 @@
 				is.True(centre.Reachable)
 			}
 			is.Equal(len(nd.runner.View().Living("")), len(nodes))
-			nd.noneDead(is, nodes)
+			nd.checkNoneDeclaredDead(is, nodes)
 		}
 	})
 }
@@ -42,7 +42,7 @@
 // the other data centre. They agree with each other that six are silent, and
 // would take over their programs; they must find themselves isolated instead.
 // The six declare the two dead, and after healing all are live.
-func TestMinorityFindsItselfIsolated(t *testing.T) {
+func TestMinorityDetectsItsIsolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -51,14 +51,14 @@
 		for _, a := range nodes[:2] {
 			a.runner.SetReport(Report{Size: 1}) // the store is beyond the cut too
 			for _, b := range nodes[2:] {
-				net.cutBoth(a.address, b.address)
+				net.cutBothWays(a.address, b.address)
 			}
 		}
 		time.Sleep(5 * time.Minute)
 		for _, a := range nodes[:2] {
 			is.True(a.runner.View().Isolated)
 			is.True(!a.runner.View().IsContender("leases", len(nodes)))
-			a.noneDead(is, nodes[2:])
+			a.checkNoneDeclaredDead(is, nodes[2:])
 		}
 		for _, b := range nodes[2:] {
 			is.True(!b.runner.View().Isolated)
@@ -76,7 +76,7 @@
 // The same cut, but the minority alone reaches the object API and the
 // platform's list, which holds all. After holding back it would take over six
 // instances that run on; the list, which has not lost them, must keep it from that.
-func TestMinorityThatReachesTheStoreNeedsThePlatformsWord(t *testing.T) {
+func TestMinorityThatReachesTheStoreNeedsThePlatformList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -89,12 +89,12 @@
 		for _, a := range nodes[:2] {
 			a.runner.ObserveList(list)
 			for _, b := range nodes[2:] {
-				net.cutBoth(a.address, b.address)
+				net.cutBothWays(a.address, b.address)
 			}
 		}
 		time.Sleep(10 * time.Minute)
 		for _, a := range nodes[:2] {
-			a.noneDead(is, nodes[2:])
+			a.checkNoneDeclaredDead(is, nodes[2:])
 		}
 	})
 }
@@ -103,7 +103,7 @@
 // sample by which they judge is smaller than the data centre, and nine are
 // enough to be each other's witnesses; they must still find themselves isolated
 // before they declare anybody dead. The others declare the nine.
-func TestCutOffRackOfALargeDataCentre(t *testing.T) {
+func TestPartitionedRackOfALargeDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -113,13 +113,13 @@
 		for _, a := range rack {
 			a.runner.SetReport(Report{Size: 1}) // the store is beyond the cut too
 			for _, b := range rest {
-				net.cutBoth(a.address, b.address)
+				net.cutBothWays(a.address, b.address)
 			}
 		}
 		time.Sleep(3 * time.Minute)
 		for _, a := range rack {
 			is.True(a.runner.View().Isolated)
-			a.noneDead(is, rest)
+			a.checkNoneDeclaredDead(is, rest)
 		}
 		for _, b := range rest {
 			is.Equal(len(b.runner.View().Living("")), len(rest))
@@ -143,7 +143,7 @@
 		time.Sleep(2 * deathBound)
 		for _, b := range rest {
 			is.Equal(len(b.runner.View().Living("")), len(rest))
-			b.noneDead(is, rest)
+			b.checkNoneDeclaredDead(is, rest)
 		}
 	})
 }
@@ -151,7 +151,7 @@
 // Three of five instances of the only data centre die at once. The survivors
 // are a minority and hold back, but they still reach the object API: after
 // IsolationHold they declare the deaths, so that programs are taken over.
-func TestSurvivorsOfAMajorityLossDeclareItLate(t *testing.T) {
+func TestSurvivorsOfAMajorityLossDeclareItAfterIsolationHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -175,7 +175,7 @@
 // holding back, each pair declares the other dead. Once the cut heals, nobody
 // probes the dead in turn; only the occasional attempt on a dead member
 // reunites the pairs.
-func TestHalvesThatDeclaredEachOtherDeadReunite(t *testing.T) {
+func TestHalvesThatDeclaredEachOtherDeadRejoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -183,7 +183,7 @@
 		defer net.stop()
 		for _, a := range nodes[:2] {
 			for _, b := range nodes[2:] {
-				net.cutBoth(a.address, b.address)
+				net.cutBothWays(a.address, b.address)
 			}
 		}
 		time.Sleep(3 * time.Minute)
@@ -217,7 +217,7 @@
 // A data centre burns down. Its silence alone could be a partition and kills
 // nobody; once the platform's list no longer holds its addresses either, and
 // the silence has lasted, the others declare its members dead.
-func TestLostDataCentreNeedsThePlatformsWord(t *testing.T) {
+func TestLostDataCentreNeedsThePlatformList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -11,11 +11,11 @@
 // probe pings a member, directly and then through helpers, and accuses it if
 // neither gets an answer.
 func (r *Runner) probe(ctx context.Context, t target) {
-	if r.pingOnce(ctx, t) == nil || ctx.Err() != nil {
+	if r.ping(ctx, t) == nil || ctx.Err() != nil {
 		return
 	}
 	r.failures.Inc(1)
-	outcome, reached := r.askHelpers(ctx, t)
+	outcome, reached := r.probeIndirectly(ctx, t)
 	if reached || ctx.Err() != nil {
 		return
 	}
@@ -23,31 +23,31 @@
 }
 
 // pingOnce sends one heartbeat and takes in the answer.
-func (r *Runner) pingOnce(ctx context.Context, t target) error {
+func (r *Runner) ping(ctx context.Context, t target) error {
 	r.probes.Inc(1)
 	ctx, cancel := context.WithTimeout(ctx, r.options.Timing.ProbeTimeout)
 	defer cancel()
-	pong, err := r.options.Transport.Ping(ctx, t.address, r.message(t.cohort))
+	pong, err := r.options.Transport.Ping(ctx, t.address, r.newPing(t.cohort))
 	if err != nil {
 		return err
 	}
-	r.takeIn(t.cohort, pong)
+	r.mergePong(t.cohort, pong)
 	return nil
 }
 
-func (r *Runner) message(to program.Cohort) Ping {
+func (r *Runner) newPing(to program.Cohort) Ping {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Ping{
 		Sender:  r.table.Self(),
 		Target:  to,
-		Records: r.table.carried(to, r.rng, time.Now()),
+		Records: r.table.piggyback(to, r.rng, time.Now()),
 	}
 }
 
 // takeIn merges an answer. An answer from another cohort proves that the
 // expected one is gone from its address.
-func (r *Runner) takeIn(expected program.Cohort, pong Pong) {
+func (r *Runner) mergePong(expected program.Cohort, pong Pong) {
 	r.update(func(t *Table, now time.Time) {
 		t.Merge(pong.Responder, now)
 		t.RecordContact(pong.Responder.Cohort, now)
@@ -61,7 +61,7 @@
 }
 
 // askHelpers sends an indirect probe through each helper.
-func (r *Runner) askHelpers(ctx context.Context, t target) (Helpers, bool) {
+func (r *Runner) probeIndirectly(ctx context.Context, t target) (IndirectProbeFailure, bool) {
 	r.mu.Lock()
 	helpers := r.table.helpers(t, r.rng)
 	self := r.table.Self()
@@ -73,7 +73,7 @@
 		wait    sync.WaitGroup
 		mu      sync.Mutex
 		reached bool
-		outcome Helpers
+		outcome IndirectProbeFailure
 	)
 	for _, h := range helpers {
 		wait.Go(func() {
@@ -84,7 +84,7 @@
 			defer mu.Unlock()
 			switch {
 			case err != nil:
-				outcome.Silent = append(outcome.Silent, h.cohort)
+				outcome.Unresponsive = append(outcome.Unresponsive, h.cohort)
 			case result.Reached:
 				reached = true
 				r.update(func(table *Table, now time.Time) { table.Merge(result.Target, now) })
@@ -98,12 +98,12 @@
 }
 
 // heal tries a dead member again.
-func (r *Runner) heal(ctx context.Context) {
+func (r *Runner) probeDead(ctx context.Context) {
 	r.mu.Lock()
-	t, ok := r.table.healing(r.rng)
+	t, ok := r.table.pickDead(r.rng)
 	r.mu.Unlock()
 	if ok {
-		_ = r.pingOnce(ctx, t)
+		_ = r.ping(ctx, t)
 	}
 }
 
@@ -117,7 +117,7 @@
 			t.Merge(record, now)
 		}
 		pong.Responder = t.Self()
-		pong.Records = append(t.corrections(m.Records, now), t.carried(m.Sender.Cohort, r.rng, now)...)
+		pong.Records = append(t.corrections(m.Records, now), t.piggyback(m.Sender.Cohort, r.rng, now)...)
 	})
 	return pong
 }
@@ -128,7 +128,7 @@
 		t.Merge(m.Sender, now)
 		t.RecordContact(m.Sender.Cohort, now)
 	})
-	if r.pingOnce(ctx, target{cohort: m.Target, address: m.TargetAddress}) != nil {
+	if r.ping(ctx, target{cohort: m.Target, address: m.TargetAddress}) != nil {
 		r.update(func(t *Table, now time.Time) { t.MarkUnreachable(m.Target, now) })
 		return IndirectPong{}
 	}
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -18,13 +18,13 @@
 const (
 	// healEvery is the number of periods between attempts to reach a dead
 	// member or a configured address.
-	healEvery = 16
+	deadProbePeriods = 16
 	// probesInFlight bounds the probes under way; a period starts at most
 	// three, each done within three probe timeouts.
 	probesInFlight = 16
 	// pushes is the number of members told at once of this instance's planned
 	// stop; heartbeats carry it on.
-	pushes = 8
+	notifiedMembers = 8
 )
 
 // Options configure a Runner.
@@ -86,9 +86,9 @@
 // answered before, during and after.
 func (r *Runner) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return r.keepJoined(ctx) })
+	group.Go(func() error { return r.maintainJoin(ctx) })
 	if r.options.Store != nil {
-		group.Go(func() error { return r.keepRegistered(ctx) })
+		group.Go(func() error { return r.registerWithRetry(ctx) })
 	}
 	group.Go(func() error { return r.heartbeat(ctx) })
 	return group.Wait()
@@ -112,9 +112,9 @@
 				return nil
 			})
 		}
-		if period%healEvery == 0 {
+		if period%deadProbePeriods == 0 {
 			probes.TryGo(func() error {
-				r.heal(ctx)
+				r.probeDead(ctx)
 				return nil
 			})
 		}
@@ -138,7 +138,7 @@
 	now := time.Now()
 	change(r.table, now)
 	for _, e := range r.table.Events() {
-		r.report(e)
+		r.emit(e)
 	}
 	if !r.table.changed {
 		return
@@ -151,7 +151,7 @@
 	}
 }
 
-func (r *Runner) report(e Event) {
+func (r *Runner) emit(e Event) {
 	if e.Kind == DeclaredDead {
 		r.deaths.Inc(1)
 	}
@@ -185,14 +185,14 @@
 // Leave announces this instance's planned stop and tells some members at once.
 func (r *Runner) Leave(ctx context.Context) {
 	r.update(func(t *Table, now time.Time) { t.Announce(Leaving, now) })
-	r.push(ctx)
+	r.notifyMembers(ctx)
 }
 
 // Depart announces this instance's end, after its last step has ended, and
 // removes its object.
 func (r *Runner) Depart(ctx context.Context) error {
 	r.update(func(t *Table, now time.Time) { t.Leave(now) })
-	r.push(ctx)
+	r.notifyMembers(ctx)
 	if r.options.Store == nil {
 		return nil
 	}
@@ -206,21 +206,21 @@
 }
 
 // push pings several members at once.
-func (r *Runner) push(ctx context.Context) {
+func (r *Runner) notifyMembers(ctx context.Context) {
 	var group errgroup.Group
-	for _, t := range r.someMembers(pushes) {
+	for _, t := range r.randomTargets(notifiedMembers) {
 		group.Go(func() error {
-			r.pingOnce(ctx, t)
+			r.ping(ctx, t)
 			return nil
 		})
 	}
 	_ = group.Wait()
 }
 
-func (r *Runner) someMembers(n int) []target {
+func (r *Runner) randomTargets(n int) []target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	members := r.table.among(func(e *entry) bool { return e.State.Present() })
+	members := r.table.otherMembers(func(e *entry) bool { return e.State.Present() })
 	r.rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	var targets []target
 	for _, e := range members[:min(n, len(members))] {
--- a/internal/membership/sample.go
+++ b/internal/membership/sample.go
@@ -14,50 +14,50 @@
 
 const (
 	// changedRecords bounds the records of recent changes in a message.
-	changedRecords = 6
+	maxChangedRecords = 6
 	// otherRecords is the number of other records in a message, taken at
 	// random, so that what was missed arrives at last.
-	otherRecords = 2
+	randomRecords = 2
 	// corrections bounds the records sent back because the sender's are outdated.
-	corrections = 4
+	maxCorrections = 4
 	// spread times the logarithm of the fleet is the number of messages that
 	// carry a change (SWIM, section 4.1).
-	spread = 3
+	transmissionFactor = 3
 	// successors is the number of members that each instance watches on the
 	// ring of its data centre, so that each member is watched by as many.
-	successors = 2
+	ringSuccessors = 2
 	// ownHelpers and allHelpers are the helpers of an indirect probe: of the
 	// target's data centre, and altogether.
-	ownHelpers = 2
-	allHelpers = 3
+	localHelpers = 2
+	maxHelpers   = 3
 )
 
 // carried returns the records for a message to a cohort: what changed lately,
 // fewest sends first, what the receiver must know of itself, and a few others.
-func (t *Table) carried(to program.Cohort, rng *rand.Rand, now time.Time) []Record {
-	limit := spread * bits.Len(uint(len(t.entries)))
+func (t *Table) piggyback(to program.Cohort, rng *rand.Rand, now time.Time) []Record {
+	limit := transmissionFactor * bits.Len(uint(len(t.entries)))
 	var changed, others []*entry
 	for _, e := range t.entries {
 		switch {
 		case e == t.self || e.Cohort == to:
-		case e.sent < limit:
+		case e.transmissions < limit:
 			changed = append(changed, e)
 		case e.State != Dead:
 			others = append(others, e)
 		}
 	}
 	slices.SortFunc(changed, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.Cohort, b.Cohort))
+		return cmp.Or(cmp.Compare(a.transmissions, b.transmissions), cmp.Compare(a.Cohort, b.Cohort))
 	})
 	var records []Record
 	if e, ok := t.entries[to]; ok && (!e.State.Present() || len(e.Witnesses) > 0) {
 		records = append(records, t.record(e, now))
 	}
-	for _, e := range changed[:min(changedRecords, len(changed))] {
-		e.sent++
+	for _, e := range changed[:min(maxChangedRecords, len(changed))] {
+		e.transmissions++
 		records = append(records, t.record(e, now))
 	}
-	for range min(otherRecords, len(others)) {
+	for range min(randomRecords, len(others)) {
 		records = append(records, t.record(others[rng.IntN(len(others))], now))
 	}
 	return records
@@ -68,7 +68,7 @@
 	var better []Record
 	for _, r := range received {
 		e, ok := t.entries[r.Cohort]
-		if ok && len(better) < corrections && supersedes(e.Record, r) {
+		if ok && len(better) < maxCorrections && supersedes(e.Record, r) {
 			better = append(better, t.record(e, now))
 		}
 	}
@@ -92,16 +92,16 @@
 // depend on the fleet.
 func (t *Table) targets(period uint64, rng *rand.Rand) []target {
 	var found []target
-	if e := t.successor(int(period % successors)); e != nil {
+	if e := t.successor(int(period % ringSuccessors)); e != nil {
 		found = append(found, targetOf(e))
 	}
 	if period%2 == 0 {
-		if e := pick(t.among(func(e *entry) bool { return e.DataCentre() == t.self.DataCentre() }), rng); e != nil {
+		if e := pickRandom(t.otherMembers(func(e *entry) bool { return e.DataCentre() == t.self.DataCentre() }), rng); e != nil {
 			found = append(found, targetOf(e))
 		}
 	}
 	if period%4 == 0 {
-		if e := t.foreign(period/4, rng); e != nil {
+		if e := t.pickRemote(period/4, rng); e != nil {
 			found = append(found, targetOf(e))
 		}
 	}
@@ -111,7 +111,7 @@
 // successor returns the nth member after this instance on the ring of its data
 // centre, ordered by the hash of the cohort.
 func (t *Table) successor(n int) *entry {
-	ring := t.among(func(e *entry) bool { return e.DataCentre() == t.self.DataCentre() })
+	ring := t.otherMembers(func(e *entry) bool { return e.DataCentre() == t.self.DataCentre() })
 	if len(ring) == 0 {
 		return nil
 	}
@@ -122,7 +122,7 @@
 	return ring[n%len(ring)]
 }
 
-func (t *Table) foreign(turn uint64, rng *rand.Rand) *entry {
+func (t *Table) pickRemote(turn uint64, rng *rand.Rand) *entry {
 	var names []string
 	for _, e := range t.entries {
 		if e.DataCentre() != t.self.DataCentre() && e.State != Dead && !slices.Contains(names, e.DataCentre()) {
@@ -134,12 +134,12 @@
 	}
 	slices.Sort(names)
 	name := names[turn%uint64(len(names))]
-	return pick(t.among(func(e *entry) bool { return e.DataCentre() == name }), rng)
+	return pickRandom(t.otherMembers(func(e *entry) bool { return e.DataCentre() == name }), rng)
 }
 
 // among returns the other members that are not dead and satisfy keep, in the
 // order of their cohorts.
-func (t *Table) among(keep func(*entry) bool) []*entry {
+func (t *Table) otherMembers(keep func(*entry) bool) []*entry {
 	var found []*entry
 	for _, e := range t.entries {
 		if e != t.self && e.State != Dead && keep(e) {
@@ -150,7 +150,7 @@
 	return found
 }
 
-func pick(from []*entry, rng *rand.Rand) *entry {
+func pickRandom(from []*entry, rng *rand.Rand) *entry {
 	if len(from) == 0 {
 		return nil
 	}
@@ -163,12 +163,12 @@
 	usable := func(e *entry) bool {
 		return e.Cohort != of.cohort && e.State.Present() && e.UnreachableSince.IsZero()
 	}
-	own := t.among(func(e *entry) bool { return usable(e) && e.DataCentre() == of.cohort.DataCentre() })
-	rest := t.among(func(e *entry) bool { return usable(e) && e.DataCentre() != of.cohort.DataCentre() })
+	own := t.otherMembers(func(e *entry) bool { return usable(e) && e.DataCentre() == of.cohort.DataCentre() })
+	rest := t.otherMembers(func(e *entry) bool { return usable(e) && e.DataCentre() != of.cohort.DataCentre() })
 	rng.Shuffle(len(own), func(i, j int) { own[i], own[j] = own[j], own[i] })
 	rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	chosen := own[:min(ownHelpers, len(own))]
-	chosen = append(slices.Clone(chosen), rest[:min(allHelpers-len(chosen), len(rest))]...)
+	chosen := own[:min(localHelpers, len(own))]
+	chosen = append(slices.Clone(chosen), rest[:min(maxHelpers-len(chosen), len(rest))]...)
 	helpers := make([]target, 0, len(chosen))
 	for _, e := range chosen {
 		helpers = append(helpers, targetOf(e))
@@ -178,7 +178,7 @@
 
 // healing returns a dead member to try again, or nothing. Two sides that
 // declared each other dead would otherwise never meet again.
-func (t *Table) healing(rng *rand.Rand) (target, bool) {
+func (t *Table) pickDead(rng *rand.Rand) (target, bool) {
 	var dead []*entry
 	for _, e := range t.entries {
 		if e.State == Dead && !e.LeftGracefully && e != t.self {
@@ -186,7 +186,7 @@
 		}
 	}
 	slices.SortFunc(dead, func(a, b *entry) int { return cmp.Compare(a.Cohort, b.Cohort) })
-	e := pick(dead, rng)
+	e := pickRandom(dead, rng)
 	if e == nil {
 		return target{}, false
 	}
--- a/internal/membership/survey.go
+++ b/internal/membership/survey.go
@@ -17,7 +17,7 @@
 // member asked.
 func (r *Runner) Survey(ctx context.Context, ask func(Member) bool) *View {
 	r.mu.Lock()
-	members := r.table.among(func(e *entry) bool { return ask(e.Member) })
+	members := r.table.otherMembers(func(e *entry) bool { return ask(e.Member) })
 	targets := make([]target, 0, len(members))
 	for _, e := range members {
 		targets = append(targets, targetOf(e))
@@ -28,7 +28,7 @@
 	group.SetLimit(surveyWidth)
 	for _, t := range targets {
 		group.Go(func() error {
-			if err := r.pingOnce(ctx, t); err != nil {
+			if err := r.ping(ctx, t); err != nil {
 				r.update(func(table *Table, now time.Time) { table.MarkUnreachable(t.cohort, now) })
 			}
 			return nil
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -10,11 +10,11 @@
 const (
 	// ownWitnesses is how many witnesses of the member's own data centre a
 	// death needs, where there are as many to ask.
-	ownWitnesses = 3
+	requiredWitnesses = 3
 	// foreignWitnesses bounds the witnesses of other data centres in a record.
-	foreignWitnesses = 2
+	maxRemoteWitnesses = 2
 	// linkFailures is how many failed probes in a row make a data centre unreachable.
-	linkFailures = 2
+	maxLinkFailures = 2
 )
 
 // EventKind says what happened to a member.
@@ -44,36 +44,36 @@
 type entry struct {
 	Member
 	// suspected is when the first witness of this incarnation was heard of.
-	suspected time.Time
+	suspectedSince time.Time
 	// checked is when this instance last exchanged a message with the member,
 	// or failed to.
-	checked time.Time
+	lastExchange time.Time
 	// confirmed says that the death was seen from another data centre too, or
 	// proved by another cohort's answer.
 	confirmed bool
 	// sent counts the messages that carried the record since it changed.
-	sent int
+	transmissions int
 }
 
 // centre is the contact with a data centre.
-type centre struct {
-	contact  time.Time
-	failures int
+type link struct {
+	lastContact time.Time
+	failures    int
 }
 
 // Table is the aggregate of the members that one instance knows, itself
 // included. It does no I/O, takes the time as an argument, and is not safe for
 // concurrent use.
 type Table struct {
-	times         Timing
+	timing        Timing
 	self          *entry
 	entries       map[program.Cohort]*entry
-	centres       map[string]*centre
+	links         map[string]*link
 	events        []Event
 	isolatedSince time.Time
 	// manySilent says that an unusual share of the data centre is out of sight.
-	manySilent bool
-	fenced     bool
+	massFailure bool
+	fenced      bool
 	// changed is set by every change, so that a view is built only when needed.
 	changed bool
 }
@@ -85,13 +85,13 @@
 		Since:  now, LastReport: now,
 	}}
 	t := &Table{
-		times:   times,
+		timing:  times,
 		self:    me,
 		entries: map[program.Cohort]*entry{self: me},
-		centres: map[string]*centre{},
+		links:   map[string]*link{},
 		changed: true,
 	}
-	t.centre(self.DataCentre()).contact = now
+	t.link(self.DataCentre()).lastContact = now
 	return t
 }
 
@@ -110,11 +110,11 @@
 	t.events = append(t.events, Event{Kind: kind, Member: e.Member})
 }
 
-func (t *Table) centre(name string) *centre {
-	c, ok := t.centres[name]
+func (t *Table) link(name string) *link {
+	c, ok := t.links[name]
 	if !ok {
-		c = &centre{}
-		t.centres[name] = c
+		c = &link{}
+		t.links[name] = c
 	}
 	return c
 }
@@ -145,7 +145,7 @@
 		return
 	}
 	t.self.Incarnation++
-	t.enterSelf(s, now)
+	t.setSelfState(s, now)
 }
 
 // Leave announces this instance's end. Nothing refutes it.
@@ -155,7 +155,7 @@
 	}
 	t.self.Incarnation++
 	t.self.LeftGracefully = true
-	t.enterSelf(Dead, now)
+	t.setSelfState(Dead, now)
 }
 
 // Fence ends this instance's membership because its cohort was sealed by a
@@ -165,14 +165,14 @@
 	t.Leave(now)
 }
 
-func (t *Table) enterSelf(s State, now time.Time) {
+func (t *Table) setSelfState(s State, now time.Time) {
 	t.self.State = s
 	t.self.Since = now
-	t.self.sent = 0
-	t.emit(eventOf(s), t.self)
+	t.self.transmissions = 0
+	t.emit(eventKindOf(s), t.self)
 }
 
-func eventOf(s State) EventKind {
+func eventKindOf(s State) EventKind {
 	switch s {
 	case Joining:
 		return Joined
@@ -189,15 +189,15 @@
 
 // Contact notes an exchange with a member, in either direction.
 func (t *Table) RecordContact(c program.Cohort, now time.Time) {
-	site := t.centre(c.DataCentre())
-	t.changed = t.changed || site.failures >= linkFailures
-	site.contact = now
+	site := t.link(c.DataCentre())
+	t.changed = t.changed || site.failures >= maxLinkFailures
+	site.lastContact = now
 	site.failures = 0
 	e, ok := t.entries[c]
 	if !ok {
 		return
 	}
-	e.checked = now
+	e.lastExchange = now
 	if !e.UnreachableSince.IsZero() {
 		e.UnreachableSince = time.Time{}
 		t.changed = true
@@ -211,7 +211,7 @@
 	if !ok || e == t.self {
 		return
 	}
-	e.checked = now
+	e.lastExchange = now
 	if e.UnreachableSince.IsZero() {
 		e.UnreachableSince = now
 		t.changed = true
@@ -221,13 +221,13 @@
 // LinkFailed notes that neither a member of another data centre nor the
 // helpers there answered. It accuses the link and not the member.
 func (t *Table) LinkFailed(dataCentre string) {
-	t.centre(dataCentre).failures++
+	t.link(dataCentre).failures++
 	t.changed = true
 }
 
 func (t *Table) reachable(dataCentre string) bool {
-	c, ok := t.centres[dataCentre]
-	return dataCentre == t.self.DataCentre() || (ok && c.failures < linkFailures)
+	c, ok := t.links[dataCentre]
+	return dataCentre == t.self.DataCentre() || (ok && c.failures < maxLinkFailures)
 }
 
 // Suspect adds witnesses that failed to reach a member's incarnation.
@@ -242,15 +242,15 @@
 // addWitnesses joins witnesses to an entry that is not dead. A leaving member
 // stays leaving: its planned stop is not undone by a suspicion.
 func (t *Table) addWitnesses(e *entry, witnesses []program.Cohort, now time.Time) {
-	joined := t.joinWitnesses(e, witnesses)
+	joined := t.mergeWitnesses(e, witnesses)
 	if slices.Equal(joined, e.Witnesses) {
 		return
 	}
 	e.Witnesses = joined
-	e.sent = 0
+	e.transmissions = 0
 	t.changed = true
-	if e.suspected.IsZero() {
-		e.suspected = now
+	if e.suspectedSince.IsZero() {
+		e.suspectedSince = now
 	}
 	if e.State == Joining || e.State == Live {
 		e.State = Suspect
@@ -263,16 +263,16 @@
 // so that a record stays small however many fail to reach the member. Witnesses
 // that died since make room: a list full of them would take no new one, and the
 // member would stay suspect for good.
-func (t *Table) joinWitnesses(e *entry, more []program.Cohort) []program.Cohort {
+func (t *Table) mergeWitnesses(e *entry, more []program.Cohort) []program.Cohort {
 	var joined []program.Cohort
 	own, foreign := 0, 0
 	for _, w := range slices.Concat(e.Witnesses, more) {
 		if witness, ok := t.entries[w]; slices.Contains(joined, w) || (ok && witness.State == Dead) {
 			continue
 		}
-		count, limit := &own, ownWitnesses
+		count, limit := &own, requiredWitnesses
 		if w.DataCentre() != e.DataCentre() {
-			count, limit = &foreign, foreignWitnesses
+			count, limit = &foreign, maxRemoteWitnesses
 		}
 		if *count < limit {
 			*count++
@@ -288,18 +288,18 @@
 func (t *Table) Superseded(c program.Cohort, now time.Time) {
 	if e, ok := t.entries[c]; ok && e != t.self {
 		e.confirmed = true
-		t.die(e, now)
+		t.declareDead(e, now)
 	}
 }
 
-func (t *Table) die(e *entry, now time.Time) {
+func (t *Table) declareDead(e *entry, now time.Time) {
 	if e.State == Dead {
 		return
 	}
-	e.confirmed = e.confirmed || t.countWitnesses(e).foreign > 0
+	e.confirmed = e.confirmed || t.countWitnesses(e).remote > 0
 	e.State = Dead
 	e.Since = now
 	e.Witnesses = nil
-	e.sent = 0
+	e.transmissions = 0
 	t.emit(DeclaredDead, e)
 }
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -58,9 +58,9 @@
 // Three witnesses accuse a member, and one of them is then replaced by a new
 // process. The list of witnesses is full, but the one that died no longer
 // counts; the new process must find room, or the member stays suspect for good.
-func TestDeadWitnessMakesRoom(t *testing.T) {
+func TestDeadWitnessIsReplaced(t *testing.T) {
 	is := is.New(t)
-	late := start.Add(DefaultTiming().SuspectTimeout * patience)
+	late := start.Add(DefaultTiming().SuspectTimeout * massFailureTimeoutFactor)
 	table := tableOf("a.m.1", "a.x.1", "a.y.1")
 	table.Suspect("a.m.1", 0, []program.Cohort{"a.self.1", "a.x.1", "a.y.1"}, start)
 	table.Superseded("a.x.1", start)
@@ -74,13 +74,13 @@
 
 // Most helpers of an indirect probe kept silent: the prober's own link or its
 // own pause is as likely the cause as the member's death.
-func TestSilentHelpersMakeNoWitness(t *testing.T) {
+func TestUnresponsiveHelpersRaiseNoSuspicion(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.x.1", "a.y.1", "a.z.1", "a.v.1", "a.w.1")
-	outcome := Helpers{Failed: []program.Cohort{"a.x.1"}, Silent: []program.Cohort{"a.y.1", "a.z.1"}}
+	outcome := IndirectProbeFailure{Failed: []program.Cohort{"a.x.1"}, Unresponsive: []program.Cohort{"a.y.1", "a.z.1"}}
 	table.RecordProbeFailure("a.m.1", 0, outcome, start)
 	is.Equal(stateIn(table, "a.m.1"), Live)
-	outcome.Silent = nil
+	outcome.Unresponsive = nil
 	table.RecordProbeFailure("a.m.1", 0, outcome, start)
 	is.Equal(stateIn(table, "a.m.1"), Suspect)
 }
@@ -88,7 +88,7 @@
 // A minority has declared two of five others dead and fails to reach a third.
 // Were the dead no longer counted, each death would make it look less of a
 // minority, until it had declared everybody.
-func TestLatelyDeadStillCountAgainstAMajority(t *testing.T) {
+func TestRecentlyDeadCountAsUnreachable(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.n.1", "a.o.1", "a.x.1", "a.y.1")
 	table.Merge(Record{Cohort: "a.m.1", State: Dead}, start)
@@ -105,7 +105,7 @@
 
 // Two of five others fall silent together. That may be a cut not noticed in
 // full yet, so their death takes three times as long as that of one alone.
-func TestManySilentAtOnceTakesPatience(t *testing.T) {
+func TestMassFailureExtendsTheSuspectTimeout(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.n.1", "a.x.1", "a.y.1", "a.z.1")
 	witnesses := []program.Cohort{"a.self.1", "a.x.1", "a.y.1"}
@@ -113,13 +113,13 @@
 	table.Suspect("a.n.1", 0, witnesses, start)
 	table.Tick(start.Add(DefaultTiming().SuspectTimeout))
 	is.Equal(stateIn(table, "a.m.1"), Suspect)
-	table.Tick(start.Add(patience * DefaultTiming().SuspectTimeout))
+	table.Tick(start.Add(massFailureTimeoutFactor * DefaultTiming().SuspectTimeout))
 	is.Equal(stateIn(table, "a.m.1"), Dead)
 }
 
 // A planned stop announced before a suspicion, or after it, stays in force:
 // the leaving member gets no new work.
-func TestLeavingWinsOverSuspicion(t *testing.T) {
+func TestLeavingOverridesSuspicion(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.x.1")
 	table.Suspect("a.m.1", 0, []program.Cohort{"a.x.1"}, start)
@@ -143,7 +143,7 @@
 
 // A data centre has many instances; only the first few in rank compete for a
 // duty, and none that holds back or was fenced.
-func TestFewContendForADuty(t *testing.T) {
+func TestFewInstancesContendForALease(t *testing.T) {
 	is := is.New(t)
 	const fleet, wanted = 20, 3
 	contending := 0
--- a/internal/membership/verdict.go
+++ b/internal/membership/verdict.go
@@ -14,13 +14,13 @@
 		if e == t.self {
 			continue
 		}
-		if e.State == Dead && now.Sub(e.Since) >= t.times.DeadRetention {
+		if e.State == Dead && now.Sub(e.Since) >= t.timing.DeadRetention {
 			delete(t.entries, cohort)
 			t.emit(Forgotten, e)
 			continue
 		}
-		if t.verdict(e, now) {
-			t.die(e, now)
+		if t.shouldDeclareDead(e, now) {
+			t.declareDead(e, now)
 		}
 	}
 }
@@ -35,9 +35,9 @@
 const (
 	// manySilent is how many in sight for each out of sight make a death an
 	// ordinary one.
-	manySilent = 4
+	massFailureRatio = 4
 	// patience times SuspectTimeout passes before a death that is not.
-	patience = 3
+	massFailureTimeoutFactor = 3
 )
 
 // updateIsolation compares how many members of its data centre this instance
@@ -60,13 +60,13 @@
 	for _, e := range t.entries {
 		switch {
 		case e == t.self || e.DataCentre() != t.self.DataCentre() || e.State == Leaving:
-		case t.outOfSight(e, now):
+		case t.countsAsUnreachable(e, now):
 			out++
-		case e.State != Dead && now.Sub(e.checked) < contactWindow:
+		case e.State != Dead && now.Sub(e.lastExchange) < contactWindow:
 			in++
 		}
 	}
-	t.manySilent = manySilent*out > in
+	t.massFailure = massFailureRatio*out > in
 	isolated := in <= out
 	switch {
 	case isolated && !t.Isolated():
@@ -79,12 +79,12 @@
 }
 
 // outOfSight reports whether a member's silence may be this instance's fault.
-func (t *Table) outOfSight(e *entry, now time.Time) bool {
+func (t *Table) countsAsUnreachable(e *entry, now time.Time) bool {
 	if e.State == Dead {
-		return !e.LeftGracefully && !e.confirmed && now.Sub(e.Since) < t.times.IsolationHold
+		return !e.LeftGracefully && !e.confirmed && now.Sub(e.Since) < t.timing.IsolationHold
 	}
 	silent := e.State == Suspect || !e.UnreachableSince.IsZero()
-	return silent && t.countWitnesses(e).foreign == 0
+	return silent && t.countWitnesses(e).remote == 0
 }
 
 // HoldsBack reports whether this instance is isolated and has not waited long
@@ -93,13 +93,13 @@
 	if !t.Isolated() {
 		return false
 	}
-	return now.Sub(t.isolatedSince) < t.times.IsolationHold || !t.self.Report.StoreHealthy
+	return now.Sub(t.isolatedSince) < t.timing.IsolationHold || !t.self.Report.StoreHealthy
 }
 
 // mayDeclare reports whether this instance's opinion of a member counts. An
 // isolated instance that waited may still be a minority which alone reaches the
 // object API; where the platform's list is read, it must confirm the death.
-func (t *Table) mayDeclare(e *entry, now time.Time) bool {
+func (t *Table) mayDeclareDead(e *entry, now time.Time) bool {
 	if t.self.State == Dead || t.DefersActions(now) {
 		return false
 	}
@@ -107,7 +107,7 @@
 }
 
 // witnessCount is the number of witnesses that count, by where they are.
-type witnessCount struct{ own, foreign int }
+type witnessCount struct{ local, remote int }
 
 // countWitnesses counts the witnesses that are themselves in good standing: one
 // that is suspect or dead in our eyes may have been the one cut off.
@@ -119,9 +119,9 @@
 			continue
 		}
 		if w.DataCentre() == e.DataCentre() {
-			count.own++
+			count.local++
 		} else {
-			count.foreign++
+			count.remote++
 		}
 	}
 	return count
@@ -133,25 +133,25 @@
 // data centre that is cut off is alive to itself. The member has to have been failed
 // by ownWitnesses of them, or by all where there are fewer, and by two in all,
 // so that one broken link kills nobody.
-func (t *Table) verdict(e *entry, now time.Time) bool {
-	if e.State == Dead || !t.mayDeclare(e, now) {
+func (t *Table) shouldDeclareDead(e *entry, now time.Time) bool {
+	if e.State == Dead || !t.mayDeclareDead(e, now) {
 		return false
 	}
 	if e.DataCentre() != t.self.DataCentre() {
-		return t.lost(e, now)
+		return t.shouldDeclareRemoteDead(e, now)
 	}
-	if e.suspected.IsZero() || now.Sub(e.suspected) < t.suspectTimeout() {
+	if e.suspectedSince.IsZero() || now.Sub(e.suspectedSince) < t.suspectTimeout() {
 		return false
 	}
-	own, foreign := t.askable(e)
+	own, foreign := t.potentialWitnesses(e)
 	count := t.countWitnesses(e)
-	if count.own < min(ownWitnesses, own) {
+	if count.local < min(requiredWitnesses, own) {
 		return false
 	}
 	if own+foreign < 2 {
-		return e.Listed == ListedGone || now.Sub(e.suspected) >= t.times.LoneTimeout
+		return e.Listed == ListedGone || now.Sub(e.suspectedSince) >= t.timing.LoneTimeout
 	}
-	total := count.own + count.foreign
+	total := count.local + count.remote
 	if e.Listed == ListedGone {
 		total++
 	}
@@ -163,15 +163,15 @@
 // side of a cut and not have found out yet: in a data centre of several dozen
 // that takes longer than the ordinary timeout.
 func (t *Table) suspectTimeout() time.Duration {
-	if t.manySilent {
-		return patience * t.times.SuspectTimeout
+	if t.massFailure {
+		return massFailureTimeoutFactor * t.timing.SuspectTimeout
 	}
-	return t.times.SuspectTimeout
+	return t.timing.SuspectTimeout
 }
 
 // askable counts the members that could be witnesses against e: those of its
 // data centre, and of others within reach.
-func (t *Table) askable(e *entry) (own, foreign int) {
+func (t *Table) potentialWitnesses(e *entry) (own, foreign int) {
 	for _, other := range t.entries {
 		if other == e || !other.State.Present() {
 			continue
@@ -189,11 +189,11 @@
 // lost decides on a member of another data centre that has fallen silent as a
 // whole. The silence alone may be a partition, so the platform's list must say
 // besides that the address is gone.
-func (t *Table) lost(e *entry, now time.Time) bool {
+func (t *Table) shouldDeclareRemoteDead(e *entry, now time.Time) bool {
 	if t.reachable(e.DataCentre()) || e.Listed != ListedGone {
 		return false
 	}
-	return now.Sub(t.centre(e.DataCentre()).contact) >= t.times.LostAfter
+	return now.Sub(t.link(e.DataCentre()).lastContact) >= t.timing.LostAfter
 }
 
 // Accuse notes a failed probe of a member of incarnation, and the helpers that
@@ -201,16 +201,16 @@
 // helpers kept silent, can't tell its own fault from the member's and accuses
 // nobody. The same covers a prober that was paused: the time of its probe and
 // of its helpers' answers ended while it slept.
-func (t *Table) RecordProbeFailure(c program.Cohort, incarnation uint64, outcome Helpers, now time.Time) {
+func (t *Table) RecordProbeFailure(c program.Cohort, incarnation uint64, outcome IndirectProbeFailure, now time.Time) {
 	t.MarkUnreachable(c, now)
-	for _, silent := range outcome.Silent {
+	for _, silent := range outcome.Unresponsive {
 		t.MarkUnreachable(silent, now)
 	}
-	if c.DataCentre() != t.self.DataCentre() && !outcome.fromCentre(c.DataCentre()) {
+	if c.DataCentre() != t.self.DataCentre() && !outcome.respondedFrom(c.DataCentre()) {
 		t.LinkFailed(c.DataCentre())
 		return
 	}
-	if t.DefersActions(now) || len(outcome.Silent) > len(outcome.Failed) {
+	if t.DefersActions(now) || len(outcome.Unresponsive) > len(outcome.Failed) {
 		return
 	}
 	witnesses := append([]program.Cohort{t.self.Cohort}, outcome.Failed...)
@@ -218,14 +218,14 @@
 }
 
 // Helpers is the outcome of an indirect probe that did not reach its target.
-type Helpers struct {
+type IndirectProbeFailure struct {
 	// Failed are the helpers that answered and had failed to reach the target.
 	Failed []program.Cohort
 	// Silent are the helpers that did not answer.
-	Silent []program.Cohort
+	Unresponsive []program.Cohort
 }
 
-func (h Helpers) fromCentre(dataCentre string) bool {
+func (h IndirectProbeFailure) respondedFrom(dataCentre string) bool {
 	for _, c := range h.Failed {
 		if c.DataCentre() == dataCentre {
 			return true
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -30,9 +30,9 @@
 	// Fenced says that this instance's cohort was sealed by a successor.
 	Fenced bool
 
-	members []Member
-	centres []DataCentre
-	index   map[program.Cohort]int
+	members     []Member
+	dataCentres []DataCentre
+	index       map[program.Cohort]int
 }
 
 // Members returns all members, this instance included, in the order of their
@@ -41,7 +41,7 @@
 
 // Centres returns the data centres in the order of their names. The slice is
 // shared and must not be changed.
-func (v *View) DataCentres() []DataCentre { return v.centres }
+func (v *View) DataCentres() []DataCentre { return v.dataCentres }
 
 // Member returns the member of a cohort.
 func (v *View) Member(c program.Cohort) (Member, bool) {
@@ -126,9 +126,9 @@
 	for i, m := range v.members {
 		v.index[m.Cohort] = i
 	}
-	for name, c := range t.centres {
-		v.centres = append(v.centres, DataCentre{Name: name, Reachable: t.reachable(name), LastContact: c.contact})
+	for name, c := range t.links {
+		v.dataCentres = append(v.dataCentres, DataCentre{Name: name, Reachable: t.reachable(name), LastContact: c.lastContact})
 	}
-	slices.SortFunc(v.centres, func(a, b DataCentre) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(v.dataCentres, func(a, b DataCentre) int { return cmp.Compare(a.Name, b.Name) })
 	return v
 }
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -12,7 +12,7 @@
 
 const (
 	// maxName bounds cohorts and addresses received from outside, in bytes.
-	maxName = 200
+	maxNameBytes = 200
 	// maxWitnesses bounds the witnesses in a received record.
 	maxWitnesses = 8
 )
@@ -58,7 +58,7 @@
 // out rather than failing the whole heartbeat.
 func fromWire(m *peerpb.MemberRecord) (Record, bool) {
 	state, ok := statesFromWire[m.GetState()]
-	if !ok || !validCohort(m.GetCohort()) || len(m.GetAddress()) > maxName || len(m.GetWitnesses()) > maxWitnesses {
+	if !ok || !validCohort(m.GetCohort()) || len(m.GetAddress()) > maxNameBytes || len(m.GetWitnesses()) > maxWitnesses {
 		return Record{}, false
 	}
 	r := Record{
@@ -73,7 +73,7 @@
 			StoreHealthy:  m.GetStoreHealthy(),
 			Load:          m.GetLoadPermille(),
 		},
-		DeadFor:        deadFor(m.GetDeadMs()),
+		DeadFor:        deadForFromWire(m.GetDeadMs()),
 		LeftGracefully: m.GetLeft(),
 	}
 	for _, w := range m.GetWitnesses() {
@@ -85,13 +85,13 @@
 }
 
 // deadFor caps an age so that it cannot overflow a duration.
-func deadFor(ms uint64) time.Duration {
+func deadForFromWire(ms uint64) time.Duration {
 	const most = uint64(1000 * time.Hour / time.Millisecond)
 	return time.Duration(min(ms, most)) * time.Millisecond
 }
 
 func validCohort(c string) bool {
-	return len(c) <= maxName && strings.Count(c, ".") == 2 && !strings.HasPrefix(c, ".")
+	return len(c) <= maxNameBytes && strings.Count(c, ".") == 2 && !strings.HasPrefix(c, ".")
 }
 
 func toWireAll(records []Record) []*peerpb.MemberRecord {
@@ -126,7 +126,7 @@
 
 // PingVia implements Transport.
 func (t PeerTransport) PingVia(ctx context.Context, address string, m IndirectPing) (IndirectPong, error) {
-	answer, err := t.Client.PingVia(ctx, address, viaToWire(m))
+	answer, err := t.Client.PingVia(ctx, address, indirectPingToWire(m))
 	if err != nil {
 		return IndirectPong{}, err
 	}
@@ -151,7 +151,7 @@
 	}
 }
 
-func viaToWire(m IndirectPing) *peerpb.PingViaRequest {
+func indirectPingToWire(m IndirectPing) *peerpb.PingViaRequest {
 	return &peerpb.PingViaRequest{
 		Sender:        toWire(m.Sender),
 		Target:        string(m.Target),
