--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -13,25 +13,25 @@
 	"foxhall/internal/store"
 )
 
-// KindInstance is the kind of the objects by which instances find each other.
-// An instance writes its own once at birth and deletes it when it leaves;
-// heartbeats never touch the store.
+// KindInstance is the kind of the objects through which instances discover each
+// other. An instance writes its own object once when it starts and deletes it
+// when it leaves; heartbeats never access the store.
 const KindInstance = "instance"
 
 const (
 	// joinContacts is the number of members asked for all their records.
 	joinContacts = 3
-	// aloneRetry and aloneRetryMax bound the pause between attempts to find
-	// anybody, doubled each time.
+	// joinRetry and maxRetryInterval bound the backoff between attempts to find
+	// another member; maxRetryInterval bounds that of registration, too.
 	joinRetry        = 2 * time.Second
 	maxRetryInterval = 30 * time.Second
-	// syncEvery is the time between two listings of the instance objects by an
-	// instance that has company: one read in ten minutes.
+	// listInterval is the time between two listings of the instance objects by
+	// an instance that knows other members: one read in ten minutes.
 	listInterval = 10 * time.Minute
-	// syncContacts bounds the unknown addresses tried after a listing.
+	// maxListedAddresses bounds the unknown addresses tried after a listing.
 	maxListedAddresses = 8
-	// strikesToDelete is how many listings in a row an object must be found
-	// without a process before it is deleted.
+	// missesToDelete is the number of consecutive listings that must contain an
+	// object without a known process before the object is deleted.
 	missesToDelete = 2
 )
 
@@ -40,8 +40,9 @@
 	Address string `json:"address"`
 }
 
-// keepJoined finds other members: at once, again while there are none, and
-// then rarely, so that two groups that know nothing of each other meet.
+// maintainJoin discovers other members: immediately, with backoff while there
+// are none, and then every listInterval, so that two groups that do not know
+// each other merge.
 func (r *Runner) maintainJoin(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval, retry.MaxInterval = joinRetry, maxRetryInterval
@@ -61,8 +62,8 @@
 	}
 }
 
-// jitter spreads a pause by a quarter to both sides, so that instances started
-// together do not list together.
+// jitter varies a duration by up to a quarter in both directions, so that
+// instances started together do not list at the same time.
 func (r *Runner) jitter(d time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,7 +76,8 @@
 	return len(r.table.otherMembers(func(e *entry) bool { return e.State.Present() })) == 0
 }
 
-// join asks some of the known addresses for their records.
+// join asks some addresses of unknown instances for their records, and then
+// maintains the instance objects in the store.
 func (r *Runner) join(ctx context.Context, strikes map[program.Cohort]int) {
 	objects := r.listInstances(ctx)
 	candidates := r.candidates(objects)
@@ -94,11 +96,11 @@
 	}
 }
 
-// reregister writes this instance's object again if it is not among the listed:
-// a process that was paused for long may have been taken for gone.
+// reregister writes this instance's object again if it is not among the listed
+// ones: others delete it during a long pause of this process.
 func (r *Runner) reregister(ctx context.Context, objects []store.Object) {
-	mine := func(o store.Object) bool { return o.Key.Name == string(r.options.Self) }
-	if slices.ContainsFunc(objects, mine) || r.View().Self.State == Dead {
+	isSelf := func(o store.Object) bool { return o.Key.Name == string(r.options.Self) }
+	if slices.ContainsFunc(objects, isSelf) || r.View().Self.State == Dead {
 		return
 	}
 	if err := r.register(ctx); err != nil {
@@ -120,8 +122,8 @@
 	return nil
 }
 
-// listed returns the instance objects, nothing when the store does not answer:
-// seeds and members already known serve then.
+// listInstances returns the instance objects, or none if the store does not
+// respond. The seeds and the known members are used in that case.
 func (r *Runner) listInstances(ctx context.Context) []store.Object {
 	if r.options.Store == nil {
 		return nil
@@ -134,8 +136,8 @@
 	return objects
 }
 
-// candidates returns addresses where nobody is known yet, in random order and
-// the settings' first.
+// candidates returns the addresses at which no running member is known, in
+// random order, those from the settings first.
 func (r *Runner) candidates(objects []store.Object) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,7 +173,8 @@
 	return value.Address
 }
 
-// keepRegistered writes this instance's object, trying until the store takes it.
+// registerWithRetry writes this instance's object, retrying with backoff until
+// the store accepts it.
 func (r *Runner) registerWithRetry(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
 	retry.MaxInterval = maxRetryInterval
@@ -185,8 +188,9 @@
 	return nil
 }
 
-// register creates this instance's object. A conflict is this process's own
-// earlier write whose answer was lost: nobody else has the cohort's name.
+// register creates this instance's object. A conflict means that an earlier
+// write of this process took effect and its response was lost, since no other
+// process uses the cohort's name.
 func (r *Runner) register(ctx context.Context) error {
 	value, err := json.Marshal(instanceObject{Address: r.options.Address})
 	if err != nil {
@@ -213,10 +217,9 @@
 	return errors.Wrap(err, "membership: unregister")
 }
 
-// sweep deletes the objects of processes that are gone. Of the living members,
-// the first in the object's rank does it, after finding the object without a
-// known process several times; a process that lives after all is still found
-// by its heartbeats.
+// sweepObjects deletes the objects of ended processes. Only the live member that
+// ranks first for an object's cohort deletes it, after missesToDelete listings.
+// A process whose object was deleted by mistake is still known by its heartbeats.
 func (r *Runner) sweepObjects(ctx context.Context, objects []store.Object, strikes map[program.Cohort]int) {
 	view := r.View()
 	var seen []program.Cohort
@@ -242,8 +245,8 @@
 	}
 }
 
-// firstFor reports whether this instance is the first of all living members
-// in the rank of a key.
+// ranksFirst reports whether this instance ranks first among all live members
+// for a cohort.
 func (v *View) ranksFirst(c program.Cohort) bool {
 	ranked := v.Ranked("", string(c))
 	return len(ranked) > 0 && ranked[0].Cohort == v.Self.Cohort
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,16 +1,16 @@
-// Package membership knows which instances there are, in which state, and how
-// large each is.
+// Package membership tracks the instances of the fleet, their states and their
+// sizes.
 //
-// The rules follow SWIM (Das, Gupta, Motivala, 2002) and Lifeguard (Dadgar,
-// Phillips, Currey, 2017): each period an instance probes a constant number of
-// others, asks helpers before it suspects one, and piggybacks a bounded sample
-// of its records. They depart from SWIM in who may declare a death: several
-// witnesses of the member's own data centre, never an instance that has itself
-// lost most of its data centre. See docs/notes/membership.md.
+// The protocol follows SWIM (Das, Gupta, Motivala, 2002) and Lifeguard (Dadgar,
+// Phillips, Currey, 2017): in each period an instance probes a constant number
+// of others, sends indirect probes through helpers before it suspects one, and
+// piggybacks a bounded sample of its records. It differs from SWIM in who may
+// declare a death: several witnesses in the member's own data centre, and never
+// an instance that has lost contact with most of its data centre.
 //
-// A member is one incarnation of an instance, named by its cohort. Being
-// declared dead is an opinion that starts a take-over; what makes the take-over
-// safe is the seal in the cohort's log, not this package.
+// A member is one process of an instance, identified by its cohort. A declared
+// death is one instance's opinion and starts a take-over. The seal in the
+// cohort's log makes the take-over safe, not this package.
 package membership
 
 import (
@@ -20,21 +20,22 @@
 	"foxhall/internal/program"
 )
 
-// State is the condition of a member.
+// State is the state of a member.
 type State uint8
 
 // The states of a member, in the order in which a later one overrides an
 // earlier one of the same incarnation.
 const (
-	// Joining says that the process is up and not ready for work.
+	// Joining is the state of a process that is running and not ready for work.
 	Joining State = iota + 1
-	// Live says that the instance takes work.
+	// Live is the state of an instance that accepts work.
 	Live
-	// Suspect says that witnesses failed to reach the member.
+	// Suspect is the state of a member that witnesses failed to reach.
 	Suspect
-	// Leaving says that the member announced a planned stop and takes no new work.
+	// Leaving is the state of a member that announced a planned stop and
+	// accepts no new work.
 	Leaving
-	// Dead says that the member was declared dead or announced its end.
+	// Dead is the state of a member that was declared dead or announced its end.
 	Dead
 )
 
@@ -42,7 +43,7 @@
 	Joining: "joining", Live: "live", Suspect: "suspect", Leaving: "leaving", Dead: "dead",
 }
 
-// String returns the state's name in logs and in status.
+// String returns the state's name as written in logs and in the status.
 func (s State) String() string {
 	if name, ok := stateNames[s]; ok {
 		return name
@@ -50,49 +51,53 @@
 	return "unknown"
 }
 
-// Present reports whether a member in this state is taken to be running.
+// Present reports whether a member in this state is assumed to be running.
 func (s State) Present() bool { return s == Joining || s == Live || s == Leaving }
 
-// Listed is what the platform's lagging list says of a member's address.
+// Listed is the entry for a member's address in the platform's list of
+// instances, which lags behind the instances' actual state.
 type Listed uint8
 
-// What the platform's list can say.
+// The values of Listed.
 const (
-	// ListedUnknown says that no list has been read.
+	// ListedUnknown means that no list has been read.
 	ListedUnknown Listed = iota
 	ListedLive
 	ListedLeaving
-	// ListedGone says that the list no longer holds the address.
+	// ListedGone means that the list does not contain the address.
 	ListedGone
 )
 
-// Report is what an instance tells of itself in each heartbeat.
+// Report is the part of a heartbeat in which an instance describes itself.
 type Report struct {
-	// Size is the instance's weight against others, for instance its cores.
+	// Size is the instance's weight relative to others, for example its number
+	// of cores.
 	Size uint32
 	// ConfigVersion is the version of the configuration in force.
 	ConfigVersion uint64
-	// StoreHealthy says whether the object API answers this instance.
+	// StoreHealthy reports whether the object API responds to this instance.
 	StoreHealthy bool
 	// Load is the share of the instance's capacity in use, in thousandths.
 	Load uint32
 }
 
-// Record is what instances tell each other of a member.
+// Record is the information about a member that instances exchange.
 type Record struct {
 	Cohort  program.Cohort
 	Address string
 	State   State
-	// Incarnation is raised by the member alone, to refute a suspicion.
+	// Incarnation is SWIM's incarnation number. Only the member itself raises
+	// it, to refute a suspicion or to announce a new state.
 	Incarnation uint64
-	// Beat orders the reports within one incarnation.
+	// ReportSequence orders the reports within one incarnation.
 	ReportSequence uint64
 	Report         Report
-	// Witnesses failed to reach the member in this incarnation.
+	// Witnesses are the instances that failed to reach the member in this
+	// incarnation.
 	Witnesses []program.Cohort
 	// DeadFor is the time since a dead member was declared dead.
 	DeadFor time.Duration
-	// Left says that a dead member announced its own end.
+	// LeftGracefully reports whether a dead member announced its own end.
 	LeftGracefully bool
 }
 
@@ -108,45 +113,48 @@
 	return parts[1]
 }
 
-// Member is a record with what this instance knows besides.
+// Member is a record together with this instance's own observations.
 type Member struct {
 	Record
-	// Since is when the member entered its state, in this instance's eyes.
+	// Since is when this instance observed that the member entered its state.
 	Since time.Time
-	// Heard is when the newest report arrived.
+	// LastReport is when the newest report arrived.
 	LastReport time.Time
-	// Unreached is when this instance first failed to reach the member, zero
-	// if it reaches it.
+	// UnreachableSince is when this instance first failed to reach the member,
+	// zero while it reaches it.
 	UnreachableSince time.Time
-	// Listed is the word of the platform's list.
+	// Listed is the member's entry in the platform's list.
 	Listed Listed
 }
 
-// Available reports whether new work may go to the member: live, and not
-// about to be stopped by the platform.
+// Available reports whether the member may be given new work: it is live, and
+// the platform is not about to stop it.
 func (m Member) Available() bool { return m.State == Live && m.Listed != ListedLeaving }
 
-// Times are the periods and bounds of the protocol.
+// Timing holds the periods and timeouts of the protocol.
 type Timing struct {
 	// Period is the time between two probes of ring successors.
 	Period time.Duration
-	// ProbeTimeout bounds a direct probe; an indirect one takes two.
+	// ProbeTimeout bounds a direct probe. An indirect probe is given twice as long.
 	ProbeTimeout time.Duration
-	// SuspectTimeout is the least time between suspicion and death, in which a
-	// slow or paused member can refute.
+	// SuspectTimeout is the minimum time between suspicion and death, in which
+	// a slow or paused member can refute.
 	SuspectTimeout time.Duration
-	// LoneTimeout replaces it where nobody else exists who could be a witness.
+	// LoneTimeout replaces SuspectTimeout where this instance is the only
+	// possible witness.
 	LoneTimeout time.Duration
-	// IsolationHold is how long an instance that lost most of its data centre
-	// declares nobody dead.
+	// IsolationHold is how long an instance that lost contact with most of its
+	// data centre declares no deaths.
 	IsolationHold time.Duration
-	// LostAfter is the silence after which a data centre counts as lost.
+	// LostAfter is the time without contact after which a data centre counts
+	// as lost.
 	LostAfter time.Duration
-	// DeadRetention is how long a dead member is remembered.
+	// DeadRetention is how long the record of a dead member is retained.
 	DeadRetention time.Duration
 }
 
-// DefaultTimes suit data centres a few milliseconds apart.
+// DefaultTiming suits data centres whose round-trip times are a few
+// milliseconds.
 func DefaultTiming() Timing {
 	return Timing{
 		Period:         time.Second,
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,8 +6,8 @@
 	"foxhall/internal/program"
 )
 
-// supersedes reports whether the condition in a overrides the one in b: a
-// higher incarnation always does, and within one incarnation the later state.
+// supersedes reports whether the state in a overrides the one in b: a higher
+// incarnation always does, and within one incarnation the later state does.
 func supersedes(a, b Record) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -15,7 +15,7 @@
 	return a.State > b.State
 }
 
-// Merge takes in a record received from another instance.
+// Merge applies a record received from another instance.
 func (t *Table) Merge(r Record, now time.Time) {
 	if r.Cohort == t.self.Cohort {
 		t.mergeSelf(r, now)
@@ -30,10 +30,11 @@
 	t.mergeReport(e, r, now)
 }
 
-// mergeSelf refutes what others hold against this instance. Without it a
-// process that was paused, or reached by only some, would stay dead in their
-// eyes although it answers. Nobody else raises an incarnation, so a record with
-// a higher one than ours is not about this process and is ignored.
+// mergeSelf refutes a suspicion or death of this instance by raising its
+// incarnation. Otherwise a process that was paused, or that only some instances
+// reach, would stay dead for them although it responds. Only the member itself
+// raises its incarnation, so a record with a higher one than ours is not about
+// this process and is ignored.
 func (t *Table) mergeSelf(r Record, now time.Time) {
 	accused := r.Incarnation == t.self.Incarnation && (r.State > t.self.State || len(r.Witnesses) > 0)
 	if !accused || t.self.State == Dead {
@@ -47,8 +48,8 @@
 	}
 }
 
-// add takes in a member not known so far. A dead one is kept only while others
-// keep it too; otherwise the dead would be handed around for ever.
+// add adds a member that is not in the table. A dead member is not added after
+// its retention period; otherwise its record would circulate for ever.
 func (t *Table) add(r Record, now time.Time) {
 	if r.State == Dead && r.DeadFor >= t.timing.DeadRetention {
 		return
@@ -76,7 +77,7 @@
 		return
 	}
 	refuted := r.Incarnation > e.Incarnation && (e.State == Suspect || e.State == Dead) && r.State.Present()
-	moved := r.State != e.State
+	stateChanged := r.State != e.State
 	e.confirmed = r.State == Dead && t.countWitnesses(e).remote > 0
 	witnesses := r.Witnesses
 	if r.Incarnation == e.Incarnation && r.State != Dead {
@@ -92,7 +93,7 @@
 	case e.suspectedSince.IsZero():
 		e.suspectedSince = now
 	}
-	if !moved {
+	if !stateChanged {
 		return
 	}
 	e.Since = now
@@ -115,7 +116,7 @@
 	e.LastReport = now
 }
 
-// record returns an entry as it is sent, with the age of a death at now.
+// record returns an entry as it is sent, with DeadFor as of now.
 func (t *Table) record(e *entry, now time.Time) Record {
 	r := e.Record
 	if r.State == Dead && !now.IsZero() {
@@ -124,15 +125,16 @@
 	return r
 }
 
-// ObserveList takes in the platform's lagging list: for each address it holds,
-// whether it is leaving. A list never kills by itself; it excludes a leaving
-// member from new work and counts as one weak witness of a death.
+// ObserveList applies the platform's list, which lags: for each address on it,
+// whether the instance there is leaving. The list alone never causes a death. It
+// excludes a leaving member from new work, and a missing address counts as one
+// weak witness.
 func (t *Table) ObserveList(leaving map[string]bool) {
 	for _, e := range t.entries {
 		listed := ListedGone
-		if gone, ok := leaving[e.Address]; ok {
+		if isLeaving, ok := leaving[e.Address]; ok {
 			listed = ListedLive
-			if gone {
+			if isLeaving {
 				listed = ListedLeaving
 			}
 		}
@@ -141,7 +143,7 @@
 	}
 }
 
-// Records returns every record that a newcomer needs.
+// Records returns all records, for an instance that joins.
 func (t *Table) Records(now time.Time) []Record {
 	records := make([]Record, 0, len(t.entries))
 	for _, e := range t.entries {
@@ -150,7 +152,7 @@
 	return records
 }
 
-// Lookup returns what the table holds of a cohort.
+// Lookup returns the member of a cohort, if the table contains it.
 func (t *Table) Lookup(c program.Cohort) (Member, bool) {
 	e, ok := t.entries[c]
 	if !ok {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,8 +8,8 @@
 	"foxhall/internal/program"
 )
 
-// probe pings a member, directly and then through helpers, and accuses it if
-// neither gets an answer.
+// probe pings a member, directly and then through helpers, and records a probe
+// failure if neither reaches it.
 func (r *Runner) probe(ctx context.Context, t target) {
 	if r.ping(ctx, t) == nil || ctx.Err() != nil {
 		return
@@ -22,7 +22,7 @@
 	r.update(func(table *Table, now time.Time) { table.RecordProbeFailure(t.cohort, t.incarnation, outcome, now) })
 }
 
-// pingOnce sends one heartbeat and takes in the answer.
+// ping sends one heartbeat and applies the response.
 func (r *Runner) ping(ctx context.Context, t target) error {
 	r.probes.Inc(1)
 	ctx, cancel := context.WithTimeout(ctx, r.options.Timing.ProbeTimeout)
@@ -45,8 +45,8 @@
 	}
 }
 
-// takeIn merges an answer. An answer from another cohort proves that the
-// expected one is gone from its address.
+// mergePong applies a response. A response from another cohort proves that the
+// expected one has ended, since its address is in use by another process.
 func (r *Runner) mergePong(expected program.Cohort, pong Pong) {
 	r.update(func(t *Table, now time.Time) {
 		t.Merge(pong.Responder, now)
@@ -60,7 +60,8 @@
 	})
 }
 
-// askHelpers sends an indirect probe through each helper.
+// probeIndirectly sends an indirect probe through each helper and reports
+// whether one of them reached the target.
 func (r *Runner) probeIndirectly(ctx context.Context, t target) (IndirectProbeFailure, bool) {
 	r.mu.Lock()
 	helpers := r.table.helpers(t, r.rng)
@@ -97,7 +98,7 @@
 	return outcome, reached
 }
 
-// heal tries a dead member again.
+// probeDead pings a random dead member, so that a wrongly declared one can refute.
 func (r *Runner) probeDead(ctx context.Context) {
 	r.mu.Lock()
 	t, ok := r.table.pickDead(r.rng)
@@ -107,7 +108,7 @@
 	}
 }
 
-// HandlePing answers a heartbeat.
+// HandlePing responds to a heartbeat.
 func (r *Runner) HandlePing(m Ping) Pong {
 	var pong Pong
 	r.update(func(t *Table, now time.Time) {
@@ -122,7 +123,7 @@
 	return pong
 }
 
-// HandleVia probes a third member for the sender.
+// HandleIndirectPing pings the target on behalf of the sender.
 func (r *Runner) HandleIndirectPing(ctx context.Context, m IndirectPing) IndirectPong {
 	r.update(func(t *Table, now time.Time) {
 		t.Merge(m.Sender, now)
@@ -138,7 +139,7 @@
 	return IndirectPong{Reached: ok, Target: member.Record}
 }
 
-// HandleJoin answers a newcomer with all records.
+// HandleJoin responds to a joining instance with all records.
 func (r *Runner) HandleJoin(sender Record) Pong {
 	var pong Pong
 	r.update(func(t *Table, now time.Time) {
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// healEvery is the number of periods between attempts to reach a dead
-	// member or a configured address.
+	// deadProbePeriods is the number of periods between attempts to reach a
+	// dead member.
 	deadProbePeriods = 16
-	// probesInFlight bounds the probes under way; a period starts at most
-	// three, each done within three probe timeouts.
+	// probesInFlight bounds the probes in flight. A period starts at most three,
+	// and each ends within three probe timeouts.
 	probesInFlight = 16
-	// pushes is the number of members told at once of this instance's planned
-	// stop; heartbeats carry it on.
+	// notifiedMembers is the number of members that are notified immediately of
+	// this instance's planned stop; heartbeats spread it from there.
 	notifiedMembers = 8
 )
 
@@ -31,17 +31,17 @@
 type Options struct {
 	// Self is this process's cohort.
 	Self program.Cohort
-	// Address is where other instances reach this one, as ip:port.
+	// Address is the address at which other instances reach this one, as ip:port.
 	Address string
-	// Report is what this instance first tells of itself.
+	// Report is this instance's initial report.
 	Report Report
-	// Seeds are addresses from the settings at which other instances may be.
+	// Seeds are addresses of possible other instances, from the settings.
 	Seeds []string
-	// Store is the object API, nil to use seeds alone.
+	// Store is the object API; nil to discover members through seeds only.
 	Store     store.Client
 	Transport Transport
 	Timing    Timing
-	// Seed seeds the choice of members to probe.
+	// Seed seeds the random choice of members to probe.
 	Seed uint64
 	// OnView is called with each new view, in order. It must neither block nor
 	// call the runner.
@@ -65,7 +65,7 @@
 	deaths   metrics.Counter
 }
 
-// NewRunner returns a runner whose instance is joining.
+// NewRunner returns a runner whose instance is in state Joining.
 func NewRunner(o Options) *Runner {
 	r := &Runner{
 		options:  o,
@@ -82,8 +82,8 @@
 // View returns the newest snapshot.
 func (r *Runner) View() *View { return r.view.Load() }
 
-// Run joins the fleet and sends heartbeats until ctx ends. Heartbeats are
-// answered before, during and after.
+// Run joins the fleet and sends heartbeats until ctx ends. The runner responds
+// to heartbeats before, during and after Run.
 func (r *Runner) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return r.maintainJoin(ctx) })
@@ -131,7 +131,8 @@
 	return targets
 }
 
-// update changes the table and publishes what came of it.
+// update applies a change to the table, emits its events and publishes a new
+// view if anything changed.
 func (r *Runner) update(change func(*Table, time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,30 +167,31 @@
 	}
 }
 
-// SetReport replaces what this instance tells of itself.
+// SetReport replaces this instance's report.
 func (r *Runner) SetReport(report Report) {
 	r.update(func(t *Table, _ time.Time) { t.SetReport(report) })
 }
 
-// Ready announces that this instance takes work.
+// Ready announces that this instance accepts work.
 func (r *Runner) Ready() {
 	r.update(func(t *Table, now time.Time) { t.Announce(Live, now) })
 }
 
-// ObserveList takes in the platform's lagging list: the addresses it holds and
-// whether each is leaving.
+// ObserveList applies the platform's list, which lags: the addresses on it and
+// whether the instance at each is leaving.
 func (r *Runner) ObserveList(leaving map[string]bool) {
 	r.update(func(t *Table, _ time.Time) { t.ObserveList(leaving) })
 }
 
-// Leave announces this instance's planned stop and tells some members at once.
+// Leave announces this instance's planned stop and notifies some members
+// immediately.
 func (r *Runner) Leave(ctx context.Context) {
 	r.update(func(t *Table, now time.Time) { t.Announce(Leaving, now) })
 	r.notifyMembers(ctx)
 }
 
-// Depart announces this instance's end, after its last step has ended, and
-// removes its object.
+// Depart announces this instance's end and deletes its object. It is to be
+// called after the instance's last step has ended.
 func (r *Runner) Depart(ctx context.Context) error {
 	r.update(func(t *Table, now time.Time) { t.Leave(now) })
 	r.notifyMembers(ctx)
@@ -199,13 +201,14 @@
 	return r.unregister(ctx, r.options.Self)
 }
 
-// Fence is called when this instance finds its cohort sealed by a successor.
-// It stops refuting its death.
+// Fence ends this instance's membership. It is called when this instance finds
+// its cohort sealed by a successor; the instance does not refute its death
+// afterwards.
 func (r *Runner) Fence() {
 	r.update(func(t *Table, now time.Time) { t.Fence(now) })
 }
 
-// push pings several members at once.
+// notifyMembers pings up to notifiedMembers random members concurrently.
 func (r *Runner) notifyMembers(ctx context.Context) {
 	var group errgroup.Group
 	for _, t := range r.randomTargets(notifiedMembers) {
--- a/internal/membership/sample.go
+++ b/internal/membership/sample.go
@@ -13,27 +13,29 @@
 )
 
 const (
-	// changedRecords bounds the records of recent changes in a message.
+	// maxChangedRecords bounds the records of recent changes in a message.
 	maxChangedRecords = 6
-	// otherRecords is the number of other records in a message, taken at
-	// random, so that what was missed arrives at last.
+	// randomRecords is the number of further records in a message, chosen at
+	// random, so that a change that an instance missed still reaches it.
 	randomRecords = 2
-	// corrections bounds the records sent back because the sender's are outdated.
+	// maxCorrections bounds the records in a response that correct outdated
+	// records of the sender.
 	maxCorrections = 4
-	// spread times the logarithm of the fleet is the number of messages that
-	// carry a change (SWIM, section 4.1).
+	// transmissionFactor times the binary logarithm of the fleet's size is the
+	// number of messages that carry a change (SWIM, section 4.1).
 	transmissionFactor = 3
-	// successors is the number of members that each instance watches on the
-	// ring of its data centre, so that each member is watched by as many.
+	// ringSuccessors is the number of members that each instance probes on the
+	// ring of its data centre, so that each member is probed by as many.
 	ringSuccessors = 2
-	// ownHelpers and allHelpers are the helpers of an indirect probe: of the
-	// target's data centre, and altogether.
+	// localHelpers and maxHelpers bound the helpers of an indirect probe: those
+	// in the target's data centre, and all of them.
 	localHelpers = 2
 	maxHelpers   = 3
 )
 
-// carried returns the records for a message to a cohort: what changed lately,
-// fewest sends first, what the receiver must know of itself, and a few others.
+// piggyback returns the records for a message to a cohort: the receiver's own
+// record if it is not in good standing, recent changes with the fewest
+// transmissions first, and a few random others.
 func (t *Table) piggyback(to program.Cohort, rng *rand.Rand, now time.Time) []Record {
 	limit := transmissionFactor * bits.Len(uint(len(t.entries)))
 	var changed, others []*entry
@@ -63,7 +65,7 @@
 	return records
 }
 
-// corrections returns what this instance knows better than the received records.
+// corrections returns this instance's records that supersede the received ones.
 func (t *Table) corrections(received []Record, now time.Time) []Record {
 	var better []Record
 	for _, r := range received {
@@ -75,7 +77,7 @@
 	return better
 }
 
-// target names a member to probe.
+// target identifies a member to probe.
 type target struct {
 	cohort      program.Cohort
 	address     string
@@ -86,10 +88,10 @@
 	return target{cohort: e.Cohort, address: e.Address, incarnation: e.Incarnation}
 }
 
-// targets returns whom to probe in a period: a successor on the ring in each,
-// a random member of the data centre in every second, and a member of another
-// data centre in every fourth, the data centres in turn. The number does not
-// depend on the fleet.
+// targets returns the members to probe in a period: a successor on the ring in
+// each period, a random member of the data centre in every second, and a member
+// of another data centre in every fourth, the data centres in turn. The number
+// does not depend on the size of the fleet.
 func (t *Table) targets(period uint64, rng *rand.Rand) []target {
 	var found []target
 	if e := t.successor(int(period % ringSuccessors)); e != nil {
@@ -115,9 +117,9 @@
 	if len(ring) == 0 {
 		return nil
 	}
-	me := xxhash.Sum64String(string(t.self.Cohort))
+	selfHash := xxhash.Sum64String(string(t.self.Cohort))
 	slices.SortFunc(ring, func(a, b *entry) int {
-		return cmp.Compare(xxhash.Sum64String(string(a.Cohort))-me, xxhash.Sum64String(string(b.Cohort))-me)
+		return cmp.Compare(xxhash.Sum64String(string(a.Cohort))-selfHash, xxhash.Sum64String(string(b.Cohort))-selfHash)
 	})
 	return ring[n%len(ring)]
 }
@@ -137,8 +139,8 @@
 	return pickRandom(t.otherMembers(func(e *entry) bool { return e.DataCentre() == name }), rng)
 }
 
-// among returns the other members that are not dead and satisfy keep, in the
-// order of their cohorts.
+// otherMembers returns the members other than this instance that are not dead
+// and satisfy keep, in the order of their cohorts.
 func (t *Table) otherMembers(keep func(*entry) bool) []*entry {
 	var found []*entry
 	for _, e := range t.entries {
@@ -157,18 +159,18 @@
 	return from[rng.IntN(len(from))]
 }
 
-// helpers returns members to ask for an indirect probe: of the target's data
-// centre first, then others, none that this instance can't reach itself.
-func (t *Table) helpers(of target, rng *rand.Rand) []target {
+// helpers returns the members to ask for an indirect probe: those of the
+// target's data centre first, then others, none that this instance can't reach.
+func (t *Table) helpers(unreached target, rng *rand.Rand) []target {
 	usable := func(e *entry) bool {
-		return e.Cohort != of.cohort && e.State.Present() && e.UnreachableSince.IsZero()
-	}
-	own := t.otherMembers(func(e *entry) bool { return usable(e) && e.DataCentre() == of.cohort.DataCentre() })
-	rest := t.otherMembers(func(e *entry) bool { return usable(e) && e.DataCentre() != of.cohort.DataCentre() })
-	rng.Shuffle(len(own), func(i, j int) { own[i], own[j] = own[j], own[i] })
-	rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	chosen := own[:min(localHelpers, len(own))]
-	chosen = append(slices.Clone(chosen), rest[:min(maxHelpers-len(chosen), len(rest))]...)
+		return e.Cohort != unreached.cohort && e.State.Present() && e.UnreachableSince.IsZero()
+	}
+	local := t.otherMembers(func(e *entry) bool { return usable(e) && e.DataCentre() == unreached.cohort.DataCentre() })
+	remote := t.otherMembers(func(e *entry) bool { return usable(e) && e.DataCentre() != unreached.cohort.DataCentre() })
+	rng.Shuffle(len(local), func(i, j int) { local[i], local[j] = local[j], local[i] })
+	rng.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
+	chosen := local[:min(localHelpers, len(local))]
+	chosen = append(slices.Clone(chosen), remote[:min(maxHelpers-len(chosen), len(remote))]...)
 	helpers := make([]target, 0, len(chosen))
 	for _, e := range chosen {
 		helpers = append(helpers, targetOf(e))
@@ -176,8 +178,8 @@
 	return helpers
 }
 
-// healing returns a dead member to try again, or nothing. Two sides that
-// declared each other dead would otherwise never meet again.
+// pickDead returns a random dead member to probe, if there is one. Two sides of
+// a network partition that declared each other dead would otherwise never rejoin.
 func (t *Table) pickDead(rng *rand.Rand) (target, bool) {
 	var dead []*entry
 	for _, e := range t.entries {
--- a/internal/membership/survey.go
+++ b/internal/membership/survey.go
@@ -7,14 +7,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// surveyWidth bounds the members asked at the same time.
+// surveyWidth bounds the concurrent pings of a survey.
 const surveyWidth = 32
 
-// Survey asks the members for which ask is true, and that are not dead, for
-// their report and returns the view after. Heartbeats refresh what is known of
-// far members only within about a minute; an operator who asks whether an edit
-// is in force everywhere needs the present state. It costs one message for each
-// member asked.
+// Survey pings the members that are not dead and for which ask returns true, and
+// returns a view with their current reports. Heartbeats refresh the reports of
+// members in other data centres only within about a minute; an operator who
+// checks whether an edit is in force everywhere needs the current state. It
+// costs one message per member asked.
 func (r *Runner) Survey(ctx context.Context, ask func(Member) bool) *View {
 	r.mu.Lock()
 	members := r.table.otherMembers(func(e *entry) bool { return ask(e.Member) })
@@ -35,7 +35,7 @@
 		})
 	}
 	_ = group.Wait()
-	// The reports that arrived are in the table and come into a view now.
+	// Publish a view that contains the reports that arrived.
 	r.update(func(table *Table, _ time.Time) { table.changed = true })
 	return r.View()
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// ownWitnesses is how many witnesses of the member's own data centre a
-	// death needs, where there are as many to ask.
+	// requiredWitnesses is the number of witnesses in the member's own data
+	// centre that a death needs, or all of its members where there are fewer.
+	// A record holds no more of them.
 	requiredWitnesses = 3
-	// foreignWitnesses bounds the witnesses of other data centres in a record.
+	// maxRemoteWitnesses bounds the witnesses from other data centres in a record.
 	maxRemoteWitnesses = 2
-	// linkFailures is how many failed probes in a row make a data centre unreachable.
+	// maxLinkFailures is the number of consecutive failed probes at which a
+	// data centre counts as unreachable.
 	maxLinkFailures = 2
 )
 
-// EventKind says what happened to a member.
+// EventKind identifies a change of a member.
 type EventKind string
 
 // The kinds of events.
@@ -34,36 +36,37 @@
 	IsolationEnded EventKind = "isolation_ended"
 )
 
-// Event is a change seen by this instance.
+// Event is a change observed by this instance.
 type Event struct {
 	Kind   EventKind
 	Member Member
 }
 
-// entry is a member with the state of the protocol.
+// entry is a member together with its protocol state.
 type entry struct {
 	Member
-	// suspected is when the first witness of this incarnation was heard of.
+	// suspectedSince is when this instance learned of the first witness of the
+	// incarnation.
 	suspectedSince time.Time
-	// checked is when this instance last exchanged a message with the member,
-	// or failed to.
+	// lastExchange is when this instance last exchanged a message with the
+	// member or failed to.
 	lastExchange time.Time
-	// confirmed says that the death was seen from another data centre too, or
-	// proved by another cohort's answer.
+	// confirmed reports whether the death was also observed from another data
+	// centre, or proved by a response of another cohort at the member's address.
 	confirmed bool
-	// sent counts the messages that carried the record since it changed.
+	// transmissions counts the messages that carried the record since it changed.
 	transmissions int
 }
 
-// centre is the contact with a data centre.
+// link is the state of this instance's contact with a data centre. failures
+// counts consecutive failed probes.
 type link struct {
 	lastContact time.Time
 	failures    int
 }
 
-// Table is the aggregate of the members that one instance knows, itself
-// included. It does no I/O, takes the time as an argument, and is not safe for
-// concurrent use.
+// Table holds the members that one instance knows, itself included. It does no
+// I/O, takes the time as an argument, and is not safe for concurrent use.
 type Table struct {
 	timing        Timing
 	self          *entry
@@ -71,23 +74,24 @@
 	links         map[string]*link
 	events        []Event
 	isolatedSince time.Time
-	// manySilent says that an unusual share of the data centre is out of sight.
+	// massFailure reports whether an unusual share of the data centre is
+	// unreachable.
 	massFailure bool
 	fenced      bool
 	// changed is set by every change, so that a view is built only when needed.
 	changed bool
 }
 
-// NewTable returns a table that holds this instance alone, joining.
+// NewTable returns a table that contains only this instance, in state Joining.
 func NewTable(self program.Cohort, address string, report Report, times Timing, now time.Time) *Table {
-	me := &entry{Member: Member{
+	selfEntry := &entry{Member: Member{
 		Record: Record{Cohort: self, Address: address, State: Joining, Report: report},
 		Since:  now, LastReport: now,
 	}}
 	t := &Table{
 		timing:  times,
-		self:    me,
-		entries: map[program.Cohort]*entry{self: me},
+		self:    selfEntry,
+		entries: map[program.Cohort]*entry{self: selfEntry},
 		links:   map[string]*link{},
 		changed: true,
 	}
@@ -98,7 +102,7 @@
 // Self returns this instance's own record.
 func (t *Table) Self() Record { return t.record(t.self, time.Time{}) }
 
-// Events returns the events since the last call.
+// Events returns and clears the events since the last call.
 func (t *Table) Events() []Event {
 	events := t.events
 	t.events = nil
@@ -119,16 +123,17 @@
 	return c
 }
 
-// Beat starts a new period of this instance's reports.
+// AdvanceReport advances the sequence number of this instance's report, once a
+// period.
 func (t *Table) AdvanceReport(now time.Time) {
 	t.self.ReportSequence++
 	t.self.LastReport = now
-	t.changed = true // a view a period keeps the ages in it current
+	t.changed = true // one view per period keeps its ages current
 }
 
-// SetReport replaces what this instance reports of itself. A change takes a
-// beat of its own: others would take it for the report they have already, and
-// a survey right after an edit would show the version before it.
+// SetReport replaces this instance's report. A change advances the sequence
+// number: otherwise other instances would ignore it as already known, and a
+// survey right after a configuration edit would show the previous version.
 func (t *Table) SetReport(r Report) {
 	if t.self.Report == r {
 		return
@@ -138,8 +143,8 @@
 	t.changed = true
 }
 
-// Announce moves this instance to Live or Leaving. A state once passed does
-// not come back: an instance that announced its stop stays leaving.
+// Announce moves this instance to Live or Leaving. It never moves back to an
+// earlier state: an instance that announced its stop stays Leaving.
 func (t *Table) Announce(s State, now time.Time) {
 	if t.self.State >= s || (s != Live && s != Leaving) {
 		return
@@ -148,7 +153,8 @@
 	t.setSelfState(s, now)
 }
 
-// Leave announces this instance's end. Nothing refutes it.
+// Leave moves this instance to Dead by its own announcement, which is never
+// refuted.
 func (t *Table) Leave(now time.Time) {
 	if t.self.State == Dead {
 		return
@@ -158,8 +164,9 @@
 	t.setSelfState(Dead, now)
 }
 
-// Fence ends this instance's membership because its cohort was sealed by a
-// successor. It no longer refutes its death: work sent to it would be refused.
+// Fence ends this instance's membership because a successor sealed its cohort.
+// The instance does not refute its death afterwards, since it would reject any
+// work sent to it.
 func (t *Table) Fence(now time.Time) {
 	t.fenced = true
 	t.Leave(now)
@@ -187,12 +194,12 @@
 	}
 }
 
-// Contact notes an exchange with a member, in either direction.
+// RecordContact records a successful exchange with a member, in either direction.
 func (t *Table) RecordContact(c program.Cohort, now time.Time) {
-	site := t.link(c.DataCentre())
-	t.changed = t.changed || site.failures >= maxLinkFailures
-	site.lastContact = now
-	site.failures = 0
+	l := t.link(c.DataCentre())
+	t.changed = t.changed || l.failures >= maxLinkFailures
+	l.lastContact = now
+	l.failures = 0
 	e, ok := t.entries[c]
 	if !ok {
 		return
@@ -204,8 +211,8 @@
 	}
 }
 
-// Unreached notes that this instance failed to reach a member. It is kept to
-// itself: it counts for isolation and accuses nobody.
+// MarkUnreachable records that this instance failed to reach a member. The mark
+// is not sent to others: it counts towards isolation and raises no suspicion.
 func (t *Table) MarkUnreachable(c program.Cohort, now time.Time) {
 	e, ok := t.entries[c]
 	if !ok || e == t.self {
@@ -218,8 +225,8 @@
 	}
 }
 
-// LinkFailed notes that neither a member of another data centre nor the
-// helpers there answered. It accuses the link and not the member.
+// LinkFailed records that neither a member of another data centre nor the
+// helpers there responded. It counts against the link, not against the member.
 func (t *Table) LinkFailed(dataCentre string) {
 	t.link(dataCentre).failures++
 	t.changed = true
@@ -230,7 +237,8 @@
 	return dataCentre == t.self.DataCentre() || (ok && c.failures < maxLinkFailures)
 }
 
-// Suspect adds witnesses that failed to reach a member's incarnation.
+// Suspect adds witnesses that failed to reach a member in its incarnation. It
+// has no effect if the member has another incarnation by now.
 func (t *Table) Suspect(c program.Cohort, incarnation uint64, witnesses []program.Cohort, now time.Time) {
 	e, ok := t.entries[c]
 	if !ok || e == t.self || e.State == Dead || e.Incarnation != incarnation {
@@ -239,14 +247,14 @@
 	t.addWitnesses(e, witnesses, now)
 }
 
-// addWitnesses joins witnesses to an entry that is not dead. A leaving member
-// stays leaving: its planned stop is not undone by a suspicion.
+// addWitnesses adds witnesses to an entry that is not dead. A leaving member
+// stays Leaving: a suspicion does not override its planned stop.
 func (t *Table) addWitnesses(e *entry, witnesses []program.Cohort, now time.Time) {
-	joined := t.mergeWitnesses(e, witnesses)
-	if slices.Equal(joined, e.Witnesses) {
+	merged := t.mergeWitnesses(e, witnesses)
+	if slices.Equal(merged, e.Witnesses) {
 		return
 	}
-	e.Witnesses = joined
+	e.Witnesses = merged
 	e.transmissions = 0
 	t.changed = true
 	if e.suspectedSince.IsZero() {
@@ -259,32 +267,32 @@
 	}
 }
 
-// joinWitnesses returns an entry's witnesses with more in a new slice, bounded
-// so that a record stays small however many fail to reach the member. Witnesses
-// that died since make room: a list full of them would take no new one, and the
-// member would stay suspect for good.
-func (t *Table) mergeWitnesses(e *entry, more []program.Cohort) []program.Cohort {
-	var joined []program.Cohort
-	own, foreign := 0, 0
-	for _, w := range slices.Concat(e.Witnesses, more) {
-		if witness, ok := t.entries[w]; slices.Contains(joined, w) || (ok && witness.State == Dead) {
+// mergeWitnesses returns an entry's witnesses and more in a new slice, bounded
+// so that a record stays small however many instances fail to reach the member.
+// Witnesses that have died are left out: a list full of them would accept no new
+// one, and the member would stay Suspect for ever.
+func (t *Table) mergeWitnesses(e *entry, added []program.Cohort) []program.Cohort {
+	var merged []program.Cohort
+	local, remote := 0, 0
+	for _, w := range slices.Concat(e.Witnesses, added) {
+		if witness, ok := t.entries[w]; slices.Contains(merged, w) || (ok && witness.State == Dead) {
 			continue
 		}
-		count, limit := &own, requiredWitnesses
+		count, limit := &local, requiredWitnesses
 		if w.DataCentre() != e.DataCentre() {
-			count, limit = &foreign, maxRemoteWitnesses
+			count, limit = &remote, maxRemoteWitnesses
 		}
 		if *count < limit {
 			*count++
-			joined = append(joined, w)
+			merged = append(merged, w)
 		}
 	}
-	return joined
+	return merged
 }
 
-// Superseded declares a member dead because another cohort answered at its
-// address. One witness is enough: this is an answer and not its absence, and
-// two processes cannot listen at one address.
+// Superseded declares a member dead because another cohort responded at its
+// address. One observer is enough: this is a response rather than a missing one,
+// and two processes cannot listen at one address.
 func (t *Table) Superseded(c program.Cohort, now time.Time) {
 	if e, ok := t.entries[c]; ok && e != t.self {
 		e.confirmed = true
--- a/internal/membership/verdict.go
+++ b/internal/membership/verdict.go
@@ -6,8 +6,8 @@
 	"foxhall/internal/program"
 )
 
-// Tick applies what time alone decides: isolation, deaths, and the forgetting
-// of the dead.
+// Tick applies the changes that depend on time: isolation, declared deaths, and
+// the removal of dead members after their retention.
 func (t *Table) Tick(now time.Time) {
 	t.updateIsolation(now)
 	for cohort, e := range t.entries {
@@ -25,49 +25,51 @@
 	}
 }
 
-// Isolated reports whether this instance lost most of its data centre at once.
+// Isolated reports whether this instance has lost contact with most of its data
+// centre.
 func (t *Table) Isolated() bool { return !t.isolatedSince.IsZero() }
 
-// contactWindow is how long an exchange with a member shows that it is in
-// sight. In a data centre of several dozen nearly every member is met within it.
+// contactWindow is how long a member counts as reachable after an exchange. In a
+// data centre of several dozen instances, nearly every member is met within it.
 const contactWindow = 30 * time.Second
 
 const (
-	// manySilent is how many in sight for each out of sight make a death an
-	// ordinary one.
+	// massFailureRatio is the number of reachable members for each unreachable
+	// one below which the failures count as a mass failure.
 	massFailureRatio = 4
-	// patience times SuspectTimeout passes before a death that is not.
+	// massFailureTimeoutFactor multiplies SuspectTimeout in a mass failure.
 	massFailureTimeoutFactor = 3
 )
 
-// updateIsolation compares how many members of its data centre this instance
-// has in sight, itself included, with how many are out of sight.
+// updateIsolation compares the number of reachable members of this instance's
+// data centre, itself included, with the number of unreachable ones.
 //
-// The failure: an instance, or a minority, is cut off from its data centre.
-// Everybody else falls silent at once, and a rule that only counts witnesses
-// among those still in sight would let it declare the majority dead and take
-// over all their programs. Since two sides of a cut can't both have a strict
-// majority, at most one goes on declaring deaths. Members declared dead
-// lately count as out of sight, or else each death declared by a minority
-// would make it look less of one. A member that a witness of another data
-// centre can't reach either is gone and not cut off, so the survivors of a
-// real loss are not held up.
+// It guards against this failure: a network partition separates an instance, or
+// a minority, from the rest of its data centre. All others become unresponsive
+// at once, and a rule that only counts witnesses among the reachable members
+// would let the minority declare the majority dead and take over all its
+// programs. Since the two sides of a partition can't both have a strict
+// majority, at most one side goes on declaring deaths. Members that were
+// declared dead recently count as unreachable; otherwise each death that a
+// minority declares would make it look less like a minority. A member that a
+// witness in another data centre can't reach either has failed and is not
+// partitioned, so the survivors of a real loss are not delayed.
 //
-// Why it is enough: the rule spares needless take-overs. That a wrong one does
-// no harm is the work of the seal in the log, which both sides can't write.
+// The rule only avoids needless take-overs. A wrong take-over does no harm
+// because of the seal in the log, which only one side can write.
 func (t *Table) updateIsolation(now time.Time) {
-	in, out := 1, 0
+	reachable, unreachable := 1, 0
 	for _, e := range t.entries {
 		switch {
 		case e == t.self || e.DataCentre() != t.self.DataCentre() || e.State == Leaving:
 		case t.countsAsUnreachable(e, now):
-			out++
+			unreachable++
 		case e.State != Dead && now.Sub(e.lastExchange) < contactWindow:
-			in++
+			reachable++
 		}
 	}
-	t.massFailure = massFailureRatio*out > in
-	isolated := in <= out
+	t.massFailure = massFailureRatio*unreachable > reachable
+	isolated := reachable <= unreachable
 	switch {
 	case isolated && !t.Isolated():
 		t.isolatedSince = now
@@ -78,17 +80,18 @@
 	}
 }
 
-// outOfSight reports whether a member's silence may be this instance's fault.
+// countsAsUnreachable reports whether a member is unreachable and the cause may
+// lie with this instance.
 func (t *Table) countsAsUnreachable(e *entry, now time.Time) bool {
 	if e.State == Dead {
 		return !e.LeftGracefully && !e.confirmed && now.Sub(e.Since) < t.timing.IsolationHold
 	}
-	silent := e.State == Suspect || !e.UnreachableSince.IsZero()
-	return silent && t.countWitnesses(e).remote == 0
+	unreachable := e.State == Suspect || !e.UnreachableSince.IsZero()
+	return unreachable && t.countWitnesses(e).remote == 0
 }
 
-// HoldsBack reports whether this instance is isolated and has not waited long
-// enough, or can't reach the object API, to act nevertheless.
+// DefersActions reports whether this instance is isolated and must not act on
+// it: IsolationHold has not passed, or it can't reach the object API.
 func (t *Table) DefersActions(now time.Time) bool {
 	if !t.Isolated() {
 		return false
@@ -96,9 +99,10 @@
 	return now.Sub(t.isolatedSince) < t.timing.IsolationHold || !t.self.Report.StoreHealthy
 }
 
-// mayDeclare reports whether this instance's opinion of a member counts. An
-// isolated instance that waited may still be a minority which alone reaches the
-// object API; where the platform's list is read, it must confirm the death.
+// mayDeclareDead reports whether this instance may declare a member dead. An
+// isolated instance that waited for IsolationHold may still be a minority that
+// is the only side to reach the object API; where the platform's list is read,
+// the list must confirm the death.
 func (t *Table) mayDeclareDead(e *entry, now time.Time) bool {
 	if t.self.State == Dead || t.DefersActions(now) {
 		return false
@@ -106,11 +110,12 @@
 	return !t.Isolated() || e.Listed == ListedGone || e.Listed == ListedUnknown
 }
 
-// witnessCount is the number of witnesses that count, by where they are.
+// witnessCount is the number of valid witnesses in the member's data centre and
+// in others.
 type witnessCount struct{ local, remote int }
 
-// countWitnesses counts the witnesses that are themselves in good standing: one
-// that is suspect or dead in our eyes may have been the one cut off.
+// countWitnesses counts the witnesses that this instance considers running: the
+// network partition may be on the side of a witness that is suspect or dead.
 func (t *Table) countWitnesses(e *entry) witnessCount {
 	var count witnessCount
 	for _, w := range e.Witnesses {
@@ -127,12 +132,13 @@
 	return count
 }
 
-// verdict decides whether a member is to be declared dead.
+// shouldDeclareDead reports whether a member is to be declared dead.
 //
-// Only members of its own data centre decide while there are any, because a
-// data centre that is cut off is alive to itself. The member has to have been failed
-// by ownWitnesses of them, or by all where there are fewer, and by two in all,
-// so that one broken link kills nobody.
+// While the member's data centre has other members, only they decide, because
+// the instances of a data centre that is partitioned from the others still
+// reach each other. requiredWitnesses of them, or all where there are fewer,
+// must have failed to reach the member, and at least two witnesses in total, so
+// that one broken link causes no death.
 func (t *Table) shouldDeclareDead(e *entry, now time.Time) bool {
 	if e.State == Dead || !t.mayDeclareDead(e, now) {
 		return false
@@ -143,12 +149,12 @@
 	if e.suspectedSince.IsZero() || now.Sub(e.suspectedSince) < t.suspectTimeout() {
 		return false
 	}
-	own, foreign := t.potentialWitnesses(e)
+	local, remote := t.potentialWitnesses(e)
 	count := t.countWitnesses(e)
-	if count.local < min(requiredWitnesses, own) {
+	if count.local < min(requiredWitnesses, local) {
 		return false
 	}
-	if own+foreign < 2 {
+	if local+remote < 2 {
 		return e.Listed == ListedGone || now.Sub(e.suspectedSince) >= t.timing.LoneTimeout
 	}
 	total := count.local + count.remote
@@ -158,10 +164,10 @@
 	return total >= 2
 }
 
-// suspectTimeout is the time between suspicion and death. When many members of
-// the data centre fall silent together, this instance may be on the smaller
-// side of a cut and not have found out yet: in a data centre of several dozen
-// that takes longer than the ordinary timeout.
+// suspectTimeout returns the time between suspicion and death. It is longer in a
+// mass failure: this instance may be on the smaller side of a network partition
+// and not have detected it yet, which takes longer than the ordinary timeout in
+// a data centre of several dozen instances.
 func (t *Table) suspectTimeout() time.Duration {
 	if t.massFailure {
 		return massFailureTimeoutFactor * t.timing.SuspectTimeout
@@ -169,26 +175,28 @@
 	return t.timing.SuspectTimeout
 }
 
-// askable counts the members that could be witnesses against e: those of its
-// data centre, and of others within reach.
-func (t *Table) potentialWitnesses(e *entry) (own, foreign int) {
+// potentialWitnesses counts the running members, this instance included, that
+// could be witnesses against e: those of e's data centre, and those of other data
+// centres that this instance reaches.
+func (t *Table) potentialWitnesses(e *entry) (local, remote int) {
 	for _, other := range t.entries {
 		if other == e || !other.State.Present() {
 			continue
 		}
 		switch {
 		case other.DataCentre() == e.DataCentre():
-			own++
+			local++
 		case t.reachable(other.DataCentre()):
-			foreign++
+			remote++
 		}
 	}
-	return own, foreign
+	return local, remote
 }
 
-// lost decides on a member of another data centre that has fallen silent as a
-// whole. The silence alone may be a partition, so the platform's list must say
-// besides that the address is gone.
+// shouldDeclareRemoteDead reports whether a member of another data centre is to
+// be declared dead, after no contact with that data centre for LostAfter. The
+// missing contact may be due to a network partition, so the member's address
+// must also be missing in the platform's list.
 func (t *Table) shouldDeclareRemoteDead(e *entry, now time.Time) bool {
 	if t.reachable(e.DataCentre()) || e.Listed != ListedGone {
 		return false
@@ -196,15 +204,16 @@
 	return now.Sub(t.link(e.DataCentre()).lastContact) >= t.timing.LostAfter
 }
 
-// Accuse notes a failed probe of a member of incarnation, and the helpers that
-// failed to reach it as well. An instance that is isolated, or most of whose
-// helpers kept silent, can't tell its own fault from the member's and accuses
-// nobody. The same covers a prober that was paused: the time of its probe and
-// of its helpers' answers ended while it slept.
+// RecordProbeFailure records a failed direct and indirect probe of a member's
+// incarnation, and raises a suspicion with this instance and the helpers that
+// also failed as witnesses. An instance that is isolated, or most of whose
+// helpers did not respond, can't tell its own failure from the member's and
+// raises none. This also covers a prober that was paused: the timeouts of its
+// direct and indirect probes expired during the pause.
 func (t *Table) RecordProbeFailure(c program.Cohort, incarnation uint64, outcome IndirectProbeFailure, now time.Time) {
 	t.MarkUnreachable(c, now)
-	for _, silent := range outcome.Unresponsive {
-		t.MarkUnreachable(silent, now)
+	for _, helper := range outcome.Unresponsive {
+		t.MarkUnreachable(helper, now)
 	}
 	if c.DataCentre() != t.self.DataCentre() && !outcome.respondedFrom(c.DataCentre()) {
 		t.LinkFailed(c.DataCentre())
@@ -217,11 +226,12 @@
 	t.Suspect(c, incarnation, witnesses, now)
 }
 
-// Helpers is the outcome of an indirect probe that did not reach its target.
+// IndirectProbeFailure is the outcome of an indirect probe that did not reach
+// its target.
 type IndirectProbeFailure struct {
-	// Failed are the helpers that answered and had failed to reach the target.
+	// Failed are the helpers that responded and failed to reach the target.
 	Failed []program.Cohort
-	// Silent are the helpers that did not answer.
+	// Unresponsive are the helpers that did not respond.
 	Unresponsive []program.Cohort
 }
 
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -11,12 +11,14 @@
 	"foxhall/internal/program"
 )
 
-// Centre is what this instance knows of a data centre.
+// DataCentre is the state of this instance's contact with a data centre.
 type DataCentre struct {
 	Name string
-	// Reachable says whether the last exchanges with the data centre succeeded.
+	// Reachable reports whether the latest exchanges with the data centre
+	// succeeded.
 	Reachable bool
-	// Contact is the last exchange with one of its members, zero for never.
+	// LastContact is the time of the last exchange with one of its members,
+	// zero if there was none.
 	LastContact time.Time
 }
 
@@ -24,10 +26,11 @@
 type View struct {
 	// Self is this instance.
 	Self Member
-	// Isolated says that this instance lost most of its data centre at once
-	// and holds back: it declares no deaths and should start no take-overs.
+	// Isolated reports whether this instance has lost contact with most of its
+	// data centre and defers actions: it declares no deaths and should start no
+	// take-overs.
 	Isolated bool
-	// Fenced says that this instance's cohort was sealed by a successor.
+	// Fenced reports whether a successor sealed this instance's cohort.
 	Fenced bool
 
 	members     []Member
@@ -39,7 +42,7 @@
 // cohorts. The slice is shared and must not be changed.
 func (v *View) Members() []Member { return v.members }
 
-// Centres returns the data centres in the order of their names. The slice is
+// DataCentres returns the data centres in the order of their names. The slice is
 // shared and must not be changed.
 func (v *View) DataCentres() []DataCentre { return v.dataCentres }
 
@@ -52,7 +55,7 @@
 	return v.members[i], true
 }
 
-// Living returns the members of a data centre that take new work, or those of
+// Living returns the members of a data centre that accept new work, or those of
 // all data centres if dataCentre is empty.
 func (v *View) Living(dataCentre string) []Member {
 	var living []Member
@@ -75,10 +78,10 @@
 	return dead
 }
 
-// Ranked returns the living members of a data centre in the order in which
-// they should take a key, by weighted rendezvous hashing (Thaler and
-// Ravishankar, 1998): each takes a share in proportion to its size, and a
-// member that comes or goes moves only its own share.
+// Ranked returns the members of a data centre that accept new work, in the order
+// of their weighted rendezvous hash for a key (Thaler and Ravishankar, 1998). Each
+// member ranks first for a share of the keys in proportion to its size, and a
+// member that joins or leaves moves only its own share.
 func (v *View) Ranked(dataCentre, key string) []Member {
 	living := v.Living(dataCentre)
 	slices.SortFunc(living, func(a, b Member) int {
@@ -87,9 +90,10 @@
 	return living
 }
 
-// Contends reports whether this instance is one of the first n living of its
-// data centre in the rank of a key and is not holding back. It bounds the
-// instances that compete for a lease, whatever the size of the data centre.
+// IsContender reports whether this instance ranks among the first n members of
+// its data centre for a key and does not defer actions because of isolation. It
+// bounds the number of instances that compete for a lease, whatever the size of
+// the data centre.
 func (v *View) IsContender(key string, n int) bool {
 	if v.Isolated {
 		return false
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxName bounds cohorts and addresses received from outside, in bytes.
+	// maxNameBytes bounds received cohorts and addresses.
 	maxNameBytes = 200
 	// maxWitnesses bounds the witnesses in a received record.
 	maxWitnesses = 8
@@ -54,8 +54,8 @@
 }
 
 // fromWire decodes a record and reports whether it is well formed. An instance
-// of another build may send what this one does not know; such a record is left
-// out rather than failing the whole heartbeat.
+// of another build may send values that this one does not know; such a record
+// is skipped rather than failing the heartbeat.
 func fromWire(m *peerpb.MemberRecord) (Record, bool) {
 	state, ok := statesFromWire[m.GetState()]
 	if !ok || !validCohort(m.GetCohort()) || len(m.GetAddress()) > maxNameBytes || len(m.GetWitnesses()) > maxWitnesses {
@@ -84,10 +84,11 @@
 	return r, true
 }
 
-// deadFor caps an age so that it cannot overflow a duration.
+// deadForFromWire converts an age in milliseconds, capped so that it can't
+// overflow a duration.
 func deadForFromWire(ms uint64) time.Duration {
-	const most = uint64(1000 * time.Hour / time.Millisecond)
-	return time.Duration(min(ms, most)) * time.Millisecond
+	const maxMS = uint64(1000 * time.Hour / time.Millisecond)
+	return time.Duration(min(ms, maxMS)) * time.Millisecond
 }
 
 func validCohort(c string) bool {
@@ -112,35 +113,35 @@
 	return records
 }
 
-// PeerTransport is the Transport over package peer.
+// PeerTransport implements Transport over package peer.
 type PeerTransport struct{ Client *peer.Client }
 
 // Ping implements Transport.
 func (t PeerTransport) Ping(ctx context.Context, address string, m Ping) (Pong, error) {
-	answer, err := t.Client.Ping(ctx, address, pingToWire(m))
+	response, err := t.Client.Ping(ctx, address, pingToWire(m))
 	if err != nil {
 		return Pong{}, err
 	}
-	return pongFromWire(answer.GetResponder(), answer.GetRecords())
+	return pongFromWire(response.GetResponder(), response.GetRecords())
 }
 
 // PingVia implements Transport.
 func (t PeerTransport) PingVia(ctx context.Context, address string, m IndirectPing) (IndirectPong, error) {
-	answer, err := t.Client.PingVia(ctx, address, indirectPingToWire(m))
+	response, err := t.Client.PingVia(ctx, address, indirectPingToWire(m))
 	if err != nil {
 		return IndirectPong{}, err
 	}
-	record, ok := fromWire(answer.GetTarget())
-	return IndirectPong{Reached: answer.GetReached() && ok, Target: record}, nil
+	record, ok := fromWire(response.GetTarget())
+	return IndirectPong{Reached: response.GetReached() && ok, Target: record}, nil
 }
 
 // Join implements Transport.
 func (t PeerTransport) Join(ctx context.Context, address string, sender Record) (Pong, error) {
-	answer, err := t.Client.Join(ctx, address, &peerpb.JoinRequest{Sender: toWire(sender)})
+	response, err := t.Client.Join(ctx, address, &peerpb.JoinRequest{Sender: toWire(sender)})
 	if err != nil {
 		return Pong{}, err
 	}
-	return pongFromWire(answer.GetResponder(), answer.GetRecords())
+	return pongFromWire(response.GetResponder(), response.GetRecords())
 }
 
 func pingToWire(m Ping) *peerpb.PingRequest {
@@ -167,7 +168,7 @@
 	return Pong{Responder: r, Records: fromWireAll(records)}, nil
 }
 
-// Service serves a Runner as the heartbeats of package peer.
+// Service exposes a Runner as the heartbeat service of package peer.
 type Service struct{ Runner *Runner }
 
 var _ peer.Heartbeats = Service{}
@@ -197,11 +198,11 @@
 		Target:        program.Cohort(m.GetTarget()),
 		TargetAddress: m.GetTargetAddress(),
 	})
-	answer := &peerpb.PingViaResponse{Reached: result.Reached}
+	response := &peerpb.PingViaResponse{Reached: result.Reached}
 	if result.Reached {
-		answer.Target = toWire(result.Target)
+		response.Target = toWire(result.Target)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // Join implements peer.Heartbeats.
