--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -19,19 +19,18 @@
 	"foxhall/internal/program"
 )
 
-// benchPeriod is the period of benchmarks, a tenth of the default. Work is
-// reported for each period, so that it reads as work for each second at the
-// default period.
+// benchPeriod is the protocol's period in benchmarks, a tenth of the default.
+// Costs are reported per period, which is per second at the default period.
 const benchPeriod = 100 * time.Millisecond
 
-// benchPeriods is how long a benchmark measures.
+// benchPeriods is the number of periods that a benchmark measures.
 const benchPeriods = 50
 
-// settle waits until the changes of n instances' start have been carried as
-// often as they are; a quiet fleet is measured.
+// awaitQuiet waits until the records of the start of n instances have been sent
+// as often as the protocol sends a change, so that a quiet fleet is measured.
 func awaitQuiet(n int) { time.Sleep(time.Duration(benchPeriods+3*n/2) * benchPeriod) }
 
-// cpu returns the processor time that this process has used.
+// cpu returns the processor time used by this process.
 func cpu() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -40,8 +39,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// benchTimes are the default times with probes on the benchmark's period. The
-// probe timeout stays, so that a busy machine does not turn into suspicions.
+// benchTiming returns the default timing with the benchmark's period. The probe
+// timeout is not scaled, so that a busy machine causes no suspicions.
 func benchTiming() Timing {
 	times := DefaultTiming()
 	times.SuspectTimeout = times.SuspectTimeout * benchPeriod / times.Period
@@ -49,8 +48,8 @@
 	return times
 }
 
-// startLoopback starts n instances in 5 data centres that speak twirp over
-// loopback TCP, and returns their registry.
+// startLoopback starts n instances in 5 data centres that use twirp over
+// loopback TCP, and returns them with their shared registry of peer metrics.
 func startLoopback(b *testing.B, ctx context.Context, n int, wait *sync.WaitGroup) ([]*Runner, metrics.Registry) {
 	registry := metrics.NewRegistry()
 	var runners []*Runner
@@ -90,9 +89,9 @@
 	return runners, registry
 }
 
-// BenchmarkHeartbeatsLoopback measures an instance's heartbeats over twirp on
-// loopback against the number of instances: messages and bytes sent and
-// received, headers included, and processor time of both sides.
+// BenchmarkHeartbeatsLoopback measures the heartbeats of one instance over twirp
+// on loopback for several fleet sizes: messages and bytes sent and received,
+// headers included, and the processor time of both sides.
 func BenchmarkHeartbeatsLoopback(b *testing.B) {
 	for _, n := range []int{10, 50, 100} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
@@ -108,7 +107,7 @@
 				time.Sleep(benchPeriods * benchPeriod)
 				perInstance := float64(n * benchPeriods)
 				b.ReportMetric(float64(count("peer.client.calls.Ping")-calls)/perInstance, "pings/period")
-				// Each call's bytes pass two instances: the caller and the called.
+				// The bytes of each call pass through two instances, client and server.
 				b.ReportMetric(2*float64(traffic()-bytes)/perInstance, "bytes/period")
 				b.ReportMetric(float64((cpu()-used).Microseconds())/perInstance, "cpu_us/period")
 				b.ReportMetric(float64(count("peer.client.failures")), "failures")
@@ -131,8 +130,8 @@
 	}
 }
 
-// BenchmarkHeartbeatsMemory measures the protocol alone, with encoded messages
-// but without HTTP, up to the size of letter 1.
+// BenchmarkHeartbeatsMemory measures the protocol with encoded messages but
+// without HTTP, for up to 370 instances.
 func BenchmarkHeartbeatsMemory(b *testing.B) {
 	for _, n := range []int{10, 50, 100, 370} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
@@ -160,8 +159,8 @@
 	}
 }
 
-// periodsUntil returns the periods until every running instance holds a member
-// in a state. To Leaving, it makes the member announce that first.
+// periodsUntil returns the number of periods until every running instance has a
+// member in the given state. For Leaving, the member announces its stop first.
 func periodsUntil(net *network, member *Runner, state State) float64 {
 	started := time.Now()
 	if state == Leaving {
@@ -175,10 +174,10 @@
 	return float64(time.Since(started)) / float64(benchPeriod)
 }
 
-// memoryCopies is the number of tables over which memory is averaged.
+// tableCopies is the number of tables over which memory is averaged.
 const tableCopies = 50
 
-// BenchmarkMemory measures the heap for each member held, views included.
+// BenchmarkMemory measures the heap per member of a table, views included.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{10, 100, 370} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
@@ -217,8 +216,8 @@
 	return table
 }
 
-// BenchmarkView measures the publishing of a view, once a period and at each
-// change of a state.
+// BenchmarkView measures the building of a view, which happens once a period and
+// at each change of a state.
 func BenchmarkView(b *testing.B) {
 	table, now := fullTable(370), time.Now()
 	b.ReportAllocs()
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -12,16 +12,16 @@
 	"foxhall/internal/store"
 )
 
-// deathBound is within which a crash is known everywhere: the ring's turn, a
-// probe with helpers, the suspicion, and the spread.
+// deathBound is the time within which all instances know of a crash: the next
+// probe on the ring, the indirect probes, the suspect timeout and dissemination.
 const deathBound = 20 * time.Second
 
-// leaveBound is within which a planned stop is known everywhere.
+// leaveBound is the time within which all instances know of a planned stop.
 const leaveBound = 3 * time.Second
 
-// An instance crashes. Its ring predecessors fail to reach it, helpers fail
-// too, and after the time to refute all others hold it dead; nobody else is
-// accused. Its successor can then take over.
+// An instance crashes. Its ring predecessors and the helpers fail to reach it,
+// and after the suspect timeout all others declare it dead, and no other member.
+// Its successor can then take over.
 func TestCrashIsDeclaredWithinBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -37,9 +37,9 @@
 	})
 }
 
-// One instance can't reach another although everybody else can: a broken
-// link, in one direction. It is one witness and must not get the other killed,
-// nor even suspected: helpers reach it and say so.
+// A link is broken in one direction: one instance can't reach another that all
+// others reach. One witness must cause neither a death nor a suspicion, since
+// the helpers reach the member.
 func TestOneBrokenLinkCausesNoDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -58,9 +58,9 @@
 	})
 }
 
-// A process is paused for longer than it takes to be declared dead. When it
-// wakes, the answer to its first heartbeat tells it of its death; it refutes
-// with a higher incarnation and is live again everywhere.
+// A process is paused until it is declared dead. After the pause, the response
+// to its first heartbeat contains its death; it refutes with a higher
+// incarnation and is live again on all instances.
 func TestPausedProcessRefutesItsDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -81,9 +81,10 @@
 	})
 }
 
-// The same pause, but a successor has sealed the process's log meanwhile. The
-// instance calls Fence when an append tells it so; it must stay dead, or
-// callers would be sent to an instance that refuses every step.
+// A process is paused until it is declared dead and a successor has sealed its
+// log. The instance calls Fence when an append fails for that reason. It must
+// stay dead; otherwise callers would be sent to an instance that rejects every
+// step.
 func TestFencedProcessStaysDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -102,9 +103,10 @@
 	})
 }
 
-// A process is paused until its object has been swept, and a crashed one's has
-// been too. The first wakes up and writes its object again, so that newcomers
-// find it; the second's is gone, so that objects don't pile up.
+// One process crashes and another is paused, both until their objects have been
+// deleted. The paused one resumes and writes its object again, so that joining
+// instances find it. That of the crashed one stays deleted, so that objects do
+// not accumulate.
 func TestInstanceObjectsMatchRunningProcesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -127,9 +129,9 @@
 	})
 }
 
-// A planned stop is announced. Within seconds nobody gives the instance new
-// work, although all of its steps still run; at its end it is dead everywhere
-// at once, without suspicion, and its object is gone.
+// A planned stop is announced. Within leaveBound no instance gives it new work,
+// although its steps still run. Within leaveBound of its end it is dead on all
+// instances, without suspicion, and its object is deleted.
 func TestPlannedStopIsKnownWithinSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -154,9 +156,10 @@
 	})
 }
 
-// An instance is killed and started again at once under the same address. The
-// new process answers for the old cohort's address, which proves the old one
-// gone: its programs are taken over without waiting for a suspicion.
+// An instance is killed and immediately restarted at the same address. A
+// response of the new process at the old cohort's address proves that the old
+// process has ended: it is declared dead without a suspicion, so that its
+// programs are taken over sooner.
 func TestRestartSupersedesTheOldIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -173,8 +176,8 @@
 	})
 }
 
-// The object API is down when the fleet starts: the addresses from the
-// settings are enough, and the instances register once it is back.
+// The object API is down when an instance starts: the seed addresses from the
+// settings suffice to join, and the instance registers once the API is back.
 func TestFleetFormsFromSeedsWithTheStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -194,8 +197,8 @@
 	})
 }
 
-// The messages that an instance sends do not grow with the fleet: five times
-// the instances, the same number of heartbeats a period within a tenth.
+// The number of messages that an instance sends does not grow with the fleet:
+// with five times the instances it grows by less than a tenth per period.
 func TestMessagesDoNotGrowWithTheFleet(t *testing.T) {
 	perPeriod := func(size int) float64 {
 		var rate float64
@@ -212,5 +215,5 @@
 	is := is.New(t)
 	small, large := perPeriod(4), perPeriod(20)
 	is.True(large < 1.1*small)
-	is.True(large < 2) // 1 to a successor, 1/2 to a random member, 1/4 across
+	is.True(large < 2) // 1 to a successor, 1/2 to a random member, 1/4 to another data centre
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -28,7 +28,7 @@
 	os.Exit(fuzzing.RunWithoutLeaks(m))
 }
 
-var errNoConnection = errors.New("cut")
+var errNoConnection = errors.New("no connection")
 
 // network carries encoded messages between instances in memory.
 type network struct {
@@ -103,7 +103,7 @@
 	return nd
 }
 
-// kill ends a process without a word.
+// kill ends a process without an announcement.
 func (nd *node) kill() {
 	nd.resume()
 	nd.net.mu.Lock()
@@ -115,7 +115,7 @@
 	<-nd.done
 }
 
-// pause freezes a process: what it sends and what it is asked waits.
+// pause pauses a process: its outgoing and incoming messages wait.
 func (nd *node) pause() {
 	nd.net.mu.Lock()
 	defer nd.net.mu.Unlock()
@@ -161,11 +161,11 @@
 	}
 }
 
-// route finds the receiver of a message, or waits as a caller whose message
-// is lost does.
+// route returns the receiver of a message after the network's delay. If the
+// message is lost, it waits until ctx ends.
 func (n *network) route(ctx context.Context, from *node, to string) (*node, error) {
 	if frozen := from.pauseEnd(); frozen != nil {
-		<-frozen // a paused process does not even see its own deadline
+		<-frozen // a paused process does not observe its own deadline either
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -201,7 +201,7 @@
 	}
 }
 
-// totals returns the messages sent by all.
+// totalMessages returns the number of messages sent by all instances.
 func (n *network) totalMessages() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -212,7 +212,7 @@
 	return total
 }
 
-// totalBytes returns the encoded bytes of all heartbeats and their answers.
+// totalBytes returns the encoded size of all heartbeats and their responses.
 func (n *network) totalBytes() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -223,7 +223,7 @@
 	return total
 }
 
-// memory is a node's Transport over the network, with each message encoded
+// memoryTransport is a node's Transport over the network. Each message is encoded
 // and decoded as on the wire.
 type memoryTransport struct{ from *node }
 
@@ -244,13 +244,13 @@
 		return Pong{}, err
 	}
 	request := recode(pingToWire(p), &peerpb.PingRequest{})
-	answer, err := Service{receiver.runner}.Ping(ctx, request)
+	response, err := Service{receiver.runner}.Ping(ctx, request)
 	if err != nil {
 		return Pong{}, err
 	}
-	m.from.net.count(m.from.address, request, answer)
-	answer = recode(answer, &peerpb.PingResponse{})
-	return pongFromWire(answer.GetResponder(), answer.GetRecords())
+	m.from.net.count(m.from.address, request, response)
+	response = recode(response, &peerpb.PingResponse{})
+	return pongFromWire(response.GetResponder(), response.GetRecords())
 }
 
 func (m memoryTransport) PingVia(ctx context.Context, to string, v IndirectPing) (IndirectPong, error) {
@@ -258,12 +258,12 @@
 	if err != nil {
 		return IndirectPong{}, err
 	}
-	answer, err := Service{receiver.runner}.PingVia(ctx, recode(indirectPingToWire(v), &peerpb.PingViaRequest{}))
+	response, err := Service{receiver.runner}.PingVia(ctx, recode(indirectPingToWire(v), &peerpb.PingViaRequest{}))
 	if err != nil || ctx.Err() != nil {
-		return IndirectPong{}, errors.Wrap(errNoConnection, "no answer in time")
+		return IndirectPong{}, errors.Wrap(errNoConnection, "no response in time")
 	}
-	record, ok := fromWire(answer.GetTarget())
-	return IndirectPong{Reached: answer.GetReached() && ok, Target: record}, nil
+	record, ok := fromWire(response.GetTarget())
+	return IndirectPong{Reached: response.GetReached() && ok, Target: record}, nil
 }
 
 func (m memoryTransport) Join(ctx context.Context, to string, sender Record) (Pong, error) {
@@ -271,15 +271,15 @@
 	if err != nil {
 		return Pong{}, err
 	}
-	answer, err := Service{receiver.runner}.Join(ctx, &peerpb.JoinRequest{Sender: toWire(sender)})
+	response, err := Service{receiver.runner}.Join(ctx, &peerpb.JoinRequest{Sender: toWire(sender)})
 	if err != nil {
 		return Pong{}, err
 	}
-	return pongFromWire(answer.GetResponder(), answer.GetRecords())
+	return pongFromWire(response.GetResponder(), response.GetRecords())
 }
 
-// startFleet starts size instances in each of some data centres and waits
-// until each knows all.
+// startFleet starts size instances in each of the given number of data centres
+// and waits until they know each other.
 func (n *network) startFleet(centres, size int) []*node {
 	var nodes []*node
 	for c := range centres {
@@ -306,7 +306,8 @@
 	}
 }
 
-// stateOf is what a node holds of another; a forgotten member counts as dead.
+// stateOf returns the state of another node in this node's view; a removed member
+// counts as dead.
 func (nd *node) stateOf(other *node) State {
 	m, ok := nd.runner.View().Member(other.cohort)
 	if !ok {
@@ -315,7 +316,7 @@
 	return m.State
 }
 
-// noneDead checks that the node declared none of the others dead.
+// checkNoneDeclaredDead checks that the node declared none of the others dead.
 func (nd *node) checkNoneDeclaredDead(is *is.I, others []*node) {
 	is.Helper()
 	for _, other := range others {
@@ -335,7 +336,7 @@
 	return count
 }
 
-// gated is a node's object API; it waits while the node is paused.
+// pausableStore is a node's object API; its calls wait while the node is paused.
 type pausableStore struct {
 	store.Client
 	node *node
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -13,12 +13,13 @@
 	"foxhall/internal/peer/peerpb"
 )
 
-// healBound is within which all agree after the last fault: survivors of a
-// majority loss first hold back, then probes, suspicion and spread follow, and
-// members that were wrongly declared dead are tried again now and then.
+// convergenceBound is the time within which all views agree after the last
+// fault: survivors of a majority loss first wait for IsolationHold, then probes,
+// suspicion and dissemination follow, and members that were wrongly declared
+// dead are probed again only every deadProbePeriods.
 const convergenceBound = 6 * time.Minute
 
-// fault is one step of a drawn history.
+// fault is one step of a randomly generated sequence of faults.
 type fault struct {
 	kind string
 	a, b int
@@ -37,12 +38,12 @@
 	}), 1, 8).Draw(rt, "faults")
 }
 
-// oracle is the truth that the views must come to: which processes run.
+// oracle is the state to which the views must converge: which processes run.
 type oracle struct {
 	net     *network
 	newest  []*node // the newest process at each address
 	running []bool
-	ended   []*node // processes that are gone
+	ended   []*node
 }
 
 func (o *oracle) apply(f fault) {
@@ -118,7 +119,7 @@
 	return running
 }
 
-// check compares every running process's view with the truth.
+// check compares the view of every running process with the oracle.
 func (o *oracle) check() error {
 	for i, nd := range o.newest {
 		if !o.running[i] {
@@ -126,30 +127,30 @@
 		}
 		view := nd.runner.View()
 		if view.Isolated {
-			return fmt.Errorf("%s holds itself isolated", nd.cohort)
+			return fmt.Errorf("%s considers itself isolated", nd.cohort)
 		}
 		for j, other := range o.newest {
 			if want, got := Live, nd.stateOf(other); o.running[j] && got != want {
-				return fmt.Errorf("%s holds the running %s %v", nd.cohort, other.cohort, got)
+				return fmt.Errorf("%s has running process %s as %v, want live", nd.cohort, other.cohort, got)
 			}
 			m, _ := view.Member(other.cohort)
 			if o.running[j] && m.Incarnation != other.runner.View().Self.Incarnation {
-				return fmt.Errorf("%s holds %s at an outdated incarnation", nd.cohort, other.cohort)
+				return fmt.Errorf("%s has an outdated incarnation of %s", nd.cohort, other.cohort)
 			}
 		}
-		for _, gone := range o.ended {
-			if got := nd.stateOf(gone); got != Dead {
-				return fmt.Errorf("%s holds the ended %s %v", nd.cohort, gone.cohort, got)
+		for _, ended := range o.ended {
+			if got := nd.stateOf(ended); got != Dead {
+				return fmt.Errorf("%s has ended process %s as %v, want dead", nd.cohort, ended.cohort, got)
 			}
 		}
 	}
 	return nil
 }
 
-// Crashes, restarts, planned stops, pauses, loss, broken links in one or both
-// directions, partitions and outages of the object API come in any order.
-// After the last one heals, every running instance is live in every view, at
-// its own incarnation, and every ended one is dead.
+// Crashes, restarts, planned stops, pauses, message loss, broken links in one or
+// both directions, network partitions and outages of the object API occur in any
+// order. After all faults have ended, every running instance is live in every
+// view, with its own incarnation, and every ended one is dead.
 func TestViewsConvergeAfterAnyFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		centres := rapid.IntRange(1, 3).Draw(rt, "centres")
@@ -179,8 +180,8 @@
 	})
 }
 
-// FuzzRecords takes in arbitrary heartbeats. Whatever they hold, the table
-// stays usable, never calls this instance dead, and a message stays bounded.
+// FuzzRecords merges the records of arbitrary heartbeats. Whatever they contain,
+// this instance stays live in its own table, and a view contains every member.
 func FuzzRecords(f *testing.F) {
 	seed, _ := proto.Marshal(pingToWire(Ping{
 		Sender:  Record{Cohort: "a.b.c", State: Live},
@@ -202,10 +203,10 @@
 		}
 		table.Tick(now.Add(time.Hour))
 		if table.Self().State != Live {
-			t.Fatalf("self is %v", table.Self().State)
+			t.Fatalf("own state is %v, want live", table.Self().State)
 		}
 		if view := table.View(now); len(view.Members()) != len(table.entries) {
-			t.Fatal("view lost a member")
+			t.Fatal("view lacks a member of the table")
 		}
 	})
 }
--- a/internal/membership/loopback_test.go
+++ b/internal/membership/loopback_test.go
@@ -16,15 +16,15 @@
 	"foxhall/internal/program"
 )
 
-// startServed starts an instance whose heartbeats go through package peer over
-// loopback, without running its periods.
+// startOverTwirp starts an instance whose heartbeats use package peer over
+// loopback. It does not run the protocol's periods.
 func startOverTwirp(t *testing.T, cohort program.Cohort, secret string) *Runner {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	registry := metrics.NewRegistry()
 	client := peer.NewClient(secret, time.Minute, registry)
 	times := DefaultTiming()
-	times.ProbeTimeout = time.Minute // a busy machine is not a failure here
+	times.ProbeTimeout = time.Minute // a busy machine must not cause a failed probe
 	r := NewRunner(Options{
 		Self:      cohort,
 		Address:   listener.Addr().String(),
@@ -46,9 +46,9 @@
 	return r
 }
 
-// Over real connections: a newcomer joins, a third member is probed through a
-// helper, a report arrives whole by a survey, and an instance with another
-// secret gets no answer and learns nothing.
+// The protocol runs over real connections: instances join, a third member is
+// probed through a helper, and a survey returns a complete report. An instance
+// with another secret is rejected and learns of no member.
 func TestProtocolOverTwirp(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -8,9 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// A data centre is cut off from the others for ten minutes. Both sides see
-// the other fall silent at once; neither may declare a single death, or each
-// would take over programs that run on. After healing all is as before.
+// A network partition separates two data centres for ten minutes. All members
+// of each become unresponsive for the other at once. Neither may declare a
+// death, or it would take over programs that still run. After the partition all
+// members are live and reachable again.
 func TestPartitionBetweenDataCentresCausesNoDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -38,10 +39,10 @@
 	})
 }
 
-// Two of eight instances of a data centre are cut off from the six, and from
-// the other data centre. They agree with each other that six are silent, and
-// would take over their programs; they must find themselves isolated instead.
-// The six declare the two dead, and after healing all are live.
+// A network partition separates two of the eight instances of a data centre
+// from the other six. The two agree that six are unresponsive and could take
+// over their programs; they must detect their isolation instead. The six declare
+// the two dead, and after the partition all are live.
 func TestMinorityDetectsItsIsolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -49,7 +50,7 @@
 		nodes := net.startFleet(1, 8)
 		defer net.stop()
 		for _, a := range nodes[:2] {
-			a.runner.SetReport(Report{Size: 1}) // the store is beyond the cut too
+			a.runner.SetReport(Report{Size: 1}) // the two can't reach the store either
 			for _, b := range nodes[2:] {
 				net.cutBothWays(a.address, b.address)
 			}
@@ -73,9 +74,9 @@
 	})
 }
 
-// The same cut, but the minority alone reaches the object API and the
-// platform's list, which holds all. After holding back it would take over six
-// instances that run on; the list, which has not lost them, must keep it from that.
+// The same partition, but the minority reaches the object API and the platform's
+// list, which contains all instances. After IsolationHold it could take over six
+// instances that still run; since they are on the list, it must not.
 func TestMinorityThatReachesTheStoreNeedsThePlatformList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -99,10 +100,10 @@
 	})
 }
 
-// Nine of thirty instances of a data centre, a rack's worth, are cut off. The
-// sample by which they judge is smaller than the data centre, and nine are
-// enough to be each other's witnesses; they must still find themselves isolated
-// before they declare anybody dead. The others declare the nine.
+// A network partition separates nine of the thirty instances of a data centre, a
+// rack. They decide from a sample smaller than the data centre, and nine are
+// enough to be witnesses for each other; they must still detect their isolation
+// before they declare any death. The others declare the nine dead.
 func TestPartitionedRackOfALargeDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -111,7 +112,7 @@
 		defer net.stop()
 		rack, rest := nodes[:9], nodes[9:]
 		for _, a := range rack {
-			a.runner.SetReport(Report{Size: 1}) // the store is beyond the cut too
+			a.runner.SetReport(Report{Size: 1}) // the rack can't reach the store either
 			for _, b := range rest {
 				net.cutBothWays(a.address, b.address)
 			}
@@ -127,9 +128,9 @@
 	})
 }
 
-// Nine of thirty instances of a data centre crash at once, as a rack without
-// power. Those left find only some of the helpers they ask; they must not take
-// that for their own isolation, and declare all nine.
+// Nine of the thirty instances of a data centre crash at once, as when a rack
+// loses power. Only some of the helpers that the survivors ask respond; the
+// survivors must not consider themselves isolated, and declare all nine dead.
 func TestCrashedRackOfALargeDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -148,9 +149,9 @@
 	})
 }
 
-// Three of five instances of the only data centre die at once. The survivors
-// are a minority and hold back, but they still reach the object API: after
-// IsolationHold they declare the deaths, so that programs are taken over.
+// Three of the five instances of the only data centre crash at once. The
+// survivors are a minority and defer actions, but they reach the object API:
+// after IsolationHold they declare the deaths, so that programs are taken over.
 func TestSurvivorsOfAMajorityLossDeclareItAfterIsolationHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -171,10 +172,10 @@
 	})
 }
 
-// Four instances are cut into two pairs that both reach the object API. After
-// holding back, each pair declares the other dead. Once the cut heals, nobody
-// probes the dead in turn; only the occasional attempt on a dead member
-// reunites the pairs.
+// A network partition separates four instances into two pairs that both reach
+// the object API. After IsolationHold, each pair declares the other dead. After
+// the partition, dead members are not among the regular probe targets; the pairs
+// rejoin through the occasional probe of a dead member.
 func TestHalvesThatDeclaredEachOtherDeadRejoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -197,9 +198,9 @@
 	})
 }
 
-// A data centre has two instances and one crashes. The survivor has lost half
-// of its data centre, but witnesses of the other data centres confirm the
-// death, so it is not held up.
+// One of the two instances of a data centre crashes. The survivor has lost
+// contact with half of its data centre, but witnesses in other data centres
+// confirm the death, so that it is not delayed.
 func TestDeathInADataCentreOfTwo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -214,9 +215,9 @@
 	})
 }
 
-// A data centre burns down. Its silence alone could be a partition and kills
-// nobody; once the platform's list no longer holds its addresses either, and
-// the silence has lasted, the others declare its members dead.
+// All instances of a data centre crash. The missing contact alone could be a
+// network partition and causes no death. Once it has lasted for LostAfter and the
+// platform's list lacks the addresses, the others declare the members dead.
 func TestLostDataCentreNeedsThePlatformList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-// tableOf returns a table of a.self with the given members live.
+// tableOf returns a table of instance a.self.1 with the given members live.
 func tableOf(others ...program.Cohort) *Table {
 	t := NewTable("a.self.1", "a-self", Report{Size: 1, StoreHealthy: true}, DefaultTiming(), start)
 	t.Announce(Live, start)
@@ -28,9 +28,9 @@
 	return m.State
 }
 
-// A member is accused by fewer witnesses of its own data centre than are
-// there to ask, however many of another data centre join in: the data centre
-// may merely be cut off from them. Three of its own suffice.
+// Witnesses in another data centre do not replace those in the member's own,
+// since a network partition may separate the data centres. Three witnesses in
+// the member's own data centre suffice.
 func TestDeathNeedsWitnessesOfTheOwnDataCentre(t *testing.T) {
 	is := is.New(t)
 	late := start.Add(DefaultTiming().SuspectTimeout)
@@ -44,8 +44,7 @@
 	is.Equal(stateIn(table, "a.m.1"), Dead)
 }
 
-// A witness that is itself suspect may have been the one cut off; its word
-// stops counting.
+// A witness that is itself suspect does not count: it may be the isolated one.
 func TestSuspectWitnessDoesNotCount(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.x.1", "a.y.1", "a.z.1")
@@ -55,9 +54,9 @@
 	is.Equal(stateIn(table, "a.m.1"), Suspect)
 }
 
-// Three witnesses accuse a member, and one of them is then replaced by a new
-// process. The list of witnesses is full, but the one that died no longer
-// counts; the new process must find room, or the member stays suspect for good.
+// Three witnesses suspect a member, and one of them is replaced by a new process.
+// The list of witnesses is full, but the dead witness does not count. The new
+// process must replace it in the list, or the member stays suspect for ever.
 func TestDeadWitnessIsReplaced(t *testing.T) {
 	is := is.New(t)
 	late := start.Add(DefaultTiming().SuspectTimeout * massFailureTimeoutFactor)
@@ -72,8 +71,8 @@
 	is.Equal(stateIn(table, "a.m.1"), Dead)
 }
 
-// Most helpers of an indirect probe kept silent: the prober's own link or its
-// own pause is as likely the cause as the member's death.
+// Most helpers of an indirect probe do not respond: the cause may as well be the
+// prober's own link or pause as the member's death, so it raises no suspicion.
 func TestUnresponsiveHelpersRaiseNoSuspicion(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.x.1", "a.y.1", "a.z.1", "a.v.1", "a.w.1")
@@ -85,9 +84,9 @@
 	is.Equal(stateIn(table, "a.m.1"), Suspect)
 }
 
-// A minority has declared two of five others dead and fails to reach a third.
-// Were the dead no longer counted, each death would make it look less of a
-// minority, until it had declared everybody.
+// A minority has declared two of five others dead and fails to reach a third. If
+// recently declared deaths did not count, each one would make it look less like
+// a minority, until it had declared all others dead.
 func TestRecentlyDeadCountAsUnreachable(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.n.1", "a.o.1", "a.x.1", "a.y.1")
@@ -95,7 +94,7 @@
 	table.Merge(Record{Cohort: "a.n.1", State: Dead}, start)
 	table.MarkUnreachable("a.o.1", start)
 	table.Tick(start)
-	is.True(table.View(start).Isolated) // three in sight, three out of sight
+	is.True(table.View(start).Isolated) // three reachable, three unreachable
 	later := start.Add(DefaultTiming().IsolationHold)
 	table.RecordContact("a.x.1", later)
 	table.RecordContact("a.y.1", later)
@@ -103,8 +102,9 @@
 	is.True(!table.View(later).Isolated)
 }
 
-// Two of five others fall silent together. That may be a cut not noticed in
-// full yet, so their death takes three times as long as that of one alone.
+// Two of five others become unresponsive together. That may be a network
+// partition that is only partly detected, so they are declared dead after three
+// times the usual timeout.
 func TestMassFailureExtendsTheSuspectTimeout(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.n.1", "a.x.1", "a.y.1", "a.z.1")
@@ -117,8 +117,8 @@
 	is.Equal(stateIn(table, "a.m.1"), Dead)
 }
 
-// A planned stop announced before a suspicion, or after it, stays in force:
-// the leaving member gets no new work.
+// A planned stop stays in force whether it is announced before or after a
+// suspicion: the leaving member gets no new work.
 func TestLeavingOverridesSuspicion(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.x.1")
@@ -127,11 +127,11 @@
 	table.Suspect("a.m.1", 1, []program.Cohort{"a.x.1"}, start)
 	is.Equal(stateIn(table, "a.m.1"), Leaving)
 	table.Merge(Record{Cohort: "a.m.1", Address: "a.m.1", State: Live}, start)
-	is.Equal(stateIn(table, "a.m.1"), Leaving) // an outdated record does not bring it back
+	is.Equal(stateIn(table, "a.m.1"), Leaving) // an outdated record does not make it live
 }
 
 // The platform's list announces a stop before the member does, or lags behind
-// its death. It takes the member out of new work and kills nobody by itself.
+// its death. It excludes a leaving member from new work and causes no death alone.
 func TestPlatformListIsAWeakSignal(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.x.1", "a.y.1")
@@ -141,8 +141,8 @@
 	is.Equal(stateIn(table, "a.x.1"), Live)
 }
 
-// A data centre has many instances; only the first few in rank compete for a
-// duty, and none that holds back or was fenced.
+// Only the first few instances of a large data centre in rank compete for a
+// lease, and none that was fenced.
 func TestFewInstancesContendForALease(t *testing.T) {
 	is := is.New(t)
 	const fleet, wanted = 20, 3
@@ -165,8 +165,8 @@
 	is.Equal(contending, wanted)
 }
 
-// Shares by size: an instance of three times the size ranks first about three
-// times as often, and a member that goes moves only its own keys.
+// An instance of three times the size ranks first for about three times as many
+// keys, and a member that leaves moves only its own keys.
 func TestRankFollowsSize(t *testing.T) {
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.x.1")
