--- a/internal/lease/bench_test.go
+++ b/internal/lease/bench_test.go
@@ -23,10 +23,10 @@
 			b.Run(fmt.Sprintf("instances=%d/duties=%d", instances, duties), func(b *testing.B) {
 				for b.Loop() {
 					objects := standin.NewStore()
-					keepers := benchKeepers(instances, duties, objects)
+					keepers := benchManagers(instances, duties, objects)
 					for range renewals {
 						for _, k := range keepers {
-							if err := k.step(context.Background()); err != nil {
+							if err := k.renew(context.Background()); err != nil {
 								b.Fatal(err)
 							}
 						}
@@ -41,10 +41,10 @@
 	}
 }
 
-func benchKeepers(instances, duties int, objects *standin.Store) []*Manager {
+func benchManagers(instances, duties int, objects *standin.Store) []*Manager {
 	var keepers []*Manager
 	for i := range instances {
-		k := newKeeper(program.Cohort(fmt.Sprintf("dc.i%d.1", i)), objects)
+		k := newTestManager(program.Cohort(fmt.Sprintf("dc.i%d.1", i)), objects)
 		k.options.ShouldContend = func() bool { return i < contenders }
 		k.options.Duties = nil
 		for d := range duties {
@@ -58,15 +58,15 @@
 
 // BenchmarkHeld measures the check before each act.
 func BenchmarkHeld(b *testing.B) {
-	k := newKeeper("dc.a.1", standin.NewStore())
-	if err := k.step(context.Background()); err != nil {
+	k := newTestManager("dc.a.1", standin.NewStore())
+	if err := k.renew(context.Background()); err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		k.mark(time.Now())
+		k.recordTick(time.Now())
 		if _, ok := k.Held(EngineOrders); !ok {
 			b.StopTimer()
-			_ = k.step(context.Background())
+			_ = k.renew(context.Background())
 			b.StartTimer()
 		}
 	}
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -18,7 +18,7 @@
 
 const (
 	// attempts bounds the writes tried in one renewal.
-	attempts = 2
+	writeAttempts = 2
 	// callsPerSecond and callsBurst bound the store calls of a keeper. A quiet
 	// holder makes one write a renewal; the rest is for races.
 	callsPerSecond = 1
@@ -26,7 +26,7 @@
 )
 
 // errNotHeld says that the keeper's write is not in the object.
-var errNotHeld = errors.New("lease: write did not take effect")
+var errWriteNotApplied = errors.New("lease: write did not take effect")
 
 // Options configure a Keeper.
 type Options struct {
@@ -61,24 +61,24 @@
 
 // Keeper takes and renews leases.
 type Manager struct {
-	options Options
-	key     store.Key
-	limiter *rate.Limiter
-	tokens  atomic.Pointer[map[Duty]Token]
-	beat    atomic.Pointer[time.Time]
-	calls   metrics.Counter
-	pauses  metrics.Counter
-	lost    metrics.Counter
+	options  Options
+	key      store.Key
+	limiter  *rate.Limiter
+	tokens   atomic.Pointer[map[Duty]Token]
+	lastTick atomic.Pointer[time.Time]
+	calls    metrics.Counter
+	pauses   metrics.Counter
+	lost     metrics.Counter
 
 	// turn serialises steps and Release. It is a channel and no mutex because
 	// its holder waits for the store: a stopping instance gives up on it when
 	// its time is over, and does not outlive its grace period.
-	turn    chan struct{}
-	book    book
-	version store.Version
-	known   bool // book and version are the last seen state of the object
-	seen    observer
-	status  Status
+	semaphore chan struct{}
+	leases    leaseSet
+	version   store.Version
+	known     bool // book and version are the last seen state of the object
+	observer  observer
+	status    Status
 }
 
 // NewKeeper returns a keeper that holds nothing.
@@ -87,21 +87,21 @@
 		return nil, err
 	}
 	k := &Manager{
-		options: o,
-		key:     store.Key{Kind: Kind, Name: o.Self.DataCentre()},
-		limiter: rate.NewLimiter(callsPerSecond, callsBurst),
-		calls:   metrics.GetOrRegisterCounter("lease.store_calls", o.Registry),
-		pauses:  metrics.GetOrRegisterCounter("lease.pauses", o.Registry),
-		lost:    metrics.GetOrRegisterCounter("lease.lost", o.Registry),
-		seen:    observer{},
-		turn:    make(chan struct{}, 1),
+		options:   o,
+		key:       store.Key{Kind: Kind, Name: o.Self.DataCentre()},
+		limiter:   rate.NewLimiter(callsPerSecond, callsBurst),
+		calls:     metrics.GetOrRegisterCounter("lease.store_calls", o.Registry),
+		pauses:    metrics.GetOrRegisterCounter("lease.pauses", o.Registry),
+		lost:      metrics.GetOrRegisterCounter("lease.lost", o.Registry),
+		observer:  observer{},
+		semaphore: make(chan struct{}, 1),
 	}
 	k.tokens.Store(&map[Duty]Token{})
-	k.mark(time.Now())
+	k.recordTick(time.Now())
 	return k, nil
 }
 
-func (k *Manager) mark(now time.Time) { k.beat.Store(&now) }
+func (k *Manager) recordTick(now time.Time) { k.lastTick.Store(&now) }
 
 // Held returns the token of a duty if this instance may perform it right now.
 // It costs two atomic loads and is to be asked again before each act.
@@ -111,13 +111,15 @@
 func (k *Manager) Held(duty Duty) (Token, bool) {
 	now := time.Now()
 	token, ok := (*k.tokens.Load())[duty]
-	if !ok || !token.Valid(now) || k.paused(now) {
+	if !ok || !token.Valid(now) || k.isPaused(now) {
 		return Token{}, false
 	}
 	return token, true
 }
 
-func (k *Manager) paused(now time.Time) bool { return now.Sub(*k.beat.Load()) > k.options.Timing.Pause }
+func (k *Manager) isPaused(now time.Time) bool {
+	return now.Sub(*k.lastTick.Load()) > k.options.Timing.Pause
+}
 
 // Run takes and renews leases until ctx ends. It does not release them.
 func (k *Manager) Run(ctx context.Context) error {
@@ -138,7 +140,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-beat.C:
-			k.noticePause(due)
+			k.checkPause(due)
 		case <-renew.C:
 			signal(due)
 		}
@@ -154,14 +156,14 @@
 
 // noticePause marks that this loop runs. After a pause it drops the tokens, so
 // that nothing is done under them before they are renewed, and asks for that.
-func (k *Manager) noticePause(due chan struct{}) {
+func (k *Manager) checkPause(due chan struct{}) {
 	now := time.Now()
-	if k.paused(now) {
+	if k.isPaused(now) {
 		k.pauses.Inc(1)
 		k.tokens.Store(&map[Duty]Token{})
 		signal(due)
 	}
-	k.mark(now)
+	k.recordTick(now)
 }
 
 func (k *Manager) renewWhenDue(ctx context.Context, due <-chan struct{}) {
@@ -172,7 +174,7 @@
 		case <-due:
 		}
 		callCtx, cancel := context.WithTimeout(ctx, k.options.Timing.Renew)
-		if err := k.step(callCtx); err != nil && ctx.Err() == nil {
+		if err := k.renew(callCtx); err != nil && ctx.Err() == nil {
 			k.options.Log.WithError(err).Warn("lease: not renewed")
 		}
 		cancel()
@@ -180,24 +182,24 @@
 }
 
 // enter waits for the turn to change what is held, until ctx ends.
-func (k *Manager) enter(ctx context.Context) error {
+func (k *Manager) lock(ctx context.Context) error {
 	select {
-	case k.turn <- struct{}{}:
+	case k.semaphore <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "lease: a renewal is still under way")
 	}
 }
 
-func (k *Manager) leave() { <-k.turn }
+func (k *Manager) unlock() { <-k.semaphore }
 
 // step renews what is held and takes what is free.
-func (k *Manager) step(ctx context.Context) error {
-	if err := k.enter(ctx); err != nil {
+func (k *Manager) renew(ctx context.Context) error {
+	if err := k.lock(ctx); err != nil {
 		return err
 	}
-	defer k.leave()
-	holding := k.holding()
+	defer k.unlock()
+	holding := k.isHolder()
 	if !holding && !k.options.ShouldContend() {
 		return nil
 	}
@@ -205,8 +207,8 @@
 	// still renews. A holder knows the object from its own last write.
 	k.known = k.known && holding
 	var err error
-	for range attempts {
-		if err = k.attempt(ctx); !errors.Is(err, store.ErrConflict) && !errors.Is(err, errNotHeld) {
+	for range writeAttempts {
+		if err = k.tryRenew(ctx); !errors.Is(err, store.ErrConflict) && !errors.Is(err, errWriteNotApplied) {
 			return err
 		}
 		k.known = false
@@ -216,8 +218,8 @@
 
 // holding reports whether the last seen object names this instance as a
 // holder, even where the lease has lapsed meanwhile.
-func (k *Manager) holding() bool {
-	for _, e := range k.book.Duties {
+func (k *Manager) isHolder() bool {
+	for _, e := range k.leases.Duties {
 		if e.Holder == k.options.Self && !e.Released {
 			return true
 		}
@@ -225,13 +227,13 @@
 	return false
 }
 
-func (k *Manager) attempt(ctx context.Context) error {
+func (k *Manager) tryRenew(ctx context.Context) error {
 	if !k.known {
 		if err := k.read(ctx); err != nil {
 			return err
 		}
 	}
-	next, got := claim(k.book, k.seen, k.options.Self, k.options.Duties, k.options.Timing, time.Now())
+	next, got := claimDuties(k.leases, k.observer, k.options.Self, k.options.Duties, k.options.Timing, time.Now())
 	if len(got) == 0 {
 		return nil
 	}
@@ -239,7 +241,7 @@
 	if err := k.write(ctx, next); err != nil {
 		return err
 	}
-	k.adopt(got, started)
+	k.issueTokens(got, started)
 	return nil
 }
 
@@ -249,13 +251,13 @@
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
-	b := book{}
+	b := leaseSet{}
 	if err == nil {
-		if b, err = decode(object.Value); err != nil {
+		if b, err = decodeLeases(object.Value); err != nil {
 			return err
 		}
 	}
-	k.take(b, object.Version)
+	k.observe(b, object.Version)
 	return nil
 }
 
@@ -268,17 +270,17 @@
 }
 
 // take notes the state of the object.
-func (k *Manager) take(b book, version store.Version) {
-	k.book, k.version, k.known = b, version, true
-	k.seen.see(b, time.Now())
-	k.dropLost()
-	k.publish()
+func (k *Manager) observe(b leaseSet, version store.Version) {
+	k.leases, k.version, k.known = b, version, true
+	k.observer.observe(b, time.Now())
+	k.dropLostTokens()
+	k.publishStatus()
 }
 
-func (k *Manager) dropLost() {
+func (k *Manager) dropLostTokens() {
 	held := maps.Clone(*k.tokens.Load())
 	maps.DeleteFunc(held, func(duty Duty, t Token) bool {
-		e := k.book.Duties[duty]
+		e := k.leases.Duties[duty]
 		gone := e.Holder != k.options.Self || e.Epoch != t.Epoch || e.Released
 		if gone {
 			k.lost.Inc(1)
@@ -291,14 +293,14 @@
 
 // write stores the book. A lost answer is settled by reading back: the write
 // took effect if the object is exactly what was written.
-func (k *Manager) write(ctx context.Context, next book) error {
+func (k *Manager) write(ctx context.Context, next leaseSet) error {
 	if err := k.limiter.Wait(ctx); err != nil {
 		return errors.Wrap(store.ErrUnavailable, err.Error())
 	}
 	k.calls.Inc(1)
 	version, err := k.options.Store.Put(ctx, k.key, next.encode(), k.version)
 	if err == nil {
-		k.take(next, version)
+		k.observe(next, version)
 		return nil
 	}
 	k.known = false
@@ -308,8 +310,8 @@
 	if err := k.read(ctx); err != nil {
 		return err
 	}
-	if !maps.Equal(k.book.Duties, next.Duties) {
-		return errNotHeld
+	if !maps.Equal(k.leases.Duties, next.Duties) {
+		return errWriteNotApplied
 	}
 	return nil
 }
@@ -317,27 +319,27 @@
 // adopt turns claims that are in the object into tokens. Their time counts
 // from before the write was sent: it may have taken effect at once and its
 // answer come late.
-func (k *Manager) adopt(got map[Duty]claimed, started time.Time) {
+func (k *Manager) issueTokens(got map[Duty]claim, started time.Time) {
 	times := k.options.Timing
 	held := map[Duty]Token{}
 	before := *k.tokens.Load()
 	for duty, c := range got {
-		t := Token{Duty: duty, Holder: k.options.Self, Epoch: c.entry.Epoch}
-		t.until = started.Add(times.TTL - times.Margin)
-		t.wall = t.until.Round(0)
+		t := Token{Duty: duty, Holder: k.options.Self, Epoch: c.lease.Epoch}
+		t.validUntil = started.Add(times.TTL - times.Margin)
+		t.validUntilWall = t.validUntil.Round(0)
 		switch old, ok := before[duty]; {
 		case ok && old.Epoch == t.Epoch:
-			t.from = old.from
-		case c.clear:
-			t.from = started
+			t.ordersFrom = old.ordersFrom
+		case c.noOrdersInFlight:
+			t.ordersFrom = started
 		default:
 			// The holder before may have sent its last order right before its
 			// lease ended, and this process can't tell its own orders from
 			// before a pause.
-			t.from = time.Now().Add(times.LongestOrder)
+			t.ordersFrom = time.Now().Add(times.LongestOrder)
 		}
 		if _, ok := before[duty]; !ok {
-			k.log(c.entry, duty).Info("lease: held")
+			k.log(c.lease, duty).Info("lease: held")
 		}
 		held[duty] = t
 	}
@@ -348,23 +350,23 @@
 // to be called after this instance's last order has ended.
 func (k *Manager) Release(ctx context.Context) error {
 	k.tokens.Store(&map[Duty]Token{})
-	if err := k.enter(ctx); err != nil {
+	if err := k.lock(ctx); err != nil {
 		return err
 	}
-	defer k.leave()
+	defer k.unlock()
 	k.tokens.Store(&map[Duty]Token{})
-	for range attempts {
+	for range writeAttempts {
 		if !k.known {
 			if err := k.read(ctx); err != nil {
 				return err
 			}
 		}
-		next, any := release(k.book, k.options.Self)
+		next, any := releaseDuties(k.leases, k.options.Self)
 		if !any {
 			return nil
 		}
 		err := k.write(ctx, next)
-		if !errors.Is(err, store.ErrConflict) && !errors.Is(err, errNotHeld) {
+		if !errors.Is(err, store.ErrConflict) && !errors.Is(err, errWriteNotApplied) {
 			return err
 		}
 		k.known = false
@@ -372,10 +374,10 @@
 	return store.ErrConflict
 }
 
-func (k *Manager) publish() {
+func (k *Manager) publishStatus() {
 	var status Status
-	for _, duty := range slices.Sorted(maps.Keys(k.book.Duties)) {
-		e := k.book.Duties[duty]
+	for _, duty := range slices.Sorted(maps.Keys(k.leases.Duties)) {
+		e := k.leases.Duties[duty]
 		if e.Released {
 			e.Holder = ""
 		}
@@ -391,6 +393,6 @@
 	}
 }
 
-func (k *Manager) log(e entry, duty Duty) log.Interface {
+func (k *Manager) log(e dutyLease, duty Duty) log.Interface {
 	return k.options.Log.WithFields(log.Fields{"duty": duty, "holder": e.Holder, "epoch": e.Epoch})
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -83,11 +83,11 @@
 	// Epoch is the fencing number to send with each act.
 	Epoch uint64
 
-	until time.Time
+	validUntil time.Time
 	// wall is until on the wall clock.
-	wall time.Time
+	validUntilWall time.Time
 	// from is when no order of an earlier holder can be under way any more.
-	from time.Time
+	ordersFrom time.Time
 }
 
 // Valid reports whether the duty may be performed at now, a time.Now of this
@@ -96,22 +96,22 @@
 // The monotonic clock stands still while a virtual machine is suspended, the
 // wall clock may be set back; whichever shows more time gone decides.
 func (t Token) Valid(now time.Time) bool {
-	return now.Before(t.until) && now.Round(0).Before(t.wall)
+	return now.Before(t.validUntil) && now.Round(0).Before(t.validUntilWall)
 }
 
 // MayOrder reports whether an order may be sent at now. checks says whether the
 // upstream refuses an order with an old epoch; one that does not may still be
 // carrying out the last order of the holder before.
 func (t Token) MayOrder(now time.Time, checks bool) bool {
-	return t.Valid(now) && (checks || !now.Before(t.from))
+	return t.Valid(now) && (checks || !now.Before(t.ordersFrom))
 }
 
 // Until returns when the holder stops acting unless it renews.
-func (t Token) Until() time.Time { return t.until }
+func (t Token) Until() time.Time { return t.validUntil }
 
 // entry is one duty in the object. Epoch and Renewal together with Holder name
 // one write.
-type entry struct {
+type dutyLease struct {
 	Holder   program.Cohort `json:"holder"`
 	Epoch    uint64         `json:"epoch"`
 	Renewal  uint64         `json:"renewal"`
@@ -119,17 +119,17 @@
 }
 
 // book is the value of a data centre's lease object.
-type book struct {
-	Duties map[Duty]entry `json:"duties"`
+type leaseSet struct {
+	Duties map[Duty]dutyLease `json:"duties"`
 }
 
-func decode(value []byte) (book, error) {
-	var b book
+func decodeLeases(value []byte) (leaseSet, error) {
+	var b leaseSet
 	err := json.Unmarshal(value, &b)
 	return b, errors.Wrap(err, "lease: object")
 }
 
-func (b book) encode() []byte {
+func (b leaseSet) encode() []byte {
 	value, err := json.Marshal(b)
 	if err != nil {
 		panic(err) // strings and numbers always encode
@@ -139,17 +139,17 @@
 
 // observation is an entry with the time at which this process first saw it.
 type observation struct {
-	entry
-	since time.Time
+	dutyLease
+	firstSeen time.Time
 }
 
 // observer remembers how long each duty's entry has not changed.
 type observer map[Duty]observation
 
-func (o observer) see(b book, now time.Time) {
+func (o observer) observe(b leaseSet, now time.Time) {
 	for duty, e := range b.Duties {
-		if o[duty].entry != e {
-			o[duty] = observation{entry: e, since: now}
+		if o[duty].dutyLease != e {
+			o[duty] = observation{dutyLease: e, firstSeen: now}
 		}
 	}
 }
@@ -157,43 +157,43 @@
 // free reports whether a duty may be taken: nobody ever had it, its holder
 // gave it back, or its holder has not renewed it for a whole TTL and margin
 // since the last renewal was seen.
-func (o observer) free(duty Duty, times Timing, now time.Time) bool {
+func (o observer) isFree(duty Duty, times Timing, now time.Time) bool {
 	seen, ok := o[duty]
-	return !ok || seen.Released || now.Sub(seen.since) >= times.TTL+times.Margin
+	return !ok || seen.Released || now.Sub(seen.firstSeen) >= times.TTL+times.Margin
 }
 
 // claimed is the outcome of a claim on one duty.
-type claimed struct {
-	entry entry
+type claim struct {
+	lease dutyLease
 	// clear says that no earlier holder can have an order under way.
-	clear bool
+	noOrdersInFlight bool
 }
 
 // claim returns the book in which self has renewed what it holds and taken
 // what is free of the wanted duties, and what that gives it.
-func claim(b book, o observer, self program.Cohort, want []Duty, times Timing, now time.Time) (book, map[Duty]claimed) {
-	next := book{Duties: map[Duty]entry{}}
+func claimDuties(b leaseSet, o observer, self program.Cohort, want []Duty, times Timing, now time.Time) (leaseSet, map[Duty]claim) {
+	next := leaseSet{Duties: map[Duty]dutyLease{}}
 	maps.Copy(next.Duties, b.Duties)
-	got := map[Duty]claimed{}
+	got := map[Duty]claim{}
 	for _, duty := range want {
 		before, known := b.Duties[duty]
 		switch {
 		case known && before.Holder == self && !before.Released:
 			before.Renewal++
 			next.Duties[duty] = before
-			got[duty] = claimed{entry: before}
-		case o.free(duty, times, now):
-			taken := entry{Holder: self, Epoch: before.Epoch + 1, Renewal: 1}
+			got[duty] = claim{lease: before}
+		case o.isFree(duty, times, now):
+			taken := dutyLease{Holder: self, Epoch: before.Epoch + 1, Renewal: 1}
 			next.Duties[duty] = taken
-			got[duty] = claimed{entry: taken, clear: !known || before.Released}
+			got[duty] = claim{lease: taken, noOrdersInFlight: !known || before.Released}
 		}
 	}
 	return next, got
 }
 
 // release returns the book without self as a holder.
-func release(b book, self program.Cohort) (book, bool) {
-	next := book{Duties: map[Duty]entry{}}
+func releaseDuties(b leaseSet, self program.Cohort) (leaseSet, bool) {
+	next := leaseSet{Duties: map[Duty]dutyLease{}}
 	released := false
 	for duty, e := range b.Duties {
 		if e.Holder == self && !e.Released {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -31,49 +31,49 @@
 // upstream is an engine that takes orders. It records orders of two epochs
 // that overlap, and orders of an old epoch after a newer one.
 type upstream struct {
-	mu     sync.Mutex
-	checks bool
-	record
+	mu           sync.Mutex
+	checksTokens bool
+	observedOrders
 }
 
 // record is what an upstream saw.
-type record struct {
-	highest   uint64
-	holder    program.Cohort
-	epoch     uint64    // of the last order
-	busyUntil time.Time // when the last order ends
-	faults    []string
-	orders    int
+type observedOrders struct {
+	highestEpoch uint64
+	holder       program.Cohort
+	lastEpoch    uint64    // of the last order
+	busyUntil    time.Time // when the last order ends
+	faults       []string
+	orders       int
 }
 
 // order runs an order for its duration, or refuses it for its token.
 func (u *upstream) order(t Token, takes time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.checks && t.Epoch < u.highest {
+	if u.checksTokens && t.Epoch < u.highestEpoch {
 		return
 	}
 	u.orders++
-	u.fault(t)
-	u.highest, u.holder = t.Epoch, t.Holder
-	u.epoch, u.busyUntil = t.Epoch, time.Now().Add(takes)
+	u.recordFaults(t)
+	u.highestEpoch, u.holder = t.Epoch, t.Holder
+	u.lastEpoch, u.busyUntil = t.Epoch, time.Now().Add(takes)
 }
 
 // seen returns a copy of what the upstream recorded.
-func (u *upstream) seen() record {
+func (u *upstream) snapshot() observedOrders {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.record
+	return u.observedOrders
 }
 
-func (u *upstream) fault(t Token) {
-	if t.Epoch < u.highest {
-		u.faults = append(u.faults, fmt.Sprintf("order of epoch %d after %d", t.Epoch, u.highest))
+func (u *upstream) recordFaults(t Token) {
+	if t.Epoch < u.highestEpoch {
+		u.faults = append(u.faults, fmt.Sprintf("order of epoch %d after %d", t.Epoch, u.highestEpoch))
 	}
-	if t.Epoch == u.highest && t.Holder != u.holder {
+	if t.Epoch == u.highestEpoch && t.Holder != u.holder {
 		u.faults = append(u.faults, fmt.Sprintf("epoch %d held by %s and %s", t.Epoch, u.holder, t.Holder))
 	}
-	if !u.checks && u.epoch != t.Epoch && time.Now().Before(u.busyUntil) {
+	if !u.checksTokens && u.lastEpoch != t.Epoch && time.Now().Before(u.busyUntil) {
 		u.faults = append(u.faults, fmt.Sprintf("order of epoch %d during an older one", t.Epoch))
 	}
 }
@@ -83,18 +83,18 @@
 type process struct {
 	store.Client
 
-	keeper   *Manager
-	mu       sync.Mutex
-	resumed  chan struct{}
-	cut      bool // the store is out of this process's reach
-	upstream *upstream
-	done     chan struct{}
-	cancel   context.CancelFunc
+	manager          *Manager
+	mu               sync.Mutex
+	resumed          chan struct{}
+	storeUnreachable bool // the store is out of this process's reach
+	upstream         *upstream
+	done             chan struct{}
+	cancel           context.CancelFunc
 }
 
-const beat = 250 * time.Millisecond
+const tickInterval = 250 * time.Millisecond
 
-func newKeeper(cohort program.Cohort, client store.Client) *Manager {
+func newTestManager(cohort program.Cohort, client store.Client) *Manager {
 	k, err := NewManager(Options{
 		Self:          cohort,
 		Duties:        []Duty{EngineOrders, Sweeps},
@@ -112,7 +112,7 @@
 
 func startProcess(cohort program.Cohort, client store.Client, u *upstream) *process {
 	p := &process{Client: client, upstream: u, done: make(chan struct{})}
-	p.keeper = newKeeper(cohort, p)
+	p.manager = newTestManager(cohort, p)
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	go p.loop(ctx)
@@ -123,10 +123,10 @@
 func (p *process) loop(ctx context.Context) {
 	defer close(p.done)
 	due := make(chan struct{}, 1)
-	every := int(DefaultTiming().Renew / beat)
+	every := int(DefaultTiming().Renew / tickInterval)
 	for tick := 0; ctx.Err() == nil; tick++ {
-		p.gate()
-		p.keeper.noticePause(due)
+		p.waitWhilePaused()
+		p.manager.checkPause(due)
 		select {
 		case <-due:
 			tick = 0
@@ -134,18 +134,18 @@
 		}
 		if tick%every == 0 {
 			callCtx, cancel := context.WithTimeout(ctx, DefaultTiming().Renew)
-			_ = p.keeper.step(callCtx)
+			_ = p.manager.renew(callCtx)
 			cancel()
 		}
-		p.gate()
-		if t, ok := p.keeper.Held(EngineOrders); ok && t.MayOrder(time.Now(), p.upstream.checks) {
+		p.waitWhilePaused()
+		if t, ok := p.manager.Held(EngineOrders); ok && t.MayOrder(time.Now(), p.upstream.checksTokens) {
 			p.upstream.order(t, DefaultTiming().LongestOrder)
 		}
-		time.Sleep(beat)
+		time.Sleep(tickInterval)
 	}
 }
 
-func (p *process) gate() {
+func (p *process) waitWhilePaused() {
 	p.mu.Lock()
 	resumed := p.resumed
 	p.mu.Unlock()
@@ -155,31 +155,31 @@
 }
 
 func (p *process) Get(ctx context.Context, key store.Key) (store.Object, error) {
-	defer p.gate()
-	if p.isCut() {
+	defer p.waitWhilePaused()
+	if p.isStoreUnreachable() {
 		return store.Object{}, store.ErrUnavailable
 	}
 	return p.Client.Get(ctx, key)
 }
 
 func (p *process) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
-	defer p.gate()
-	if p.isCut() {
+	defer p.waitWhilePaused()
+	if p.isStoreUnreachable() {
 		return 0, store.ErrUnavailable
 	}
 	return p.Client.Put(ctx, key, value, base)
 }
 
-func (p *process) isCut() bool {
+func (p *process) isStoreUnreachable() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cut
+	return p.storeUnreachable
 }
 
-func (p *process) setCut(cut bool) {
+func (p *process) setStoreUnreachable(cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cut = cut
+	p.storeUnreachable = cut
 }
 
 func (p *process) pause() {
@@ -222,45 +222,45 @@
 		b := startProcess("dc.b.1", objects, u)
 		defer b.stop()
 		time.Sleep(10 * time.Second)
-		last, held := a.keeper.Held(EngineOrders)
+		last, held := a.manager.Held(EngineOrders)
 		is.True(held)
-		is.True(u.seen().orders > 0)
-		a.setCut(true)
-		time.Sleep(time.Until(last.Until()) - beat)
+		is.True(u.snapshot().orders > 0)
+		a.setStoreUnreachable(true)
+		time.Sleep(time.Until(last.Until()) - tickInterval)
 		a.pause()
 		time.Sleep(time.Minute)
-		_, held = a.keeper.Held(EngineOrders)
+		_, held = a.manager.Held(EngineOrders)
 		is.True(!held)
-		token, held := b.keeper.Held(EngineOrders)
+		token, held := b.manager.Held(EngineOrders)
 		is.True(held)
-		is.Equal(u.seen().highest, token.Epoch) // b has given orders
-		a.setCut(false)
+		is.Equal(u.snapshot().highestEpoch, token.Epoch) // b has given orders
+		a.setStoreUnreachable(false)
 		a.resume()
 		time.Sleep(time.Minute)
-		is.Equal(len(u.seen().faults), 0)
+		is.Equal(len(u.snapshot().faults), 0)
 	})
 }
 
 // A holder is paused for less than its lease lasts. Its time is not over, but
 // until it has renewed it must not act: it can't tell how long it slept from
 // its own loop alone.
-func TestPausedHolderRenewsBeforeItActs(t *testing.T) {
+func TestPausedHolderRenewsBeforeActing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newKeeper("dc.a.1", objects)
-		is.NoErr(k.step(context.Background()))
+		k := newTestManager("dc.a.1", objects)
+		is.NoErr(k.renew(context.Background()))
 		_, held := k.Held(EngineOrders)
 		is.True(held)
 		time.Sleep(DefaultTiming().Pause + time.Second)
 		_, held = k.Held(EngineOrders)
 		is.True(!held)
 		due := make(chan struct{}, 1)
-		k.noticePause(due)
+		k.checkPause(due)
 		_, held = k.Held(EngineOrders)
 		is.True(!held) // its loop runs again, but it has not renewed
 		<-due
-		is.NoErr(k.step(context.Background()))
+		is.NoErr(k.renew(context.Background()))
 		_, held = k.Held(EngineOrders)
 		is.True(held)
 	})
@@ -268,20 +268,20 @@
 
 // The answer of the write that took the lease is lost. The object says who
 // holds it, so the taker holds it, counted from before the write.
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
+func TestLostResponseIsResolvedByReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newKeeper("dc.a.1", objects)
+		k := newTestManager("dc.a.1", objects)
 		objects.SetFaults(standin.StoreFaults{LoseAnswers: 1, Delay: 300 * time.Millisecond})
 		started := time.Now()
-		is.NoErr(k.step(context.Background()))
+		is.NoErr(k.renew(context.Background()))
 		token, held := k.Held(EngineOrders)
 		is.True(held)
 		is.True(!token.Until().After(started.Add(300*time.Millisecond + DefaultTiming().TTL - DefaultTiming().Margin))) // one read came before
 		objects.SetFaults(standin.StoreFaults{DropWrites: 1})
 		before := token.Until()
-		is.NoErr(k.step(context.Background())) // the dropped write is written again
+		is.NoErr(k.renew(context.Background())) // the dropped write is written again
 		token, _ = k.Held(EngineOrders)
 		is.True(token.Until().After(before))
 	})
@@ -289,31 +289,31 @@
 
 // A virtual machine is suspended: the monotonic clock stood still, the wall
 // clock did not. Either alone ends the token.
-func TestTokenEndsByEitherClock(t *testing.T) {
+func TestTokenExpiresByEitherClock(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	soon, past := now.Add(time.Minute), now.Add(-time.Second)
-	is.True(Token{until: soon, wall: soon.Round(0)}.Valid(now))
-	is.True(!Token{until: past, wall: soon.Round(0)}.Valid(now)) // the wall clock was set back
-	is.True(!Token{until: soon, wall: past.Round(0)}.Valid(now)) // the monotonic clock stood still
+	is.True(Token{validUntil: soon, validUntilWall: soon.Round(0)}.Valid(now))
+	is.True(!Token{validUntil: past, validUntilWall: soon.Round(0)}.Valid(now)) // the wall clock was set back
+	is.True(!Token{validUntil: soon, validUntilWall: past.Round(0)}.Valid(now)) // the monotonic clock stood still
 }
 
 // A planned stop releases the duties, and the next instance orders at once,
 // also where tokens are not checked.
-func TestReleaseHandsOverAtOnce(t *testing.T) {
+func TestReleasedDutyIsTakenImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := context.Background()
 		objects := standin.NewStore()
-		a, b := newKeeper("dc.a.1", objects), newKeeper("dc.b.1", objects)
-		is.NoErr(a.step(ctx))
-		is.NoErr(b.step(ctx))
+		a, b := newTestManager("dc.a.1", objects), newTestManager("dc.b.1", objects)
+		is.NoErr(a.renew(ctx))
+		is.NoErr(b.renew(ctx))
 		_, held := b.Held(Sweeps)
 		is.True(!held)
 		is.NoErr(a.Release(ctx))
 		_, held = a.Held(Sweeps)
 		is.True(!held)
-		is.NoErr(b.step(ctx))
+		is.NoErr(b.renew(ctx))
 		token, held := b.Held(Sweeps)
 		is.True(held)
 		is.Equal(token.Epoch, uint64(2))
@@ -328,11 +328,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newKeeper("dc.a.1", objects)
-		is.NoErr(k.step(context.Background()))
+		k := newTestManager("dc.a.1", objects)
+		is.NoErr(k.renew(context.Background()))
 		objects.SetFaults(standin.StoreFaults{Delay: 30 * time.Second})
 		var renewing sync.WaitGroup
-		renewing.Go(func() { _ = k.step(context.Background()) })
+		renewing.Go(func() { _ = k.renew(context.Background()) })
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -351,7 +351,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newKeeper("dc.a.1", objects)
+		k := newTestManager("dc.a.1", objects)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
 		go func() { done <- k.Run(ctx) }()
@@ -370,7 +370,7 @@
 
 // holding is the lock that the keepers' Held must add up to: a change of
 // holder is an acquire or an end at some instant between two looks.
-type holding struct {
+type lockOperation struct {
 	process int
 	acquire bool
 }
@@ -378,7 +378,7 @@
 var lockModel = porcupine.Model{
 	Init: func() any { return -1 },
 	Step: func(state, input, _ any) (bool, any) {
-		h := input.(holding)
+		h := input.(lockOperation)
 		if h.acquire {
 			return state.(int) == -1, h.process
 		}
@@ -388,7 +388,7 @@
 }
 
 // watch looks at every keeper's Held until stop closes and records the changes.
-func watch(processes []*process, duty Duty, stop <-chan struct{}) []porcupine.Operation {
+func recordHistory(processes []*process, duty Duty, stop <-chan struct{}) []porcupine.Operation {
 	const look = 50 * time.Millisecond
 	var history []porcupine.Operation
 	held := make([]bool, len(processes))
@@ -401,11 +401,11 @@
 		}
 		now := time.Since(started)
 		for i, p := range processes {
-			_, ok := p.keeper.Held(duty)
+			_, ok := p.manager.Held(duty)
 			if ok != held[i] {
 				held[i] = ok
 				history = append(history, porcupine.Operation{
-					ClientId: i, Input: holding{i, ok}, Call: int64(now - look), Return: int64(now),
+					ClientId: i, Input: lockOperation{i, ok}, Call: int64(now - look), Return: int64(now),
 				})
 			}
 		}
@@ -416,7 +416,7 @@
 // three contenders. At every instant at most one holds the lease, no order is
 // given under an outdated epoch or beside an older holder's, and once all is
 // well again somebody holds it.
-func TestOneHolderUnderAnyFaults(t *testing.T) {
+func TestAtMostOneHolderUnderAnyFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		checks := rapid.Bool().Draw(rt, "checks")
 		kinds := []string{"pause", "resume", "down", "slow", "lose", "drop", "well", "cut", "uncut"}
@@ -427,7 +427,7 @@
 				rapid.IntRange(0, 20_000).Draw(rt, "milliseconds"),
 			}
 		}), 1, 25).Draw(rt, "steps")
-		u := &upstream{checks: checks}
+		u := &upstream{checksTokens: checks}
 		var history []porcupine.Operation
 		heldAtEnd := false
 		synctest.Test(t, func(*testing.T) {
@@ -439,7 +439,7 @@
 			stop, watched := make(chan struct{}), make(chan struct{})
 			go func() {
 				defer close(watched)
-				history = watch(processes, EngineOrders, stop)
+				history = recordHistory(processes, EngineOrders, stop)
 			}()
 			for _, s := range steps {
 				p, wait := processes[s[1]], time.Duration(s[2])*time.Millisecond
@@ -457,7 +457,7 @@
 				case "drop":
 					objects.SetFaults(standin.StoreFaults{DropWrites: 2})
 				case "cut", "uncut":
-					p.setCut(kinds[s[0]] == "cut")
+					p.setStoreUnreachable(kinds[s[0]] == "cut")
 				case "well":
 					objects.SetFaults(standin.StoreFaults{})
 				}
@@ -465,12 +465,12 @@
 			}
 			objects.SetFaults(standin.StoreFaults{})
 			for _, p := range processes {
-				p.setCut(false)
+				p.setStoreUnreachable(false)
 				p.resume()
 			}
 			time.Sleep(time.Minute)
 			for _, p := range processes {
-				_, ok := p.keeper.Held(EngineOrders)
+				_, ok := p.manager.Held(EngineOrders)
 				heldAtEnd = heldAtEnd || ok
 			}
 			close(stop)
