--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -17,27 +17,28 @@
 )
 
 const (
-	// attempts bounds the writes tried in one renewal.
+	// writeAttempts bounds the attempts to write in one renewal.
 	writeAttempts = 2
-	// callsPerSecond and callsBurst bound the store calls of a keeper. A quiet
-	// holder makes one write a renewal; the rest is for races.
+	// callsPerSecond and callsBurst bound the store calls of a manager. A holder
+	// makes one write per renewal; the rest is for write conflicts.
 	callsPerSecond = 1
 	callsBurst     = 6
 )
 
-// errNotHeld says that the keeper's write is not in the object.
+// errWriteNotApplied indicates that the object does not contain the manager's write.
 var errWriteNotApplied = errors.New("lease: write did not take effect")
 
-// Options configure a Keeper.
+// Options configure a Manager.
 type Options struct {
 	// Self is this process's cohort; its data centre names the lease object.
 	Self program.Cohort
-	// Duties are those that this instance takes when they are free.
+	// Duties are the duties that this instance takes when they are free.
 	Duties []Duty
 	Timing Timing
 	Store  store.Client
-	// Contends says whether this instance should try for free duties. It keeps
-	// all but a few instances of a data centre from reading the object.
+	// ShouldContend reports whether this instance should try to take free duties.
+	// It is false on all but a few instances of a data centre, so that the others
+	// do not read the object.
 	ShouldContend func() bool
 	// OnChange is called with each new status, in order. It must not block.
 	OnChange func(Status)
@@ -45,7 +46,7 @@
 	Registry metrics.Registry
 }
 
-// Status is what a keeper knows of its data centre's duties.
+// Status is the state of a data centre's duties as last seen by a manager.
 type Status struct {
 	Duties []DutyStatus
 }
@@ -55,11 +56,11 @@
 	Duty   Duty
 	Holder program.Cohort
 	Epoch  uint64
-	// Mine says that this instance is the holder.
+	// HeldHere reports whether this instance is the holder.
 	HeldHere bool
 }
 
-// Keeper takes and renews leases.
+// Manager acquires, renews and releases leases.
 type Manager struct {
 	options  Options
 	key      store.Key
@@ -70,23 +71,24 @@
 	pauses   metrics.Counter
 	lost     metrics.Counter
 
-	// turn serialises steps and Release. It is a channel and no mutex because
-	// its holder waits for the store: a stopping instance gives up on it when
-	// its time is over, and does not outlive its grace period.
+	// semaphore serialises renewals and Release and guards the fields below. It
+	// is a channel rather than a mutex because its holder waits for the store: a
+	// stopping instance stops waiting for it at its deadline and does not exceed
+	// its grace period.
 	semaphore chan struct{}
 	leases    leaseSet
 	version   store.Version
-	known     bool // book and version are the last seen state of the object
+	known     bool // leases and version are the last seen state of the object
 	observer  observer
 	status    Status
 }
 
-// NewKeeper returns a keeper that holds nothing.
+// NewManager returns a manager that holds no leases.
 func NewManager(o Options) (*Manager, error) {
 	if err := o.Timing.Check(); err != nil {
 		return nil, err
 	}
-	k := &Manager{
+	m := &Manager{
 		options:   o,
 		key:       store.Key{Kind: Kind, Name: o.Self.DataCentre()},
 		limiter:   rate.NewLimiter(callsPerSecond, callsBurst),
@@ -96,52 +98,52 @@
 		observer:  observer{},
 		semaphore: make(chan struct{}, 1),
 	}
-	k.tokens.Store(&map[Duty]Token{})
-	k.recordTick(time.Now())
-	return k, nil
+	m.tokens.Store(&map[Duty]Token{})
+	m.recordTick(time.Now())
+	return m, nil
 }
 
-func (k *Manager) recordTick(now time.Time) { k.lastTick.Store(&now) }
+func (m *Manager) recordTick(now time.Time) { m.lastTick.Store(&now) }
 
-// Held returns the token of a duty if this instance may perform it right now.
-// It costs two atomic loads and is to be asked again before each act.
+// Held returns the token of a duty if this instance may perform it now. It costs
+// two atomic loads and is to be called before each action.
 //
-// A process that was paused, or is too busy to run this package's own loop,
-// can't know what happened meanwhile and has to renew before it acts.
-func (k *Manager) Held(duty Duty) (Token, bool) {
+// A process that was paused, or is too busy to run this package's own loop, may
+// have lost the lease unnoticed and must renew before it acts.
+func (m *Manager) Held(duty Duty) (Token, bool) {
 	now := time.Now()
-	token, ok := (*k.tokens.Load())[duty]
-	if !ok || !token.Valid(now) || k.isPaused(now) {
+	token, ok := (*m.tokens.Load())[duty]
+	if !ok || !token.Valid(now) || m.isPaused(now) {
 		return Token{}, false
 	}
 	return token, true
 }
 
-func (k *Manager) isPaused(now time.Time) bool {
-	return now.Sub(*k.lastTick.Load()) > k.options.Timing.Pause
+func (m *Manager) isPaused(now time.Time) bool {
+	return now.Sub(*m.lastTick.Load()) > m.options.Timing.Pause
 }
 
-// Run takes and renews leases until ctx ends. It does not release them.
-func (k *Manager) Run(ctx context.Context) error {
-	beat := time.NewTicker(k.options.Timing.Pause / 4)
-	defer beat.Stop()
-	renew := time.NewTicker(k.options.Timing.Renew)
-	defer renew.Stop()
+// Run acquires and renews leases until ctx ends. It does not release them.
+func (m *Manager) Run(ctx context.Context) error {
+	ticks := time.NewTicker(m.options.Timing.Pause / 4)
+	defer ticks.Stop()
+	renewals := time.NewTicker(m.options.Timing.Renew)
+	defer renewals.Stop()
 	due := make(chan struct{}, 1)
 	due <- struct{}{}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		k.renewWhenDue(ctx, due)
+		m.renewWhenDue(ctx, due)
 	}()
 	defer func() { <-done }()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-beat.C:
-			k.checkPause(due)
-		case <-renew.C:
+		case <-ticks.C:
+			m.checkPause(due)
+		case <-renewals.C:
 			signal(due)
 		}
 	}
@@ -154,245 +156,246 @@
 	}
 }
 
-// noticePause marks that this loop runs. After a pause it drops the tokens, so
-// that nothing is done under them before they are renewed, and asks for that.
-func (k *Manager) checkPause(due chan struct{}) {
+// checkPause records that the loop runs. After a pause it drops the tokens, so
+// that no action uses them before they are renewed, and requests a renewal.
+func (m *Manager) checkPause(due chan struct{}) {
 	now := time.Now()
-	if k.isPaused(now) {
-		k.pauses.Inc(1)
-		k.tokens.Store(&map[Duty]Token{})
+	if m.isPaused(now) {
+		m.pauses.Inc(1)
+		m.tokens.Store(&map[Duty]Token{})
 		signal(due)
 	}
-	k.recordTick(now)
+	m.recordTick(now)
 }
 
-func (k *Manager) renewWhenDue(ctx context.Context, due <-chan struct{}) {
+func (m *Manager) renewWhenDue(ctx context.Context, due <-chan struct{}) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-due:
 		}
-		callCtx, cancel := context.WithTimeout(ctx, k.options.Timing.Renew)
-		if err := k.renew(callCtx); err != nil && ctx.Err() == nil {
-			k.options.Log.WithError(err).Warn("lease: not renewed")
+		callCtx, cancel := context.WithTimeout(ctx, m.options.Timing.Renew)
+		if err := m.renew(callCtx); err != nil && ctx.Err() == nil {
+			m.options.Log.WithError(err).Warn("lease: renewal failed; retried at the next interval")
 		}
 		cancel()
 	}
 }
 
-// enter waits for the turn to change what is held, until ctx ends.
-func (k *Manager) lock(ctx context.Context) error {
+// lock acquires the semaphore, or fails when ctx ends.
+func (m *Manager) lock(ctx context.Context) error {
 	select {
-	case k.semaphore <- struct{}{}:
+	case m.semaphore <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return errors.Wrap(ctx.Err(), "lease: a renewal is still under way")
+		return errors.Wrap(ctx.Err(), "lease: a renewal is still in flight")
 	}
 }
 
-func (k *Manager) unlock() { <-k.semaphore }
+func (m *Manager) unlock() { <-m.semaphore }
 
-// step renews what is held and takes what is free.
-func (k *Manager) renew(ctx context.Context) error {
-	if err := k.lock(ctx); err != nil {
+// renew renews the leases that this instance holds and takes those that are free.
+func (m *Manager) renew(ctx context.Context) error {
+	if err := m.lock(ctx); err != nil {
 		return err
 	}
-	defer k.unlock()
-	holding := k.isHolder()
-	if !holding && !k.options.ShouldContend() {
+	defer m.unlock()
+	isHolder := m.isHolder()
+	if !isHolder && !m.options.ShouldContend() {
 		return nil
 	}
-	// A contender that holds nothing reads first, to see whether the holder
-	// still renews. A holder knows the object from its own last write.
-	k.known = k.known && holding
+	// An instance that holds no lease reads first, to see whether the holder still
+	// renews. A holder knows the object from its own last write.
+	m.known = m.known && isHolder
 	var err error
 	for range writeAttempts {
-		if err = k.tryRenew(ctx); !errors.Is(err, store.ErrConflict) && !errors.Is(err, errWriteNotApplied) {
+		if err = m.tryRenew(ctx); !errors.Is(err, store.ErrConflict) && !errors.Is(err, errWriteNotApplied) {
 			return err
 		}
-		k.known = false
+		m.known = false
 	}
 	return err
 }
 
-// holding reports whether the last seen object names this instance as a
-// holder, even where the lease has lapsed meanwhile.
-func (k *Manager) isHolder() bool {
-	for _, e := range k.leases.Duties {
-		if e.Holder == k.options.Self && !e.Released {
+// isHolder reports whether the last seen object names this instance as a holder,
+// even if the lease has expired since.
+func (m *Manager) isHolder() bool {
+	for _, l := range m.leases.Duties {
+		if l.Holder == m.options.Self && !l.Released {
 			return true
 		}
 	}
 	return false
 }
 
-func (k *Manager) tryRenew(ctx context.Context) error {
-	if !k.known {
-		if err := k.read(ctx); err != nil {
+func (m *Manager) tryRenew(ctx context.Context) error {
+	if !m.known {
+		if err := m.read(ctx); err != nil {
 			return err
 		}
 	}
-	next, got := claimDuties(k.leases, k.observer, k.options.Self, k.options.Duties, k.options.Timing, time.Now())
-	if len(got) == 0 {
+	next, claims := claimDuties(m.leases, m.observer, m.options.Self, m.options.Duties, m.options.Timing, time.Now())
+	if len(claims) == 0 {
 		return nil
 	}
 	started := time.Now()
-	if err := k.write(ctx, next); err != nil {
+	if err := m.write(ctx, next); err != nil {
 		return err
 	}
-	k.issueTokens(got, started)
+	m.issueTokens(claims, started)
 	return nil
 }
 
-// read takes in the object and drops the tokens of duties that it gives to others.
-func (k *Manager) read(ctx context.Context) error {
-	object, err := k.get(ctx)
+// read reads the object and drops the tokens of duties that others hold in it.
+func (m *Manager) read(ctx context.Context) error {
+	object, err := m.get(ctx)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
-	b := leaseSet{}
+	leases := leaseSet{}
 	if err == nil {
-		if b, err = decodeLeases(object.Value); err != nil {
+		if leases, err = decodeLeases(object.Value); err != nil {
 			return err
 		}
 	}
-	k.observe(b, object.Version)
+	m.observe(leases, object.Version)
 	return nil
 }
 
-func (k *Manager) get(ctx context.Context) (store.Object, error) {
-	if err := k.limiter.Wait(ctx); err != nil {
+func (m *Manager) get(ctx context.Context) (store.Object, error) {
+	if err := m.limiter.Wait(ctx); err != nil {
 		return store.Object{}, errors.Wrap(store.ErrUnavailable, err.Error())
 	}
-	k.calls.Inc(1)
-	return k.options.Store.Get(ctx, k.key)
+	m.calls.Inc(1)
+	return m.options.Store.Get(ctx, m.key)
 }
 
-// take notes the state of the object.
-func (k *Manager) observe(b leaseSet, version store.Version) {
-	k.leases, k.version, k.known = b, version, true
-	k.observer.observe(b, time.Now())
-	k.dropLostTokens()
-	k.publishStatus()
+// observe records the state of the object and updates what depends on it.
+func (m *Manager) observe(leases leaseSet, version store.Version) {
+	m.leases, m.version, m.known = leases, version, true
+	m.observer.observe(leases, time.Now())
+	m.dropLostTokens()
+	m.publishStatus()
 }
 
-func (k *Manager) dropLostTokens() {
-	held := maps.Clone(*k.tokens.Load())
+func (m *Manager) dropLostTokens() {
+	held := maps.Clone(*m.tokens.Load())
 	maps.DeleteFunc(held, func(duty Duty, t Token) bool {
-		e := k.leases.Duties[duty]
-		gone := e.Holder != k.options.Self || e.Epoch != t.Epoch || e.Released
-		if gone {
-			k.lost.Inc(1)
-			k.log(e, duty).Warn("lease: lost")
+		l := m.leases.Duties[duty]
+		lost := l.Holder != m.options.Self || l.Epoch != t.Epoch || l.Released
+		if lost {
+			m.lost.Inc(1)
+			m.log(l, duty).Warn("lease: lost")
 		}
-		return gone
+		return lost
 	})
-	k.tokens.Store(&held)
+	m.tokens.Store(&held)
 }
 
-// write stores the book. A lost answer is settled by reading back: the write
-// took effect if the object is exactly what was written.
-func (k *Manager) write(ctx context.Context, next leaseSet) error {
-	if err := k.limiter.Wait(ctx); err != nil {
+// write writes the leases to the object. If the response is lost, it reads the
+// object: the write took effect if the object equals what was written.
+func (m *Manager) write(ctx context.Context, next leaseSet) error {
+	if err := m.limiter.Wait(ctx); err != nil {
 		return errors.Wrap(store.ErrUnavailable, err.Error())
 	}
-	k.calls.Inc(1)
-	version, err := k.options.Store.Put(ctx, k.key, next.encode(), k.version)
+	m.calls.Inc(1)
+	version, err := m.options.Store.Put(ctx, m.key, next.encode(), m.version)
 	if err == nil {
-		k.observe(next, version)
+		m.observe(next, version)
 		return nil
 	}
-	k.known = false
+	m.known = false
 	if !errors.Is(err, store.ErrUnknown) {
 		return err
 	}
-	if err := k.read(ctx); err != nil {
+	if err := m.read(ctx); err != nil {
 		return err
 	}
-	if !maps.Equal(k.leases.Duties, next.Duties) {
+	if !maps.Equal(m.leases.Duties, next.Duties) {
 		return errWriteNotApplied
 	}
 	return nil
 }
 
-// adopt turns claims that are in the object into tokens. Their time counts
-// from before the write was sent: it may have taken effect at once and its
-// answer come late.
-func (k *Manager) issueTokens(got map[Duty]claim, started time.Time) {
-	times := k.options.Timing
+// issueTokens makes tokens of claims that were written to the object. Their TTL
+// counts from before the write was sent, since it may have taken effect right
+// then and its response come late.
+func (m *Manager) issueTokens(claims map[Duty]claim, started time.Time) {
+	timing := m.options.Timing
 	held := map[Duty]Token{}
-	before := *k.tokens.Load()
-	for duty, c := range got {
-		t := Token{Duty: duty, Holder: k.options.Self, Epoch: c.lease.Epoch}
-		t.validUntil = started.Add(times.TTL - times.Margin)
+	previous := *m.tokens.Load()
+	for duty, c := range claims {
+		t := Token{Duty: duty, Holder: m.options.Self, Epoch: c.lease.Epoch}
+		t.validUntil = started.Add(timing.TTL - timing.Margin)
 		t.validUntilWall = t.validUntil.Round(0)
-		switch old, ok := before[duty]; {
+		switch old, ok := previous[duty]; {
 		case ok && old.Epoch == t.Epoch:
 			t.ordersFrom = old.ordersFrom
 		case c.noOrdersInFlight:
 			t.ordersFrom = started
 		default:
-			// The holder before may have sent its last order right before its
-			// lease ended, and this process can't tell its own orders from
-			// before a pause.
-			t.ordersFrom = time.Now().Add(times.LongestOrder)
+			// The previous holder may have sent its last order right before its
+			// lease expired. If that was this process before a pause, it can't
+			// tell whether its own orders have ended.
+			t.ordersFrom = time.Now().Add(timing.LongestOrder)
 		}
-		if _, ok := before[duty]; !ok {
-			k.log(c.lease, duty).Info("lease: held")
+		if _, ok := previous[duty]; !ok {
+			m.log(c.lease, duty).Info("lease: acquired")
 		}
 		held[duty] = t
 	}
-	k.tokens.Store(&held)
+	m.tokens.Store(&held)
 }
 
-// Release gives back everything held, so that a successor need not wait. It is
-// to be called after this instance's last order has ended.
-func (k *Manager) Release(ctx context.Context) error {
-	k.tokens.Store(&map[Duty]Token{})
-	if err := k.lock(ctx); err != nil {
+// Release releases all leases of this instance, so that the next holder need not
+// wait for them to expire. It is to be called after this instance's last order
+// has ended.
+func (m *Manager) Release(ctx context.Context) error {
+	m.tokens.Store(&map[Duty]Token{})
+	if err := m.lock(ctx); err != nil {
 		return err
 	}
-	defer k.unlock()
-	k.tokens.Store(&map[Duty]Token{})
+	defer m.unlock()
+	m.tokens.Store(&map[Duty]Token{})
 	for range writeAttempts {
-		if !k.known {
-			if err := k.read(ctx); err != nil {
+		if !m.known {
+			if err := m.read(ctx); err != nil {
 				return err
 			}
 		}
-		next, any := releaseDuties(k.leases, k.options.Self)
-		if !any {
+		next, released := releaseDuties(m.leases, m.options.Self)
+		if !released {
 			return nil
 		}
-		err := k.write(ctx, next)
+		err := m.write(ctx, next)
 		if !errors.Is(err, store.ErrConflict) && !errors.Is(err, errWriteNotApplied) {
 			return err
 		}
-		k.known = false
+		m.known = false
 	}
 	return store.ErrConflict
 }
 
-func (k *Manager) publishStatus() {
+func (m *Manager) publishStatus() {
 	var status Status
-	for _, duty := range slices.Sorted(maps.Keys(k.leases.Duties)) {
-		e := k.leases.Duties[duty]
+	for _, duty := range slices.Sorted(maps.Keys(m.leases.Duties)) {
+		e := m.leases.Duties[duty]
 		if e.Released {
 			e.Holder = ""
 		}
-		mine := e.Holder == k.options.Self
-		status.Duties = append(status.Duties, DutyStatus{Duty: duty, Holder: e.Holder, Epoch: e.Epoch, HeldHere: mine})
+		heldHere := e.Holder == m.options.Self
+		status.Duties = append(status.Duties, DutyStatus{Duty: duty, Holder: e.Holder, Epoch: e.Epoch, HeldHere: heldHere})
 	}
-	if slices.Equal(status.Duties, k.status.Duties) {
+	if slices.Equal(status.Duties, m.status.Duties) {
 		return
 	}
-	k.status = status
-	if k.options.OnChange != nil {
-		k.options.OnChange(status)
+	m.status = status
+	if m.options.OnChange != nil {
+		m.options.OnChange(status)
 	}
 }
 
-func (k *Manager) log(e dutyLease, duty Duty) log.Interface {
-	return k.options.Log.WithFields(log.Fields{"duty": duty, "holder": e.Holder, "epoch": e.Epoch})
+func (m *Manager) log(l dutyLease, duty Duty) log.Interface {
+	return m.options.Log.WithFields(log.Fields{"duty": duty, "holder": l.Holder, "epoch": l.Epoch})
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,16 +1,16 @@
-// Package lease gives a data centre's duties, such as orders to engines and
-// sweeps, to one instance at a time, with fencing tokens.
+// Package lease assigns each duty of a data centre, such as ordering engines and
+// sweeping, to one instance at a time, with fencing tokens.
 //
 // All duties of a data centre share one object (kind lease, named by the data
-// centre), written by conditional update, so that one write renews everything a
-// holder has. No clocks are compared: a holder counts its time from before it
-// sent the write, a contender counts from when it first saw that write, both on
-// their own monotonic clock (Gray and Cheriton, 1989).
+// centre), which is written by conditional update, so that one write renews all
+// leases of a holder. Clocks of different instances are not compared: a holder
+// measures the lease from before it sent the write, a contender from when it
+// first saw that write, each on its own monotonic clock (Gray and Cheriton, 1989).
 //
-// A lease can't stop a holder that is paused between its last look at the
-// clock and its act. Upstreams that check fencing tokens refuse such an act.
-// For the others a new holder waits out the longest order before its first,
-// orders are bounded in time, and their names carry the epoch.
+// A lease can't stop a holder that is paused between its last check of the clock
+// and its action. Upstreams that check fencing tokens reject such an action. For
+// the others, orders are bounded in time, a new holder waits for the longest
+// order to end before it sends its first, and the names in orders carry the epoch.
 package lease
 
 import (
@@ -26,34 +26,35 @@
 // Kind is the kind of the lease objects.
 const Kind = "lease"
 
-// Duty names what one instance of a data centre does at a time.
+// Duty names a task that one instance of a data centre performs at a time.
 type Duty string
 
 // The duties of a data centre.
 const (
 	// EngineOrders is the right to order engines to load, unload and change role.
 	EngineOrders Duty = "engine-orders"
-	// Sweeps is the right to release what programs that are gone left behind.
+	// Sweeps is the right to release resources that ended programs left behind.
 	Sweeps Duty = "sweeps"
 )
 
-// Times are the bounds of a lease.
+// Timing holds the durations of a lease.
 type Timing struct {
 	// TTL is how long a lease lasts after the write that renewed it.
 	TTL time.Duration
-	// Renew is the time between renewals, well inside TTL: two may fail.
+	// Renew is the time between renewals, well below TTL: two may fail.
 	Renew time.Duration
-	// Margin is how long before its end a holder stops acting, and how much
-	// longer a contender waits. It covers clocks that run at different rates.
+	// Margin is how long before the end of its lease a holder stops acting, and
+	// how long after it a contender still waits. It covers clocks that run at
+	// different rates.
 	Margin time.Duration
-	// LongestOrder bounds an order from its sending to its last effect.
+	// LongestOrder bounds the time from sending an order to its last effect.
 	LongestOrder time.Duration
 	// Pause is the longest gap in the holder's own loop after which it may
-	// still act without having renewed.
+	// act without renewing first.
 	Pause time.Duration
 }
 
-// DefaultTimes suit duties whose absence for half a minute does no harm.
+// DefaultTiming suits duties that may remain unperformed for half a minute.
 func DefaultTiming() Timing {
 	return Timing{
 		TTL:          15 * time.Second,
@@ -64,10 +65,10 @@
 	}
 }
 
-// ErrBadTimes says that the bounds of a lease contradict each other.
-var ErrInvalidTiming = errors.New("lease: renewal does not fit twice into the lease")
+// ErrInvalidTiming indicates that the durations of a lease contradict each other.
+var ErrInvalidTiming = errors.New("lease: invalid timing: two renewals and the margin must fit into the TTL")
 
-// Check reports whether a renewal may fail once without the lease lapsing.
+// Check returns an error unless the lease survives one failed renewal.
 func (t Timing) Check() error {
 	if t.Renew <= 0 || t.Margin < 0 || t.Pause <= 0 || 2*t.Renew+t.Margin > t.TTL {
 		return ErrInvalidTiming
@@ -75,42 +76,44 @@
 	return nil
 }
 
-// Token is the right to perform a duty until it expires. Each new holder's
-// epoch is higher than all before it.
+// Token is the right to perform a duty until it expires. Each new holder's epoch
+// is higher than all earlier ones.
 type Token struct {
 	Duty   Duty
 	Holder program.Cohort
-	// Epoch is the fencing number to send with each act.
+	// Epoch is the fencing token to send with each action.
 	Epoch uint64
 
 	validUntil time.Time
-	// wall is until on the wall clock.
+	// validUntilWall is validUntil on the wall clock.
 	validUntilWall time.Time
-	// from is when no order of an earlier holder can be under way any more.
+	// ordersFrom is the time from which no order of an earlier holder can be in
+	// flight.
 	ordersFrom time.Time
 }
 
 // Valid reports whether the duty may be performed at now, a time.Now of this
-// process. It is to be asked right before each act.
+// process. It is to be called right before each action.
 //
-// The monotonic clock stands still while a virtual machine is suspended, the
-// wall clock may be set back; whichever shows more time gone decides.
+// The token expires by the clock on which more time has passed: the monotonic
+// clock stops while a virtual machine is suspended, and the wall clock may be set
+// back.
 func (t Token) Valid(now time.Time) bool {
 	return now.Before(t.validUntil) && now.Round(0).Before(t.validUntilWall)
 }
 
-// MayOrder reports whether an order may be sent at now. checks says whether the
-// upstream refuses an order with an old epoch; one that does not may still be
-// carrying out the last order of the holder before.
+// MayOrder reports whether an order may be sent at now. checks indicates that the
+// upstream rejects orders with an outdated epoch; one that does not may still be
+// executing the last order of the previous holder.
 func (t Token) MayOrder(now time.Time, checks bool) bool {
 	return t.Valid(now) && (checks || !now.Before(t.ordersFrom))
 }
 
-// Until returns when the holder stops acting unless it renews.
+// Until returns the time at which the token expires unless it is renewed.
 func (t Token) Until() time.Time { return t.validUntil }
 
-// entry is one duty in the object. Epoch and Renewal together with Holder name
-// one write.
+// dutyLease is the lease of one duty in the object. Holder, Epoch and Renewal
+// together identify one write.
 type dutyLease struct {
 	Holder   program.Cohort `json:"holder"`
 	Epoch    uint64         `json:"epoch"`
@@ -118,89 +121,90 @@
 	Released bool           `json:"released,omitempty"`
 }
 
-// book is the value of a data centre's lease object.
+// leaseSet is the value of a data centre's lease object.
 type leaseSet struct {
 	Duties map[Duty]dutyLease `json:"duties"`
 }
 
 func decodeLeases(value []byte) (leaseSet, error) {
-	var b leaseSet
-	err := json.Unmarshal(value, &b)
-	return b, errors.Wrap(err, "lease: object")
+	var leases leaseSet
+	err := json.Unmarshal(value, &leases)
+	return leases, errors.Wrap(err, "lease: decode object")
 }
 
-func (b leaseSet) encode() []byte {
-	value, err := json.Marshal(b)
+func (s leaseSet) encode() []byte {
+	value, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // strings and numbers always encode
+		panic(err) // can't happen: the value contains strings, numbers and booleans only
 	}
 	return value
 }
 
-// observation is an entry with the time at which this process first saw it.
+// observation is a lease with the time at which this process first saw that value.
 type observation struct {
 	dutyLease
 	firstSeen time.Time
 }
 
-// observer remembers how long each duty's entry has not changed.
+// observer records since when each duty's lease has not changed.
 type observer map[Duty]observation
 
-func (o observer) observe(b leaseSet, now time.Time) {
-	for duty, e := range b.Duties {
-		if o[duty].dutyLease != e {
-			o[duty] = observation{dutyLease: e, firstSeen: now}
+func (o observer) observe(leases leaseSet, now time.Time) {
+	for duty, l := range leases.Duties {
+		if o[duty].dutyLease != l {
+			o[duty] = observation{dutyLease: l, firstSeen: now}
 		}
 	}
 }
 
-// free reports whether a duty may be taken: nobody ever had it, its holder
-// gave it back, or its holder has not renewed it for a whole TTL and margin
-// since the last renewal was seen.
-func (o observer) isFree(duty Duty, times Timing, now time.Time) bool {
-	seen, ok := o[duty]
-	return !ok || seen.Released || now.Sub(seen.firstSeen) >= times.TTL+times.Margin
+// isFree reports whether a duty may be taken: it never had a holder, its holder
+// released it, or TTL and Margin have passed since its last renewal was seen.
+func (o observer) isFree(duty Duty, timing Timing, now time.Time) bool {
+	last, ok := o[duty]
+	return !ok || last.Released || now.Sub(last.firstSeen) >= timing.TTL+timing.Margin
 }
 
-// claimed is the outcome of a claim on one duty.
+// claim is a new or renewed lease of one duty, to be written.
 type claim struct {
 	lease dutyLease
-	// clear says that no earlier holder can have an order under way.
+	// noOrdersInFlight reports whether no earlier holder can have an order in
+	// flight.
 	noOrdersInFlight bool
 }
 
-// claim returns the book in which self has renewed what it holds and taken
-// what is free of the wanted duties, and what that gives it.
-func claimDuties(b leaseSet, o observer, self program.Cohort, want []Duty, times Timing, now time.Time) (leaseSet, map[Duty]claim) {
+// claimDuties returns the leases after self has renewed those of the wanted
+// duties that it holds and taken those that are free, and the resulting claims.
+func claimDuties(leases leaseSet, observed observer, self program.Cohort, wanted []Duty, timing Timing, now time.Time) (leaseSet, map[Duty]claim) {
 	next := leaseSet{Duties: map[Duty]dutyLease{}}
-	maps.Copy(next.Duties, b.Duties)
-	got := map[Duty]claim{}
-	for _, duty := range want {
-		before, known := b.Duties[duty]
+	maps.Copy(next.Duties, leases.Duties)
+	claims := map[Duty]claim{}
+	for _, duty := range wanted {
+		current, known := leases.Duties[duty]
 		switch {
-		case known && before.Holder == self && !before.Released:
-			before.Renewal++
-			next.Duties[duty] = before
-			got[duty] = claim{lease: before}
-		case o.isFree(duty, times, now):
-			taken := dutyLease{Holder: self, Epoch: before.Epoch + 1, Renewal: 1}
-			next.Duties[duty] = taken
-			got[duty] = claim{lease: taken, noOrdersInFlight: !known || before.Released}
+		case known && current.Holder == self && !current.Released:
+			current.Renewal++
+			next.Duties[duty] = current
+			claims[duty] = claim{lease: current}
+		case observed.isFree(duty, timing, now):
+			acquired := dutyLease{Holder: self, Epoch: current.Epoch + 1, Renewal: 1}
+			next.Duties[duty] = acquired
+			claims[duty] = claim{lease: acquired, noOrdersInFlight: !known || current.Released}
 		}
 	}
-	return next, got
+	return next, claims
 }
 
-// release returns the book without self as a holder.
-func releaseDuties(b leaseSet, self program.Cohort) (leaseSet, bool) {
+// releaseDuties returns the leases with all of self's released, and reports
+// whether there were any.
+func releaseDuties(leases leaseSet, self program.Cohort) (leaseSet, bool) {
 	next := leaseSet{Duties: map[Duty]dutyLease{}}
 	released := false
-	for duty, e := range b.Duties {
-		if e.Holder == self && !e.Released {
-			e.Released = true
+	for duty, l := range leases.Duties {
+		if l.Holder == self && !l.Released {
+			l.Released = true
 			released = true
 		}
-		next.Duties[duty] = e
+		next.Duties[duty] = l
 	}
 	return next, released
 }
