--- a/internal/lease/bench_test.go
+++ b/internal/lease/bench_test.go
@@ -11,11 +11,11 @@
 )
 
 // contenders is the number of instances of a data centre that compete for its
-// duties in the benchmark, as View.Contends lets through.
+// duties in the benchmark, as membership's View.IsContender limits it.
 const contenders = 3
 
-// BenchmarkStoreCalls counts the calls on the object API for each renewal of a
-// data centre, against its instances and against its duties.
+// BenchmarkStoreCalls measures the object API calls per renewal in a data centre
+// for several numbers of instances and duties.
 func BenchmarkStoreCalls(b *testing.B) {
 	const renewals = 20
 	for _, instances := range []int{3, 10, 74} {
@@ -23,10 +23,10 @@
 			b.Run(fmt.Sprintf("instances=%d/duties=%d", instances, duties), func(b *testing.B) {
 				for b.Loop() {
 					objects := standin.NewStore()
-					keepers := benchManagers(instances, duties, objects)
+					managers := benchManagers(instances, duties, objects)
 					for range renewals {
-						for _, k := range keepers {
-							if err := k.renew(context.Background()); err != nil {
+						for _, m := range managers {
+							if err := m.renew(context.Background()); err != nil {
 								b.Fatal(err)
 							}
 						}
@@ -42,31 +42,31 @@
 }
 
 func benchManagers(instances, duties int, objects *standin.Store) []*Manager {
-	var keepers []*Manager
+	var managers []*Manager
 	for i := range instances {
-		k := newTestManager(program.Cohort(fmt.Sprintf("dc.i%d.1", i)), objects)
-		k.options.ShouldContend = func() bool { return i < contenders }
-		k.options.Duties = nil
+		m := newTestManager(program.Cohort(fmt.Sprintf("dc.i%d.1", i)), objects)
+		m.options.ShouldContend = func() bool { return i < contenders }
+		m.options.Duties = nil
 		for d := range duties {
-			k.options.Duties = append(k.options.Duties, Duty(fmt.Sprintf("duty-%d", d)))
+			m.options.Duties = append(m.options.Duties, Duty(fmt.Sprintf("duty-%d", d)))
 		}
-		k.limiter.SetLimit(1e9) // renewals follow each other without pause here
-		keepers = append(keepers, k)
+		m.limiter.SetLimit(1e9) // the benchmark renews without pauses
+		managers = append(managers, m)
 	}
-	return keepers
+	return managers
 }
 
-// BenchmarkHeld measures the check before each act.
+// BenchmarkHeld measures the check before each action.
 func BenchmarkHeld(b *testing.B) {
-	k := newTestManager("dc.a.1", standin.NewStore())
-	if err := k.renew(context.Background()); err != nil {
+	m := newTestManager("dc.a.1", standin.NewStore())
+	if err := m.renew(context.Background()); err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		k.recordTick(time.Now())
-		if _, ok := k.Held(EngineOrders); !ok {
+		m.recordTick(time.Now())
+		if _, ok := m.Held(EngineOrders); !ok {
 			b.StopTimer()
-			_ = k.renew(context.Background())
+			_ = m.renew(context.Background())
 			b.StartTimer()
 		}
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -28,15 +28,15 @@
 	os.Exit(fuzzing.RunWithoutLeaks(m))
 }
 
-// upstream is an engine that takes orders. It records orders of two epochs
-// that overlap, and orders of an old epoch after a newer one.
+// upstream is an engine that executes orders. It records as faults overlapping
+// orders of two epochs and orders of an outdated epoch after a newer one.
 type upstream struct {
 	mu           sync.Mutex
 	checksTokens bool
 	observedOrders
 }
 
-// record is what an upstream saw.
+// observedOrders is what an upstream recorded of its orders.
 type observedOrders struct {
 	highestEpoch uint64
 	holder       program.Cohort
@@ -46,7 +46,8 @@
 	orders       int
 }
 
-// order runs an order for its duration, or refuses it for its token.
+// order executes an order that takes the given time, or rejects it if its token is
+// outdated and the upstream checks tokens.
 func (u *upstream) order(t Token, takes time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -59,7 +60,7 @@
 	u.lastEpoch, u.busyUntil = t.Epoch, time.Now().Add(takes)
 }
 
-// seen returns a copy of what the upstream recorded.
+// snapshot returns a copy of what the upstream recorded.
 func (u *upstream) snapshot() observedOrders {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -78,15 +79,15 @@
 	}
 }
 
-// process is an instance that renews its lease and gives orders under it. While
-// paused it neither runs its loop nor sees answers from the store.
+// process is an instance that renews its leases and sends orders under them.
+// While paused it neither runs its loop nor sees responses of the store.
 type process struct {
 	store.Client
 
 	manager          *Manager
 	mu               sync.Mutex
 	resumed          chan struct{}
-	storeUnreachable bool // the store is out of this process's reach
+	storeUnreachable bool // this process can't reach the store
 	upstream         *upstream
 	done             chan struct{}
 	cancel           context.CancelFunc
@@ -95,7 +96,7 @@
 const tickInterval = 250 * time.Millisecond
 
 func newTestManager(cohort program.Cohort, client store.Client) *Manager {
-	k, err := NewManager(Options{
+	m, err := NewManager(Options{
 		Self:          cohort,
 		Duties:        []Duty{EngineOrders, Sweeps},
 		Timing:        DefaultTiming(),
@@ -107,7 +108,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return k
+	return m
 }
 
 func startProcess(cohort program.Cohort, client store.Client, u *upstream) *process {
@@ -119,7 +120,7 @@
 	return p
 }
 
-// loop does what Keeper.Run does, in one goroutine so that a pause stops all of it.
+// loop does what Manager.Run does, in one goroutine so that a pause stops all of it.
 func (p *process) loop(ctx context.Context) {
 	defer close(p.done)
 	due := make(chan struct{}, 1)
@@ -176,10 +177,10 @@
 	return p.storeUnreachable
 }
 
-func (p *process) setStoreUnreachable(cut bool) {
+func (p *process) setStoreUnreachable(unreachable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.storeUnreachable = cut
+	p.storeUnreachable = unreachable
 }
 
 func (p *process) pause() {
@@ -205,12 +206,12 @@
 	<-p.done
 }
 
-// The holder loses the store, gives its last order right before its lease ends,
-// and is paused past that end while the order is under way, at an upstream that
-// does not check tokens. Another instance takes the
-// duty and orders as well. The upstream must never see the two overlap: the
-// new holder waits out the longest order, and the old one, waking up, finds
-// its lease ended before it sends anything.
+// The holder loses the store, sends its last order right before its lease
+// expires, and is paused past the expiry while the order is in flight, at an
+// upstream that does not check tokens. Another instance takes the duty and sends
+// orders as well. Orders of the two must never overlap: the new holder waits for
+// the longest order to end, and the old one, when it resumes, finds its lease
+// expired before it sends another order.
 func TestHolderPausedPastExpiryWithUpstreamThatDoesNotCheckTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -233,7 +234,7 @@
 		is.True(!held)
 		token, held := b.manager.Held(EngineOrders)
 		is.True(held)
-		is.Equal(u.snapshot().highestEpoch, token.Epoch) // b has given orders
+		is.Equal(u.snapshot().highestEpoch, token.Epoch) // b has sent orders
 		a.setStoreUnreachable(false)
 		a.resume()
 		time.Sleep(time.Minute)
@@ -241,65 +242,65 @@
 	})
 }
 
-// A holder is paused for less than its lease lasts. Its time is not over, but
-// until it has renewed it must not act: it can't tell how long it slept from
-// its own loop alone.
+// A holder is paused for less than the TTL of its lease. The lease has not
+// expired, but the holder must not act before it renews: its own loop does not
+// show how long the pause was.
 func TestPausedHolderRenewsBeforeActing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newTestManager("dc.a.1", objects)
-		is.NoErr(k.renew(context.Background()))
-		_, held := k.Held(EngineOrders)
+		m := newTestManager("dc.a.1", objects)
+		is.NoErr(m.renew(context.Background()))
+		_, held := m.Held(EngineOrders)
 		is.True(held)
 		time.Sleep(DefaultTiming().Pause + time.Second)
-		_, held = k.Held(EngineOrders)
+		_, held = m.Held(EngineOrders)
 		is.True(!held)
 		due := make(chan struct{}, 1)
-		k.checkPause(due)
-		_, held = k.Held(EngineOrders)
-		is.True(!held) // its loop runs again, but it has not renewed
+		m.checkPause(due)
+		_, held = m.Held(EngineOrders)
+		is.True(!held) // the loop runs again, but the lease is not renewed
 		<-due
-		is.NoErr(k.renew(context.Background()))
-		_, held = k.Held(EngineOrders)
+		is.NoErr(m.renew(context.Background()))
+		_, held = m.Held(EngineOrders)
 		is.True(held)
 	})
 }
 
-// The answer of the write that took the lease is lost. The object says who
-// holds it, so the taker holds it, counted from before the write.
+// The response of the write that acquired the lease is lost. The instance reads
+// in the object that it is the holder; its lease counts from before the write.
 func TestLostResponseIsResolvedByReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newTestManager("dc.a.1", objects)
+		m := newTestManager("dc.a.1", objects)
 		objects.SetFaults(standin.StoreFaults{LoseAnswers: 1, Delay: 300 * time.Millisecond})
 		started := time.Now()
-		is.NoErr(k.renew(context.Background()))
-		token, held := k.Held(EngineOrders)
+		is.NoErr(m.renew(context.Background()))
+		token, held := m.Held(EngineOrders)
 		is.True(held)
-		is.True(!token.Until().After(started.Add(300*time.Millisecond + DefaultTiming().TTL - DefaultTiming().Margin))) // one read came before
+		is.True(!token.Until().After(started.Add(300*time.Millisecond + DefaultTiming().TTL - DefaultTiming().Margin))) // one read preceded the write
 		objects.SetFaults(standin.StoreFaults{DropWrites: 1})
 		before := token.Until()
-		is.NoErr(k.renew(context.Background())) // the dropped write is written again
-		token, _ = k.Held(EngineOrders)
+		is.NoErr(m.renew(context.Background())) // the dropped write is repeated
+		token, _ = m.Held(EngineOrders)
 		is.True(token.Until().After(before))
 	})
 }
 
-// A virtual machine is suspended: the monotonic clock stood still, the wall
-// clock did not. Either alone ends the token.
+// After a virtual machine was suspended, its monotonic clock lags behind its wall
+// clock. A token expires by either clock.
 func TestTokenExpiresByEitherClock(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	soon, past := now.Add(time.Minute), now.Add(-time.Second)
 	is.True(Token{validUntil: soon, validUntilWall: soon.Round(0)}.Valid(now))
 	is.True(!Token{validUntil: past, validUntilWall: soon.Round(0)}.Valid(now)) // the wall clock was set back
-	is.True(!Token{validUntil: soon, validUntilWall: past.Round(0)}.Valid(now)) // the monotonic clock stood still
+	is.True(!Token{validUntil: soon, validUntilWall: past.Round(0)}.Valid(now)) // the monotonic clock stopped
 }
 
-// A planned stop releases the duties, and the next instance orders at once,
-// also where tokens are not checked.
+// A planned stop releases the duties, and the next holder may send orders
+// immediately, also to upstreams that do not check tokens.
 func TestReleasedDutyIsTakenImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -321,42 +322,42 @@
 	})
 }
 
-// An instance stops while its renewal waits for a slow store. Its release waits
-// for the renewal only as long as it may, and says so: before, it waited on a
-// lock without an end, and the instance outlived its grace period.
+// An instance stops while its renewal waits for a slow store. Release must not
+// wait for the renewal beyond its context and must return the context's error;
+// otherwise the instance exceeds its grace period.
 func TestReleaseEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newTestManager("dc.a.1", objects)
-		is.NoErr(k.renew(context.Background()))
+		m := newTestManager("dc.a.1", objects)
+		is.NoErr(m.renew(context.Background()))
 		objects.SetFaults(standin.StoreFaults{Delay: 30 * time.Second})
 		var renewing sync.WaitGroup
-		renewing.Go(func() { _ = k.renew(context.Background()) })
+		renewing.Go(func() { _ = m.renew(context.Background()) })
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		started := time.Now()
-		is.True(errors.Is(k.Release(ctx), context.DeadlineExceeded))
+		is.True(errors.Is(m.Release(ctx), context.DeadlineExceeded))
 		is.Equal(time.Since(started), time.Second)
-		_, held := k.Held(Sweeps)
+		_, held := m.Held(Sweeps)
 		is.True(!held)
 		renewing.Wait()
 	})
 }
 
-// Run takes the duties, keeps them over many renewals at one write each, and
-// ends without leaving a goroutine.
+// Run acquires the duties, renews them many times with one write each, and ends
+// without leaking a goroutine.
 func TestRunRenewsWithOneWriteEach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newTestManager("dc.a.1", objects)
+		m := newTestManager("dc.a.1", objects)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
-		go func() { done <- k.Run(ctx) }()
+		go func() { done <- m.Run(ctx) }()
 		time.Sleep(10 * time.Minute)
-		first, held := k.Held(EngineOrders)
+		first, held := m.Held(EngineOrders)
 		is.True(held)
 		is.Equal(first.Epoch, uint64(1))
 		counts := objects.Counts()
@@ -368,8 +369,9 @@
 	})
 }
 
-// holding is the lock that the keepers' Held must add up to: a change of
-// holder is an acquire or an end at some instant between two looks.
+// lockOperation is an acquisition or release of the lock that the results of all
+// managers' Held must be consistent with. It takes effect at some time between
+// two samples.
 type lockOperation struct {
 	process int
 	acquire bool
@@ -378,18 +380,19 @@
 var lockModel = porcupine.Model{
 	Init: func() any { return -1 },
 	Step: func(state, input, _ any) (bool, any) {
-		h := input.(lockOperation)
-		if h.acquire {
-			return state.(int) == -1, h.process
+		op := input.(lockOperation)
+		if op.acquire {
+			return state.(int) == -1, op.process
 		}
-		return state.(int) == h.process, -1
+		return state.(int) == op.process, -1
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// watch looks at every keeper's Held until stop closes and records the changes.
+// recordHistory samples every manager's Held until stop closes and returns the
+// changes.
 func recordHistory(processes []*process, duty Duty, stop <-chan struct{}) []porcupine.Operation {
-	const look = 50 * time.Millisecond
+	const interval = 50 * time.Millisecond
 	var history []porcupine.Operation
 	held := make([]bool, len(processes))
 	started := time.Now()
@@ -397,7 +400,7 @@
 		select {
 		case <-stop:
 			return history
-		case <-time.After(look):
+		case <-time.After(interval):
 		}
 		now := time.Since(started)
 		for i, p := range processes {
@@ -405,17 +408,17 @@
 			if ok != held[i] {
 				held[i] = ok
 				history = append(history, porcupine.Operation{
-					ClientId: i, Input: lockOperation{i, ok}, Call: int64(now - look), Return: int64(now),
+					ClientId: i, Input: lockOperation{i, ok}, Call: int64(now - interval), Return: int64(now),
 				})
 			}
 		}
 	}
 }
 
-// Pauses, outages, slowness, lost answers and lost writes come in any order to
-// three contenders. At every instant at most one holds the lease, no order is
-// given under an outdated epoch or beside an older holder's, and once all is
-// well again somebody holds it.
+// Pauses, outages, slowness, lost responses and lost writes happen to three
+// contenders in any order. At any time at most one holds the lease, no order is
+// sent under an outdated epoch or while an earlier holder's is in flight, and
+// after the last fault one of them holds the lease.
 func TestAtMostOneHolderUnderAnyFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		checks := rapid.Bool().Draw(rt, "checks")
@@ -436,9 +439,9 @@
 			for i := range 3 {
 				processes = append(processes, startProcess(program.Cohort(fmt.Sprintf("dc.i%d.1", i)), objects, u))
 			}
-			stop, watched := make(chan struct{}), make(chan struct{})
+			stop, recorded := make(chan struct{}), make(chan struct{})
 			go func() {
-				defer close(watched)
+				defer close(recorded)
 				history = recordHistory(processes, EngineOrders, stop)
 			}()
 			for _, s := range steps {
@@ -474,19 +477,19 @@
 				heldAtEnd = heldAtEnd || ok
 			}
 			close(stop)
-			<-watched
+			<-recorded
 			for _, p := range processes {
 				p.stop()
 			}
 		})
 		if !heldAtEnd {
-			rt.Fatal("nobody holds the lease after healing")
+			rt.Fatal("no process holds the lease after all faults ended")
 		}
 		if len(u.faults) > 0 {
 			rt.Fatal(u.faults)
 		}
 		if !porcupine.CheckOperations(lockModel, history) {
-			rt.Fatalf("two holders: %+v", history)
+			rt.Fatalf("two holders at one time: %+v", history)
 		}
 	})
 }
