--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -30,7 +30,7 @@
 				posted++
 				if posted%100 == 0 {
 					_ = l.Post(MembersChanged{View: view})
-					drain(l)
+					applyAll(l)
 				}
 			}
 			b.ReportMetric(float64(posted)/b.Elapsed().Seconds(), "events/s")
--- a/internal/control/event.go
+++ b/internal/control/event.go
@@ -22,10 +22,10 @@
 	// Configuration holds versions in force, leases and the store's health. Its
 	// keys are few and fixed, so that coalescing alone bounds it.
 	Configuration
-	classes
+	classCount
 )
 
-var classNames = [classes]string{Load: "load", Membership: "membership", Configuration: "configuration"}
+var classNames = [classCount]string{Load: "load", Membership: "membership", Configuration: "configuration"}
 
 // String returns the class's name in metrics.
 func (c Class) String() string { return classNames[c] }
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -15,9 +15,9 @@
 	DefaultCapacity = 1024
 	// batchLimit bounds the events applied between two snapshots, so that one
 	// snapshot serves a burst and a flood can't hold the next one back.
-	batchLimit = 256
+	maxBatch = 256
 	// loopSample is the number of loop times kept for the histogram.
-	loopSample = 1028
+	loopSampleSize = 1028
 	// loopAlpha weighs that sample towards the last five minutes.
 	loopAlpha = 0.015
 )
@@ -28,11 +28,11 @@
 
 // Loop is the control goroutine's state.
 type Loop struct {
-	mu       sync.Mutex // guards boxes, waiting and changed
-	boxes    [classes]*mailbox
-	waiting  int
-	changed  chan struct{}
-	capacity int
+	mu        sync.Mutex // guards boxes, waiting and changed
+	mailboxes [classCount]*mailbox
+	waiting   int
+	changed   chan struct{}
+	capacity  int
 
 	wake      chan struct{}
 	snapshot  atomic.Pointer[Snapshot]
@@ -40,7 +40,7 @@
 	loopTime  metrics.Histogram
 	applied   metrics.Counter
 	coalesced metrics.Counter
-	shed      [classes]metrics.Counter
+	shed      [classCount]metrics.Counter
 }
 
 // NewLoop returns a loop that lets capacity events wait and registers its metrics:
@@ -48,7 +48,7 @@
 // batch and publish), control.events, control.coalesced and
 // control.shed.<class>.
 func NewLoop(capacity int, registry metrics.Registry) *Loop {
-	sample := metrics.NewExpDecaySample(loopSample, loopAlpha)
+	sample := metrics.NewExpDecaySample(loopSampleSize, loopAlpha)
 	l := &Loop{
 		capacity:  capacity,
 		changed:   make(chan struct{}),
@@ -58,8 +58,8 @@
 		applied:   metrics.GetOrRegisterCounter("control.events", registry),
 		coalesced: metrics.GetOrRegisterCounter("control.coalesced", registry),
 	}
-	for c := range classes {
-		l.boxes[c] = newMailbox()
+	for c := range classCount {
+		l.mailboxes[c] = newMailbox()
 		l.shed[c] = metrics.GetOrRegisterCounter("control.shed."+c.String(), registry)
 	}
 	l.snapshot.Store(&Snapshot{})
@@ -80,27 +80,27 @@
 func (l *Loop) Post(e Event) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.boxes[e.Class()].replace(e) {
+	if l.mailboxes[e.Class()].replace(e) {
 		l.coalesced.Inc(1)
 		return nil
 	}
-	if l.waiting >= l.capacity && !l.makeRoom(e.Class()) {
+	if l.waiting >= l.capacity && !l.shedBelow(e.Class()) {
 		l.shed[e.Class()].Inc(1)
 		return ErrShed
 	}
-	l.boxes[e.Class()].add(e)
+	l.mailboxes[e.Class()].add(e)
 	l.waiting++
 	l.queue.Update(int64(l.waiting))
-	l.notify()
+	l.wakeUp()
 	return nil
 }
 
 // makeRoom drops the longest-waiting event of the least important class that
 // has one, if that class is below the arriving event's.
-func (l *Loop) makeRoom(arriving Class) bool {
+func (l *Loop) shedBelow(arriving Class) bool {
 	for c := range arriving {
-		if l.boxes[c].len() > 0 {
-			l.boxes[c].pop()
+		if l.mailboxes[c].len() > 0 {
+			l.mailboxes[c].pop()
 			l.waiting--
 			l.shed[c].Inc(1)
 			return true
@@ -109,7 +109,7 @@
 	return false
 }
 
-func (l *Loop) notify() {
+func (l *Loop) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -124,20 +124,20 @@
 			return ctx.Err()
 		case <-l.wake:
 		}
-		for batch := l.take(); len(batch) > 0 && ctx.Err() == nil; batch = l.take() {
+		for batch := l.nextBatch(); len(batch) > 0 && ctx.Err() == nil; batch = l.nextBatch() {
 			l.apply(batch)
 		}
 	}
 }
 
 // take removes the next batch, the most important class first.
-func (l *Loop) take() []Event {
+func (l *Loop) nextBatch() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var batch []Event
-	for c := classes - 1; c >= 0; c-- {
-		for l.boxes[c].len() > 0 && len(batch) < batchLimit {
-			batch = append(batch, l.boxes[c].pop())
+	for c := classCount - 1; c >= 0; c-- {
+		for l.mailboxes[c].len() > 0 && len(batch) < maxBatch {
+			batch = append(batch, l.mailboxes[c].pop())
 		}
 	}
 	l.waiting -= len(batch)
@@ -155,10 +155,10 @@
 	l.snapshot.Store(&next)
 	l.applied.Inc(int64(len(batch)))
 	l.loopTime.Update(time.Since(started).Microseconds())
-	l.announce()
+	l.notifyWaiters()
 }
 
-func (l *Loop) announce() {
+func (l *Loop) notifyWaiters() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	close(l.changed)
--- a/internal/control/loop_test.go
+++ b/internal/control/loop_test.go
@@ -23,20 +23,20 @@
 }
 
 // note is an event that appends itself to a log when applied.
-type note struct {
-	class Class
-	key   string
-	value int
-	into  *[]note
+type testEvent struct {
+	class   Class
+	key     string
+	value   int
+	applied *[]testEvent
 }
 
-func (n note) Class() Class    { return n.class }
-func (n note) Key() string     { return n.key }
-func (n note) Apply(*Snapshot) { *n.into = append(*n.into, n) }
+func (n testEvent) Class() Class    { return n.class }
+func (n testEvent) Key() string     { return n.key }
+func (n testEvent) Apply(*Snapshot) { *n.applied = append(*n.applied, n) }
 
 // drain applies everything that waits, as Run does.
-func drain(l *Loop) {
-	for batch := l.take(); len(batch) > 0; batch = l.take() {
+func applyAll(l *Loop) {
+	for batch := l.nextBatch(); len(batch) > 0; batch = l.nextBatch() {
 		l.apply(batch)
 	}
 }
@@ -44,17 +44,17 @@
 // A flood of load reports fills the queue while nothing is applied. A version
 // in force arriving then must get in, at the expense of a load report, and be
 // applied first; a further load report is refused.
-func TestFloodOfLoadReportsDoesNotHoldBackConfiguration(t *testing.T) {
+func TestFloodOfLoadReportsDoesNotDelayConfiguration(t *testing.T) {
 	is := is.New(t)
-	var applied []note
+	var applied []testEvent
 	l := NewLoop(4, metrics.NewRegistry())
 	for i := range 4 {
-		is.NoErr(l.Post(note{Load, fmt.Sprint(i), i, &applied}))
+		is.NoErr(l.Post(testEvent{Load, fmt.Sprint(i), i, &applied}))
 	}
-	is.True(errors.Is(l.Post(note{Load, "4", 4, &applied}), ErrShed))
-	is.NoErr(l.Post(note{Configuration, "config", 9, &applied}))
-	is.NoErr(l.Post(note{Load, "3", 33, &applied})) // a newer report of a waiting key costs no room
-	drain(l)
+	is.True(errors.Is(l.Post(testEvent{Load, "4", 4, &applied}), ErrShed))
+	is.NoErr(l.Post(testEvent{Configuration, "config", 9, &applied}))
+	is.NoErr(l.Post(testEvent{Load, "3", 33, &applied})) // a newer report of a waiting key costs no room
+	applyAll(l)
 	is.Equal(len(applied), 4)
 	is.Equal(applied[0].key, "config")
 	is.Equal(applied[1].key, "1") // the report that waited longest went
@@ -66,9 +66,9 @@
 	is := is.New(t)
 	l := NewLoop(DefaultCapacity, metrics.NewRegistry())
 	is.NoErr(l.Post(ConfigChanged{Version: 7}))
-	drain(l)
+	applyAll(l)
 	is.NoErr(l.Post(ConfigChanged{Version: 6}))
-	drain(l)
+	applyAll(l)
 	is.Equal(l.Snapshot().ConfigVersion, uint64(7))
 }
 
@@ -77,11 +77,11 @@
 	is := is.New(t)
 	l := NewLoop(DefaultCapacity, metrics.NewRegistry())
 	is.NoErr(l.Post(LoadReported{DataCentre: "a", Value: 1}))
-	drain(l)
+	applyAll(l)
 	before := l.Snapshot()
 	is.NoErr(l.Post(LoadReported{DataCentre: "a", Value: 2}))
 	is.NoErr(l.Post(LoadReported{DataCentre: "b", Value: 3}))
-	drain(l)
+	applyAll(l)
 	is.Equal(len(before.Loads), 1)
 	is.Equal(before.Loads["a"], 1)
 	is.Equal(l.Snapshot().Loads["a"], 2)
@@ -115,10 +115,10 @@
 // oracle is a plain list with the loop's documented rules.
 type oracle struct {
 	capacity int
-	waiting  []note
+	waiting  []testEvent
 }
 
-func (o *oracle) post(n note) bool {
+func (o *oracle) post(n testEvent) bool {
 	for i, w := range o.waiting {
 		if w.class == n.class && w.key == n.key {
 			o.waiting[i] = n
@@ -141,8 +141,8 @@
 	return true
 }
 
-func (o *oracle) drain() []note {
-	slices.SortStableFunc(o.waiting, func(a, b note) int { return int(b.class - a.class) })
+func (o *oracle) applyAll() []testEvent {
+	slices.SortStableFunc(o.waiting, func(a, b testEvent) int { return int(b.class - a.class) })
 	applied := o.waiting
 	o.waiting = nil
 	return applied
@@ -153,31 +153,31 @@
 // documented rules; the most important class is never shed for a lower one.
 func TestMailboxesAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var applied []note
+		var applied []testEvent
 		capacity := rapid.IntRange(2, 12).Draw(rt, "capacity")
 		l := NewLoop(capacity, metrics.NewRegistry())
 		o := &oracle{capacity: capacity}
 		for i := range rapid.IntRange(1, 80).Draw(rt, "posts") {
 			if rapid.IntRange(0, 15).Draw(rt, "drain") == 0 {
-				drain(l)
-				compare(rt, &applied, o.drain())
+				applyAll(l)
+				checkApplied(rt, &applied, o.applyAll())
 			}
-			n := note{
-				class: Class(rapid.IntRange(0, int(classes)-1).Draw(rt, "class")),
-				key:   fmt.Sprint(rapid.IntRange(0, 8).Draw(rt, "key")),
-				value: i,
-				into:  &applied,
+			n := testEvent{
+				class:   Class(rapid.IntRange(0, int(classCount)-1).Draw(rt, "class")),
+				key:     fmt.Sprint(rapid.IntRange(0, 8).Draw(rt, "key")),
+				value:   i,
+				applied: &applied,
 			}
 			if got, want := l.Post(n) == nil, o.post(n); got != want {
 				rt.Fatalf("post %v accepted %v, want %v", n, got, want)
 			}
 		}
-		drain(l)
-		compare(rt, &applied, o.drain())
+		applyAll(l)
+		checkApplied(rt, &applied, o.applyAll())
 	})
 }
 
-func compare(rt *rapid.T, applied *[]note, want []note) {
+func checkApplied(rt *rapid.T, applied *[]testEvent, want []testEvent) {
 	if !slices.Equal(*applied, want) {
 		rt.Fatalf("applied %v, want %v", *applied, want)
 	}
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -18,7 +18,7 @@
 const (
 	// surveyEvery is the least time between two surveys by one instance,
 	// however often its status is asked for.
-	surveyEvery = time.Second
+	surveyInterval = time.Second
 	// surveyTimeout bounds a survey.
 	surveyTimeout = 2 * time.Second
 )
@@ -79,11 +79,11 @@
 
 // Operator serves the operators' status.
 type Operator struct {
-	loop     *Loop
-	surveyor Surveyor
-	mu       sync.Mutex
-	last     time.Time
-	view     *membership.View
+	loop       *Loop
+	surveyor   Surveyor
+	mu         sync.Mutex
+	lastSurvey time.Time
+	view       *membership.View
 }
 
 // NewOperator returns the endpoint over a loop's snapshots.
@@ -99,7 +99,7 @@
 	if view == nil {
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
-	return c.JSON(http.StatusOK, statusOf(view, o.loop.Snapshot(), time.Now()))
+	return c.JSON(http.StatusOK, newStatus(view, o.loop.Snapshot(), time.Now()))
 }
 
 // survey asks the members whose last known version is behind, since heartbeats
@@ -108,7 +108,7 @@
 func (o *Operator) survey(ctx context.Context, all bool) *membership.View {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.view != nil && time.Since(o.last) < surveyEvery {
+	if o.view != nil && time.Since(o.lastSurvey) < surveyInterval {
 		return o.view
 	}
 	current := o.loop.Snapshot().Members
@@ -121,7 +121,7 @@
 	o.view = o.surveyor.Survey(ctx, func(m membership.Member) bool {
 		return all || m.Report.ConfigVersion < newest
 	})
-	o.last = time.Now()
+	o.lastSurvey = time.Now()
 	return o.view
 }
 
@@ -133,7 +133,7 @@
 	return newest
 }
 
-func statusOf(view *membership.View, s *Snapshot, now time.Time) Status {
+func newStatus(view *membership.View, s *Snapshot, now time.Time) Status {
 	status := Status{
 		Answered:      string(view.Self.Cohort),
 		Isolated:      view.Isolated,
@@ -149,10 +149,10 @@
 	}
 	for _, m := range view.Members() {
 		if m.State == membership.Dead {
-			status.Gone = append(status.Gone, instanceOf(m, now))
+			status.Gone = append(status.Gone, newStatusInstance(m, now))
 			continue
 		}
-		status.Instances = append(status.Instances, instanceOf(m, now))
+		status.Instances = append(status.Instances, newStatusInstance(m, now))
 		centre := centres[m.DataCentre()]
 		if m.State == membership.Live {
 			centre.Live++
@@ -170,7 +170,7 @@
 	return status
 }
 
-func instanceOf(m membership.Member, now time.Time) StatusInstance {
+func newStatusInstance(m membership.Member, now time.Time) StatusInstance {
 	store := "unhealthy"
 	if m.Report.StoreHealthy {
 		store = "healthy"
--- a/internal/control/operator_test.go
+++ b/internal/control/operator_test.go
@@ -19,15 +19,15 @@
 )
 
 // fleet answers surveys: each member asked turns out to be at version 9.
-type fleet struct {
+type fakeSurveyor struct {
 	table   *membership.Table
 	surveys int
 	asked   int
 }
 
-func newFleet(now time.Time) *fleet {
+func newFakeSurveyor(now time.Time) *fakeSurveyor {
 	self := membership.Report{Size: 4, ConfigVersion: 9, StoreHealthy: true}
-	f := &fleet{table: membership.NewTable("bzh1.a.x1", "10.0.0.1:7000", self, membership.DefaultTiming(), now)}
+	f := &fakeSurveyor{table: membership.NewTable("bzh1.a.x1", "10.0.0.1:7000", self, membership.DefaultTiming(), now)}
 	f.table.Announce(membership.Live, now)
 	f.merge("bzh1.b.x2", membership.Live, 1, 8, now)
 	f.merge("bzh2.c.x3", membership.Leaving, 1, 9, now)
@@ -35,7 +35,7 @@
 	return f
 }
 
-func (f *fleet) merge(cohort string, state membership.State, beat, version uint64, now time.Time) {
+func (f *fakeSurveyor) merge(cohort string, state membership.State, beat, version uint64, now time.Time) {
 	f.table.Merge(membership.Record{
 		Cohort:         program.Cohort(cohort),
 		Address:        "10.0.0.2:7000",
@@ -45,7 +45,7 @@
 	}, now)
 }
 
-func (f *fleet) Survey(_ context.Context, ask func(membership.Member) bool) *membership.View {
+func (f *fakeSurveyor) Survey(_ context.Context, ask func(membership.Member) bool) *membership.View {
 	f.surveys++
 	now := time.Now()
 	for _, m := range f.table.View(time.Now()).Members() {
@@ -60,13 +60,13 @@
 // An operator asks right after an edit. The instance that answers knows of an
 // older version at another one from heartbeats, asks that one alone, and shows
 // its present version; the dead are listed apart, so that nobody waits for them.
-func TestStatusAsksOnlyWhoIsBehind(t *testing.T) {
-	synctest.Test(t, statusAsksOnlyWhoIsBehind)
+func TestStatusSurveysOnlyOutdated(t *testing.T) {
+	synctest.Test(t, testStatusSurveysOnlyOutdated)
 }
 
-func statusAsksOnlyWhoIsBehind(t *testing.T) {
+func testStatusSurveysOnlyOutdated(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(time.Now())
+	f := newFakeSurveyor(time.Now())
 	loop := NewLoop(DefaultCapacity, metrics.NewRegistry())
 	e := echo.New()
 	NewOperator(loop, f).Register(e.Group("/operator/v1"))
@@ -81,7 +81,7 @@
 	is.Equal(code, http.StatusServiceUnavailable) // no view yet
 	is.NoErr(loop.Post(MembersChanged{f.table.View(time.Now())}))
 	is.NoErr(loop.Post(LeasesChanged{lease.Status{Duties: []lease.DutyStatus{{Duty: lease.Sweeps, Holder: "bzh1.a.x1", Epoch: 3}}}}))
-	drain(loop)
+	applyAll(loop)
 	code, s := get(PathStatus)
 	is.Equal(code, http.StatusOK)
 	is.Equal(f.asked, 1)
