--- a/internal/control/event.go
+++ b/internal/control/event.go
@@ -7,36 +7,37 @@
 	"foxhall/internal/membership"
 )
 
-// Class is the importance of an event. Under overload a lower class is shed
-// before a higher one, and a higher one is applied first.
+// Class is the priority of an event. Under overload a lower class is shed before
+// a higher one, and a higher one is applied first.
 type Class int
 
-// The classes of events, the least important first.
+// The classes of events, in ascending order of priority.
 const (
-	// Load holds load reports: a lost one leaves a placement a little worse
-	// until the next, within a second or so.
+	// Load is the class of load reports. If one is shed, placement is slightly
+	// worse until the next one, about a second later.
 	Load Class = iota
-	// Membership holds members and upstream states: a lost one is made good by
-	// the next period's view; meanwhile calls to what is gone are retried.
+	// Membership is the class of members and upstream states. If one is shed, the
+	// next period's view replaces it; until then, calls to ended instances and
+	// upstreams are retried.
 	Membership
-	// Configuration holds versions in force, leases and the store's health. Its
-	// keys are few and fixed, so that coalescing alone bounds it.
+	// Configuration is the class of versions in force, leases and the store's
+	// health. Its keys are few and fixed, so coalescing bounds the waiting events.
 	Configuration
 	classCount
 )
 
 var classNames = [classCount]string{Load: "load", Membership: "membership", Configuration: "configuration"}
 
-// String returns the class's name in metrics.
+// String returns the class's name as used in metrics.
 func (c Class) String() string { return classNames[c] }
 
-// Event is a piece of control state. Of two waiting events with the same class
-// and key only the newer is applied.
+// Event is a part of the control state. Of two waiting events with the same class
+// and key, only the newer is applied.
 type Event interface {
 	Class() Class
 	Key() string
-	// Apply changes a copy of the snapshot. It runs on the control goroutine:
-	// it must not block and must replace maps rather than write to them.
+	// Apply changes a copy of the snapshot. It runs on the control goroutine: it
+	// must not block, and must replace maps rather than write to them.
 	Apply(*Snapshot)
 }
 
@@ -73,11 +74,11 @@
 // Key implements Event.
 func (ConfigChanged) Key() string { return "config" }
 
-// Apply implements Event. A version that would go back is ignored: a stale
-// source may report late, and an accepted edit never reverts.
+// Apply implements Event. A version lower than the current one is ignored: an
+// outdated source may report late, and an accepted edit is never reverted.
 func (e ConfigChanged) Apply(s *Snapshot) { s.ConfigVersion = max(s.ConfigVersion, e.Version) }
 
-// StoreChanged carries whether the object API answers.
+// StoreChanged carries whether the object API responds.
 type StoreChanged struct{ Healthy bool }
 
 // Class implements Event.
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// DefaultCapacity is the number of events that may wait.
+	// DefaultCapacity is the default number of events that may wait.
 	DefaultCapacity = 1024
-	// batchLimit bounds the events applied between two snapshots, so that one
-	// snapshot serves a burst and a flood can't hold the next one back.
+	// maxBatch bounds the events applied between two snapshots: a burst costs one
+	// snapshot, and a flood can't delay the next snapshot.
 	maxBatch = 256
-	// loopSample is the number of loop times kept for the histogram.
+	// loopSampleSize is the number of loop times in the histogram's sample.
 	loopSampleSize = 1028
-	// loopAlpha weighs that sample towards the last five minutes.
+	// loopAlpha weights that sample towards the last five minutes.
 	loopAlpha = 0.015
 )
 
-// ErrShed says that the mailboxes were full of events at least as important
-// and this one was dropped. The next event of its key makes it good.
+// ErrShed indicates that an event was dropped because the mailboxes were full of
+// events of the same or higher classes. The next event of its key replaces it.
 var ErrShed = errors.New("control: event shed")
 
-// Loop is the control goroutine's state.
+// Loop owns the control state and applies events to it on one goroutine.
 type Loop struct {
-	mu        sync.Mutex // guards boxes, waiting and changed
+	mu        sync.Mutex // guards mailboxes, waiting and changed
 	mailboxes [classCount]*mailbox
 	waiting   int
 	changed   chan struct{}
@@ -43,9 +43,9 @@
 	shed      [classCount]metrics.Counter
 }
 
-// NewLoop returns a loop that lets capacity events wait and registers its metrics:
-// control.queue (events waiting), control.loop_us (microseconds to apply a
-// batch and publish), control.events, control.coalesced and
+// NewLoop returns a loop in which up to capacity events may wait. It registers the
+// metrics control.queue (events waiting), control.loop_us (microseconds to apply a
+// batch and publish the snapshot), control.events, control.coalesced and
 // control.shed.<class>.
 func NewLoop(capacity int, registry metrics.Registry) *Loop {
 	sample := metrics.NewExpDecaySample(loopSampleSize, loopAlpha)
@@ -69,14 +69,14 @@
 // Snapshot returns the newest snapshot.
 func (l *Loop) Snapshot() *Snapshot { return l.snapshot.Load() }
 
-// Post hands an event to the loop. It never blocks.
+// Post queues an event for the loop. It never blocks.
 //
-// The failure it guards against: a flood, such as hundreds of load reports
-// after a partition heals, fills the queue and a lease or a version in force
-// waits behind it or is lost. Each class waits apart, a newer event replaces a
-// waiting one of its key, and when all is full the longest-waiting event of the
-// least important class goes. Since every kind of event is posted again by its
-// source, a shed one delays the state it carries and loses nothing.
+// It guards against this failure: a flood, such as hundreds of load reports after
+// a network partition, fills the queue, and a lease or a configuration version
+// waits behind it or is dropped. Each class has its own mailbox, a newer event
+// replaces a waiting one of its key, and at capacity the longest-waiting event of
+// the lowest class is shed. Since the source of every kind of event posts it
+// again, shedding delays the state that an event carries but does not lose it.
 func (l *Loop) Post(e Event) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// makeRoom drops the longest-waiting event of the least important class that
-// has one, if that class is below the arriving event's.
+// shedBelow drops the longest-waiting event of the lowest class that has one, if
+// that class is below the arriving event's, and reports whether it dropped one.
 func (l *Loop) shedBelow(arriving Class) bool {
 	for c := range arriving {
 		if l.mailboxes[c].len() > 0 {
@@ -130,7 +130,7 @@
 	}
 }
 
-// take removes the next batch, the most important class first.
+// nextBatch removes and returns the next batch, the highest class first.
 func (l *Loop) nextBatch() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,8 +165,8 @@
 	l.changed = make(chan struct{})
 }
 
-// Wait returns the first snapshot after a sequence number, for reconcilers
-// that act when the state changes.
+// Wait waits for a snapshot with a sequence number above after and returns the
+// newest one. It serves reconcilers that act when the state changes.
 func (l *Loop) Wait(ctx context.Context, after uint64) (*Snapshot, error) {
 	for {
 		l.mu.Lock()
--- a/internal/control/mailbox.go
+++ b/internal/control/mailbox.go
@@ -2,8 +2,8 @@
 
 import "container/list"
 
-// mailbox holds the waiting events of one class, one for each key, in the
-// order in which their keys arrived.
+// mailbox holds the waiting events of one class, one per key, in the order in
+// which the keys arrived.
 type mailbox struct {
 	order *list.List
 	byKey map[string]*list.Element
@@ -15,9 +15,9 @@
 
 func (m *mailbox) len() int { return m.order.Len() }
 
-// replace puts an event in the place of a waiting one of its key. An event
-// replaced in place keeps its turn, so that a key posted without pause is
-// still applied.
+// replace replaces a waiting event of the same key, and reports whether there is
+// one. The new event takes the old one's position in the queue, so that a key that
+// is posted continuously is still applied.
 func (m *mailbox) replace(e Event) bool {
 	waiting, ok := m.byKey[e.Key()]
 	if ok {
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -12,37 +12,39 @@
 	"foxhall/internal/membership"
 )
 
-// PathStatus is where an instance answers with a Status.
+// PathStatus is the path at which an instance responds with a Status.
 const PathStatus = "/operator/v1/status"
 
 const (
-	// surveyEvery is the least time between two surveys by one instance,
-	// however often its status is asked for.
+	// surveyInterval is the minimum time between two surveys by one instance,
+	// however often its status is requested.
 	surveyInterval = time.Second
 	// surveyTimeout bounds a survey.
 	surveyTimeout = 2 * time.Second
 )
 
-// Status is what an instance tells operators of the fleet, as it sees it.
+// Status is the state of the fleet as one instance sees it, for operators.
 type Status struct {
-	// Answered is the cohort of the instance that answers.
+	// Answered is the cohort of the responding instance.
 	Answered string `json:"answered"`
-	// Isolated says that it lost most of its data centre at once.
+	// Isolated reports whether the responding instance has lost contact with most
+	// of its data centre and defers actions.
 	Isolated      bool               `json:"isolated"`
 	ConfigVersion uint64             `json:"config_version"`
 	DataCentres   []StatusDataCentre `json:"data_centres"`
 	Instances     []StatusInstance   `json:"instances"`
-	// Gone are the instances that were declared dead or left lately.
+	// Gone lists the instances that were recently declared dead or left.
 	Gone   []StatusInstance `json:"gone"`
 	Leases []StatusLease    `json:"leases"`
 }
 
-// StatusCentre is a data centre in a Status.
+// StatusDataCentre is a data centre in a Status.
 type StatusDataCentre struct {
 	DataCentre string `json:"data_centre"`
 	Reachable  bool   `json:"reachable"`
 	Live       int    `json:"live"`
-	// Behind is the number of instances with an older version than the newest.
+	// Outdated is the number of instances with an older configuration version
+	// than the newest.
 	Outdated int `json:"behind"`
 }
 
@@ -53,31 +55,31 @@
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
 	State       string `json:"state"`
-	// Left says that a dead instance announced its own end.
+	// LeftGracefully reports whether a dead instance announced its own end.
 	LeftGracefully bool   `json:"left,omitempty"`
 	Size           uint32 `json:"size"`
 	ConfigVersion  uint64 `json:"config_version"`
 	// Store is "healthy" or "unhealthy", as the instance last reported.
 	Store string `json:"store"`
-	// AgeSeconds is the age of the report.
+	// AgeSeconds is the age of the instance's last report.
 	AgeSeconds float64 `json:"age_seconds"`
-	// Reached says whether the answering instance reaches this one.
+	// Reachable reports whether the responding instance reaches this one.
 	Reachable bool `json:"reached"`
 }
 
-// StatusLease is a duty of the answering instance's data centre.
+// StatusLease is a duty of the responding instance's data centre.
 type StatusLease struct {
 	Duty   string `json:"duty"`
 	Holder string `json:"holder"`
 	Epoch  uint64 `json:"epoch"`
 }
 
-// Surveyor asks members for their present report.
+// Surveyor asks members for their current reports.
 type Surveyor interface {
 	Survey(ctx context.Context, ask func(membership.Member) bool) *membership.View
 }
 
-// Operator serves the operators' status.
+// Operator serves the status for operators over HTTP.
 type Operator struct {
 	loop       *Loop
 	surveyor   Surveyor
@@ -86,12 +88,12 @@
 	view       *membership.View
 }
 
-// NewOperator returns the endpoint over a loop's snapshots.
+// NewOperator returns an Operator that reads a loop's snapshots.
 func NewOperator(loop *Loop, surveyor Surveyor) *Operator {
 	return &Operator{loop: loop, surveyor: surveyor}
 }
 
-// Register puts the endpoint on a group mounted at /operator/v1.
+// Register registers the handler on a group mounted at /operator/v1.
 func (o *Operator) Register(group *echo.Group) { group.GET("/status", o.handleStatus) }
 
 func (o *Operator) handleStatus(c echo.Context) error {
@@ -102,9 +104,10 @@
 	return c.JSON(http.StatusOK, newStatus(view, o.loop.Snapshot(), time.Now()))
 }
 
-// survey asks the members whose last known version is behind, since heartbeats
-// alone bring the news of it late. Once all are known to be up to date it costs
-// nothing, and a client that polls fast is answered from the last survey.
+// survey asks the members whose last known configuration version is outdated, or
+// all members, since heartbeats alone report a new version late. Once all are
+// known to be up to date it sends no messages, and a client that polls more often
+// than surveyInterval gets the result of the last survey.
 func (o *Operator) survey(ctx context.Context, all bool) *membership.View {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -143,9 +146,9 @@
 		Gone:          []StatusInstance{},
 		Leases:        []StatusLease{},
 	}
-	centres := map[string]*StatusDataCentre{}
+	dataCentres := map[string]*StatusDataCentre{}
 	for _, c := range view.DataCentres() {
-		centres[c.Name] = &StatusDataCentre{DataCentre: c.Name, Reachable: c.Reachable}
+		dataCentres[c.Name] = &StatusDataCentre{DataCentre: c.Name, Reachable: c.Reachable}
 	}
 	for _, m := range view.Members() {
 		if m.State == membership.Dead {
@@ -153,16 +156,16 @@
 			continue
 		}
 		status.Instances = append(status.Instances, newStatusInstance(m, now))
-		centre := centres[m.DataCentre()]
+		dataCentre := dataCentres[m.DataCentre()]
 		if m.State == membership.Live {
-			centre.Live++
+			dataCentre.Live++
 		}
 		if m.Report.ConfigVersion < status.ConfigVersion {
-			centre.Outdated++
+			dataCentre.Outdated++
 		}
 	}
 	for _, c := range view.DataCentres() {
-		status.DataCentres = append(status.DataCentres, *centres[c.Name])
+		status.DataCentres = append(status.DataCentres, *dataCentres[c.Name])
 	}
 	for _, d := range s.Leases.Duties {
 		status.Leases = append(status.Leases, StatusLease{Duty: string(d.Duty), Holder: string(d.Holder), Epoch: d.Epoch})
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -1,11 +1,11 @@
-// Package control holds the one goroutine that owns control state. Events come
-// in through bounded mailboxes, an immutable snapshot goes out through an atomic
-// pointer. No I/O is done on the goroutine: what needs I/O is done elsewhere
-// and comes back as an event.
+// Package control runs the one goroutine that owns the control state. Events
+// arrive through bounded mailboxes, and an immutable snapshot is published through
+// an atomic pointer. The goroutine does no I/O: I/O happens elsewhere, and its
+// result arrives as an event.
 //
-// Events carry state and not changes: an event replaces what an earlier one of
-// the same key said. A waiting event is therefore replaced by a newer one, and
-// an event shed under overload is made good by the next of its key.
+// Events carry state rather than changes: an event replaces the state of an
+// earlier one with the same key. A waiting event is therefore replaced by a newer
+// one, and an event shed under overload by the next of its key.
 package control
 
 import (
@@ -13,22 +13,22 @@
 	"foxhall/internal/membership"
 )
 
-// Snapshot is the control state at one time. It and all it refers to are
-// immutable; traffic reads it without a lock.
+// Snapshot is the control state at one time. It and all that it refers to are
+// immutable; the handling of calls reads it without a lock.
 type Snapshot struct {
-	// Sequence rises by one with each published snapshot.
+	// Sequence increases by one with each published snapshot.
 	Sequence uint64
-	// Members is nil until the first view arrived.
+	// Members is nil until the first view arrives.
 	Members *membership.View
 	// Leases are the duties of this data centre and their holders.
 	Leases lease.Status
-	// ConfigVersion is the version of the configuration in force. It never goes back.
+	// ConfigVersion is the version of the configuration in force. It never decreases.
 	ConfigVersion uint64
-	// StoreHealthy says whether the object API answers this instance.
+	// StoreHealthy reports whether the object API responds to this instance.
 	StoreHealthy bool
-	// Upstreams is the upstream package's own immutable table.
+	// Upstreams is an immutable table of the upstream package's type.
 	Upstreams any
-	// Loads are the loads of other data centres by name, each value the
-	// placement package's own.
+	// Loads are the loads of other data centres by name, as values of the
+	// placement package's type.
 	Loads map[string]any
 }
