--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -9,9 +9,8 @@
 	"foxhall/internal/membership"
 )
 
-// BenchmarkLoop measures posting and applying a burst of events: with the same
-// few keys, as states arrive, and with all keys different, as load reports of
-// many sources do.
+// BenchmarkLoop measures posting and applying a burst of events: with few keys,
+// as for state changes, and with many, as for load reports of many sources.
 func BenchmarkLoop(b *testing.B) {
 	for _, keys := range []int{5, 500} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
@@ -38,7 +37,7 @@
 	}
 }
 
-// BenchmarkSnapshot measures a reader's load of the snapshot.
+// BenchmarkSnapshot measures concurrent reads of the snapshot.
 func BenchmarkSnapshot(b *testing.B) {
 	l := NewLoop(DefaultCapacity, metrics.NewRegistry())
 	b.RunParallel(func(pb *testing.PB) {
--- a/internal/control/loop_test.go
+++ b/internal/control/loop_test.go
@@ -22,7 +22,7 @@
 	os.Exit(fuzzing.RunWithoutLeaks(m))
 }
 
-// note is an event that appends itself to a log when applied.
+// testEvent is an event that appends itself to a list when applied.
 type testEvent struct {
 	class   Class
 	key     string
@@ -30,20 +30,20 @@
 	applied *[]testEvent
 }
 
-func (n testEvent) Class() Class    { return n.class }
-func (n testEvent) Key() string     { return n.key }
-func (n testEvent) Apply(*Snapshot) { *n.applied = append(*n.applied, n) }
+func (e testEvent) Class() Class    { return e.class }
+func (e testEvent) Key() string     { return e.key }
+func (e testEvent) Apply(*Snapshot) { *e.applied = append(*e.applied, e) }
 
-// drain applies everything that waits, as Run does.
+// applyAll applies all waiting events, as Run does.
 func applyAll(l *Loop) {
 	for batch := l.nextBatch(); len(batch) > 0; batch = l.nextBatch() {
 		l.apply(batch)
 	}
 }
 
-// A flood of load reports fills the queue while nothing is applied. A version
-// in force arriving then must get in, at the expense of a load report, and be
-// applied first; a further load report is refused.
+// A flood of load reports fills the queue while no event is applied. A
+// configuration version that arrives then must be accepted in place of a load
+// report and applied first; a further load report is shed.
 func TestFloodOfLoadReportsDoesNotDelayConfiguration(t *testing.T) {
 	is := is.New(t)
 	var applied []testEvent
@@ -53,15 +53,16 @@
 	}
 	is.True(errors.Is(l.Post(testEvent{Load, "4", 4, &applied}), ErrShed))
 	is.NoErr(l.Post(testEvent{Configuration, "config", 9, &applied}))
-	is.NoErr(l.Post(testEvent{Load, "3", 33, &applied})) // a newer report of a waiting key costs no room
+	is.NoErr(l.Post(testEvent{Load, "3", 33, &applied})) // a newer report of a waiting key takes no capacity
 	applyAll(l)
 	is.Equal(len(applied), 4)
 	is.Equal(applied[0].key, "config")
-	is.Equal(applied[1].key, "1") // the report that waited longest went
+	is.Equal(applied[1].key, "1") // the report that waited longest was shed
 	is.Equal(applied[3].value, 33)
 }
 
-// A stale source reports an old version after a newer one: it never goes back.
+// An outdated source reports an old version after a newer one. The version must
+// not decrease.
 func TestConfigVersionNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	l := NewLoop(DefaultCapacity, metrics.NewRegistry())
@@ -72,7 +73,7 @@
 	is.Equal(l.Snapshot().ConfigVersion, uint64(7))
 }
 
-// A reader that holds a snapshot while loads go on arriving sees it unchanged.
+// A snapshot that a reader holds must not change while further loads arrive.
 func TestSnapshotIsImmutable(t *testing.T) {
 	is := is.New(t)
 	l := NewLoop(DefaultCapacity, metrics.NewRegistry())
@@ -87,8 +88,8 @@
 	is.Equal(l.Snapshot().Loads["a"], 2)
 }
 
-// A reconciler that waits gets each change once it is published, and its wait
-// ends with its context; the loop leaves no goroutine.
+// A waiting reconciler gets a change when it is published, and its wait ends with
+// its context. The loop leaks no goroutine.
 func TestRunPublishesAndWakesWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -112,23 +113,23 @@
 	})
 }
 
-// oracle is a plain list with the loop's documented rules.
+// oracle implements the loop's documented rules on a plain list.
 type oracle struct {
 	capacity int
 	waiting  []testEvent
 }
 
-func (o *oracle) post(n testEvent) bool {
+func (o *oracle) post(e testEvent) bool {
 	for i, w := range o.waiting {
-		if w.class == n.class && w.key == n.key {
-			o.waiting[i] = n
+		if w.class == e.class && w.key == e.key {
+			o.waiting[i] = e
 			return true
 		}
 	}
 	if len(o.waiting) >= o.capacity {
 		victim := -1
 		for i, w := range o.waiting {
-			if w.class < n.class && (victim < 0 || w.class < o.waiting[victim].class) {
+			if w.class < e.class && (victim < 0 || w.class < o.waiting[victim].class) {
 				victim = i
 			}
 		}
@@ -137,7 +138,7 @@
 		}
 		o.waiting = slices.Delete(o.waiting, victim, victim+1)
 	}
-	o.waiting = append(o.waiting, n)
+	o.waiting = append(o.waiting, e)
 	return true
 }
 
@@ -148,9 +149,9 @@
 	return applied
 }
 
-// Events of all classes and a few keys arrive and are applied in any pattern.
-// What is applied, in what order and what is shed equals a plain list with the
-// documented rules; the most important class is never shed for a lower one.
+// Events of all classes and several keys are posted and applied in any order. The
+// events that are applied, their order and the events that are shed must equal
+// those of the oracle; a class is never shed for a lower one.
 func TestMailboxesAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var applied []testEvent
@@ -162,14 +163,14 @@
 				applyAll(l)
 				checkApplied(rt, &applied, o.applyAll())
 			}
-			n := testEvent{
+			e := testEvent{
 				class:   Class(rapid.IntRange(0, int(classCount)-1).Draw(rt, "class")),
 				key:     fmt.Sprint(rapid.IntRange(0, 8).Draw(rt, "key")),
 				value:   i,
 				applied: &applied,
 			}
-			if got, want := l.Post(n) == nil, o.post(n); got != want {
-				rt.Fatalf("post %v accepted %v, want %v", n, got, want)
+			if got, want := l.Post(e) == nil, o.post(e); got != want {
+				rt.Fatalf("post %v accepted %v, want %v", e, got, want)
 			}
 		}
 		applyAll(l)
--- a/internal/control/operator_test.go
+++ b/internal/control/operator_test.go
@@ -18,7 +18,7 @@
 	"foxhall/internal/program"
 )
 
-// fleet answers surveys: each member asked turns out to be at version 9.
+// fakeSurveyor is a Surveyor in which each member asked reports version 9.
 type fakeSurveyor struct {
 	table   *membership.Table
 	surveys int
@@ -35,12 +35,12 @@
 	return f
 }
 
-func (f *fakeSurveyor) merge(cohort string, state membership.State, beat, version uint64, now time.Time) {
+func (f *fakeSurveyor) merge(cohort string, state membership.State, sequence, version uint64, now time.Time) {
 	f.table.Merge(membership.Record{
 		Cohort:         program.Cohort(cohort),
 		Address:        "10.0.0.2:7000",
 		State:          state,
-		ReportSequence: beat,
+		ReportSequence: sequence,
 		Report:         membership.Report{Size: 2, ConfigVersion: version, StoreHealthy: true},
 	}, now)
 }
@@ -57,9 +57,10 @@
 	return f.table.View(time.Now())
 }
 
-// An operator asks right after an edit. The instance that answers knows of an
-// older version at another one from heartbeats, asks that one alone, and shows
-// its present version; the dead are listed apart, so that nobody waits for them.
+// An operator requests the status right after an edit. The responding instance
+// knows from heartbeats that one member has an older version, asks only that one,
+// and shows its current version. Dead instances are listed separately, so that an
+// operator does not wait for them to update.
 func TestStatusSurveysOnlyOutdated(t *testing.T) {
 	synctest.Test(t, testStatusSurveysOnlyOutdated)
 }
