--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -26,20 +26,20 @@
 
 const (
 	// roundEvery is the time between two rounds.
-	roundEvery = 2 * time.Second
+	roundInterval = 2 * time.Second
 	// orderTimeout bounds one order. A new holder waits as long before its
 	// first, so that no order of the holder before it is still under way; with
 	// engines that do not check fencing tokens nothing else would stop one.
 	orderTimeout = 5 * time.Second
 	// callsAtOnce bounds the calls to engines under way.
-	callsAtOnce = 16
+	maxConcurrentCalls = 16
 	// observeMost bounds the engines whose state an instance without the lease
 	// reads in a round, in turn. With more engines it learns later how a model is
 	// served, and a call under an old name is answered as not loaded and goes
 	// elsewhere; without the bound its control traffic grows with the engines.
-	observeMost = 8
+	maxObserved = 8
 	// fetchEvery is the least time between two fetches of weights.
-	fetchEvery = 3 * time.Second
+	fetchInterval = 3 * time.Second
 )
 
 // Lease tells whether this instance holds a duty. Valid must be asked right
@@ -78,19 +78,19 @@
 
 // Keeper carries out the duty.
 type Keeper struct {
-	settings Settings
-	table    *upstream.Table
-	engines  Engines
-	lease    Lease
-	sizer    Sizer
-	sweeper  sweeper
-	fetches  *rate.Limiter
-	drains   drains
+	settings       Settings
+	table          *upstream.Table
+	engines        Engines
+	lease          Lease
+	sizer          Sizer
+	sweeper        sweeper
+	fetchLimiter   *rate.Limiter
+	pendingUnloads pendingUnloads
 
 	// next is where the engines' turns go on.
-	next      int
-	heldToken uint64
-	heldSince time.Time
+	nextEngine int
+	heldToken  uint64
+	heldSince  time.Time
 }
 
 // New returns a keeper.
@@ -99,19 +99,19 @@
 		settings.MaxModels = 2
 	}
 	return &Keeper{
-		settings: settings,
-		table:    table,
-		engines:  engines,
-		lease:    lease,
-		sizer:    Sizer{},
-		fetches:  rate.NewLimiter(rate.Every(fetchEvery), 1),
+		settings:     settings,
+		table:        table,
+		engines:      engines,
+		lease:        lease,
+		sizer:        Sizer{},
+		fetchLimiter: rate.NewLimiter(rate.Every(fetchInterval), 1),
 	}
 }
 
 // Run makes rounds until ctx ends. Every instance runs it: without the lease a
 // round only observes, so that the instance knows what each engine serves.
 func (k *Keeper) Run(ctx context.Context) {
-	ticker := time.NewTicker(roundEvery)
+	ticker := time.NewTicker(roundInterval)
 	defer ticker.Stop()
 	for {
 		k.Round(ctx)
@@ -127,7 +127,7 @@
 func (k *Keeper) Round(ctx context.Context) {
 	token, valid, ok := k.lease.Held(Name)
 	seen := k.observe(ctx, ok)
-	k.publish(seen)
+	k.publishServing(seen)
 	now := time.Now()
 	if !ok {
 		k.heldSince = time.Time{}
@@ -139,8 +139,8 @@
 	if now.Sub(k.heldSince) < orderTimeout {
 		return
 	}
-	k.carryOut(ctx, k.drains.hold(k.planModels(seen, token, now), now), valid)
-	k.carryOut(ctx, k.planReleases(ctx, seen, token, now), valid)
+	k.sendOrders(ctx, k.pendingUnloads.delay(k.planModels(seen, token, now), now), valid)
+	k.sendOrders(ctx, k.planReleases(ctx, seen, token, now), valid)
 }
 
 // observed is an engine with the state that it reported.
@@ -155,8 +155,8 @@
 	var mu sync.Mutex
 	var seen []observed
 	var group errgroup.Group
-	group.SetLimit(callsAtOnce)
-	for _, u := range k.due(all) {
+	group.SetLimit(maxConcurrentCalls)
+	for _, u := range k.enginesToObserve(all) {
 		group.Go(func() error {
 			ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 			defer cancel()
@@ -175,27 +175,27 @@
 }
 
 // due returns the engines to read in this round.
-func (k *Keeper) due(all bool) []*upstream.Upstream {
+func (k *Keeper) enginesToObserve(all bool) []*upstream.Upstream {
 	var engines []*upstream.Upstream
 	for _, u := range k.table.Snapshot().All {
 		if u.DataCentre == k.settings.DataCentre && u.Service == "" {
 			engines = append(engines, u)
 		}
 	}
-	if all || len(engines) <= observeMost {
+	if all || len(engines) <= maxObserved {
 		return engines
 	}
-	due := make([]*upstream.Upstream, 0, observeMost)
-	for range observeMost {
-		due = append(due, engines[k.next%len(engines)])
-		k.next++
+	due := make([]*upstream.Upstream, 0, maxObserved)
+	for range maxObserved {
+		due = append(due, engines[k.nextEngine%len(engines)])
+		k.nextEngine++
 	}
 	return due
 }
 
 // carryOut sends orders while the lease is valid. Failures are left to the
 // next round, which sees what is still missing.
-func (k *Keeper) carryOut(ctx context.Context, actions []Action, valid func() bool) {
+func (k *Keeper) sendOrders(ctx context.Context, actions []Action, valid func() bool) {
 	for _, a := range actions {
 		u := k.table.Snapshot().Upstream(a.Engine)
 		if u == nil {
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -39,9 +39,9 @@
 	return l.token, func() bool { return l.held }, l.held
 }
 
-type fakeLiving map[string]bool
+type fakePrograms map[string]bool
 
-func (f fakeLiving) Gone(_ context.Context, programs []string) ([]string, error) {
+func (f fakePrograms) Gone(_ context.Context, programs []string) ([]string, error) {
 	var gone []string
 	for _, p := range programs {
 		if !f[p] {
@@ -52,21 +52,21 @@
 }
 
 // site is a data centre of stand-in engines with one keeper and one scheduler.
-type site struct {
+type testInstance struct {
 	fleet   standin.Fleet
 	table   *upstream.Table
 	sched   *scheduler.Scheduler
 	keeper  *Keeper
 	lease   *fakeLease
 	weights *standin.Weights
-	living  fakeLiving
+	living  fakePrograms
 
 	mu     sync.Mutex
 	models []usage.Model
 }
 
-func newSite(engines int, models ...usage.Model) *site {
-	s := &site{fleet: standin.Fleet{}, table: upstream.NewTable(), lease: &fakeLease{token: 1, held: true}, living: fakeLiving{}, models: models}
+func newTestInstance(engines int, models ...usage.Model) *testInstance {
+	s := &testInstance{fleet: standin.Fleet{}, table: upstream.NewTable(), lease: &fakeLease{token: 1, held: true}, living: fakePrograms{}, models: models}
 	s.weights = standin.NewWeights(1, 4*time.Second)
 	var listed []usage.Upstream
 	for i := range engines {
@@ -76,38 +76,38 @@
 	}
 	s.table.Apply(listed, time.Now())
 	s.sched = scheduler.New(scheduler.Settings{DataCentre: "a"}, s.table, cache.New(cache.DefaultOptions))
-	settings := Settings{DataCentre: "a", Models: s.listed, Demand: s.sched.Demand, Living: s.living}
+	settings := Settings{DataCentre: "a", Models: s.getModels, Demand: s.sched.Demand, Living: s.living}
 	s.keeper = New(settings, s.table, s.fleet, s.lease)
 	return s
 }
 
 // second is another instance of the same data centre, without the lease.
-func (s *site) second() *site {
-	other := &site{fleet: s.fleet, table: upstream.NewTable()}
+func (s *testInstance) addInstance() *testInstance {
+	other := &testInstance{fleet: s.fleet, table: upstream.NewTable()}
 	var listed []usage.Upstream
 	for _, u := range s.table.Snapshot().All {
 		listed = append(listed, u.Upstream)
 	}
 	other.table.Apply(listed, time.Now())
 	other.sched = scheduler.New(scheduler.Settings{DataCentre: "a"}, other.table, cache.New(cache.DefaultOptions))
-	other.keeper = New(Settings{DataCentre: "a", Models: s.listed, Demand: other.sched.Demand}, other.table, s.fleet, &fakeLease{})
+	other.keeper = New(Settings{DataCentre: "a", Models: s.getModels, Demand: other.sched.Demand}, other.table, s.fleet, &fakeLease{})
 	return other
 }
 
-func (s *site) listed() []usage.Model {
+func (s *testInstance) getModels() []usage.Model {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]usage.Model(nil), s.models...)
 }
 
-func (s *site) list(models ...usage.Model) {
+func (s *testInstance) setModels(models ...usage.Model) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.models = models
 }
 
 // call makes one step and returns the served name that it ran on.
-func (s *site) call(ctx context.Context, is *is.I) (string, *scheduler.Refusal) {
+func (s *testInstance) call(ctx context.Context, is *is.I) (string, *scheduler.Refusal) {
 	messages := []chat.Message{{Role: "user", Raw: json.RawMessage(`{"role":"user","content":"hello"}`)}}
 	g, refusal := s.sched.Acquire(ctx, scheduler.Request{Plan: "p", Model: "oak", Program: "p1", Root: "p1", Messages: messages})
 	if refusal != nil {
@@ -130,7 +130,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		s := newSite(2, usage.Model{Name: "oak", Version: "1"})
+		s := newTestInstance(2, usage.Model{Name: "oak", Version: "1"})
 		s.lease.held = true
 		go s.keeper.Run(ctx)
 		time.Sleep(2 * orderTimeout)
@@ -149,13 +149,13 @@
 // the old, calls switch when it is ready, and the old goes when it is idle.
 // Every call must run on one version, and none may be cut or refused, also
 // those of an instance that learns of the new version a second later.
-func TestVersionChangeDrainsAndSwitches(t *testing.T) {
+func TestVersionChangeKeepsCallsOnOneVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		s := newSite(2, usage.Model{Name: "oak", Version: "1"})
+		s := newTestInstance(2, usage.Model{Name: "oak", Version: "1"})
 		s.keeper.settings.Demand = func() map[string]int { return map[string]int{"oak": 1} }
-		other := s.second()
+		other := s.addInstance()
 		go s.keeper.Run(ctx)
 		time.Sleep(time.Second)
 		go other.keeper.Run(ctx)
@@ -163,7 +163,7 @@
 		var used []string
 		for i := range 150 {
 			if i == 10 {
-				s.list(usage.Model{Name: "oak", Version: "2"})
+				s.setModels(usage.Model{Name: "oak", Version: "2"})
 			}
 			time.Sleep(150 * time.Millisecond)
 			served, refusal := other.call(ctx, is)
@@ -194,7 +194,7 @@
 		return len(Plan([]Engine{{Name: "e", Allowed: []string{"oak"}, Usable: true, Loaded: []engine.Loaded{
 			{Served: "oak@1#1", Model: "oak", Version: "1", Ready: true, Running: running},
 			{Served: "oak@2#1", Model: "oak", Version: "2", Ready: newReady},
-		}}}, []Want{{oak, 1}}, 1, 2))
+		}}}, []ModelTarget{{oak, 1}}, 1, 2))
 	}
 	is.Equal(plan(false, 0), 0)
 	is.Equal(plan(true, 1), 0)
@@ -205,7 +205,7 @@
 // over, changes the version back and forth, and works. Then the first wakes
 // and its old orders arrive. Half of the engines check tokens and half do not;
 // none may lose what the new holder wants.
-func TestOldHoldersOrdersHitNothingNew(t *testing.T) {
+func TestLateOrdersOfOldHolderDoNotAffectNewModels(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
 	oak := usage.Model{Name: "oak", Version: "1"}
@@ -214,7 +214,7 @@
 		plan := func(token uint64, replicas int) []Action {
 			state, err := e.State(false)
 			is.NoErr(err)
-			actions := Plan([]Engine{{Name: "e", Allowed: []string{"oak"}, Usable: true, Loaded: state.Models}}, []Want{{oak, replicas}}, token, 2)
+			actions := Plan([]Engine{{Name: "e", Allowed: []string{"oak"}, Usable: true, Loaded: state.Models}}, []ModelTarget{{oak, replicas}}, token, 2)
 			for i := range actions {
 				actions[i].Order.Token = token
 			}
@@ -243,10 +243,10 @@
 
 // A holder takes over while an order of the one before may still be on its
 // way. It must wait out the longest order, and stop when its lease ends.
-func TestNewHolderWaitsOutOldOrders(t *testing.T) {
+func TestNewHolderWaitsForOldOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(1, usage.Model{Name: "oak", Version: "1"})
+		s := newTestInstance(1, usage.Model{Name: "oak", Version: "1"})
 		s.keeper.settings.Demand = func() map[string]int { return map[string]int{"oak": 3} }
 		loaded := func() int {
 			state, err := s.fleet["e0"].State(false)
@@ -277,10 +277,10 @@
 // Programs die with their owner and nobody ends them; their memory stays on
 // the engine and pushes living programs out. The sweep releases them, and
 // never one that lives, also when it is taken for gone once.
-func TestSweepReleasesOnlyTheGone(t *testing.T) {
+func TestSweepReleasesOnlyEndedPrograms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(1)
+		s := newTestInstance(1)
 		ctx := t.Context()
 		for _, program := range []string{"lives", "dies", "unsure"} {
 			text := strings.Repeat(program, 300)
@@ -294,7 +294,7 @@
 		time.Sleep(orderTimeout)
 		s.keeper.Round(ctx) // first sweep
 		s.living["unsure"] = true
-		time.Sleep(sweepEvery)
+		time.Sleep(sweepInterval)
 		s.keeper.Round(ctx)
 		state, err := s.fleet["e0"].State(false)
 		is.NoErr(err)
@@ -310,12 +310,12 @@
 func TestWeightFetchesAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(6, usage.Model{Name: "oak", Version: "1"}, usage.Model{Name: "elm", Version: "1"})
+		s := newTestInstance(6, usage.Model{Name: "oak", Version: "1"}, usage.Model{Name: "elm", Version: "1"})
 		s.keeper.settings.MaxModels = 3
 		s.keeper.settings.Demand = func() map[string]int { return map[string]int{"oak": 100, "elm": 100} }
 		for range 20 {
 			s.keeper.Round(t.Context())
-			time.Sleep(roundEvery)
+			time.Sleep(roundInterval)
 		}
 		is.True(s.weights.Fetches()["oak/1"] <= 2) // one engine on first demand, five when it grows
 		is.Equal(s.weights.Refused(), 0)
@@ -337,7 +337,7 @@
 		high, falls, last := 0, 0, 0
 		var shortSince time.Time
 		for range rapid.IntRange(1, 200).Draw(t, "rounds") {
-			now = now.Add(roundEvery)
+			now = now.Add(roundInterval)
 			demand := rapid.IntRange(0, 60).Draw(t, "demand")
 			high = max(high, demand)
 			n := s.Size("m", demand, 4, 0, now)
@@ -348,15 +348,15 @@
 			if n > max(1, (high*5+15)/16) {
 				t.Fatalf("%d engines for a demand of at most %d", n, high)
 			}
-			if float64(demand) <= growAt*float64(n*4) {
+			if float64(demand) <= growThreshold*float64(n*4) {
 				shortSince = time.Time{}
 			} else if shortSince.IsZero() {
 				shortSince = now
-			} else if now.Sub(shortSince) > growAfter+roundEvery {
+			} else if now.Sub(shortSince) > growDelay+roundInterval {
 				t.Fatalf("too few engines since %v", now.Sub(shortSince))
 			}
 		}
-		if falls > int(now.Sub(begin)/shrinkAfter) {
+		if falls > int(now.Sub(begin)/shrinkDelay) {
 			t.Fatalf("%d falls within %v", falls, now.Sub(begin))
 		}
 	})
--- a/internal/duty/models.go
+++ b/internal/duty/models.go
@@ -13,13 +13,13 @@
 
 // publish tells the table under which name each engine serves each model: the
 // version wanted where it is ready, or else another that is.
-func (k *Keeper) publish(seen []observed) {
+func (k *Keeper) publishServing(seen []observed) {
 	members := k.table.Snapshot()
 	for _, m := range k.settings.Models() {
 		for _, cell := range members.Model(m.Name) {
 			for _, o := range seen {
 				if o.upstream == cell.Upstream {
-					cell.SetServing(servingOf(&m, o.state.Models))
+					cell.SetServing(chooseServing(&m, o.state.Models))
 				}
 			}
 		}
@@ -28,7 +28,7 @@
 
 // servingOf picks among the names under which an engine holds a model. An
 // engine that names no models at all serves any under its own name.
-func servingOf(m *usage.Model, loaded []engine.Loaded) upstream.Serving {
+func chooseServing(m *usage.Model, loaded []engine.Loaded) upstream.Serving {
 	if len(loaded) == 0 {
 		return upstream.Serving{Name: m.Name, Ready: true}
 	}
@@ -59,12 +59,12 @@
 			Loaded:  o.state.Models,
 		})
 	}
-	return k.paced(Plan(engines, k.wants(seen, now), token, k.settings.MaxModels), token, now)
+	return k.limitLoads(Plan(engines, k.modelTargets(seen, now), token, k.settings.MaxModels), token, now)
 }
 
-func (k *Keeper) wants(seen []observed, now time.Time) []Want {
+func (k *Keeper) modelTargets(seen []observed, now time.Time) []ModelTarget {
 	demand := k.settings.Demand()
-	var wants []Want
+	var wants []ModelTarget
 	for _, m := range k.settings.Models() {
 		have, slots, allowed := 0, 0, 0
 		for _, o := range seen {
@@ -87,7 +87,7 @@
 			perEngine = defaultSlots
 		}
 		replicas := k.sizer.Size(m.Name, demand[m.Name], perEngine, have, now)
-		wants = append(wants, Want{Model: m, Replicas: min(replicas, allowed)})
+		wants = append(wants, ModelTarget{Model: m, Engines: min(replicas, allowed)})
 	}
 	return wants
 }
@@ -96,32 +96,32 @@
 // other instances see the new name up to a round later, and a call granted
 // under the old one may still be on its way: unloaded at once, the engine
 // refuses it.
-const drainHold = 3 * roundEvery
+const unloadDelay = 3 * roundInterval
 
 // drains remembers since when each unload is wanted.
-type drains struct {
-	since map[drain]time.Time
+type pendingUnloads struct {
+	wantedSince map[unloadKey]time.Time
 }
 
-type drain struct{ engine, served string }
+type unloadKey struct{ engine, served string }
 
 // hold keeps unloads back until they have been wanted in every round of the hold.
-func (d *drains) hold(actions []Action, now time.Time) []Action {
-	before := d.since
-	d.since = map[drain]time.Time{}
+func (d *pendingUnloads) delay(actions []Action, now time.Time) []Action {
+	before := d.wantedSince
+	d.wantedSince = map[unloadKey]time.Time{}
 	var kept []Action
 	for _, a := range actions {
 		if a.Order.Kind != engine.OrderUnload {
 			kept = append(kept, a)
 			continue
 		}
-		key := drain{a.Engine, a.Order.Served}
+		key := unloadKey{a.Engine, a.Order.Served}
 		since, wanted := before[key]
 		if !wanted {
 			since = now
 		}
-		d.since[key] = since
-		if now.Sub(since) >= drainHold {
+		d.wantedSince[key] = since
+		if now.Sub(since) >= unloadDelay {
 			kept = append(kept, a)
 		}
 	}
@@ -131,7 +131,7 @@
 // paced holds loads back to the rate of the weight store. The loads of one
 // model and version go together and count once: engines that ask for the same
 // weights at the same time share one fetch.
-func (k *Keeper) paced(actions []Action, token uint64, now time.Time) []Action {
+func (k *Keeper) limitLoads(actions []Action, token uint64, now time.Time) []Action {
 	allowed := map[string]bool{}
 	var kept []Action
 	for _, a := range actions {
@@ -139,7 +139,7 @@
 		if a.Order.Kind == engine.OrderLoad {
 			weights := a.Order.Model + "@" + a.Order.Version
 			if _, asked := allowed[weights]; !asked {
-				allowed[weights] = k.fetches.AllowN(now, 1)
+				allowed[weights] = k.fetchLimiter.AllowN(now, 1)
 			}
 			if !allowed[weights] {
 				continue
--- a/internal/duty/plan.go
+++ b/internal/duty/plan.go
@@ -27,9 +27,9 @@
 }
 
 // Want is how many engines should hold a model.
-type Want struct {
-	Model    usage.Model
-	Replicas int
+type ModelTarget struct {
+	Model   usage.Model
+	Engines int
 }
 
 // Plan returns the orders that bring the engines closer to what is wanted.
@@ -40,7 +40,7 @@
 // epoch, the holder's fencing token: an order of an earlier holder that arrives
 // late at an engine that does not check can load or unload only its own names,
 // and what it loaded is unloaded as outdated.
-func Plan(engines []Engine, wants []Want, token uint64, maxModels int) []Action {
+func Plan(engines []Engine, wants []ModelTarget, token uint64, maxModels int) []Action {
 	slices.SortFunc(engines, func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
 	var actions []Action
 	for _, want := range wants {
@@ -49,10 +49,10 @@
 	return actions
 }
 
-func planModel(engines []Engine, want Want, token uint64, maxModels int) []Action {
+func planModel(engines []Engine, want ModelTarget, token uint64, maxModels int) []Action {
 	have, ready := 0, 0
 	for i := range engines {
-		if current := engines[i].current(&want.Model); current != nil && engines[i].Usable {
+		if current := engines[i].findCurrent(&want.Model); current != nil && engines[i].Usable {
 			have++
 			if current.Ready {
 				ready++
@@ -60,12 +60,12 @@
 		}
 	}
 	var actions []Action
-	for have < want.Replicas {
-		e := roomiest(engines, &want.Model, maxModels)
+	for have < want.Engines {
+		e := leastLoaded(engines, &want.Model, maxModels)
 		if e == nil {
 			break
 		}
-		actions = append(actions, e.load(&want.Model, token))
+		actions = append(actions, e.planLoad(&want.Model, token))
 		have++
 	}
 	return append(actions, planUnloads(engines, want, ready)...)
@@ -73,9 +73,9 @@
 
 // planUnloads unloads outdated names when enough engines are ready with the
 // current one, and idle copies beyond the number wanted.
-func planUnloads(engines []Engine, want Want, ready int) []Action {
+func planUnloads(engines []Engine, want ModelTarget, ready int) []Action {
 	var actions []Action
-	surplus := ready - want.Replicas
+	surplus := ready - want.Engines
 	for i := len(engines) - 1; i >= 0; i-- {
 		e := &engines[i]
 		for _, l := range e.Loaded {
@@ -84,11 +84,11 @@
 			}
 			current := isCurrent(&l, &want.Model)
 			switch {
-			case !current && ready >= max(1, want.Replicas):
-				actions = append(actions, unload(e.Name, l.Served, "outdated"))
+			case !current && ready >= max(1, want.Engines):
+				actions = append(actions, unloadAction(e.Name, l.Served, "outdated"))
 			case current && l.Ready && surplus > 0:
 				surplus--
-				actions = append(actions, unload(e.Name, l.Served, "not wanted"))
+				actions = append(actions, unloadAction(e.Name, l.Served, "not wanted"))
 			}
 		}
 	}
@@ -99,7 +99,7 @@
 	return l.Model == m.Name && l.Version == m.Version && l.Adapter == m.Adapter
 }
 
-func (e *Engine) current(m *usage.Model) *engine.Loaded {
+func (e *Engine) findCurrent(m *usage.Model) *engine.Loaded {
 	for i := range e.Loaded {
 		if isCurrent(&e.Loaded[i], m) {
 			return &e.Loaded[i]
@@ -110,21 +110,21 @@
 
 // roomiest returns the engine that may load the model and holds the fewest
 // models. An outdated version of the same model does not count: it is about to go.
-func roomiest(engines []Engine, m *usage.Model, maxModels int) *Engine {
+func leastLoaded(engines []Engine, m *usage.Model, maxModels int) *Engine {
 	var best *Engine
 	for i := range engines {
 		e := &engines[i]
-		if !e.Usable || e.current(m) != nil || !slices.Contains(e.Allowed, m.Name) || e.others(m) >= maxModels {
+		if !e.Usable || e.findCurrent(m) != nil || !slices.Contains(e.Allowed, m.Name) || e.countOtherModels(m) >= maxModels {
 			continue
 		}
-		if best == nil || e.others(m) < best.others(m) {
+		if best == nil || e.countOtherModels(m) < best.countOtherModels(m) {
 			best = e
 		}
 	}
 	return best
 }
 
-func (e *Engine) others(m *usage.Model) int {
+func (e *Engine) countOtherModels(m *usage.Model) int {
 	n := 0
 	for _, l := range e.Loaded {
 		if l.Model != m.Name {
@@ -136,13 +136,13 @@
 
 // load orders the model and notes it as loading, so that the same plan does
 // not order it twice.
-func (e *Engine) load(m *usage.Model, token uint64) Action {
+func (e *Engine) planLoad(m *usage.Model, token uint64) Action {
 	served := engine.ServedName(m.Name, m.Version, m.Adapter, token)
 	e.Loaded = append(e.Loaded, engine.Loaded{Served: served, Model: m.Name, Version: m.Version, Adapter: m.Adapter})
 	order := engine.Order{Kind: engine.OrderLoad, Token: token, Served: served, Model: m.Name, Version: m.Version, Adapter: m.Adapter}
 	return Action{Engine: e.Name, Order: order, Reason: "wanted"}
 }
 
-func unload(name, served, reason string) Action {
+func unloadAction(name, served, reason string) Action {
 	return Action{Engine: name, Order: engine.Order{Kind: engine.OrderUnload, Served: served}, Reason: reason}
 }
--- a/internal/duty/release.go
+++ b/internal/duty/release.go
@@ -13,19 +13,19 @@
 const (
 	// sweepEvery is the time between two sweeps. A program is released when two
 	// sweeps in a row find it gone, so that one wrong answer releases nothing.
-	sweepEvery = 30 * time.Second
+	sweepInterval = 30 * time.Second
 	// releaseBatch bounds the programs of one order.
 	releaseBatch = 256
 	// releaseEvery is how long releases of ended programs are collected.
-	releaseEvery = 200 * time.Millisecond
+	releaseInterval = 200 * time.Millisecond
 	// maxPending bounds the releases that wait; what is beyond is left to the sweep.
 	maxPending = 65536
 )
 
 // sweeper remembers which programs the last sweep found gone.
 type sweeper struct {
-	last time.Time
-	gone map[string]bool
+	lastSweep time.Time
+	gone      map[string]bool
 }
 
 // planReleases compares the programs whose memory engines hold with those that
@@ -33,10 +33,10 @@
 // once is right at any later time: an order that comes late does no harm, also
 // where an engine does not check fencing tokens.
 func (k *Keeper) planReleases(ctx context.Context, seen []observed, token uint64, now time.Time) []Action {
-	if k.settings.Living == nil || now.Sub(k.sweeper.last) < sweepEvery {
+	if k.settings.Living == nil || now.Sub(k.sweeper.lastSweep) < sweepInterval {
 		return nil
 	}
-	k.sweeper.last = now
+	k.sweeper.lastSweep = now
 	held := map[string]bool{}
 	for _, o := range seen {
 		for program := range o.state.Programs {
@@ -61,12 +61,12 @@
 			}
 		}
 		slices.Sort(programs)
-		actions = append(actions, releases(o.upstream.Name, programs, token, "gone")...)
+		actions = append(actions, releaseActions(o.upstream.Name, programs, token, "gone")...)
 	}
 	return actions
 }
 
-func releases(name string, programs []string, token uint64, reason string) []Action {
+func releaseActions(name string, programs []string, token uint64, reason string) []Action {
 	var actions []Action
 	for batch := range slices.Chunk(programs, releaseBatch) {
 		order := engine.Order{Kind: engine.OrderRelease, Token: token, Programs: batch}
@@ -82,10 +82,10 @@
 	engines Engines
 	token   func() uint64
 
-	mu      sync.Mutex
-	pending map[string][]string
-	waiting int
-	wake    chan struct{}
+	mu           sync.Mutex
+	pending      map[string][]string
+	pendingCount int
+	wake         chan struct{}
 }
 
 // NewReleaser returns a releaser; token gives the newest fencing token known.
@@ -98,10 +98,10 @@
 func (r *Releaser) Release(address, program string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.waiting >= maxPending {
+	if r.pendingCount >= maxPending {
 		return
 	}
-	r.waiting++
+	r.pendingCount++
 	r.pending[address] = append(r.pending[address], program)
 	select {
 	case r.wake <- struct{}{}:
@@ -118,7 +118,7 @@
 			return
 		}
 		select {
-		case <-time.After(releaseEvery):
+		case <-time.After(releaseInterval):
 		case <-ctx.Done():
 			return
 		}
@@ -129,10 +129,10 @@
 func (r *Releaser) flush(ctx context.Context) {
 	r.mu.Lock()
 	pending := r.pending
-	r.pending, r.waiting = map[string][]string{}, 0
+	r.pending, r.pendingCount = map[string][]string{}, 0
 	r.mu.Unlock()
 	var group sync.WaitGroup
-	slots := make(chan struct{}, callsAtOnce)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	for address, programs := range pending {
 		slots <- struct{}{}
 		group.Go(func() {
@@ -144,7 +144,7 @@
 }
 
 func (r *Releaser) send(ctx context.Context, address string, programs []string) {
-	for _, a := range releases(address, programs, r.token(), "ended") {
+	for _, a := range releaseActions(address, programs, r.token(), "ended") {
 		orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		err := r.engines.Order(orderCtx, address, a.Order)
 		cancel()
--- a/internal/duty/size.go
+++ b/internal/duty/size.go
@@ -11,20 +11,20 @@
 	// have below which it loses one, after shrinkAfter. The two are far apart,
 	// and loading costs a fetch of weights, so that demand around one of them
 	// does not load and unload in turn.
-	growAt      = 0.8
-	growAfter   = 4 * time.Second
-	shrinkAt    = 0.4
-	shrinkAfter = 5 * time.Minute
+	growThreshold   = 0.8
+	growDelay       = 4 * time.Second
+	shrinkThreshold = 0.4
+	shrinkDelay     = 5 * time.Minute
 )
 
 // Sizer decides how many engines should hold each model, with hysteresis.
 type Sizer struct {
-	models map[string]*size
+	models map[string]*modelSize
 }
 
-type size struct {
-	replicas            int
-	growSince, lowSince time.Time
+type modelSize struct {
+	engines                int
+	growSince, shrinkSince time.Time
 }
 
 // Size returns the number of engines that should hold the model at the demand,
@@ -32,46 +32,46 @@
 // sight takes over what is there.
 func (s *Sizer) Size(model string, demand, slots, have int, now time.Time) int {
 	if s.models == nil {
-		s.models = map[string]*size{}
+		s.models = map[string]*modelSize{}
 	}
 	m := s.models[model]
 	if m == nil {
-		m = &size{replicas: have}
+		m = &modelSize{engines: have}
 		s.models[model] = m
 	}
-	if demand > 0 && m.replicas == 0 {
-		m.replicas = 1
-		return m.replicas
+	if demand > 0 && m.engines == 0 {
+		m.engines = 1
+		return m.engines
 	}
 	m.grow(demand, slots, now)
 	m.shrink(demand, slots, now)
-	return m.replicas
+	return m.engines
 }
 
-func (m *size) grow(demand, slots int, now time.Time) {
-	if float64(demand) <= growAt*float64(m.replicas*slots) {
+func (m *modelSize) grow(demand, slots int, now time.Time) {
+	if float64(demand) <= growThreshold*float64(m.engines*slots) {
 		m.growSince = time.Time{}
 		return
 	}
 	if m.growSince.IsZero() {
 		m.growSince = now
 	}
-	if now.Sub(m.growSince) >= growAfter {
-		m.replicas = max(m.replicas, int(math.Ceil(float64(demand)/(growAt*float64(slots)))))
+	if now.Sub(m.growSince) >= growDelay {
+		m.engines = max(m.engines, int(math.Ceil(float64(demand)/(growThreshold*float64(slots)))))
 		m.growSince = time.Time{}
 	}
 }
 
-func (m *size) shrink(demand, slots int, now time.Time) {
-	if float64(demand) >= shrinkAt*float64((m.replicas-1)*slots) || m.replicas <= 1 {
-		m.lowSince = time.Time{}
+func (m *modelSize) shrink(demand, slots int, now time.Time) {
+	if float64(demand) >= shrinkThreshold*float64((m.engines-1)*slots) || m.engines <= 1 {
+		m.shrinkSince = time.Time{}
 		return
 	}
-	if m.lowSince.IsZero() {
-		m.lowSince = now
+	if m.shrinkSince.IsZero() {
+		m.shrinkSince = now
 	}
-	if now.Sub(m.lowSince) >= shrinkAfter {
-		m.replicas--
-		m.lowSince = now
+	if now.Sub(m.shrinkSince) >= shrinkDelay {
+		m.engines--
+		m.shrinkSince = now
 	}
 }
