--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,10 +1,10 @@
-// Package duty holds what one instance does for its whole data centre while it
-// has the lease: it decides which models stand on which engines and releases
-// the engine memory of programs that are gone.
+// Package duty implements the tasks that one instance performs for its data centre
+// while it holds the lease: it decides which engines load which models, and it
+// releases the engine memory of ended programs.
 //
-// All of it is level-triggered: each round reads what the engines hold,
-// compares it with what is wanted and orders the difference again. A lost
-// order, a lost answer and a change of holder need no handling of their own.
+// Both tasks are level-triggered: each round reads the state of the engines,
+// compares it with the wanted state and orders the difference. A lost order, a
+// lost response and a change of the holder need no special handling.
 package duty
 
 import (
@@ -21,34 +21,35 @@
 	"foxhall/internal/usage"
 )
 
-// Name is the duty's name towards the lease.
+// Name is the name under which the duty is leased.
 const Name = "engines"
 
 const (
-	// roundEvery is the time between two rounds.
+	// roundInterval is the time between two rounds.
 	roundInterval = 2 * time.Second
-	// orderTimeout bounds one order. A new holder waits as long before its
-	// first, so that no order of the holder before it is still under way; with
-	// engines that do not check fencing tokens nothing else would stop one.
+	// orderTimeout bounds one order. A new holder waits as long before its first
+	// order, so that no order of the previous holder is in flight; an engine that
+	// does not check fencing tokens would still execute it.
 	orderTimeout = 5 * time.Second
-	// callsAtOnce bounds the calls to engines under way.
+	// maxConcurrentCalls bounds the calls to engines in flight.
 	maxConcurrentCalls = 16
-	// observeMost bounds the engines whose state an instance without the lease
-	// reads in a round, in turn. With more engines it learns later how a model is
-	// served, and a call under an old name is answered as not loaded and goes
-	// elsewhere; without the bound its control traffic grows with the engines.
+	// maxObserved bounds the engines whose state an instance without the lease
+	// reads in a round, in turn. With more engines it learns later under which
+	// name a model is served; an engine rejects a call under an old name as not
+	// loaded, and the call goes to another. Without the bound, the instance's
+	// control traffic would grow with the number of engines.
 	maxObserved = 8
-	// fetchEvery is the least time between two fetches of weights.
+	// fetchInterval is the minimum time between two fetches of weights.
 	fetchInterval = 3 * time.Second
 )
 
-// Lease tells whether this instance holds a duty. Valid must be asked right
-// before each order: it is false when the lease is near its end.
+// Lease reports whether this instance holds a duty. valid must be called right
+// before each order: it returns false when the lease is about to expire.
 type Lease interface {
 	Held(duty string) (token uint64, valid func() bool, ok bool)
 }
 
-// Engines is what the duty asks of engines; engine.Client is one.
+// Engines are the calls to engines that the duty needs. engine.Client implements it.
 type Engines interface {
 	State(ctx context.Context, addr string, blocks bool) (engine.State, error)
 	Order(ctx context.Context, addr string, o engine.Order) error
@@ -56,8 +57,8 @@
 
 var _ Engines = (*engine.Client)(nil)
 
-// Living tells which of the programs are gone for good: ended, expired or never
-// known. A program whose owner can't be asked is not gone.
+// Living finds the programs that do not exist any more: those that ended, expired
+// or were never known. A program whose owner can't be asked counts as existing.
 type Living interface {
 	Gone(ctx context.Context, programs []string) ([]string, error)
 }
@@ -65,18 +66,18 @@
 // Settings configure a Keeper.
 type Settings struct {
 	DataCentre string
-	// MaxModels is the number of models that one engine may hold; 0 for 2.
+	// MaxModels is the maximum number of models loaded on one engine; 0 means 2.
 	MaxModels int
 	Logger    log.Interface
-	// Models returns the usage list's models.
+	// Models returns the models of the usage list.
 	Models func() []usage.Model
-	// Demand returns the steps of each model under way and waiting, summed over
+	// Demand returns the number of steps per model that run or wait, summed over
 	// the instances of the data centre.
 	Demand func() map[string]int
 	Living Living
 }
 
-// Keeper carries out the duty.
+// Keeper performs the duty.
 type Keeper struct {
 	settings       Settings
 	table          *upstream.Table
@@ -87,7 +88,7 @@
 	fetchLimiter   *rate.Limiter
 	pendingUnloads pendingUnloads
 
-	// next is where the engines' turns go on.
+	// nextEngine is the index of the engine that is observed next without the lease.
 	nextEngine int
 	heldToken  uint64
 	heldSince  time.Time
@@ -108,7 +109,7 @@
 	}
 }
 
-// Run makes rounds until ctx ends. Every instance runs it: without the lease a
+// Run performs rounds until ctx ends. Every instance runs it: without the lease, a
 // round only observes, so that the instance knows what each engine serves.
 func (k *Keeper) Run(ctx context.Context) {
 	ticker := time.NewTicker(roundInterval)
@@ -123,11 +124,11 @@
 	}
 }
 
-// Round makes one round.
+// Round performs one round.
 func (k *Keeper) Round(ctx context.Context) {
 	token, valid, ok := k.lease.Held(Name)
-	seen := k.observe(ctx, ok)
-	k.publishServing(seen)
+	observations := k.observe(ctx, ok)
+	k.publishServing(observations)
 	now := time.Now()
 	if !ok {
 		k.heldSince = time.Time{}
@@ -139,21 +140,21 @@
 	if now.Sub(k.heldSince) < orderTimeout {
 		return
 	}
-	k.sendOrders(ctx, k.pendingUnloads.delay(k.planModels(seen, token, now), now), valid)
-	k.sendOrders(ctx, k.planReleases(ctx, seen, token, now), valid)
+	k.sendOrders(ctx, k.pendingUnloads.delay(k.planModels(observations, token, now), now), valid)
+	k.sendOrders(ctx, k.planReleases(ctx, observations, token, now), valid)
 }
 
-// observed is an engine with the state that it reported.
+// observed is an engine with its reported state.
 type observed struct {
 	upstream *upstream.Upstream
 	state    engine.State
 }
 
-// observe reads the state of all engines of the data centre, or without the
-// lease of the next few.
+// observe reads the state of all engines of the data centre, or of the next few if
+// all is false. An engine that does not respond is left out.
 func (k *Keeper) observe(ctx context.Context, all bool) []observed {
 	var mu sync.Mutex
-	var seen []observed
+	var observations []observed
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentCalls)
 	for _, u := range k.enginesToObserve(all) {
@@ -166,15 +167,15 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			seen = append(seen, observed{u, state})
+			observations = append(observations, observed{u, state})
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return seen
+	return observations
 }
 
-// due returns the engines to read in this round.
+// enginesToObserve returns the engines whose state is read in this round.
 func (k *Keeper) enginesToObserve(all bool) []*upstream.Upstream {
 	var engines []*upstream.Upstream
 	for _, u := range k.table.Snapshot().All {
@@ -193,8 +194,8 @@
 	return due
 }
 
-// carryOut sends orders while the lease is valid. Failures are left to the
-// next round, which sees what is still missing.
+// sendOrders sends orders while the lease is valid. It does not retry a failed
+// order: a later round orders what is still wanted.
 func (k *Keeper) sendOrders(ctx context.Context, actions []Action, valid func() bool) {
 	for _, a := range actions {
 		u := k.table.Snapshot().Upstream(a.Engine)
@@ -224,8 +225,8 @@
 		"reason":   a.Reason,
 	})
 	if err != nil {
-		entry.WithError(err).Warn("order failed")
+		entry.WithError(err).Warn("engine order failed; a later round repeats it if still wanted")
 		return
 	}
-	entry.Info("order")
+	entry.Info("engine order accepted")
 }
--- a/internal/duty/models.go
+++ b/internal/duty/models.go
@@ -8,26 +8,28 @@
 	"foxhall/internal/usage"
 )
 
-// defaultSlots is assumed of an engine for which the usage list gives none.
+// defaultSlots is the number of slots assumed for engines if the usage list
+// specifies none.
 const defaultSlots = 16
 
-// publish tells the table under which name each engine serves each model: the
-// version wanted where it is ready, or else another that is.
-func (k *Keeper) publishServing(seen []observed) {
-	members := k.table.Snapshot()
+// publishServing records in the table the name under which each engine serves each
+// model: that of the wanted version if it is ready, otherwise that of another
+// ready version.
+func (k *Keeper) publishServing(observations []observed) {
+	snapshot := k.table.Snapshot()
 	for _, m := range k.settings.Models() {
-		for _, cell := range members.Model(m.Name) {
-			for _, o := range seen {
-				if o.upstream == cell.Upstream {
-					cell.SetServing(chooseServing(&m, o.state.Models))
+		for _, endpoint := range snapshot.Model(m.Name) {
+			for _, o := range observations {
+				if o.upstream == endpoint.Upstream {
+					endpoint.SetServing(chooseServing(&m, o.state.Models))
 				}
 			}
 		}
 	}
 }
 
-// servingOf picks among the names under which an engine holds a model. An
-// engine that names no models at all serves any under its own name.
+// chooseServing chooses one of the names under which an engine has loaded a model.
+// An engine that lists no loaded models serves any model under the model's name.
 func chooseServing(m *usage.Model, loaded []engine.Loaded) upstream.Serving {
 	if len(loaded) == 0 {
 		return upstream.Serving{Name: m.Name, Ready: true}
@@ -46,11 +48,11 @@
 	return best
 }
 
-func (k *Keeper) planModels(seen []observed, token uint64, now time.Time) []Action {
-	engines := make([]Engine, 0, len(seen))
-	for _, o := range seen {
+func (k *Keeper) planModels(observations []observed, token uint64, now time.Time) []Action {
+	engines := make([]Engine, 0, len(observations))
+	for _, o := range observations {
 		if len(o.state.Models) == 0 && len(o.upstream.Models) == 1 {
-			continue // it serves its one model whatever the name
+			continue // the engine serves its only model under any name
 		}
 		engines = append(engines, Engine{
 			Name:    o.upstream.Name,
@@ -59,15 +61,15 @@
 			Loaded:  o.state.Models,
 		})
 	}
-	return k.limitLoads(Plan(engines, k.modelTargets(seen, now), token, k.settings.MaxModels), token, now)
+	return k.limitLoads(Plan(engines, k.modelTargets(observations, now), token, k.settings.MaxModels), token, now)
 }
 
-func (k *Keeper) modelTargets(seen []observed, now time.Time) []ModelTarget {
+func (k *Keeper) modelTargets(observations []observed, now time.Time) []ModelTarget {
 	demand := k.settings.Demand()
-	var wants []ModelTarget
+	var targets []ModelTarget
 	for _, m := range k.settings.Models() {
 		have, slots, allowed := 0, 0, 0
-		for _, o := range seen {
+		for _, o := range observations {
 			for i := range o.state.Models {
 				if o.state.Models[i].Model == m.Name {
 					have++
@@ -75,8 +77,8 @@
 				}
 			}
 		}
-		for _, cell := range k.table.Snapshot().Model(m.Name) {
-			slots += cell.Upstream.Slots
+		for _, endpoint := range k.table.Snapshot().Model(m.Name) {
+			slots += endpoint.Upstream.Slots
 			allowed++
 		}
 		if allowed == 0 {
@@ -86,66 +88,68 @@
 		if perEngine == 0 {
 			perEngine = defaultSlots
 		}
-		replicas := k.sizer.Size(m.Name, demand[m.Name], perEngine, have, now)
-		wants = append(wants, ModelTarget{Model: m, Engines: min(replicas, allowed)})
+		engines := k.sizer.Size(m.Name, demand[m.Name], perEngine, have, now)
+		targets = append(targets, ModelTarget{Model: m, Engines: min(engines, allowed)})
 	}
-	return wants
+	return targets
 }
 
-// drainHold is how long an unload must be wanted before it is ordered. The
-// other instances see the new name up to a round later, and a call granted
-// under the old one may still be on its way: unloaded at once, the engine
-// refuses it.
+// unloadDelay is how long an unload must be wanted before it is ordered. Other
+// instances see the new name up to a round later, and a call granted under the
+// old name may still be in flight; the engine would reject it after an immediate
+// unload.
 const unloadDelay = 3 * roundInterval
 
-// drains remembers since when each unload is wanted.
+// pendingUnloads records since when each unload has been wanted.
 type pendingUnloads struct {
 	wantedSince map[unloadKey]time.Time
 }
 
 type unloadKey struct{ engine, served string }
 
-// hold keeps unloads back until they have been wanted in every round of the hold.
+// delay removes unloads from the actions until they have been wanted in every
+// round for unloadDelay.
 func (d *pendingUnloads) delay(actions []Action, now time.Time) []Action {
-	before := d.wantedSince
+	previous := d.wantedSince
 	d.wantedSince = map[unloadKey]time.Time{}
-	var kept []Action
+	var remaining []Action
 	for _, a := range actions {
 		if a.Order.Kind != engine.OrderUnload {
-			kept = append(kept, a)
+			remaining = append(remaining, a)
 			continue
 		}
 		key := unloadKey{a.Engine, a.Order.Served}
-		since, wanted := before[key]
+		since, wanted := previous[key]
 		if !wanted {
 			since = now
 		}
 		d.wantedSince[key] = since
 		if now.Sub(since) >= unloadDelay {
-			kept = append(kept, a)
+			remaining = append(remaining, a)
 		}
 	}
-	return kept
+	return remaining
 }
 
-// paced holds loads back to the rate of the weight store. The loads of one
-// model and version go together and count once: engines that ask for the same
-// weights at the same time share one fetch.
+// limitLoads limits loads to the rate of the weight store and sets the token of
+// the remaining orders. Loads of the same model and version count once and are
+// ordered together: engines that request the same weights at the same time share
+// one fetch.
 func (k *Keeper) limitLoads(actions []Action, token uint64, now time.Time) []Action {
 	allowed := map[string]bool{}
-	var kept []Action
+	var remaining []Action
 	for _, a := range actions {
 		a.Order.Token = token
 		if a.Order.Kind == engine.OrderLoad {
 			weights := a.Order.Model + "@" + a.Order.Version
-			if _, asked := allowed[weights]; !asked {
+			if _, decided := allowed[weights]; !decided {
 				allowed[weights] = k.fetchLimiter.AllowN(now, 1)
 			}
 			if !allowed[weights] {
 				continue
 			}
 		}
-		kept = append(kept, a)
+		remaining = append(remaining, a)
 	}
-	return kept
+	return remaining
 }
--- a/internal/duty/plan.go
+++ b/internal/duty/plan.go
@@ -12,47 +12,48 @@
 type Action struct {
 	Engine string
 	Order  engine.Order
-	// Reason says in the log line why it is given.
+	// Reason is the reason for the order, for the log line.
 	Reason string
 }
 
-// Engine is what the plan knows of an engine.
+// Engine is the state of an engine from which Plan derives orders.
 type Engine struct {
 	Name string
-	// Allowed are the models that it has or may load.
+	// Allowed are the models that the engine has loaded or may load.
 	Allowed []string
-	// Usable says that it may get work; one that is not keeps what it has.
+	// Usable reports whether the engine may get work. No model is loaded on an
+	// engine that is not usable.
 	Usable bool
 	Loaded []engine.Loaded
 }
 
-// Want is how many engines should hold a model.
+// ModelTarget is the number of engines that should have a model loaded.
 type ModelTarget struct {
 	Model   usage.Model
 	Engines int
 }
 
-// Plan returns the orders that bring the engines closer to what is wanted.
+// Plan returns the orders that bring the engines closer to the targets.
 //
-// A model whose version changed is loaded anew under its new name; the old name
-// goes when the new one is ready on enough engines and no call runs on the old.
-// A call names what it runs on, so no call ever sees both. Names carry the
-// epoch, the holder's fencing token: an order of an earlier holder that arrives
-// late at an engine that does not check can load or unload only its own names,
-// and what it loaded is unloaded as outdated.
-func Plan(engines []Engine, wants []ModelTarget, token uint64, maxModels int) []Action {
+// When the version of a model changes, the new version is loaded under a new name.
+// The old name is unloaded when the new one is ready on enough engines and no call
+// runs on the old one. Each call names the version it runs on, so that no call
+// runs on both. Names contain the epoch, the holder's fencing token: a late order
+// of an earlier holder, at an engine that does not check tokens, can load or
+// unload only names of its own epoch, and what it loaded is unloaded as outdated.
+func Plan(engines []Engine, targets []ModelTarget, token uint64, maxModels int) []Action {
 	slices.SortFunc(engines, func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
 	var actions []Action
-	for _, want := range wants {
-		actions = append(actions, planModel(engines, want, token, maxModels)...)
+	for _, target := range targets {
+		actions = append(actions, planModel(engines, target, token, maxModels)...)
 	}
 	return actions
 }
 
-func planModel(engines []Engine, want ModelTarget, token uint64, maxModels int) []Action {
+func planModel(engines []Engine, target ModelTarget, token uint64, maxModels int) []Action {
 	have, ready := 0, 0
 	for i := range engines {
-		if current := engines[i].findCurrent(&want.Model); current != nil && engines[i].Usable {
+		if current := engines[i].findCurrent(&target.Model); current != nil && engines[i].Usable {
 			have++
 			if current.Ready {
 				ready++
@@ -60,31 +61,31 @@
 		}
 	}
 	var actions []Action
-	for have < want.Engines {
-		e := leastLoaded(engines, &want.Model, maxModels)
+	for have < target.Engines {
+		e := leastLoaded(engines, &target.Model, maxModels)
 		if e == nil {
 			break
 		}
-		actions = append(actions, e.planLoad(&want.Model, token))
+		actions = append(actions, e.planLoad(&target.Model, token))
 		have++
 	}
-	return append(actions, planUnloads(engines, want, ready)...)
+	return append(actions, planUnloads(engines, target, ready)...)
 }
 
-// planUnloads unloads outdated names when enough engines are ready with the
-// current one, and idle copies beyond the number wanted.
-func planUnloads(engines []Engine, want ModelTarget, ready int) []Action {
+// planUnloads returns the unloads of idle outdated versions, if enough engines are
+// ready with the current one, and of idle copies beyond the target.
+func planUnloads(engines []Engine, target ModelTarget, ready int) []Action {
 	var actions []Action
-	surplus := ready - want.Engines
+	surplus := ready - target.Engines
 	for i := len(engines) - 1; i >= 0; i-- {
 		e := &engines[i]
 		for _, l := range e.Loaded {
-			if l.Model != want.Model.Name || l.Running > 0 {
+			if l.Model != target.Model.Name || l.Running > 0 {
 				continue
 			}
-			current := isCurrent(&l, &want.Model)
+			current := isCurrent(&l, &target.Model)
 			switch {
-			case !current && ready >= max(1, want.Engines):
+			case !current && ready >= max(1, target.Engines):
 				actions = append(actions, unloadAction(e.Name, l.Served, "outdated"))
 			case current && l.Ready && surplus > 0:
 				surplus--
@@ -108,8 +109,9 @@
 	return nil
 }
 
-// roomiest returns the engine that may load the model and holds the fewest
-// models. An outdated version of the same model does not count: it is about to go.
+// leastLoaded returns the engine with the fewest models among those that may load
+// the model, or nil. An outdated version of the same model does not count, since
+// it is unloaded soon.
 func leastLoaded(engines []Engine, m *usage.Model, maxModels int) *Engine {
 	var best *Engine
 	for i := range engines {
@@ -134,8 +136,8 @@
 	return n
 }
 
-// load orders the model and notes it as loading, so that the same plan does
-// not order it twice.
+// planLoad returns the order to load the model and adds the model to Loaded, so
+// that the same plan does not order it twice.
 func (e *Engine) planLoad(m *usage.Model, token uint64) Action {
 	served := engine.ServedName(m.Name, m.Version, m.Adapter, token)
 	e.Loaded = append(e.Loaded, engine.Loaded{Served: served, Model: m.Name, Version: m.Version, Adapter: m.Adapter})
@@ -143,6 +145,6 @@
 	return Action{Engine: e.Name, Order: order, Reason: "wanted"}
 }
 
-func unloadAction(name, served, reason string) Action {
-	return Action{Engine: name, Order: engine.Order{Kind: engine.OrderUnload, Served: served}, Reason: reason}
+func unloadAction(engineName, served, reason string) Action {
+	return Action{Engine: engineName, Order: engine.Order{Kind: engine.OrderUnload, Served: served}, Reason: reason}
 }
--- a/internal/duty/release.go
+++ b/internal/duty/release.go
@@ -11,52 +11,54 @@
 )
 
 const (
-	// sweepEvery is the time between two sweeps. A program is released when two
-	// sweeps in a row find it gone, so that one wrong answer releases nothing.
+	// sweepInterval is the time between two sweeps. A program is released when two
+	// consecutive sweeps find it gone, so that one wrong response releases nothing.
 	sweepInterval = 30 * time.Second
-	// releaseBatch bounds the programs of one order.
+	// releaseBatch bounds the programs in one order.
 	releaseBatch = 256
-	// releaseEvery is how long releases of ended programs are collected.
+	// releaseInterval is how long releases of ended programs are collected before
+	// they are sent.
 	releaseInterval = 200 * time.Millisecond
-	// maxPending bounds the releases that wait; what is beyond is left to the sweep.
+	// maxPending bounds the releases that wait. The sweep releases the programs
+	// beyond it.
 	maxPending = 65536
 )
 
-// sweeper remembers which programs the last sweep found gone.
+// sweeper records which programs the last sweep found gone.
 type sweeper struct {
 	lastSweep time.Time
 	gone      map[string]bool
 }
 
-// planReleases compares the programs whose memory engines hold with those that
-// live. Programs' ids never come back, so releasing a program that was gone
-// once is right at any later time: an order that comes late does no harm, also
-// where an engine does not check fencing tokens.
-func (k *Keeper) planReleases(ctx context.Context, seen []observed, token uint64, now time.Time) []Action {
+// planReleases returns the releases of programs that occupy engine memory and that
+// this sweep and the last one found gone. Program IDs are never reused, so a
+// program that is gone may be released at any later time: a late order does no
+// harm, even at an engine that does not check fencing tokens.
+func (k *Keeper) planReleases(ctx context.Context, observations []observed, token uint64, now time.Time) []Action {
 	if k.settings.Living == nil || now.Sub(k.sweeper.lastSweep) < sweepInterval {
 		return nil
 	}
 	k.sweeper.lastSweep = now
-	held := map[string]bool{}
-	for _, o := range seen {
+	loaded := map[string]bool{}
+	for _, o := range observations {
 		for program := range o.state.Programs {
-			held[program] = true
+			loaded[program] = true
 		}
 	}
-	gone, err := k.settings.Living.Gone(ctx, slices.Sorted(maps.Keys(held)))
+	gone, err := k.settings.Living.Gone(ctx, slices.Sorted(maps.Keys(loaded)))
 	if err != nil {
 		return nil
 	}
-	before := k.sweeper.gone
+	previous := k.sweeper.gone
 	k.sweeper.gone = map[string]bool{}
 	for _, program := range gone {
 		k.sweeper.gone[program] = true
 	}
 	var actions []Action
-	for _, o := range seen {
+	for _, o := range observations {
 		var programs []string
 		for program := range o.state.Programs {
-			if before[program] && k.sweeper.gone[program] {
+			if previous[program] && k.sweeper.gone[program] {
 				programs = append(programs, program)
 			}
 		}
@@ -66,18 +68,19 @@
 	return actions
 }
 
-func releaseActions(name string, programs []string, token uint64, reason string) []Action {
+func releaseActions(engineName string, programs []string, token uint64, reason string) []Action {
 	var actions []Action
 	for batch := range slices.Chunk(programs, releaseBatch) {
 		order := engine.Order{Kind: engine.OrderRelease, Token: token, Programs: batch}
-		actions = append(actions, Action{Engine: name, Order: order, Reason: reason})
+		actions = append(actions, Action{Engine: engineName, Order: order, Reason: reason})
 	}
 	return actions
 }
 
-// Releaser sends the releases of programs that ended on this instance. It
-// needs no lease, for the reason at planReleases; with engines that check, it
-// sends the newest token that the instance knows. What fails, the sweep finds.
+// Releaser sends the releases of programs that ended on this instance. It needs no
+// lease, since a release does no harm at any later time (see planReleases). For
+// engines that check tokens, it sends the newest token that the instance knows.
+// The sweep repeats releases that fail.
 type Releaser struct {
 	engines Engines
 	token   func() uint64
@@ -88,13 +91,13 @@
 	wake         chan struct{}
 }
 
-// NewReleaser returns a releaser; token gives the newest fencing token known.
+// NewReleaser returns a releaser. token returns the newest known fencing token.
 func NewReleaser(engines Engines, token func() uint64) *Releaser {
 	return &Releaser{engines: engines, token: token, pending: map[string][]string{}, wake: make(chan struct{}, 1)}
 }
 
-// Release asks the engine at the address to give up the program's memory. It
-// does not block.
+// Release queues an order to the engine at the address to release the program's
+// memory. It does not block.
 func (r *Releaser) Release(address, program string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +112,7 @@
 	}
 }
 
-// Run sends what is collected until ctx ends.
+// Run sends the queued releases until ctx ends.
 func (r *Releaser) Run(ctx context.Context) {
 	for {
 		select {
--- a/internal/duty/size.go
+++ b/internal/duty/size.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// growAt is the share of a model's slots in use above which it gets another
-	// engine, after growAfter; shrinkAt the share that one engine fewer would
-	// have below which it loses one, after shrinkAfter. The two are far apart,
-	// and loading costs a fetch of weights, so that demand around one of them
-	// does not load and unload in turn.
+	// growThreshold is the demand, as a share of a model's slots, above which the
+	// model gets more engines after growDelay. shrinkThreshold is the demand, as a
+	// share of the slots that remain with one engine fewer, below which it loses an
+	// engine after shrinkDelay. The two are far apart so that demand around one of
+	// them does not alternate loads and unloads: each load costs a fetch of weights.
 	growThreshold   = 0.8
 	growDelay       = 4 * time.Second
 	shrinkThreshold = 0.4
 	shrinkDelay     = 5 * time.Minute
 )
 
-// Sizer decides how many engines should hold each model, with hysteresis.
+// Sizer decides with hysteresis how many engines should have each model loaded.
 type Sizer struct {
 	models map[string]*modelSize
 }
@@ -27,9 +27,10 @@
 	growSince, shrinkSince time.Time
 }
 
-// Size returns the number of engines that should hold the model at the demand,
-// in calls under way and waiting, of which one engine runs slots. The first
-// sight takes over what is there.
+// Size returns the number of engines that should have the model loaded. demand is
+// the number of steps that run or wait, and slots the number of steps that one
+// engine runs. The first call for a model starts from have, the number of engines
+// that have it loaded.
 func (s *Sizer) Size(model string, demand, slots, have int, now time.Time) int {
 	if s.models == nil {
 		s.models = map[string]*modelSize{}
