--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-// fakeLease is held with a token until it is taken away.
+// fakeLease is a Lease that is valid while held is set.
 type fakeLease struct {
 	token uint64
 	held  bool
@@ -51,7 +51,8 @@
 	return gone, nil
 }
 
-// site is a data centre of stand-in engines with one keeper and one scheduler.
+// testInstance is an instance, with a keeper and a scheduler, in a data centre of
+// stand-in engines.
 type testInstance struct {
 	fleet   standin.Fleet
 	table   *upstream.Table
@@ -81,7 +82,7 @@
 	return s
 }
 
-// second is another instance of the same data centre, without the lease.
+// addInstance returns another instance of the same data centre, without the lease.
 func (s *testInstance) addInstance() *testInstance {
 	other := &testInstance{fleet: s.fleet, table: upstream.NewTable()}
 	var listed []usage.Upstream
@@ -106,7 +107,7 @@
 	s.models = models
 }
 
-// call makes one step and returns the served name that it ran on.
+// call performs one step and returns the served name that it ran on.
 func (s *testInstance) call(ctx context.Context, is *is.I) (string, *scheduler.Refusal) {
 	messages := []chat.Message{{Role: "user", Raw: json.RawMessage(`{"role":"user","content":"hello"}`)}}
 	g, refusal := s.sched.Acquire(ctx, scheduler.Request{Plan: "p", Model: "oak", Program: "p1", Root: "p1", Messages: messages})
@@ -114,18 +115,18 @@
 		return "", refusal
 	}
 	r := &engine.Request{Chat: &chat.Request{Model: "oak", Messages: messages, MaxTokens: 10}, Model: g.Model, Program: "p1"}
-	answer, err := s.fleet.Complete(ctx, g.Address, r, nil)
-	g.Done(scheduler.FeedbackOf(answer, err))
+	response, err := s.fleet.Complete(ctx, g.Address, r, nil)
+	g.Done(scheduler.FeedbackOf(response, err))
 	is.NoErr(err)
 	var got struct{ Content string }
-	is.NoErr(json.Unmarshal(answer.Message.Raw, &got))
-	is.True(strings.HasPrefix(got.Content, standin.AnswerText(g.Model, messages, 1))) // one version from begin to end
+	is.NoErr(json.Unmarshal(response.Message.Raw, &got))
+	is.True(strings.HasPrefix(got.Content, standin.AnswerText(g.Model, messages, 1))) // one version from start to end
 	return g.Model, nil
 }
 
-// A plan may use a model that no engine has loaded. The first caller must get
-// a true refusal with a time to come back, not hang; the demand makes the duty
-// load the model, and the next caller is served.
+// A plan may use a model that no engine has loaded. The first call must be refused
+// with a time after which to retry, and must not hang. Its demand makes the duty
+// load the model, and the call after that time is served.
 func TestModelIsLoadedOnDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -145,10 +146,10 @@
 	})
 }
 
-// A model's version changes while calls run. The new version is loaded beside
-// the old, calls switch when it is ready, and the old goes when it is idle.
-// Every call must run on one version, and none may be cut or refused, also
-// those of an instance that learns of the new version a second later.
+// A model's version changes while calls run. The new version is loaded next to the
+// old one, calls switch when it is ready, and the old one is unloaded when it is
+// idle. Every call must run on one version, and none may be truncated or refused,
+// including those of an instance that learns of the new version a second later.
 func TestVersionChangeKeepsCallsOnOneVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -184,9 +185,9 @@
 	})
 }
 
-// The new version of a model is not ready on enough engines, or calls still
-// run on the old one. Unloaded now, the old would leave callers without the
-// model, or cut their answers off.
+// The new version of a model is not ready on enough engines, or calls still run on
+// the old one. Unloading the old version then would leave callers without the
+// model or truncate their responses.
 func TestOldVersionStaysWhileNeeded(t *testing.T) {
 	is := is.New(t)
 	oak := usage.Model{Name: "oak", Version: "2"}
@@ -201,20 +202,20 @@
 	is.Equal(plan(true, 0), 1)
 }
 
-// The holder of the lease is paused in the middle of a round and another takes
-// over, changes the version back and forth, and works. Then the first wakes
-// and its old orders arrive. Half of the engines check tokens and half do not;
-// none may lose what the new holder wants.
+// The holder of the lease is paused in the middle of a round. Another instance takes
+// over, has the model unloaded and loads it again. Then the first resumes and its
+// outdated orders arrive. An engine must keep what the new holder loaded, whether
+// it checks tokens or not.
 func TestLateOrdersOfOldHolderDoNotAffectNewModels(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
 	oak := usage.Model{Name: "oak", Version: "1"}
 	for _, fenced := range []bool{true, false} {
 		e := standin.NewEngine(standin.EngineConfig{Name: "e", Models: []string{"idle"}, Fenced: fenced})
-		plan := func(token uint64, replicas int) []Action {
+		plan := func(token uint64, engines int) []Action {
 			state, err := e.State(false)
 			is.NoErr(err)
-			actions := Plan([]Engine{{Name: "e", Allowed: []string{"oak"}, Usable: true, Loaded: state.Models}}, []ModelTarget{{oak, replicas}}, token, 2)
+			actions := Plan([]Engine{{Name: "e", Allowed: []string{"oak"}, Usable: true, Loaded: state.Models}}, []ModelTarget{{oak, engines}}, token, 2)
 			for i := range actions {
 				actions[i].Order.Token = token
 			}
@@ -228,7 +229,7 @@
 		send(plan(1, 1))
 		late := plan(1, 0) // the unload that the first holder is about to send
 		is.Equal(len(late), 1)
-		send(late) // the second holder's own unload of the same
+		send(late) // the second holder orders the same unload
 		send(plan(2, 1))
 		send(late)
 		state, err := e.State(false)
@@ -237,12 +238,12 @@
 		for _, l := range state.Models {
 			found = found || l.Served == engine.ServedName("oak", "1", "", 2)
 		}
-		is.True(found) // the late order took the new holder's model away
+		is.True(found) // the late order did not unload the new holder's model
 	}
 }
 
-// A holder takes over while an order of the one before may still be on its
-// way. It must wait out the longest order, and stop when its lease ends.
+// A holder takes over while an order of the previous one may still be in flight. It
+// must wait for the longest order to end, and send no order without its lease.
 func TestNewHolderWaitsForOldOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -274,9 +275,9 @@
 	})
 }
 
-// Programs die with their owner and nobody ends them; their memory stays on
-// the engine and pushes living programs out. The sweep releases them, and
-// never one that lives, also when it is taken for gone once.
+// Programs are lost with their owner and never ended, so that they occupy engine
+// memory that running programs need. The sweep must release them, but no running
+// program, even if one sweep found it gone.
 func TestSweepReleasesOnlyEndedPrograms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -304,9 +305,10 @@
 	})
 }
 
-// Six engines need the weights of two models at once. The weight store lets
-// one fetch a second begin and refuses the others. Loads of the same weights
-// go together and share a transfer; different weights are spaced.
+// Six engines need the weights of two models at the same time. The weight store
+// accepts one fetch per second and refuses the others. Loads of the same weights
+// must be ordered together and share a fetch; those of different weights must be
+// ordered at different times.
 func TestWeightFetchesAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -317,7 +319,7 @@
 			s.keeper.Round(t.Context())
 			time.Sleep(roundInterval)
 		}
-		is.True(s.weights.Fetches()["oak/1"] <= 2) // one engine on first demand, five when it grows
+		is.True(s.weights.Fetches()["oak/1"] <= 2) // one engine at the first demand, five when the model grows
 		is.Equal(s.weights.Refused(), 0)
 		for _, e := range s.fleet {
 			state, err := e.State(false)
@@ -327,37 +329,38 @@
 	})
 }
 
-// Demand jumps about. The number of engines never falls faster than the hold
-// allows, is never too small for long, and never rises without demand.
+// Demand varies randomly. The number of engines never falls faster than shrinkDelay
+// allows, is not too small for longer than growDelay and one round, and does not
+// rise without demand.
 func TestSizeHasHysteresis(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Sizer
 		now := time.Unix(1000, 0)
 		begin := now
-		high, falls, last := 0, 0, 0
-		var shortSince time.Time
+		maxDemand, decreases, last := 0, 0, 0
+		var tooSmallSince time.Time
 		for range rapid.IntRange(1, 200).Draw(t, "rounds") {
 			now = now.Add(roundInterval)
 			demand := rapid.IntRange(0, 60).Draw(t, "demand")
-			high = max(high, demand)
+			maxDemand = max(maxDemand, demand)
 			n := s.Size("m", demand, 4, 0, now)
 			if n < last {
-				falls++
+				decreases++
 			}
 			last = n
-			if n > max(1, (high*5+15)/16) {
-				t.Fatalf("%d engines for a demand of at most %d", n, high)
+			if n > max(1, (maxDemand*5+15)/16) {
+				t.Fatalf("%d engines for a demand of at most %d", n, maxDemand)
 			}
 			if float64(demand) <= growThreshold*float64(n*4) {
-				shortSince = time.Time{}
-			} else if shortSince.IsZero() {
-				shortSince = now
-			} else if now.Sub(shortSince) > growDelay+roundInterval {
-				t.Fatalf("too few engines since %v", now.Sub(shortSince))
+				tooSmallSince = time.Time{}
+			} else if tooSmallSince.IsZero() {
+				tooSmallSince = now
+			} else if now.Sub(tooSmallSince) > growDelay+roundInterval {
+				t.Fatalf("too few engines since %v", now.Sub(tooSmallSince))
 			}
 		}
-		if falls > int(now.Sub(begin)/shrinkDelay) {
-			t.Fatalf("%d falls within %v", falls, now.Sub(begin))
+		if decreases > int(now.Sub(begin)/shrinkDelay) {
+			t.Fatalf("%d falls within %v", decreases, now.Sub(begin))
 		}
 	})
 }
