--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -174,7 +174,7 @@
 	return float64(time.Since(started)) / float64(benchPeriod)
 }
 
-// tableCopies is the number of tables over which memory is averaged.
+// tableCopies is the number of tables over which the heap is averaged.
 const tableCopies = 50
 
 // BenchmarkMemory measures the heap per member of a table, views included.
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -73,7 +73,7 @@
 		is.Equal(nodes[1].stateOf(nodes[0]), Dead)
 		nodes[0].resume()
 		time.Sleep(deathBound)
-		is.True(nodes[0].eventCount(SelfDead, nodes[0].cohort) > 0) // it learned of its death
+		is.True(nodes[0].eventCount(OwnDeathRefuted, nodes[0].cohort) > 0) // it learned of its death
 		is.True(nodes[0].runner.View().Self.Incarnation > before)
 		for _, nd := range nodes {
 			is.Equal(nd.stateOf(nodes[0]), Live)
@@ -160,7 +160,7 @@
 // response of the new process at the old cohort's address proves that the old
 // process has ended: it is declared dead without a suspicion, so that its
 // programs are taken over sooner.
-func TestRestartSupersedesTheOldIncarnation(t *testing.T) {
+func TestRestartSupersedesTheOldProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// start runs a new incarnation at an address of the form "dc-instance".
+// start starts a process at an address of the form "dc-instance". incarnation is
+// the last part of its cohort.
 func (n *network) start(dataCentre, instance string, incarnation int) *node {
 	return n.startSeeded(dataCentre, instance, incarnation)
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -26,7 +26,7 @@
 // The states of a member, in the order in which a later one overrides an
 // earlier one of the same incarnation.
 const (
-	// Joining is the state of a process that is running and not ready for work.
+	// Joining is the state of a process that is running but not ready for work.
 	Joining State = iota + 1
 	// Live is the state of an instance that accepts work.
 	Live
@@ -64,8 +64,8 @@
 	ListedUnknown Listed = iota
 	ListedLive
 	ListedLeaving
-	// ListedGone means that the list does not contain the address.
-	ListedGone
+	// ListedAbsent means that the list does not contain the address.
+	ListedAbsent
 )
 
 // Report is the part of a heartbeat in which an instance describes itself.
@@ -141,7 +141,7 @@
 	// a slow or paused member can refute.
 	SuspectTimeout time.Duration
 	// LoneTimeout replaces SuspectTimeout where this instance is the only
-	// possible witness.
+	// possible witness and the platform's list does not confirm the death.
 	LoneTimeout time.Duration
 	// IsolationHold is how long an instance that lost contact with most of its
 	// data centre declares no deaths.
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -33,8 +33,8 @@
 // mergeSelf refutes a suspicion or death of this instance by raising its
 // incarnation. Otherwise a process that was paused, or that only some instances
 // reach, would stay dead for them although it responds. Only the member itself
-// raises its incarnation, so a record with a higher one than ours is not about
-// this process and is ignored.
+// raises its incarnation, so a record with a higher one than this instance's is
+// not about this process and is ignored.
 func (t *Table) mergeSelf(r Record, now time.Time) {
 	accused := r.Incarnation == t.self.Incarnation && (r.State > t.self.State || len(r.Witnesses) > 0)
 	if !accused || t.self.State == Dead {
@@ -44,7 +44,7 @@
 	t.self.transmissions = 0
 	t.changed = true
 	if r.State == Dead {
-		t.emit(SelfDead, t.self)
+		t.emit(OwnDeathRefuted, t.self)
 	}
 }
 
@@ -131,7 +131,7 @@
 // weak witness.
 func (t *Table) ObserveList(leaving map[string]bool) {
 	for _, e := range t.entries {
-		listed := ListedGone
+		listed := ListedAbsent
 		if isLeaving, ok := leaving[e.Address]; ok {
 			listed = ListedLive
 			if isLeaving {
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -10,8 +10,8 @@
 
 // A network partition separates two data centres for ten minutes. All members
 // of each become unresponsive for the other at once. Neither may declare a
-// death, or it would take over programs that still run. After the partition all
-// members are live and reachable again.
+// death, or it would take over programs that still run. After the partition ends,
+// all members are live and reachable again.
 func TestPartitionBetweenDataCentresCausesNoDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -42,7 +42,7 @@
 // A network partition separates two of the eight instances of a data centre
 // from the other six. The two agree that six are unresponsive and could take
 // over their programs; they must detect their isolation instead. The six declare
-// the two dead, and after the partition all are live.
+// the two dead, and after the partition ends all are live.
 func TestMinorityDetectsItsIsolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -174,8 +174,8 @@
 
 // A network partition separates four instances into two pairs that both reach
 // the object API. After IsolationHold, each pair declares the other dead. After
-// the partition, dead members are not among the regular probe targets; the pairs
-// rejoin through the occasional probe of a dead member.
+// the partition ends, dead members are not among the regular probe targets; the
+// pairs rejoin through the occasional probe of a dead member.
 func TestHalvesThatDeclaredEachOtherDeadRejoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -55,7 +55,7 @@
 			t.Merge(record, now)
 		}
 		if expected != "" && expected != pong.Responder.Cohort {
-			t.Superseded(expected, now)
+			t.DeclareSuperseded(expected, now)
 		}
 	})
 }
--- a/internal/membership/sample.go
+++ b/internal/membership/sample.go
@@ -34,7 +34,7 @@
 )
 
 // piggyback returns the records for a message to a cohort: the receiver's own
-// record if it is not in good standing, recent changes with the fewest
+// record if it is suspect or dead or has witnesses, recent changes with the fewest
 // transmissions first, and a few random others.
 func (t *Table) piggyback(to program.Cohort, rng *rand.Rand, now time.Time) []Record {
 	limit := transmissionFactor * bits.Len(uint(len(t.entries)))
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -24,16 +24,16 @@
 
 // The kinds of events.
 const (
-	Joined         EventKind = "joined"
-	BecameLive     EventKind = "live"
-	Suspected      EventKind = "suspected"
-	Refuted        EventKind = "refuted"
-	BeganLeaving   EventKind = "leaving"
-	DeclaredDead   EventKind = "dead"
-	Forgotten      EventKind = "forgotten"
-	SelfDead       EventKind = "self_declared_dead"
-	BecameIsolated EventKind = "isolated"
-	IsolationEnded EventKind = "isolation_ended"
+	Joined          EventKind = "joined"
+	BecameLive      EventKind = "live"
+	Suspected       EventKind = "suspected"
+	Refuted         EventKind = "refuted"
+	BeganLeaving    EventKind = "leaving"
+	DeclaredDead    EventKind = "dead"
+	Removed         EventKind = "forgotten"
+	OwnDeathRefuted EventKind = "self_declared_dead"
+	BecameIsolated  EventKind = "isolated"
+	IsolationEnded  EventKind = "isolation_ended"
 )
 
 // Event is a change observed by this instance.
@@ -225,9 +225,9 @@
 	}
 }
 
-// LinkFailed records that neither a member of another data centre nor the
+// RecordLinkFailure records that neither a member of another data centre nor the
 // helpers there responded. It counts against the link, not against the member.
-func (t *Table) LinkFailed(dataCentre string) {
+func (t *Table) RecordLinkFailure(dataCentre string) {
 	t.link(dataCentre).failures++
 	t.changed = true
 }
@@ -290,10 +290,10 @@
 	return merged
 }
 
-// Superseded declares a member dead because another cohort responded at its
+// DeclareSuperseded declares a member dead because another cohort responded at its
 // address. One observer is enough: this is a response rather than a missing one,
-// and two processes cannot listen at one address.
-func (t *Table) Superseded(c program.Cohort, now time.Time) {
+// and two processes can't listen at one address.
+func (t *Table) DeclareSuperseded(c program.Cohort, now time.Time) {
 	if e, ok := t.entries[c]; ok && e != t.self {
 		e.confirmed = true
 		t.declareDead(e, now)
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -62,7 +62,7 @@
 	late := start.Add(DefaultTiming().SuspectTimeout * massFailureTimeoutFactor)
 	table := tableOf("a.m.1", "a.x.1", "a.y.1")
 	table.Suspect("a.m.1", 0, []program.Cohort{"a.self.1", "a.x.1", "a.y.1"}, start)
-	table.Superseded("a.x.1", start)
+	table.DeclareSuperseded("a.x.1", start)
 	table.Merge(Record{Cohort: "a.x.2", Address: "a.x.1", State: Live}, start)
 	table.Tick(late)
 	is.Equal(stateIn(table, "a.m.1"), Suspect)
--- a/internal/membership/verdict.go
+++ b/internal/membership/verdict.go
@@ -16,7 +16,7 @@
 		}
 		if e.State == Dead && now.Sub(e.Since) >= t.timing.DeadRetention {
 			delete(t.entries, cohort)
-			t.emit(Forgotten, e)
+			t.emit(Removed, e)
 			continue
 		}
 		if t.shouldDeclareDead(e, now) {
@@ -30,7 +30,8 @@
 func (t *Table) Isolated() bool { return !t.isolatedSince.IsZero() }
 
 // contactWindow is how long a member counts as reachable after an exchange. In a
-// data centre of several dozen instances, nearly every member is met within it.
+// data centre of several dozen instances, an instance exchanges messages with
+// nearly every member within it.
 const contactWindow = 30 * time.Second
 
 const (
@@ -107,7 +108,7 @@
 	if t.self.State == Dead || t.DefersActions(now) {
 		return false
 	}
-	return !t.Isolated() || e.Listed == ListedGone || e.Listed == ListedUnknown
+	return !t.Isolated() || e.Listed == ListedAbsent || e.Listed == ListedUnknown
 }
 
 // witnessCount is the number of valid witnesses in the member's data centre and
@@ -155,10 +156,10 @@
 		return false
 	}
 	if local+remote < 2 {
-		return e.Listed == ListedGone || now.Sub(e.suspectedSince) >= t.timing.LoneTimeout
+		return e.Listed == ListedAbsent || now.Sub(e.suspectedSince) >= t.timing.LoneTimeout
 	}
 	total := count.local + count.remote
-	if e.Listed == ListedGone {
+	if e.Listed == ListedAbsent {
 		total++
 	}
 	return total >= 2
@@ -198,7 +199,7 @@
 // missing contact may be due to a network partition, so the member's address
 // must also be missing in the platform's list.
 func (t *Table) shouldDeclareRemoteDead(e *entry, now time.Time) bool {
-	if t.reachable(e.DataCentre()) || e.Listed != ListedGone {
+	if t.reachable(e.DataCentre()) || e.Listed != ListedAbsent {
 		return false
 	}
 	return now.Sub(t.link(e.DataCentre()).lastContact) >= t.timing.LostAfter
@@ -216,7 +217,7 @@
 		t.MarkUnreachable(helper, now)
 	}
 	if c.DataCentre() != t.self.DataCentre() && !outcome.respondedFrom(c.DataCentre()) {
-		t.LinkFailed(c.DataCentre())
+		t.RecordLinkFailure(c.DataCentre())
 		return
 	}
 	if t.DefersActions(now) || len(outcome.Unresponsive) > len(outcome.Failed) {
