--- a/internal/control/loop_test.go
+++ b/internal/control/loop_test.go
@@ -22,73 +22,74 @@
 	os.Exit(fuzzing.RunWithoutLeaks(m))
 }
 
-// note is an event that appends itself to a log when applied.
-type note struct {
-	class Class
-	key   string
-	value int
-	into  *[]note
+// testEvent is an event that appends itself to a list when applied.
+type testEvent struct {
+	class   Class
+	key     string
+	value   int
+	applied *[]testEvent
 }
 
-func (n note) Class() Class    { return n.class }
-func (n note) Key() string     { return n.key }
-func (n note) Apply(*Snapshot) { *n.into = append(*n.into, n) }
+func (e testEvent) Class() Class    { return e.class }
+func (e testEvent) Key() string     { return e.key }
+func (e testEvent) Apply(*Snapshot) { *e.applied = append(*e.applied, e) }
 
-// drain applies everything that waits, as Run does.
-func drain(l *Loop) {
-	for batch := l.take(); len(batch) > 0; batch = l.take() {
+// applyAll applies all waiting events, as Run does.
+func applyAll(l *Loop) {
+	for batch := l.nextBatch(); len(batch) > 0; batch = l.nextBatch() {
 		l.apply(batch)
 	}
 }
 
-// A flood of load reports fills the queue while nothing is applied. A version
-// in force arriving then must get in, at the expense of a load report, and be
-// applied first; a further load report is refused.
-func TestFloodOfLoadReportsDoesNotHoldBackConfiguration(t *testing.T) {
+// A flood of load reports fills the queue while no event is applied. A
+// configuration version that arrives then must be accepted in place of a load
+// report and applied first; a further load report is shed.
+func TestFloodOfLoadReportsDoesNotDelayConfiguration(t *testing.T) {
 	is := is.New(t)
-	var applied []note
+	var applied []testEvent
 	l := NewLoop(4, metrics.NewRegistry())
 	for i := range 4 {
-		is.NoErr(l.Post(note{Load, fmt.Sprint(i), i, &applied}))
+		is.NoErr(l.Post(testEvent{Load, fmt.Sprint(i), i, &applied}))
 	}
-	is.True(errors.Is(l.Post(note{Load, "4", 4, &applied}), ErrShed))
-	is.NoErr(l.Post(note{Configuration, "config", 9, &applied}))
-	is.NoErr(l.Post(note{Load, "3", 33, &applied})) // a newer report of a waiting key costs no room
-	drain(l)
+	is.True(errors.Is(l.Post(testEvent{Load, "4", 4, &applied}), ErrShed))
+	is.NoErr(l.Post(testEvent{Configuration, "config", 9, &applied}))
+	is.NoErr(l.Post(testEvent{Load, "3", 33, &applied})) // a newer report of a waiting key takes no capacity
+	applyAll(l)
 	is.Equal(len(applied), 4)
 	is.Equal(applied[0].key, "config")
-	is.Equal(applied[1].key, "1") // the report that waited longest went
+	is.Equal(applied[1].key, "1") // the report that waited longest was shed
 	is.Equal(applied[3].value, 33)
 }
 
-// A stale source reports an old version after a newer one: it never goes back.
+// An outdated source reports an old version after a newer one. The version must
+// not decrease.
 func TestConfigVersionNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	l := NewLoop(DefaultCapacity, metrics.NewRegistry())
 	is.NoErr(l.Post(ConfigChanged{Version: 7}))
-	drain(l)
+	applyAll(l)
 	is.NoErr(l.Post(ConfigChanged{Version: 6}))
-	drain(l)
+	applyAll(l)
 	is.Equal(l.Snapshot().ConfigVersion, uint64(7))
 }
 
-// A reader that holds a snapshot while loads go on arriving sees it unchanged.
+// A snapshot that a reader holds must not change while further loads arrive.
 func TestSnapshotIsImmutable(t *testing.T) {
 	is := is.New(t)
 	l := NewLoop(DefaultCapacity, metrics.NewRegistry())
 	is.NoErr(l.Post(LoadReported{DataCentre: "a", Value: 1}))
-	drain(l)
+	applyAll(l)
 	before := l.Snapshot()
 	is.NoErr(l.Post(LoadReported{DataCentre: "a", Value: 2}))
 	is.NoErr(l.Post(LoadReported{DataCentre: "b", Value: 3}))
-	drain(l)
+	applyAll(l)
 	is.Equal(len(before.Loads), 1)
 	is.Equal(before.Loads["a"], 1)
 	is.Equal(l.Snapshot().Loads["a"], 2)
 }
 
-// A reconciler that waits gets each change once it is published, and its wait
-// ends with its context; the loop leaves no goroutine.
+// A waiting reconciler gets a change when it is published, and its wait ends with
+// its context. The loop leaks no goroutine.
 func TestRunPublishesAndWakesWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -112,23 +113,23 @@
 	})
 }
 
-// oracle is a plain list with the loop's documented rules.
+// oracle implements the loop's documented rules on a plain list.
 type oracle struct {
 	capacity int
-	waiting  []note
+	waiting  []testEvent
 }
 
-func (o *oracle) post(n note) bool {
+func (o *oracle) post(e testEvent) bool {
 	for i, w := range o.waiting {
-		if w.class == n.class && w.key == n.key {
-			o.waiting[i] = n
+		if w.class == e.class && w.key == e.key {
+			o.waiting[i] = e
 			return true
 		}
 	}
 	if len(o.waiting) >= o.capacity {
 		victim := -1
 		for i, w := range o.waiting {
-			if w.class < n.class && (victim < 0 || w.class < o.waiting[victim].class) {
+			if w.class < e.class && (victim < 0 || w.class < o.waiting[victim].class) {
 				victim = i
 			}
 		}
@@ -137,47 +138,47 @@
 		}
 		o.waiting = slices.Delete(o.waiting, victim, victim+1)
 	}
-	o.waiting = append(o.waiting, n)
+	o.waiting = append(o.waiting, e)
 	return true
 }
 
-func (o *oracle) drain() []note {
-	slices.SortStableFunc(o.waiting, func(a, b note) int { return int(b.class - a.class) })
+func (o *oracle) applyAll() []testEvent {
+	slices.SortStableFunc(o.waiting, func(a, b testEvent) int { return int(b.class - a.class) })
 	applied := o.waiting
 	o.waiting = nil
 	return applied
 }
 
-// Events of all classes and a few keys arrive and are applied in any pattern.
-// What is applied, in what order and what is shed equals a plain list with the
-// documented rules; the most important class is never shed for a lower one.
+// Events of all classes and several keys are posted and applied in any order. The
+// events that are applied, their order and the events that are shed must equal
+// those of the oracle; a class is never shed for a lower one.
 func TestMailboxesAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var applied []note
+		var applied []testEvent
 		capacity := rapid.IntRange(2, 12).Draw(rt, "capacity")
 		l := NewLoop(capacity, metrics.NewRegistry())
 		o := &oracle{capacity: capacity}
 		for i := range rapid.IntRange(1, 80).Draw(rt, "posts") {
 			if rapid.IntRange(0, 15).Draw(rt, "drain") == 0 {
-				drain(l)
-				compare(rt, &applied, o.drain())
+				applyAll(l)
+				checkApplied(rt, &applied, o.applyAll())
 			}
-			n := note{
-				class: Class(rapid.IntRange(0, int(classes)-1).Draw(rt, "class")),
-				key:   fmt.Sprint(rapid.IntRange(0, 8).Draw(rt, "key")),
-				value: i,
-				into:  &applied,
+			e := testEvent{
+				class:   Class(rapid.IntRange(0, int(classCount)-1).Draw(rt, "class")),
+				key:     fmt.Sprint(rapid.IntRange(0, 8).Draw(rt, "key")),
+				value:   i,
+				applied: &applied,
 			}
-			if got, want := l.Post(n) == nil, o.post(n); got != want {
-				rt.Fatalf("post %v accepted %v, want %v", n, got, want)
+			if got, want := l.Post(e) == nil, o.post(e); got != want {
+				rt.Fatalf("post %v accepted %v, want %v", e, got, want)
 			}
 		}
-		drain(l)
-		compare(rt, &applied, o.drain())
+		applyAll(l)
+		checkApplied(rt, &applied, o.applyAll())
 	})
 }
 
-func compare(rt *rapid.T, applied *[]note, want []note) {
+func checkApplied(rt *rapid.T, applied *[]testEvent, want []testEvent) {
 	if !slices.Equal(*applied, want) {
 		rt.Fatalf("applied %v, want %v", *applied, want)
 	}
--- a/internal/control/operator_test.go
+++ b/internal/control/operator_test.go
@@ -18,16 +18,16 @@
 	"foxhall/internal/program"
 )
 
-// fleet answers surveys: each member asked turns out to be at version 9.
-type fleet struct {
+// fakeSurveyor is a Surveyor in which each member asked reports version 9.
+type fakeSurveyor struct {
 	table   *membership.Table
 	surveys int
 	asked   int
 }
 
-func newFleet(now time.Time) *fleet {
+func newFakeSurveyor(now time.Time) *fakeSurveyor {
 	self := membership.Report{Size: 4, ConfigVersion: 9, StoreHealthy: true}
-	f := &fleet{table: membership.NewTable("bzh1.a.x1", "10.0.0.1:7000", self, membership.DefaultTiming(), now)}
+	f := &fakeSurveyor{table: membership.NewTable("bzh1.a.x1", "10.0.0.1:7000", self, membership.DefaultTiming(), now)}
 	f.table.Announce(membership.Live, now)
 	f.merge("bzh1.b.x2", membership.Live, 1, 8, now)
 	f.merge("bzh2.c.x3", membership.Leaving, 1, 9, now)
@@ -35,17 +35,17 @@
 	return f
 }
 
-func (f *fleet) merge(cohort string, state membership.State, beat, version uint64, now time.Time) {
+func (f *fakeSurveyor) merge(cohort string, state membership.State, sequence, version uint64, now time.Time) {
 	f.table.Merge(membership.Record{
 		Cohort:         program.Cohort(cohort),
 		Address:        "10.0.0.2:7000",
 		State:          state,
-		ReportSequence: beat,
+		ReportSequence: sequence,
 		Report:         membership.Report{Size: 2, ConfigVersion: version, StoreHealthy: true},
 	}, now)
 }
 
-func (f *fleet) Survey(_ context.Context, ask func(membership.Member) bool) *membership.View {
+func (f *fakeSurveyor) Survey(_ context.Context, ask func(membership.Member) bool) *membership.View {
 	f.surveys++
 	now := time.Now()
 	for _, m := range f.table.View(time.Now()).Members() {
@@ -57,16 +57,17 @@
 	return f.table.View(time.Now())
 }
 
-// An operator asks right after an edit. The instance that answers knows of an
-// older version at another one from heartbeats, asks that one alone, and shows
-// its present version; the dead are listed apart, so that nobody waits for them.
-func TestStatusAsksOnlyWhoIsBehind(t *testing.T) {
-	synctest.Test(t, statusAsksOnlyWhoIsBehind)
+// An operator requests the status right after an edit. The responding instance
+// knows from heartbeats that one member has an older version, asks only that one,
+// and shows its current version. Dead instances are listed separately, so that an
+// operator does not wait for them to update.
+func TestStatusSurveysOnlyOutdated(t *testing.T) {
+	synctest.Test(t, testStatusSurveysOnlyOutdated)
 }
 
-func statusAsksOnlyWhoIsBehind(t *testing.T) {
+func testStatusSurveysOnlyOutdated(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(time.Now())
+	f := newFakeSurveyor(time.Now())
 	loop := NewLoop(DefaultCapacity, metrics.NewRegistry())
 	e := echo.New()
 	NewOperator(loop, f).Register(e.Group("/operator/v1"))
@@ -81,7 +82,7 @@
 	is.Equal(code, http.StatusServiceUnavailable) // no view yet
 	is.NoErr(loop.Post(MembersChanged{f.table.View(time.Now())}))
 	is.NoErr(loop.Post(LeasesChanged{lease.Status{Duties: []lease.DutyStatus{{Duty: lease.Sweeps, Holder: "bzh1.a.x1", Epoch: 3}}}}))
-	drain(loop)
+	applyAll(loop)
 	code, s := get(PathStatus)
 	is.Equal(code, http.StatusOK)
 	is.Equal(f.asked, 1)
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-// fakeLease is held with a token until it is taken away.
+// fakeLease is a Lease that is valid while held is set.
 type fakeLease struct {
 	token uint64
 	held  bool
@@ -39,9 +39,9 @@
 	return l.token, func() bool { return l.held }, l.held
 }
 
-type fakeLiving map[string]bool
+type fakePrograms map[string]bool
 
-func (f fakeLiving) Gone(_ context.Context, programs []string) ([]string, error) {
+func (f fakePrograms) Gone(_ context.Context, programs []string) ([]string, error) {
 	var gone []string
 	for _, p := range programs {
 		if !f[p] {
@@ -51,22 +51,23 @@
 	return gone, nil
 }
 
-// site is a data centre of stand-in engines with one keeper and one scheduler.
-type site struct {
+// testInstance is an instance, with a keeper and a scheduler, in a data centre of
+// stand-in engines.
+type testInstance struct {
 	fleet   standin.Fleet
 	table   *upstream.Table
 	sched   *scheduler.Scheduler
 	keeper  *Keeper
 	lease   *fakeLease
 	weights *standin.Weights
-	living  fakeLiving
+	living  fakePrograms
 
 	mu     sync.Mutex
 	models []usage.Model
 }
 
-func newSite(engines int, models ...usage.Model) *site {
-	s := &site{fleet: standin.Fleet{}, table: upstream.NewTable(), lease: &fakeLease{token: 1, held: true}, living: fakeLiving{}, models: models}
+func newTestInstance(engines int, models ...usage.Model) *testInstance {
+	s := &testInstance{fleet: standin.Fleet{}, table: upstream.NewTable(), lease: &fakeLease{token: 1, held: true}, living: fakePrograms{}, models: models}
 	s.weights = standin.NewWeights(1, 4*time.Second)
 	var listed []usage.Upstream
 	for i := range engines {
@@ -76,61 +77,61 @@
 	}
 	s.table.Apply(listed, time.Now())
 	s.sched = scheduler.New(scheduler.Settings{DataCentre: "a"}, s.table, cache.New(cache.DefaultOptions))
-	settings := Settings{DataCentre: "a", Models: s.listed, Demand: s.sched.Demand, Living: s.living}
+	settings := Settings{DataCentre: "a", Models: s.getModels, Demand: s.sched.Demand, Living: s.living}
 	s.keeper = New(settings, s.table, s.fleet, s.lease)
 	return s
 }
 
-// second is another instance of the same data centre, without the lease.
-func (s *site) second() *site {
-	other := &site{fleet: s.fleet, table: upstream.NewTable()}
+// addInstance returns another instance of the same data centre, without the lease.
+func (s *testInstance) addInstance() *testInstance {
+	other := &testInstance{fleet: s.fleet, table: upstream.NewTable()}
 	var listed []usage.Upstream
 	for _, u := range s.table.Snapshot().All {
 		listed = append(listed, u.Upstream)
 	}
 	other.table.Apply(listed, time.Now())
 	other.sched = scheduler.New(scheduler.Settings{DataCentre: "a"}, other.table, cache.New(cache.DefaultOptions))
-	other.keeper = New(Settings{DataCentre: "a", Models: s.listed, Demand: other.sched.Demand}, other.table, s.fleet, &fakeLease{})
+	other.keeper = New(Settings{DataCentre: "a", Models: s.getModels, Demand: other.sched.Demand}, other.table, s.fleet, &fakeLease{})
 	return other
 }
 
-func (s *site) listed() []usage.Model {
+func (s *testInstance) getModels() []usage.Model {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]usage.Model(nil), s.models...)
 }
 
-func (s *site) list(models ...usage.Model) {
+func (s *testInstance) setModels(models ...usage.Model) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.models = models
 }
 
-// call makes one step and returns the served name that it ran on.
-func (s *site) call(ctx context.Context, is *is.I) (string, *scheduler.Refusal) {
+// call performs one step and returns the served name that it ran on.
+func (s *testInstance) call(ctx context.Context, is *is.I) (string, *scheduler.Refusal) {
 	messages := []chat.Message{{Role: "user", Raw: json.RawMessage(`{"role":"user","content":"hello"}`)}}
 	g, refusal := s.sched.Acquire(ctx, scheduler.Request{Plan: "p", Model: "oak", Program: "p1", Root: "p1", Messages: messages})
 	if refusal != nil {
 		return "", refusal
 	}
 	r := &engine.Request{Chat: &chat.Request{Model: "oak", Messages: messages, MaxTokens: 10}, Model: g.Model, Program: "p1"}
-	answer, err := s.fleet.Complete(ctx, g.Address, r, nil)
-	g.Done(scheduler.FeedbackOf(answer, err))
+	response, err := s.fleet.Complete(ctx, g.Address, r, nil)
+	g.Done(scheduler.FeedbackOf(response, err))
 	is.NoErr(err)
 	var got struct{ Content string }
-	is.NoErr(json.Unmarshal(answer.Message.Raw, &got))
-	is.True(strings.HasPrefix(got.Content, standin.AnswerText(g.Model, messages, 1))) // one version from begin to end
+	is.NoErr(json.Unmarshal(response.Message.Raw, &got))
+	is.True(strings.HasPrefix(got.Content, standin.AnswerText(g.Model, messages, 1))) // one version from start to end
 	return g.Model, nil
 }
 
-// A plan may use a model that no engine has loaded. The first caller must get
-// a true refusal with a time to come back, not hang; the demand makes the duty
-// load the model, and the next caller is served.
+// A plan may use a model that no engine has loaded. The first call must be refused
+// with a time after which to retry, and must not hang. Its demand makes the duty
+// load the model, and the call after that time is served.
 func TestModelIsLoadedOnDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		s := newSite(2, usage.Model{Name: "oak", Version: "1"})
+		s := newTestInstance(2, usage.Model{Name: "oak", Version: "1"})
 		s.lease.held = true
 		go s.keeper.Run(ctx)
 		time.Sleep(2 * orderTimeout)
@@ -145,17 +146,17 @@
 	})
 }
 
-// A model's version changes while calls run. The new version is loaded beside
-// the old, calls switch when it is ready, and the old goes when it is idle.
-// Every call must run on one version, and none may be cut or refused, also
-// those of an instance that learns of the new version a second later.
-func TestVersionChangeDrainsAndSwitches(t *testing.T) {
+// A model's version changes while calls run. The new version is loaded next to the
+// old one, calls switch when it is ready, and the old one is unloaded when it is
+// idle. Every call must run on one version, and none may be truncated or refused,
+// including those of an instance that learns of the new version a second later.
+func TestVersionChangeKeepsCallsOnOneVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		s := newSite(2, usage.Model{Name: "oak", Version: "1"})
+		s := newTestInstance(2, usage.Model{Name: "oak", Version: "1"})
 		s.keeper.settings.Demand = func() map[string]int { return map[string]int{"oak": 1} }
-		other := s.second()
+		other := s.addInstance()
 		go s.keeper.Run(ctx)
 		time.Sleep(time.Second)
 		go other.keeper.Run(ctx)
@@ -163,7 +164,7 @@
 		var used []string
 		for i := range 150 {
 			if i == 10 {
-				s.list(usage.Model{Name: "oak", Version: "2"})
+				s.setModels(usage.Model{Name: "oak", Version: "2"})
 			}
 			time.Sleep(150 * time.Millisecond)
 			served, refusal := other.call(ctx, is)
@@ -184,9 +185,9 @@
 	})
 }
 
-// The new version of a model is not ready on enough engines, or calls still
-// run on the old one. Unloaded now, the old would leave callers without the
-// model, or cut their answers off.
+// The new version of a model is not ready on enough engines, or calls still run on
+// the old one. Unloading the old version then would leave callers without the
+// model or truncate their responses.
 func TestOldVersionStaysWhileNeeded(t *testing.T) {
 	is := is.New(t)
 	oak := usage.Model{Name: "oak", Version: "2"}
@@ -194,27 +195,27 @@
 		return len(Plan([]Engine{{Name: "e", Allowed: []string{"oak"}, Usable: true, Loaded: []engine.Loaded{
 			{Served: "oak@1#1", Model: "oak", Version: "1", Ready: true, Running: running},
 			{Served: "oak@2#1", Model: "oak", Version: "2", Ready: newReady},
-		}}}, []Want{{oak, 1}}, 1, 2))
+		}}}, []ModelTarget{{oak, 1}}, 1, 2))
 	}
 	is.Equal(plan(false, 0), 0)
 	is.Equal(plan(true, 1), 0)
 	is.Equal(plan(true, 0), 1)
 }
 
-// The holder of the lease is paused in the middle of a round and another takes
-// over, changes the version back and forth, and works. Then the first wakes
-// and its old orders arrive. Half of the engines check tokens and half do not;
-// none may lose what the new holder wants.
-func TestOldHoldersOrdersHitNothingNew(t *testing.T) {
+// The holder of the lease is paused in the middle of a round. Another instance takes
+// over, has the model unloaded and loads it again. Then the first resumes and its
+// outdated orders arrive. An engine must keep what the new holder loaded, whether
+// it checks tokens or not.
+func TestLateOrdersOfOldHolderDoNotAffectNewModels(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
 	oak := usage.Model{Name: "oak", Version: "1"}
 	for _, fenced := range []bool{true, false} {
 		e := standin.NewEngine(standin.EngineConfig{Name: "e", Models: []string{"idle"}, Fenced: fenced})
-		plan := func(token uint64, replicas int) []Action {
+		plan := func(token uint64, engines int) []Action {
 			state, err := e.State(false)
 			is.NoErr(err)
-			actions := Plan([]Engine{{Name: "e", Allowed: []string{"oak"}, Usable: true, Loaded: state.Models}}, []Want{{oak, replicas}}, token, 2)
+			actions := Plan([]Engine{{Name: "e", Allowed: []string{"oak"}, Usable: true, Loaded: state.Models}}, []ModelTarget{{oak, engines}}, token, 2)
 			for i := range actions {
 				actions[i].Order.Token = token
 			}
@@ -228,7 +229,7 @@
 		send(plan(1, 1))
 		late := plan(1, 0) // the unload that the first holder is about to send
 		is.Equal(len(late), 1)
-		send(late) // the second holder's own unload of the same
+		send(late) // the second holder orders the same unload
 		send(plan(2, 1))
 		send(late)
 		state, err := e.State(false)
@@ -237,16 +238,16 @@
 		for _, l := range state.Models {
 			found = found || l.Served == engine.ServedName("oak", "1", "", 2)
 		}
-		is.True(found) // the late order took the new holder's model away
+		is.True(found) // the late order did not unload the new holder's model
 	}
 }
 
-// A holder takes over while an order of the one before may still be on its
-// way. It must wait out the longest order, and stop when its lease ends.
-func TestNewHolderWaitsOutOldOrders(t *testing.T) {
+// A holder takes over while an order of the previous one may still be in flight. It
+// must wait for the longest order to end, and send no order without its lease.
+func TestNewHolderWaitsForOldOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(1, usage.Model{Name: "oak", Version: "1"})
+		s := newTestInstance(1, usage.Model{Name: "oak", Version: "1"})
 		s.keeper.settings.Demand = func() map[string]int { return map[string]int{"oak": 3} }
 		loaded := func() int {
 			state, err := s.fleet["e0"].State(false)
@@ -274,13 +275,13 @@
 	})
 }
 
-// Programs die with their owner and nobody ends them; their memory stays on
-// the engine and pushes living programs out. The sweep releases them, and
-// never one that lives, also when it is taken for gone once.
-func TestSweepReleasesOnlyTheGone(t *testing.T) {
+// Programs are lost with their owner and never ended, so that they occupy engine
+// memory that running programs need. The sweep must release them, but no running
+// program, even if one sweep found it gone.
+func TestSweepReleasesOnlyEndedPrograms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(1)
+		s := newTestInstance(1)
 		ctx := t.Context()
 		for _, program := range []string{"lives", "dies", "unsure"} {
 			text := strings.Repeat(program, 300)
@@ -294,7 +295,7 @@
 		time.Sleep(orderTimeout)
 		s.keeper.Round(ctx) // first sweep
 		s.living["unsure"] = true
-		time.Sleep(sweepEvery)
+		time.Sleep(sweepInterval)
 		s.keeper.Round(ctx)
 		state, err := s.fleet["e0"].State(false)
 		is.NoErr(err)
@@ -304,20 +305,21 @@
 	})
 }
 
-// Six engines need the weights of two models at once. The weight store lets
-// one fetch a second begin and refuses the others. Loads of the same weights
-// go together and share a transfer; different weights are spaced.
+// Six engines need the weights of two models at the same time. The weight store
+// accepts one fetch per second and refuses the others. Loads of the same weights
+// must be ordered together and share a fetch; those of different weights must be
+// ordered at different times.
 func TestWeightFetchesAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(6, usage.Model{Name: "oak", Version: "1"}, usage.Model{Name: "elm", Version: "1"})
+		s := newTestInstance(6, usage.Model{Name: "oak", Version: "1"}, usage.Model{Name: "elm", Version: "1"})
 		s.keeper.settings.MaxModels = 3
 		s.keeper.settings.Demand = func() map[string]int { return map[string]int{"oak": 100, "elm": 100} }
 		for range 20 {
 			s.keeper.Round(t.Context())
-			time.Sleep(roundEvery)
+			time.Sleep(roundInterval)
 		}
-		is.True(s.weights.Fetches()["oak/1"] <= 2) // one engine on first demand, five when it grows
+		is.True(s.weights.Fetches()["oak/1"] <= 2) // one engine at the first demand, five when the model grows
 		is.Equal(s.weights.Refused(), 0)
 		for _, e := range s.fleet {
 			state, err := e.State(false)
@@ -327,37 +329,38 @@
 	})
 }
 
-// Demand jumps about. The number of engines never falls faster than the hold
-// allows, is never too small for long, and never rises without demand.
+// Demand varies randomly. The number of engines never falls faster than shrinkDelay
+// allows, is not too small for longer than growDelay and one round, and does not
+// rise without demand.
 func TestSizeHasHysteresis(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Sizer
 		now := time.Unix(1000, 0)
 		begin := now
-		high, falls, last := 0, 0, 0
-		var shortSince time.Time
+		maxDemand, decreases, last := 0, 0, 0
+		var tooSmallSince time.Time
 		for range rapid.IntRange(1, 200).Draw(t, "rounds") {
-			now = now.Add(roundEvery)
+			now = now.Add(roundInterval)
 			demand := rapid.IntRange(0, 60).Draw(t, "demand")
-			high = max(high, demand)
+			maxDemand = max(maxDemand, demand)
 			n := s.Size("m", demand, 4, 0, now)
 			if n < last {
-				falls++
+				decreases++
 			}
 			last = n
-			if n > max(1, (high*5+15)/16) {
-				t.Fatalf("%d engines for a demand of at most %d", n, high)
+			if n > max(1, (maxDemand*5+15)/16) {
+				t.Fatalf("%d engines for a demand of at most %d", n, maxDemand)
 			}
-			if float64(demand) <= growAt*float64(n*4) {
-				shortSince = time.Time{}
-			} else if shortSince.IsZero() {
-				shortSince = now
-			} else if now.Sub(shortSince) > growAfter+roundEvery {
-				t.Fatalf("too few engines since %v", now.Sub(shortSince))
+			if float64(demand) <= growThreshold*float64(n*4) {
+				tooSmallSince = time.Time{}
+			} else if tooSmallSince.IsZero() {
+				tooSmallSince = now
+			} else if now.Sub(tooSmallSince) > growDelay+roundInterval {
+				t.Fatalf("too few engines since %v", now.Sub(tooSmallSince))
 			}
 		}
-		if falls > int(now.Sub(begin)/shrinkAfter) {
-			t.Fatalf("%d falls within %v", falls, now.Sub(begin))
+		if decreases > int(now.Sub(begin)/shrinkDelay) {
+			t.Fatalf("%d falls within %v", decreases, now.Sub(begin))
 		}
 	})
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -28,74 +28,75 @@
 	os.Exit(fuzzing.RunWithoutLeaks(m))
 }
 
-// upstream is an engine that takes orders. It records orders of two epochs
-// that overlap, and orders of an old epoch after a newer one.
+// upstream is an engine that executes orders. It records as faults overlapping
+// orders of two epochs and orders of an outdated epoch after a newer one.
 type upstream struct {
-	mu     sync.Mutex
-	checks bool
-	record
+	mu           sync.Mutex
+	checksTokens bool
+	observedOrders
 }
 
-// record is what an upstream saw.
-type record struct {
-	highest   uint64
-	holder    program.Cohort
-	epoch     uint64    // of the last order
-	busyUntil time.Time // when the last order ends
-	faults    []string
-	orders    int
+// observedOrders is what an upstream recorded of its orders.
+type observedOrders struct {
+	highestEpoch uint64
+	holder       program.Cohort
+	lastEpoch    uint64    // of the last order
+	busyUntil    time.Time // when the last order ends
+	faults       []string
+	orders       int
 }
 
-// order runs an order for its duration, or refuses it for its token.
+// order executes an order that takes the given time, or rejects it if its token is
+// outdated and the upstream checks tokens.
 func (u *upstream) order(t Token, takes time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.checks && t.Epoch < u.highest {
+	if u.checksTokens && t.Epoch < u.highestEpoch {
 		return
 	}
 	u.orders++
-	u.fault(t)
-	u.highest, u.holder = t.Epoch, t.Holder
-	u.epoch, u.busyUntil = t.Epoch, time.Now().Add(takes)
+	u.recordFaults(t)
+	u.highestEpoch, u.holder = t.Epoch, t.Holder
+	u.lastEpoch, u.busyUntil = t.Epoch, time.Now().Add(takes)
 }
 
-// seen returns a copy of what the upstream recorded.
-func (u *upstream) seen() record {
+// snapshot returns a copy of what the upstream recorded.
+func (u *upstream) snapshot() observedOrders {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.record
+	return u.observedOrders
 }
 
-func (u *upstream) fault(t Token) {
-	if t.Epoch < u.highest {
-		u.faults = append(u.faults, fmt.Sprintf("order of epoch %d after %d", t.Epoch, u.highest))
+func (u *upstream) recordFaults(t Token) {
+	if t.Epoch < u.highestEpoch {
+		u.faults = append(u.faults, fmt.Sprintf("order of epoch %d after %d", t.Epoch, u.highestEpoch))
 	}
-	if t.Epoch == u.highest && t.Holder != u.holder {
+	if t.Epoch == u.highestEpoch && t.Holder != u.holder {
 		u.faults = append(u.faults, fmt.Sprintf("epoch %d held by %s and %s", t.Epoch, u.holder, t.Holder))
 	}
-	if !u.checks && u.epoch != t.Epoch && time.Now().Before(u.busyUntil) {
+	if !u.checksTokens && u.lastEpoch != t.Epoch && time.Now().Before(u.busyUntil) {
 		u.faults = append(u.faults, fmt.Sprintf("order of epoch %d during an older one", t.Epoch))
 	}
 }
 
-// process is an instance that renews its lease and gives orders under it. While
-// paused it neither runs its loop nor sees answers from the store.
+// process is an instance that renews its leases and sends orders under them.
+// While paused it neither runs its loop nor sees responses of the store.
 type process struct {
 	store.Client
 
-	keeper   *Manager
-	mu       sync.Mutex
-	resumed  chan struct{}
-	cut      bool // the store is out of this process's reach
-	upstream *upstream
-	done     chan struct{}
-	cancel   context.CancelFunc
+	manager          *Manager
+	mu               sync.Mutex
+	resumed          chan struct{}
+	storeUnreachable bool // this process can't reach the store
+	upstream         *upstream
+	done             chan struct{}
+	cancel           context.CancelFunc
 }
 
-const beat = 250 * time.Millisecond
+const tickInterval = 250 * time.Millisecond
 
-func newKeeper(cohort program.Cohort, client store.Client) *Manager {
-	k, err := NewManager(Options{
+func newTestManager(cohort program.Cohort, client store.Client) *Manager {
+	m, err := NewManager(Options{
 		Self:          cohort,
 		Duties:        []Duty{EngineOrders, Sweeps},
 		Timing:        DefaultTiming(),
@@ -107,26 +108,26 @@
 	if err != nil {
 		panic(err)
 	}
-	return k
+	return m
 }
 
 func startProcess(cohort program.Cohort, client store.Client, u *upstream) *process {
 	p := &process{Client: client, upstream: u, done: make(chan struct{})}
-	p.keeper = newKeeper(cohort, p)
+	p.manager = newTestManager(cohort, p)
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	go p.loop(ctx)
 	return p
 }
 
-// loop does what Keeper.Run does, in one goroutine so that a pause stops all of it.
+// loop does what Manager.Run does, in one goroutine so that a pause stops all of it.
 func (p *process) loop(ctx context.Context) {
 	defer close(p.done)
 	due := make(chan struct{}, 1)
-	every := int(DefaultTiming().Renew / beat)
+	every := int(DefaultTiming().Renew / tickInterval)
 	for tick := 0; ctx.Err() == nil; tick++ {
-		p.gate()
-		p.keeper.noticePause(due)
+		p.waitWhilePaused()
+		p.manager.checkPause(due)
 		select {
 		case <-due:
 			tick = 0
@@ -134,18 +135,18 @@
 		}
 		if tick%every == 0 {
 			callCtx, cancel := context.WithTimeout(ctx, DefaultTiming().Renew)
-			_ = p.keeper.step(callCtx)
+			_ = p.manager.renew(callCtx)
 			cancel()
 		}
-		p.gate()
-		if t, ok := p.keeper.Held(EngineOrders); ok && t.MayOrder(time.Now(), p.upstream.checks) {
+		p.waitWhilePaused()
+		if t, ok := p.manager.Held(EngineOrders); ok && t.MayOrder(time.Now(), p.upstream.checksTokens) {
 			p.upstream.order(t, DefaultTiming().LongestOrder)
 		}
-		time.Sleep(beat)
+		time.Sleep(tickInterval)
 	}
 }
 
-func (p *process) gate() {
+func (p *process) waitWhilePaused() {
 	p.mu.Lock()
 	resumed := p.resumed
 	p.mu.Unlock()
@@ -155,31 +156,31 @@
 }
 
 func (p *process) Get(ctx context.Context, key store.Key) (store.Object, error) {
-	defer p.gate()
-	if p.isCut() {
+	defer p.waitWhilePaused()
+	if p.isStoreUnreachable() {
 		return store.Object{}, store.ErrUnavailable
 	}
 	return p.Client.Get(ctx, key)
 }
 
 func (p *process) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
-	defer p.gate()
-	if p.isCut() {
+	defer p.waitWhilePaused()
+	if p.isStoreUnreachable() {
 		return 0, store.ErrUnavailable
 	}
 	return p.Client.Put(ctx, key, value, base)
 }
 
-func (p *process) isCut() bool {
+func (p *process) isStoreUnreachable() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cut
+	return p.storeUnreachable
 }
 
-func (p *process) setCut(cut bool) {
+func (p *process) setStoreUnreachable(unreachable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cut = cut
+	p.storeUnreachable = unreachable
 }
 
 func (p *process) pause() {
@@ -205,12 +206,12 @@
 	<-p.done
 }
 
-// The holder loses the store, gives its last order right before its lease ends,
-// and is paused past that end while the order is under way, at an upstream that
-// does not check tokens. Another instance takes the
-// duty and orders as well. The upstream must never see the two overlap: the
-// new holder waits out the longest order, and the old one, waking up, finds
-// its lease ended before it sends anything.
+// The holder loses the store, sends its last order right before its lease
+// expires, and is paused past the expiry while the order is in flight, at an
+// upstream that does not check tokens. Another instance takes the duty and sends
+// orders as well. Orders of the two must never overlap: the new holder waits for
+// the longest order to end, and the old one, when it resumes, finds its lease
+// expired before it sends another order.
 func TestHolderPausedPastExpiryWithUpstreamThatDoesNotCheckTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -222,98 +223,98 @@
 		b := startProcess("dc.b.1", objects, u)
 		defer b.stop()
 		time.Sleep(10 * time.Second)
-		last, held := a.keeper.Held(EngineOrders)
+		last, held := a.manager.Held(EngineOrders)
 		is.True(held)
-		is.True(u.seen().orders > 0)
-		a.setCut(true)
-		time.Sleep(time.Until(last.Until()) - beat)
+		is.True(u.snapshot().orders > 0)
+		a.setStoreUnreachable(true)
+		time.Sleep(time.Until(last.Until()) - tickInterval)
 		a.pause()
 		time.Sleep(time.Minute)
-		_, held = a.keeper.Held(EngineOrders)
+		_, held = a.manager.Held(EngineOrders)
 		is.True(!held)
-		token, held := b.keeper.Held(EngineOrders)
+		token, held := b.manager.Held(EngineOrders)
 		is.True(held)
-		is.Equal(u.seen().highest, token.Epoch) // b has given orders
-		a.setCut(false)
+		is.Equal(u.snapshot().highestEpoch, token.Epoch) // b has sent orders
+		a.setStoreUnreachable(false)
 		a.resume()
 		time.Sleep(time.Minute)
-		is.Equal(len(u.seen().faults), 0)
+		is.Equal(len(u.snapshot().faults), 0)
 	})
 }
 
-// A holder is paused for less than its lease lasts. Its time is not over, but
-// until it has renewed it must not act: it can't tell how long it slept from
-// its own loop alone.
-func TestPausedHolderRenewsBeforeItActs(t *testing.T) {
+// A holder is paused for less than the TTL of its lease. The lease has not
+// expired, but the holder must not act before it renews: its own loop does not
+// show how long the pause was.
+func TestPausedHolderRenewsBeforeActing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newKeeper("dc.a.1", objects)
-		is.NoErr(k.step(context.Background()))
-		_, held := k.Held(EngineOrders)
+		m := newTestManager("dc.a.1", objects)
+		is.NoErr(m.renew(context.Background()))
+		_, held := m.Held(EngineOrders)
 		is.True(held)
 		time.Sleep(DefaultTiming().Pause + time.Second)
-		_, held = k.Held(EngineOrders)
+		_, held = m.Held(EngineOrders)
 		is.True(!held)
 		due := make(chan struct{}, 1)
-		k.noticePause(due)
-		_, held = k.Held(EngineOrders)
-		is.True(!held) // its loop runs again, but it has not renewed
+		m.checkPause(due)
+		_, held = m.Held(EngineOrders)
+		is.True(!held) // the loop runs again, but the lease is not renewed
 		<-due
-		is.NoErr(k.step(context.Background()))
-		_, held = k.Held(EngineOrders)
+		is.NoErr(m.renew(context.Background()))
+		_, held = m.Held(EngineOrders)
 		is.True(held)
 	})
 }
 
-// The answer of the write that took the lease is lost. The object says who
-// holds it, so the taker holds it, counted from before the write.
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
+// The response of the write that acquired the lease is lost. The instance reads
+// in the object that it is the holder; its lease counts from before the write.
+func TestLostResponseIsResolvedByReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newKeeper("dc.a.1", objects)
+		m := newTestManager("dc.a.1", objects)
 		objects.SetFaults(standin.StoreFaults{LoseAnswers: 1, Delay: 300 * time.Millisecond})
 		started := time.Now()
-		is.NoErr(k.step(context.Background()))
-		token, held := k.Held(EngineOrders)
+		is.NoErr(m.renew(context.Background()))
+		token, held := m.Held(EngineOrders)
 		is.True(held)
-		is.True(!token.Until().After(started.Add(300*time.Millisecond + DefaultTiming().TTL - DefaultTiming().Margin))) // one read came before
+		is.True(!token.Until().After(started.Add(300*time.Millisecond + DefaultTiming().TTL - DefaultTiming().Margin))) // one read preceded the write
 		objects.SetFaults(standin.StoreFaults{DropWrites: 1})
 		before := token.Until()
-		is.NoErr(k.step(context.Background())) // the dropped write is written again
-		token, _ = k.Held(EngineOrders)
+		is.NoErr(m.renew(context.Background())) // the dropped write is repeated
+		token, _ = m.Held(EngineOrders)
 		is.True(token.Until().After(before))
 	})
 }
 
-// A virtual machine is suspended: the monotonic clock stood still, the wall
-// clock did not. Either alone ends the token.
-func TestTokenEndsByEitherClock(t *testing.T) {
+// After a virtual machine was suspended, its monotonic clock lags behind its wall
+// clock. A token expires by either clock.
+func TestTokenExpiresByEitherClock(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	soon, past := now.Add(time.Minute), now.Add(-time.Second)
-	is.True(Token{until: soon, wall: soon.Round(0)}.Valid(now))
-	is.True(!Token{until: past, wall: soon.Round(0)}.Valid(now)) // the wall clock was set back
-	is.True(!Token{until: soon, wall: past.Round(0)}.Valid(now)) // the monotonic clock stood still
+	is.True(Token{validUntil: soon, validUntilWall: soon.Round(0)}.Valid(now))
+	is.True(!Token{validUntil: past, validUntilWall: soon.Round(0)}.Valid(now)) // the wall clock was set back
+	is.True(!Token{validUntil: soon, validUntilWall: past.Round(0)}.Valid(now)) // the monotonic clock stopped
 }
 
-// A planned stop releases the duties, and the next instance orders at once,
-// also where tokens are not checked.
-func TestReleaseHandsOverAtOnce(t *testing.T) {
+// A planned stop releases the duties, and the next holder may send orders
+// immediately, also to upstreams that do not check tokens.
+func TestReleasedDutyIsTakenImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := context.Background()
 		objects := standin.NewStore()
-		a, b := newKeeper("dc.a.1", objects), newKeeper("dc.b.1", objects)
-		is.NoErr(a.step(ctx))
-		is.NoErr(b.step(ctx))
+		a, b := newTestManager("dc.a.1", objects), newTestManager("dc.b.1", objects)
+		is.NoErr(a.renew(ctx))
+		is.NoErr(b.renew(ctx))
 		_, held := b.Held(Sweeps)
 		is.True(!held)
 		is.NoErr(a.Release(ctx))
 		_, held = a.Held(Sweeps)
 		is.True(!held)
-		is.NoErr(b.step(ctx))
+		is.NoErr(b.renew(ctx))
 		token, held := b.Held(Sweeps)
 		is.True(held)
 		is.Equal(token.Epoch, uint64(2))
@@ -321,42 +322,42 @@
 	})
 }
 
-// An instance stops while its renewal waits for a slow store. Its release waits
-// for the renewal only as long as it may, and says so: before, it waited on a
-// lock without an end, and the instance outlived its grace period.
+// An instance stops while its renewal waits for a slow store. Release must not
+// wait for the renewal beyond its context and must return the context's error;
+// otherwise the instance exceeds its grace period.
 func TestReleaseEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newKeeper("dc.a.1", objects)
-		is.NoErr(k.step(context.Background()))
+		m := newTestManager("dc.a.1", objects)
+		is.NoErr(m.renew(context.Background()))
 		objects.SetFaults(standin.StoreFaults{Delay: 30 * time.Second})
 		var renewing sync.WaitGroup
-		renewing.Go(func() { _ = k.step(context.Background()) })
+		renewing.Go(func() { _ = m.renew(context.Background()) })
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		started := time.Now()
-		is.True(errors.Is(k.Release(ctx), context.DeadlineExceeded))
+		is.True(errors.Is(m.Release(ctx), context.DeadlineExceeded))
 		is.Equal(time.Since(started), time.Second)
-		_, held := k.Held(Sweeps)
+		_, held := m.Held(Sweeps)
 		is.True(!held)
 		renewing.Wait()
 	})
 }
 
-// Run takes the duties, keeps them over many renewals at one write each, and
-// ends without leaving a goroutine.
+// Run acquires the duties, renews them many times with one write each, and ends
+// without leaking a goroutine.
 func TestRunRenewsWithOneWriteEach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		objects := standin.NewStore()
-		k := newKeeper("dc.a.1", objects)
+		m := newTestManager("dc.a.1", objects)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
-		go func() { done <- k.Run(ctx) }()
+		go func() { done <- m.Run(ctx) }()
 		time.Sleep(10 * time.Minute)
-		first, held := k.Held(EngineOrders)
+		first, held := m.Held(EngineOrders)
 		is.True(held)
 		is.Equal(first.Epoch, uint64(1))
 		counts := objects.Counts()
@@ -368,9 +369,10 @@
 	})
 }
 
-// holding is the lock that the keepers' Held must add up to: a change of
-// holder is an acquire or an end at some instant between two looks.
-type holding struct {
+// lockOperation is an acquisition or release of the lock that the results of all
+// managers' Held must be consistent with. It takes effect at some time between
+// two samples.
+type lockOperation struct {
 	process int
 	acquire bool
 }
@@ -378,18 +380,19 @@
 var lockModel = porcupine.Model{
 	Init: func() any { return -1 },
 	Step: func(state, input, _ any) (bool, any) {
-		h := input.(holding)
-		if h.acquire {
-			return state.(int) == -1, h.process
+		op := input.(lockOperation)
+		if op.acquire {
+			return state.(int) == -1, op.process
 		}
-		return state.(int) == h.process, -1
+		return state.(int) == op.process, -1
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// watch looks at every keeper's Held until stop closes and records the changes.
-func watch(processes []*process, duty Duty, stop <-chan struct{}) []porcupine.Operation {
-	const look = 50 * time.Millisecond
+// recordHistory samples every manager's Held until stop closes and returns the
+// changes.
+func recordHistory(processes []*process, duty Duty, stop <-chan struct{}) []porcupine.Operation {
+	const interval = 50 * time.Millisecond
 	var history []porcupine.Operation
 	held := make([]bool, len(processes))
 	started := time.Now()
@@ -397,26 +400,26 @@
 		select {
 		case <-stop:
 			return history
-		case <-time.After(look):
+		case <-time.After(interval):
 		}
 		now := time.Since(started)
 		for i, p := range processes {
-			_, ok := p.keeper.Held(duty)
+			_, ok := p.manager.Held(duty)
 			if ok != held[i] {
 				held[i] = ok
 				history = append(history, porcupine.Operation{
-					ClientId: i, Input: holding{i, ok}, Call: int64(now - look), Return: int64(now),
+					ClientId: i, Input: lockOperation{i, ok}, Call: int64(now - interval), Return: int64(now),
 				})
 			}
 		}
 	}
 }
 
-// Pauses, outages, slowness, lost answers and lost writes come in any order to
-// three contenders. At every instant at most one holds the lease, no order is
-// given under an outdated epoch or beside an older holder's, and once all is
-// well again somebody holds it.
-func TestOneHolderUnderAnyFaults(t *testing.T) {
+// Pauses, outages, slowness, lost responses and lost writes happen to three
+// contenders in any order. At any time at most one holds the lease, no order is
+// sent under an outdated epoch or while an earlier holder's is in flight, and
+// after the last fault one of them holds the lease.
+func TestAtMostOneHolderUnderAnyFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		checks := rapid.Bool().Draw(rt, "checks")
 		kinds := []string{"pause", "resume", "down", "slow", "lose", "drop", "well", "cut", "uncut"}
@@ -427,7 +430,7 @@
 				rapid.IntRange(0, 20_000).Draw(rt, "milliseconds"),
 			}
 		}), 1, 25).Draw(rt, "steps")
-		u := &upstream{checks: checks}
+		u := &upstream{checksTokens: checks}
 		var history []porcupine.Operation
 		heldAtEnd := false
 		synctest.Test(t, func(*testing.T) {
@@ -436,10 +439,10 @@
 			for i := range 3 {
 				processes = append(processes, startProcess(program.Cohort(fmt.Sprintf("dc.i%d.1", i)), objects, u))
 			}
-			stop, watched := make(chan struct{}), make(chan struct{})
+			stop, recorded := make(chan struct{}), make(chan struct{})
 			go func() {
-				defer close(watched)
-				history = watch(processes, EngineOrders, stop)
+				defer close(recorded)
+				history = recordHistory(processes, EngineOrders, stop)
 			}()
 			for _, s := range steps {
 				p, wait := processes[s[1]], time.Duration(s[2])*time.Millisecond
@@ -457,7 +460,7 @@
 				case "drop":
 					objects.SetFaults(standin.StoreFaults{DropWrites: 2})
 				case "cut", "uncut":
-					p.setCut(kinds[s[0]] == "cut")
+					p.setStoreUnreachable(kinds[s[0]] == "cut")
 				case "well":
 					objects.SetFaults(standin.StoreFaults{})
 				}
@@ -465,28 +468,28 @@
 			}
 			objects.SetFaults(standin.StoreFaults{})
 			for _, p := range processes {
-				p.setCut(false)
+				p.setStoreUnreachable(false)
 				p.resume()
 			}
 			time.Sleep(time.Minute)
 			for _, p := range processes {
-				_, ok := p.keeper.Held(EngineOrders)
+				_, ok := p.manager.Held(EngineOrders)
 				heldAtEnd = heldAtEnd || ok
 			}
 			close(stop)
-			<-watched
+			<-recorded
 			for _, p := range processes {
 				p.stop()
 			}
 		})
 		if !heldAtEnd {
-			rt.Fatal("nobody holds the lease after healing")
+			rt.Fatal("no process holds the lease after all faults ended")
 		}
 		if len(u.faults) > 0 {
 			rt.Fatal(u.faults)
 		}
 		if !porcupine.CheckOperations(lockModel, history) {
-			rt.Fatalf("two holders: %+v", history)
+			rt.Fatalf("two holders at one time: %+v", history)
 		}
 	})
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -28,7 +28,7 @@
 	os.Exit(fuzzing.RunWithoutLeaks(m))
 }
 
-var errCut = errors.New("cut")
+var errNoConnection = errors.New("no connection")
 
 // network carries encoded messages between instances in memory.
 type network struct {
@@ -41,7 +41,7 @@
 	sent    map[string]int
 	bytes   map[string]int
 	objects *standin.Store
-	times   Timing
+	timing  Timing
 }
 
 // node is a running or stopped process.
@@ -65,11 +65,12 @@
 		sent:    map[string]int{},
 		bytes:   map[string]int{},
 		objects: standin.NewStore(),
-		times:   DefaultTiming(),
+		timing:  DefaultTiming(),
 	}
 }
 
-// start runs a new incarnation at an address of the form "dc-instance".
+// start starts a process at an address of the form "dc-instance". incarnation is
+// the last part of its cohort.
 func (n *network) start(dataCentre, instance string, incarnation int) *node {
 	return n.startSeeded(dataCentre, instance, incarnation)
 }
@@ -82,9 +83,9 @@
 		Address:   nd.address,
 		Report:    Report{Size: 1, StoreHealthy: true},
 		Seeds:     seeds,
-		Store:     gated{n.objects, nd},
-		Transport: memory{nd},
-		Timing:    n.times,
+		Store:     pausableStore{n.objects, nd},
+		Transport: memoryTransport{nd},
+		Timing:    n.timing,
 		Seed:      uint64(len(n.nodes)*100 + incarnation),
 		OnEvent:   func(e Event) { nd.events = append(nd.events, e) },
 		Log:       &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
@@ -103,7 +104,7 @@
 	return nd
 }
 
-// kill ends a process without a word.
+// kill ends a process without an announcement.
 func (nd *node) kill() {
 	nd.resume()
 	nd.net.mu.Lock()
@@ -115,7 +116,7 @@
 	<-nd.done
 }
 
-// pause freezes a process: what it sends and what it is asked waits.
+// pause pauses a process: its outgoing and incoming messages wait.
 func (nd *node) pause() {
 	nd.net.mu.Lock()
 	defer nd.net.mu.Unlock()
@@ -133,7 +134,7 @@
 	}
 }
 
-func (nd *node) frozen() chan struct{} {
+func (nd *node) pauseEnd() chan struct{} {
 	nd.net.mu.Lock()
 	defer nd.net.mu.Unlock()
 	return nd.resumed
@@ -141,7 +142,7 @@
 
 func (n *network) cut(from, to string) { n.cuts[[2]string{from, to}] = true }
 
-func (n *network) cutBoth(a, b string) {
+func (n *network) cutBothWays(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut(a, b)
@@ -161,11 +162,11 @@
 	}
 }
 
-// route finds the receiver of a message, or waits as a caller whose message
-// is lost does.
+// route returns the receiver of a message after the network's delay. If the
+// message is lost, it waits until ctx ends.
 func (n *network) route(ctx context.Context, from *node, to string) (*node, error) {
-	if frozen := from.frozen(); frozen != nil {
-		<-frozen // a paused process does not even see its own deadline
+	if frozen := from.pauseEnd(); frozen != nil {
+		<-frozen // a paused process does not observe its own deadline either
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -181,9 +182,9 @@
 		return nil, ctx.Err()
 	}
 	if !up {
-		return nil, errCut
+		return nil, errNoConnection
 	}
-	if frozen := receiver.frozen(); frozen != nil {
+	if frozen := receiver.pauseEnd(); frozen != nil {
 		select {
 		case <-frozen:
 		case <-ctx.Done():
@@ -201,8 +202,8 @@
 	}
 }
 
-// totals returns the messages sent by all.
-func (n *network) totals() int {
+// totalMessages returns the number of messages sent by all instances.
+func (n *network) totalMessages() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	total := 0
@@ -212,7 +213,7 @@
 	return total
 }
 
-// totalBytes returns the encoded bytes of all heartbeats and their answers.
+// totalBytes returns the encoded size of all heartbeats and their responses.
 func (n *network) totalBytes() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -223,9 +224,9 @@
 	return total
 }
 
-// memory is a node's Transport over the network, with each message encoded
+// memoryTransport is a node's Transport over the network. Each message is encoded
 // and decoded as on the wire.
-type memory struct{ from *node }
+type memoryTransport struct{ from *node }
 
 func recode[M proto.Message](m M, into M) M {
 	data, err := proto.Marshal(m)
@@ -238,48 +239,48 @@
 	return into
 }
 
-func (m memory) Ping(ctx context.Context, to string, p Ping) (Pong, error) {
+func (m memoryTransport) Ping(ctx context.Context, to string, p Ping) (Pong, error) {
 	receiver, err := m.from.net.route(ctx, m.from, to)
 	if err != nil {
 		return Pong{}, err
 	}
 	request := recode(pingToWire(p), &peerpb.PingRequest{})
-	answer, err := Service{receiver.runner}.Ping(ctx, request)
+	response, err := Service{receiver.runner}.Ping(ctx, request)
 	if err != nil {
 		return Pong{}, err
 	}
-	m.from.net.count(m.from.address, request, answer)
-	answer = recode(answer, &peerpb.PingResponse{})
-	return pongFromWire(answer.GetResponder(), answer.GetRecords())
+	m.from.net.count(m.from.address, request, response)
+	response = recode(response, &peerpb.PingResponse{})
+	return pongFromWire(response.GetResponder(), response.GetRecords())
 }
 
-func (m memory) PingVia(ctx context.Context, to string, v IndirectPing) (IndirectPong, error) {
+func (m memoryTransport) PingVia(ctx context.Context, to string, v IndirectPing) (IndirectPong, error) {
 	receiver, err := m.from.net.route(ctx, m.from, to)
 	if err != nil {
 		return IndirectPong{}, err
 	}
-	answer, err := Service{receiver.runner}.PingVia(ctx, recode(viaToWire(v), &peerpb.PingViaRequest{}))
+	response, err := Service{receiver.runner}.PingVia(ctx, recode(indirectPingToWire(v), &peerpb.PingViaRequest{}))
 	if err != nil || ctx.Err() != nil {
-		return IndirectPong{}, errors.Wrap(errCut, "no answer in time")
+		return IndirectPong{}, errors.Wrap(errNoConnection, "no response in time")
 	}
-	record, ok := fromWire(answer.GetTarget())
-	return IndirectPong{Reached: answer.GetReached() && ok, Target: record}, nil
+	record, ok := fromWire(response.GetTarget())
+	return IndirectPong{Reached: response.GetReached() && ok, Target: record}, nil
 }
 
-func (m memory) Join(ctx context.Context, to string, sender Record) (Pong, error) {
+func (m memoryTransport) Join(ctx context.Context, to string, sender Record) (Pong, error) {
 	receiver, err := m.from.net.route(ctx, m.from, to)
 	if err != nil {
 		return Pong{}, err
 	}
-	answer, err := Service{receiver.runner}.Join(ctx, &peerpb.JoinRequest{Sender: toWire(sender)})
+	response, err := Service{receiver.runner}.Join(ctx, &peerpb.JoinRequest{Sender: toWire(sender)})
 	if err != nil {
 		return Pong{}, err
 	}
-	return pongFromWire(answer.GetResponder(), answer.GetRecords())
+	return pongFromWire(response.GetResponder(), response.GetRecords())
 }
 
-// startFleet starts size instances in each of some data centres and waits
-// until each knows all.
+// startFleet starts size instances in each of the given number of data centres
+// and waits until they know each other.
 func (n *network) startFleet(centres, size int) []*node {
 	var nodes []*node
 	for c := range centres {
@@ -291,7 +292,7 @@
 	return nodes
 }
 
-func (n *network) setDown(down bool) { n.objects.SetFaults(standin.StoreFaults{Down: down}) }
+func (n *network) setStoreDown(down bool) { n.objects.SetFaults(standin.StoreFaults{Down: down}) }
 
 func (n *network) stop() {
 	n.heal()
@@ -306,7 +307,8 @@
 	}
 }
 
-// stateOf is what a node holds of another; a forgotten member counts as dead.
+// stateOf returns the state of another node in this node's view; a removed member
+// counts as dead.
 func (nd *node) stateOf(other *node) State {
 	m, ok := nd.runner.View().Member(other.cohort)
 	if !ok {
@@ -315,15 +317,15 @@
 	return m.State
 }
 
-// noneDead checks that the node declared none of the others dead.
-func (nd *node) noneDead(is *is.I, others []*node) {
+// checkNoneDeclaredDead checks that the node declared none of the others dead.
+func (nd *node) checkNoneDeclaredDead(is *is.I, others []*node) {
 	is.Helper()
 	for _, other := range others {
-		is.Equal(nd.declared(DeclaredDead, other.cohort), 0)
+		is.Equal(nd.eventCount(DeclaredDead, other.cohort), 0)
 	}
 }
 
-func (nd *node) declared(kind EventKind, of program.Cohort) int {
+func (nd *node) eventCount(kind EventKind, of program.Cohort) int {
 	nd.runner.mu.Lock()
 	defer nd.runner.mu.Unlock()
 	count := 0
@@ -335,29 +337,29 @@
 	return count
 }
 
-// gated is a node's object API; it waits while the node is paused.
-type gated struct {
+// pausableStore is a node's object API; its calls wait while the node is paused.
+type pausableStore struct {
 	store.Client
 	node *node
 }
 
-func (g gated) wait() {
-	if frozen := g.node.frozen(); frozen != nil {
+func (g pausableStore) wait() {
+	if frozen := g.node.pauseEnd(); frozen != nil {
 		<-frozen
 	}
 }
 
-func (g gated) List(ctx context.Context, kind, prefix string) ([]store.Object, error) {
+func (g pausableStore) List(ctx context.Context, kind, prefix string) ([]store.Object, error) {
 	g.wait()
 	return g.Client.List(ctx, kind, prefix)
 }
 
-func (g gated) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
+func (g pausableStore) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
 	g.wait()
 	return g.Client.Put(ctx, key, value, base)
 }
 
-func (g gated) Delete(ctx context.Context, key store.Key, base store.Version) error {
+func (g pausableStore) Delete(ctx context.Context, key store.Key, base store.Version) error {
 	g.wait()
 	return g.Client.Delete(ctx, key, base)
 }
