--- a/internal/history/customer_test.go
+++ b/internal/history/customer_test.go
@@ -15,7 +15,7 @@
 func customer(name string) *string { return &name }
 
 // keepFor keeps a turn of the customer's program.
-func keepFor(c *Client, customer, program, turn, previous string) error {
+func retainTurnFor(c *Client, customer, program, turn, previous string) error {
 	ctx := context.Background()
 	_, err := c.Reserve(ctx, gateway.Reservation{
 		Customer: customer, Program: program, Turn: turn, Previous: previous, MaxOutputTokens: 60, Budget: 100, Retention: time.Hour,
@@ -23,34 +23,34 @@
 	if err != nil {
 		return err
 	}
-	kept := &gateway.Turn{ID: turn, Previous: previous, Input: []byte(customer), Ended: time.Now()}
-	return c.Settle(ctx, gateway.Settlement{Customer: customer, Program: program, Turn: turn, OutputTokens: 60, RetainedTurn: kept, Retention: time.Hour})
+	retained := &gateway.Turn{ID: turn, Previous: previous, Input: []byte(customer), Ended: time.Now()}
+	return c.Settle(ctx, gateway.Settlement{Customer: customer, Program: program, Turn: turn, OutputTokens: 60, RetainedTurn: retained, Retention: time.Hour})
 }
 
 // A customer reads another's conversation by naming its turn, in a program of the same id
 // or of another.
-func TestTurnsOfAnotherCustomerAreNotContinued(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		c := w.client("entry")
-		fail(keepFor(c, "one", "p", "first", ""))
+func TestTurnOfAnotherCustomerIsNotContinued(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
+		fail(retainTurnFor(c, "one", "p", "first", ""))
 		for _, program := range []string{"p", "elsewhere"} {
-			if err := keepFor(c, "two", program, "stolen", "first"); !errors.Is(err, gateway.ErrNoSuchTurn) {
+			if err := retainTurnFor(c, "two", program, "stolen", "first"); !errors.Is(err, gateway.ErrNoSuchTurn) {
 				fail(errors.Errorf("another customer's turn continued in %s: %v", program, err))
 			}
 		}
-		if err := keepFor(c, "", "p", "stolen", "first"); !errors.Is(err, gateway.ErrNoSuchTurn) {
+		if err := retainTurnFor(c, "", "p", "stolen", "first"); !errors.Is(err, gateway.ErrNoSuchTurn) {
 			fail(errors.Errorf("a customer's turn continued without a key: %v", err))
 		}
 	})
 }
 
 // A customer spends another's tokens: both use one program id, and one turn id.
-func TestCustomersMayUseOneProgramID(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		c := w.client("entry")
-		fail(keepFor(c, "one", "p", "t", ""))
-		fail(keepFor(c, "two", "p", "t", ""))
-		if err := keepFor(c, "two", "p", "more", "t"); !errors.Is(err, gateway.ErrBudgetExhausted) {
+func TestCustomersWithSameProgramIDHaveSeparateAccounts(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
+		fail(retainTurnFor(c, "one", "p", "t", ""))
+		fail(retainTurnFor(c, "two", "p", "t", ""))
+		if err := retainTurnFor(c, "two", "p", "more", "t"); !errors.Is(err, gateway.ErrBudgetExhausted) {
 			fail(errors.Errorf("spent twice: %v", err))
 		}
 		reserved, err := c.Reserve(context.Background(), gateway.Reservation{
@@ -65,7 +65,7 @@
 
 // An upgrade in place loses turns and tokens that keepers of an older version kept without
 // a customer.
-func TestRecordsWithoutACustomerAreCarriedOver(t *testing.T) {
+func TestRecordsWithoutCustomerRemainValid(t *testing.T) {
 	is := is.New(t)
 	s, now := newState(), time.Now()
 	s.settle(&historypb.SettleRequest{Program: "p", Turn: "old", Made: 60, Kept: &historypb.Turn{Id: "old"}}, now)
@@ -83,7 +83,7 @@
 
 // A turn kept through an upgraded entry is refused by one that is not upgraded yet, and
 // its program's tokens are handed out twice.
-func TestEntriesOfAnOlderVersionFindCustomersTurns(t *testing.T) {
+func TestEntriesOfOlderVersionFindTurnsOfCustomers(t *testing.T) {
 	is := is.New(t)
 	s, now := newState(), time.Now()
 	s.settle(&historypb.SettleRequest{Customer: customer("one"), Program: "p", Turn: "t", Made: 60, Kept: &historypb.Turn{Id: "t", Customer: customer("one")}}, now)
@@ -97,7 +97,7 @@
 
 // A keeper of an older version hands out another customer's turn, as it looks at the id
 // alone.
-func TestChainsOfAnOlderKeeperAreChecked(t *testing.T) {
+func TestClientRejectsChainsOfOtherCustomers(t *testing.T) {
 	is := is.New(t)
 	is.True(ownsChain([]*historypb.Turn{{Id: "a"}, {Id: "b", Customer: customer("one")}}, customer("one")))
 	is.True(!ownsChain([]*historypb.Turn{{Id: "a", Customer: customer("one")}}, customer("two")))
--- a/internal/history/failure_test.go
+++ b/internal/history/failure_test.go
@@ -15,74 +15,74 @@
 )
 
 // inWorld runs a test on virtual time over four keepers that are whole.
-func inWorld(t *testing.T, test func(w *world, fail func(error))) {
-	inWorldOf(t, func(t *testing.T) *world { return newWorld(t, 4, 1) }, test)
+func testOnFourKeepers(t *testing.T, test func(cl *cluster, fail func(error))) {
+	testOnCluster(t, func(t *testing.T) *cluster { return newCluster(t, 4, 1) }, test)
 }
 
-func keep(c *Client, program, turn, previous string) error {
+func retainTurn(c *Client, program, turn, previous string) error {
 	ctx := context.Background()
 	_, err := c.Reserve(ctx, gateway.Reservation{Program: program, Turn: turn, Previous: previous, MaxOutputTokens: 1, Retention: time.Hour})
 	if err != nil {
 		return err
 	}
-	kept := &gateway.Turn{ID: turn, Previous: previous, Input: []byte(turn), Ended: time.Now()}
-	return c.Settle(ctx, gateway.Settlement{Program: program, Turn: turn, RetainedTurn: kept, Retention: time.Hour})
+	retained := &gateway.Turn{ID: turn, Previous: previous, Input: []byte(turn), Ended: time.Now()}
+	return c.Settle(ctx, gateway.Settlement{Program: program, Turn: turn, RetainedTurn: retained, Retention: time.Hour})
 }
 
-func (w *world) role(program string) ShardAssignment {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.assignment.Shards[ShardOf(program)]
+func (cl *cluster) roleOf(program string) ShardAssignment {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.assignment.Shards[ShardOf(program)]
 }
 
 // A caller's next turn is denied. The primary of its slice proposed another
 // partner, the store's answer was late, and the primary lost its disk; then the
 // proposal took effect, which left the old partner, with all turns, out. It
 // must see that neither of the new pair has them, and take the slice back.
-func TestLateProposalOfALostPrimaryLosesNothing(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		c := w.client("entry")
-		if err := keep(c, "p", "first", ""); err != nil {
+func TestLateAssignmentByLostPrimaryLosesNoTurn(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
+		if err := retainTurn(c, "p", "first", ""); err != nil {
 			fail(err)
 			return
 		}
-		role := w.role("p")
-		w.machine(role.Primary).wipe()
-		w.mu.Lock()
+		role := cl.roleOf("p")
+		cl.machine(role.Primary).wipe()
+		cl.mu.Lock()
 		late := ShardAssignment{Previous: []Ensemble{role.Ensemble}}
 		late.Epoch, late.Primary, late.Disks = role.Epoch+1, role.Primary, []string{role.diskOf(role.Primary)}
-		for _, m := range w.machines {
+		for _, m := range cl.machines {
 			if !role.hasHolder(m.name) {
 				late.Backups = append(late.Backups, m.name)
 				late.Disks = append(late.Disks, m.process.keeper.disk)
 			}
 		}
-		w.assignment.Shards[ShardOf("p")] = late
-		w.version++
-		w.mu.Unlock()
-		w.machine(role.Primary).start()
+		cl.assignment.Shards[ShardOf("p")] = late
+		cl.version++
+		cl.mu.Unlock()
+		cl.machine(role.Primary).start()
 		time.Sleep(2 * forceRecoveryAfter)
-		fail(keep(c, "p", "second", "first"))
+		fail(retainTurn(c, "p", "second", "first"))
 	})
 }
 
 // A caller's next turn is denied. The slice's partner lost its disk while it
 // was being filled; the rest of the filling went to the empty disk, whose
 // keeper took itself for whole. What fills must name the disk that it fills.
-func TestFillingOfALostDiskDoesNotMakeItWhole(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		role := w.role("p")
-		partner := w.machine(role.Backups[0])
+func TestTransferForLostDiskDoesNotCompleteNewDisk(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		role := cl.roleOf("p")
+		backup := cl.machine(role.Backups[0])
 		ctx := context.Background()
-		before, err := partner.process.keeper.Status(ctx, &historypb.StatusRequest{})
+		before, err := backup.process.keeper.Status(ctx, &historypb.StatusRequest{})
 		if err != nil {
 			fail(err)
 			return
 		}
-		w.cut(role.Primary, role.Backups[0], true)
-		partner.wipe()
-		partner.start()
-		k := partner.process.keeper
+		cl.setLinkDown(role.Primary, role.Backups[0], true)
+		backup.wipe()
+		backup.start()
+		k := backup.process.keeper
 		last := &historypb.AppendRequest{Slices: []*historypb.SliceAppend{
 			{Slice: ShardOf("p"), Epoch: role.Epoch, Complete: true, Disk: before.Disk},
 		}}
@@ -91,7 +91,7 @@
 			if _, err := k.Append(ctx, last); err != nil {
 				fail(err)
 			}
-			time.Sleep(mirrorTime)
+			time.Sleep(mirrorDelay)
 		}
 		after, err := k.Status(ctx, &historypb.StatusRequest{})
 		if err != nil || decodeEpochState(after.Slices[ShardOf("p")]).base > 0 {
@@ -103,23 +103,23 @@
 // A program's tokens are handed out twice. Its primary was frozen and did not
 // notice that it was replaced; callers that still ask it must get no
 // reservation from it, and the new primary counts on from where it stood.
-func TestFrozenPrimaryReservesNothing(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		c := w.client("entry")
+func TestReplacedPausedPrimaryReservesNothing(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
 		ctx := context.Background()
-		role := w.role("p")
+		role := cl.roleOf("p")
 		if _, err := c.Reserve(ctx, gateway.Reservation{Program: "p", Turn: "one", MaxOutputTokens: 60, Budget: 100}); err != nil {
 			fail(err)
 			return
 		}
-		old := w.machine(role.Primary)
-		old.freeze()
+		old := cl.machine(role.Primary)
+		old.pause()
 		time.Sleep(3 * suspectTimeout)
 		if _, err := c.Reserve(ctx, gateway.Reservation{Program: "p", Turn: "two", MaxOutputTokens: 40, Budget: 100}); err != nil {
 			fail(err)
 			return
 		}
-		old.unfreeze()
+		old.resume()
 		response, err := old.process.keeper.Reserve(ctx, &historypb.ReserveRequest{
 			Slice: ShardOf("p"), Program: "p", Turn: "three", Most: 40, Budget: 100,
 		})
@@ -132,31 +132,31 @@
 // A caller is refused for the whole of a cut, though the other keepers could
 // serve it: its slice's primary, which it reaches, is cut off from them and says
 // so. Its word must not count before the partner is asked, which takes over.
-func TestIsolatedPrimaryIsReplacedAndNotBelieved(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		role := w.role("p")
-		w.isolate(role.Primary)
+func TestCallerOfIsolatedPrimaryReachesItsSuccessor(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		role := cl.roleOf("p")
+		cl.isolateMachine(role.Primary)
 		time.Sleep(2 * suspectTimeout)
 		// The entry, too, has not heard of the change yet.
-		c := NewClient(&entryPoint{world: w, name: "entry"}, role.alone, w.logger("entry"))
-		fail(keep(c, "p", "first", ""))
+		c := NewClient(&entryPoint{cluster: cl, name: "entry"}, role.forAllShards, cl.logger("entry"))
+		fail(retainTurn(c, "p", "first", ""))
 	})
 }
 
 // isolate cuts a machine off from the others and from the store.
-func (w *world) isolate(name string) {
-	for _, m := range w.machines {
+func (cl *cluster) isolateMachine(name string) {
+	for _, m := range cl.machines {
 		if m.name != name {
-			w.cut(name, m.name, true)
+			cl.setLinkDown(name, m.name, true)
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.noStore = name
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.storeUnreachableFrom = name
 }
 
 // alone is an assignment that gives the role to all slices.
-func (r ShardAssignment) alone() (Assignment, bool) {
+func (r ShardAssignment) forAllShards() (Assignment, bool) {
 	var a Assignment
 	for s := range a.Shards {
 		a.Shards[s] = r
@@ -166,16 +166,16 @@
 
 // A caller is held until its patience is over, though nothing can serve it: its
 // data centre is cut off with one keeper. It must be refused at once.
-func TestCallerCutOffWithOneKeeperIsRefusedAtOnce(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		role := w.role("p")
-		w.isolate(role.Primary)
+func TestCallerIsolatedWithPrimaryFailsFast(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		role := cl.roleOf("p")
+		cl.isolateMachine(role.Primary)
 		time.Sleep(2 * suspectTimeout)
-		c := NewClient(&entryPoint{world: w, name: "entry", only: role.Primary}, role.alone, w.logger("entry"))
-		began := time.Now()
+		c := NewClient(&entryPoint{cluster: cl, name: "entry", onlyKeeper: role.Primary}, role.forAllShards, cl.logger("entry"))
+		start := time.Now()
 		_, err := c.Reserve(context.Background(), gateway.Reservation{Program: "p", Turn: "t", MaxOutputTokens: 1})
-		if !errors.Is(err, gateway.ErrIsolated) || time.Since(began) > 10*wayTime {
-			fail(errors.Errorf("%v after %v", err, time.Since(began)))
+		if !errors.Is(err, gateway.ErrIsolated) || time.Since(start) > 10*messageDelay {
+			fail(errors.Errorf("%v after %v", err, time.Since(start)))
 		}
 	})
 }
@@ -184,13 +184,13 @@
 // primary, which is out of reach, again and again. An instance that knows itself
 // cut off must take that for a refusal, also where it looks for another
 // program's turn.
-func TestCallerCutOffWithAPartnerIsRefusedAtOnce(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		role := w.role("p")
-		w.isolate(role.Backups[0])
+func TestCallerIsolatedWithBackupFailsFast(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		role := cl.roleOf("p")
+		cl.isolateMachine(role.Backups[0])
 		time.Sleep(2 * suspectTimeout)
-		c := NewClient(&entryPoint{world: w, name: "entry", only: role.Backups[0], cutOff: true}, role.alone, w.logger("entry"))
-		began := time.Now()
+		c := NewClient(&entryPoint{cluster: cl, name: "entry", onlyKeeper: role.Backups[0], isolated: true}, role.forAllShards, cl.logger("entry"))
+		start := time.Now()
 		_, err := c.Reserve(context.Background(), gateway.Reservation{Program: "p", Turn: "t", MaxOutputTokens: 1})
 		if !errors.Is(err, gateway.ErrIsolated) {
 			fail(errors.Errorf("reserve: %v", err))
@@ -198,7 +198,7 @@
 		if _, err = c.findChain(context.Background(), "", "elsewhere"); !errors.Is(err, gateway.ErrIsolated) {
 			fail(errors.Errorf("find: %v", err))
 		}
-		if took := time.Since(began); took > 10*wayTime {
+		if took := time.Since(start); took > 10*messageDelay {
 			fail(errors.Errorf("refused after %v", took))
 		}
 	})
@@ -207,9 +207,9 @@
 // Programs of a data centre that is cut off stand still, although their turns
 // need not be kept. What their entry drew ahead must serve them, and when it is
 // used up they must be refused, since the budget could be spent elsewhere.
-func TestAllowanceServesThroughACut(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		c := w.client("entry")
+func TestAllowanceCoversTurnsWhileKeepersAreUnreachable(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
 		turn := func(n int) error {
 			id := string(rune('a' + n))
 			ctx := context.Background()
@@ -223,9 +223,9 @@
 			fail(err)
 			return
 		}
-		time.Sleep(100 * wayTime)
-		for _, m := range w.machines {
-			w.cut("entry", m.name, true)
+		time.Sleep(100 * messageDelay)
+		for _, m := range cl.machines {
+			cl.setLinkDown("entry", m.name, true)
 		}
 		served := 1
 		for turn(served) == nil {
@@ -241,21 +241,21 @@
 // Slices move needlessly, and turns wait for them: a keeper that was frozen for
 // two seconds wakes and takes its own deafness for the silence of all others. It
 // must judge none of them before it could hear them again.
-func TestKeeperThatWokeJudgesNobodyBySilence(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		k := w.machines[0].process.keeper
+func TestNoKeeperIsUnresponsiveAfterOwnPause(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		k := cl.machines[0].process.keeper
 		k.mu.Lock()
 		for _, v := range k.views {
 			v.lastContact = v.lastContact.Add(-2 * time.Second)
 		}
 		// Entries have answered all the while.
 		k.quorumContact = contactPeriod{since: time.Now().Add(-2 * time.Second), last: time.Now()}
-		silent := len(k.views) > 0
+		allIneligible := len(k.views) > 0
 		for _, o := range k.assessPeers(time.Now()) {
-			silent = silent && o.ineligible
+			allIneligible = allIneligible && o.ineligible
 		}
 		k.mu.Unlock()
-		if !silent {
+		if !allIneligible {
 			fail(errors.New("the others are not judged silent before"))
 		}
 		k.ResetAfterPause()
@@ -273,10 +273,10 @@
 // are still being made again. A disk is lost under a hundred programs' turns; each
 // slice must be whole on two disks again within the shortest time that operators
 // of today's sites name, 4.4 s, the new process's start included.
-func TestLostDiskIsMadeGoodInTime(t *testing.T) {
+func TestShardsOfLostDiskAreReplicatedAgainInTime(t *testing.T) {
 	const catchUp = 4400 * time.Millisecond
-	inWorld(t, func(w *world, fail func(error)) {
-		c := w.client("entry")
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
 		input := bytes.Repeat([]byte("x"), 16<<10)
 		for n := range 100 {
 			program := "p" + strconv.Itoa(n)
@@ -284,38 +284,38 @@
 			if _, err := c.Reserve(context.Background(), reservation); err != nil {
 				fail(err)
 			}
-			kept := &gateway.Turn{ID: program + "-1", Input: input, Ended: time.Now()}
-			if err := c.Settle(context.Background(), gateway.Settlement{Program: program, Turn: kept.ID, RetainedTurn: kept, Retention: time.Hour}); err != nil {
+			retained := &gateway.Turn{ID: program + "-1", Input: input, Ended: time.Now()}
+			if err := c.Settle(context.Background(), gateway.Settlement{Program: program, Turn: retained.ID, RetainedTurn: retained, Retention: time.Hour}); err != nil {
 				fail(err)
 			}
 		}
-		lost := w.machines[0]
+		lost := cl.machines[0]
 		lost.wipe()
 		lost.start()
-		began := time.Now()
-		for !w.whole() {
-			time.Sleep(wayTime)
-			if time.Since(began) > catchUp {
-				fail(errors.Errorf("not whole after %v", time.Since(began)))
+		start := time.Now()
+		for !cl.fullyReplicated() {
+			time.Sleep(messageDelay)
+			if time.Since(start) > catchUp {
+				fail(errors.Errorf("not whole after %v", time.Since(start)))
 				return
 			}
 		}
-		t.Logf("whole again after %v", time.Since(began))
+		t.Logf("whole again after %v", time.Since(start))
 	})
 }
 
 // whole reports that each slice is whole on the disks of both its holders.
-func (w *world) whole() bool {
-	w.mu.Lock()
-	roles := w.assignment.Shards
-	w.mu.Unlock()
+func (cl *cluster) fullyReplicated() bool {
+	cl.mu.Lock()
+	roles := cl.assignment.Shards
+	cl.mu.Unlock()
 	for s, role := range roles {
 		for _, name := range role.holders() {
-			k := w.machine(name).process.keeper
+			k := cl.machine(name).process.keeper
 			k.mu.Lock()
-			has := k.shards[s].epochState.isComplete(role.Epoch)
+			complete := k.shards[s].epochState.isComplete(role.Epoch)
 			k.mu.Unlock()
-			if !has {
+			if !complete {
 				return false
 			}
 		}
@@ -326,27 +326,27 @@
 // The store comes back into a storm: while it was away, all keepers that had lost a
 // partner called it ten times a second and more. They must wait longer from call to
 // call, and still change holders soon after its return.
-func TestKeepersSpareALostStore(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		w.setStore(true)
-		w.machines[0].stop()
-		w.mu.Lock()
-		before := w.storeCalls
-		w.mu.Unlock()
+func TestKeepersBackOffFromUnavailableStore(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		cl.setStoreUnavailable(true)
+		cl.machines[0].stop()
+		cl.mu.Lock()
+		before := cl.storeCalls
+		cl.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		w.mu.Lock()
-		calls := w.storeCalls - before
-		w.mu.Unlock()
+		cl.mu.Lock()
+		calls := cl.storeCalls - before
+		cl.mu.Unlock()
 		t.Logf("%d calls in 5 s by three keepers", calls)
 		if calls > 60 {
 			fail(errors.Errorf("%d calls in 5 s", calls))
 		}
-		w.setStore(false)
+		cl.setStoreUnavailable(false)
 		time.Sleep(time.Second)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		for s, role := range w.assignment.Shards {
-			if role.Primary == w.machines[0].name || role.hasBackup(w.machines[0].name) {
+		cl.mu.Lock()
+		defer cl.mu.Unlock()
+		for s, role := range cl.assignment.Shards {
+			if role.Primary == cl.machines[0].name || role.hasBackup(cl.machines[0].name) {
 				fail(errors.Errorf("slice %d is still held by the lost keeper", s))
 				return
 			}
@@ -357,23 +357,23 @@
 // A slice moves to a data centre that is cut off. A partner that was just filled had
 // heard the primary for the last time before that one's own mark was on the disk;
 // then it was cut off, and took the old word for a lost disk again and again.
-func TestOldWordOfAPrimaryIsNoLoss(t *testing.T) {
+func TestOldStatusOfPrimaryIsNoFailure(t *testing.T) {
 	is := is.New(t)
 	s := &shard{id: 1, role: ShardAssignment{Ensemble: Ensemble{Epoch: 3}}}
-	word := assessment{live: true, lastContact: time.Now()}
-	word.epochStates[1] = epochState{promised: 2, base: 2}
-	is.True(!s.primaryIncomplete(word))
-	is.True(!s.primaryIncomplete(word))
-	word.lastContact = word.lastContact.Add(incompleteRounds * statusPollInterval)
-	is.True(!s.primaryIncomplete(word))
-	word.lastContact = word.lastContact.Add(statusPollInterval)
-	is.True(s.primaryIncomplete(word))
+	status := assessment{live: true, lastContact: time.Now()}
+	status.epochStates[1] = epochState{promised: 2, base: 2}
+	is.True(!s.primaryIncomplete(status))
+	is.True(!s.primaryIncomplete(status))
+	status.lastContact = status.lastContact.Add(incompleteRounds * statusPollInterval)
+	is.True(!s.primaryIncomplete(status))
+	status.lastContact = status.lastContact.Add(statusPollInterval)
+	is.True(s.primaryIncomplete(status))
 }
 
 // A program's tokens are handed out twice. A primary had written a change that its
 // partner never got, and was replaced; what the new one acknowledged must count more
 // than that on the old one's disk, also where both are the account's next version.
-func TestLaterPrimarysAccountCountsMore(t *testing.T) {
+func TestAccountVersionOfLaterEpochWins(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	old, next := newState(), newState()
@@ -390,55 +390,55 @@
 // A turn is lost that its caller saw end. Its primary had it on its own disk alone
 // when it was killed; after the restart its caller settled it again, which was
 // acknowledged by a partner that still lacked it. A repeat must bring its records.
-func TestRepeatedSettlingBringsItsRecords(t *testing.T) {
+func TestRepeatedSettlementReturnsItsRecords(t *testing.T) {
 	is := is.New(t)
-	s, partner := newState(), newState()
+	s, backup := newState(), newState()
 	settle := &historypb.SettleRequest{Program: "p", Turn: "t", Made: 3, Kept: &historypb.Turn{Id: "t"}}
 	s.settle(settle, time.Now())
 	for _, r := range s.settle(settle, time.Now()) {
-		partner.apply(r)
+		backup.apply(r)
 	}
-	is.Equal(partner.accounts["p"].Spent, int64(3))
-	_, ok := partner.chain(nil, "t")
+	is.Equal(backup.accounts["p"].Spent, int64(3))
+	_, ok := backup.chain(nil, "t")
 	is.True(ok)
 }
 
 // A cut of one data centre stops all turns though a keeper stands outside of it: that
 // one had been lost for a while, and its slices stayed with what was left, two keepers
 // of one data centre. They must be spread again.
-func TestSlicesAreSpreadAgain(t *testing.T) {
-	inLoneWorld(t, 1, func(w *world, fail func(error)) {
-		fail(keep(w.client(entryIn(north)), "p", "first", ""))
-		w.machine("c").wipe()
-		time.Sleep(settledIn)
-		w.machine("c").start()
-		time.Sleep(settledIn)
-		for s, role := range w.assigned().Shards {
+func TestShardsAreSpreadAfterDataCentreReturns(t *testing.T) {
+	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
+		fail(retainTurn(cl.client(entryIn(north)), "p", "first", ""))
+		cl.machine("c").wipe()
+		time.Sleep(convergenceTime)
+		cl.machine("c").start()
+		time.Sleep(convergenceTime)
+		for s, role := range cl.currentAssignment().Shards {
 			if role.Primary != "c" && !role.hasBackup("c") || len(role.Backups) != 1 {
 				fail(errors.Errorf("slice %d is on %v", s, role.holders()))
 				return
 			}
 		}
-		w.cutDataCentre(east, true)
-		time.Sleep(aloneIn)
-		fail(keep(w.client(entryIn(north)), "p", "second", "first"))
+		cl.setDataCentreIsolated(east, true)
+		time.Sleep(soleHolderTime)
+		fail(retainTurn(cl.client(entryIn(north)), "p", "second", "first"))
 	})
 }
 
 // A turn is lost that its caller saw end. A keeper is ordered to be emptied, its slice's
 // primary takes another partner, and is lost for good while that one is filled. The
 // one that leaves must hold the slice until the other has all of it.
-func TestPrimaryIsLostWhileItsPartnerIsReplaced(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		c := w.client("entry")
-		fail(keep(c, "p", "first", ""))
-		role := w.role("p")
-		w.setRetiring(role.Backups[0])
-		for w.role("p").Epoch == role.Epoch {
-			time.Sleep(wayTime)
+func TestPrimaryLossDuringBackupReplacementLosesNoTurn(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
+		fail(retainTurn(c, "p", "first", ""))
+		role := cl.roleOf("p")
+		cl.setRetiring(role.Backups[0])
+		for cl.roleOf("p").Epoch == role.Epoch {
+			time.Sleep(messageDelay)
 		}
-		w.machine(role.Primary).wipe()
-		time.Sleep(settledIn)
-		fail(keep(c, "p", "second", "first"))
+		cl.machine(role.Primary).wipe()
+		time.Sleep(convergenceTime)
+		fail(retainTurn(c, "p", "second", "first"))
 	})
 }
--- a/internal/history/machine_test.go
+++ b/internal/history/machine_test.go
@@ -29,7 +29,7 @@
 
 func drawPlan(rt *rapid.T, kinds []string) []action {
 	kind := rapid.SampledFrom(kinds)
-	one := rapid.Custom(func(rt *rapid.T) action {
+	anyAction := rapid.Custom(func(rt *rapid.T) action {
 		return action{
 			Kind: kind.Draw(rt, "kind"),
 			A:    rapid.IntRange(0, 1000).Draw(rt, "a"),
@@ -37,21 +37,21 @@
 			For:  time.Duration(rapid.IntRange(20, 4000).Draw(rt, "ms")) * time.Millisecond,
 		}
 	})
-	return rapid.SliceOfN(one, 10, 50).Draw(rt, "plan")
+	return rapid.SliceOfN(anyAction, 10, 50).Draw(rt, "plan")
 }
 
 const (
-	testBudget = 100
-	testMost   = 20
+	testBudget          = 100
+	testMaxOutputTokens = 20
 	// settledIn is how long keepers take at the most to be whole again after
 	// all faults are over: they notice a loss, change keepers and fill the new one.
-	settledIn = 5 * time.Second
-	programs  = 3
+	convergenceTime = 5 * time.Second
+	programCount    = 3
 	// drawBudget is that of programs whose turns are not kept; drawMost and
 	// drawTurns make their turns reach it.
-	drawBudget = 300
-	drawMost   = 25
-	drawTurns  = 10
+	unretainedBudget          = 300
+	unretainedMaxOutputTokens = 25
+	unretainedTurnCount       = 10
 )
 
 // oracle is what callers were told.
@@ -59,18 +59,18 @@
 	mu       sync.Mutex
 	failures []string
 	// kept are the acknowledged turns of each program, with their chains.
-	kept [programs][]keptAnswer
+	retained [programCount][]acknowledgedTurn
 	// made counts the tokens that callers of each program may have got, drawn
 	// those of the programs whose turns are not kept.
-	made  [programs]int
-	drawn [programs]int
+	outputTokens     [programCount]int
+	unretainedTokens [programCount]int
 	// entries are the clients of the instances that callers reach.
-	entries map[int]*Client
-	turns   int
-	calls   sync.WaitGroup
+	entries   map[int]*Client
+	turnCount int
+	calls     sync.WaitGroup
 }
 
-type keptAnswer struct {
+type acknowledgedTurn struct {
 	id    string
 	chain []string
 }
@@ -83,18 +83,18 @@
 
 // note counts what the runs went through, so that a machine that no longer
 // reaches a fault is seen.
-func (r *run) note(what string) {
+func (r *run) countEvent(event string) {
 	r.oracle.mu.Lock()
 	defer r.oracle.mu.Unlock()
-	r.seen[what]++
+	r.eventCounts[event]++
 }
 
 type run struct {
-	*world
+	*cluster
 	oracle
-	seen map[string]int
+	eventCounts map[string]int
 	// lostUntil is until when one disk counts as lost, after which another may be.
-	lostUntil time.Time
+	diskLostUntil time.Time
 }
 
 // TestKeepersMachine runs random plans of turns and faults over four keepers, of
@@ -102,87 +102,87 @@
 // found with its whole chain, or nothing is said of it; "no such turn" is only
 // said of one that never was; a program's turns never make more than its
 // budget; and some seconds after the last fault everything is served.
-func TestKeepersMachine(t *testing.T) {
-	seen := map[string]int{}
+func TestRandomFaults(t *testing.T) {
+	eventCounts := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := drawPlan(rt, actionKinds)
 		var failures []string
-		synctest.Test(t, func(t *testing.T) { failures = runPlan(t, newWorld(t, 4, 1), plan, seen) })
+		synctest.Test(t, func(t *testing.T) { failures = runPlan(t, newCluster(t, 4, 1), plan, eventCounts) })
 		if len(failures) > 0 {
 			rt.Fatalf("%v", failures[:min(3, len(failures))])
 		}
 	})
-	t.Log(seen)
+	t.Log(eventCounts)
 }
 
 // TestKeepersMachineOfThreeDisks is the same where two disks at once may be lost,
 // at times while all others lose power: each slice is on three.
-func TestKeepersMachineOfThreeDisks(t *testing.T) {
-	seen := map[string]int{}
+func TestRandomFaultsWithTwoDiskFailures(t *testing.T) {
+	eventCounts := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := drawPlan(rt, actionKinds)
 		var failures []string
-		synctest.Test(t, func(t *testing.T) { failures = runPlan(t, newWorld(t, 6, 2), plan, seen) })
+		synctest.Test(t, func(t *testing.T) { failures = runPlan(t, newCluster(t, 6, 2), plan, eventCounts) })
 		if len(failures) > 0 {
 			rt.Fatalf("%v", failures[:min(3, len(failures))])
 		}
 	})
-	t.Log(seen)
+	t.Log(eventCounts)
 }
 
 // lastKeeperKinds leave a keeper alone more often than the other faults.
-var lastKeeperKinds = append([]string{"centre", "centre", "centrewipe", "centrewipe", "retire"}, actionKinds...)
+var dataCentreFaultKinds = append([]string{"centre", "centre", "centrewipe", "centrewipe", "retire"}, actionKinds...)
 
 // TestLastKeeperMachine is the same where a data centre with two of three keepers
 // may be cut off, at times with the store in reach of both sides, and one of the
 // keepers that are cut off may lose its disk before the cut is over.
-func TestLastKeeperMachine(t *testing.T) {
-	seen := map[string]int{}
+func TestRandomFaultsWithSoleHolders(t *testing.T) {
+	eventCounts := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
-		plan := drawPlan(rt, lastKeeperKinds)
+		plan := drawPlan(rt, dataCentreFaultKinds)
 		var failures []string
-		synctest.Test(t, func(t *testing.T) { failures = runPlan(t, newLoneWorld(t, 1), plan, seen) })
+		synctest.Test(t, func(t *testing.T) { failures = runPlan(t, newThreeKeeperCluster(t, 1), plan, eventCounts) })
 		if len(failures) > 0 {
 			rt.Fatalf("%v", failures[:min(3, len(failures))])
 		}
 	})
-	t.Log(seen)
+	t.Log(eventCounts)
 }
 
 // TestDataCentresMachine is the same over six keepers in three data centres, of which
 // two at once may lose their disks.
-func TestDataCentresMachine(t *testing.T) {
-	seen := map[string]int{}
+func TestRandomFaultsInThreeDataCentres(t *testing.T) {
+	eventCounts := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
-		plan := drawPlan(rt, lastKeeperKinds)
+		plan := drawPlan(rt, dataCentreFaultKinds)
 		var failures []string
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, 6, 2)
-			for i, m := range w.machines {
+			cl := newCluster(t, 6, 2)
+			for i, m := range cl.machines {
 				m.dataCentre = []string{east, west, north}[i%3]
 			}
-			failures = runPlan(t, w, plan, seen)
+			failures = runPlan(t, cl, plan, eventCounts)
 		})
 		if len(failures) > 0 {
 			rt.Fatalf("%v", failures[:min(3, len(failures))])
 		}
 	})
-	t.Log(seen)
+	t.Log(eventCounts)
 }
 
-func runPlan(t *testing.T, w *world, plan []action, seen map[string]int) []string {
-	r := &run{world: w, seen: seen, oracle: oracle{entries: map[int]*Client{}}}
+func runPlan(t *testing.T, cl *cluster, plan []action, eventCounts map[string]int) []string {
+	r := &run{cluster: cl, eventCounts: eventCounts, oracle: oracle{entries: map[int]*Client{}}}
 	r.startAll()
-	time.Sleep(settledIn)
+	time.Sleep(convergenceTime)
 	for _, a := range plan {
-		r.trace.say("%s %v", a.Kind, a)
-		r.act(a)
-		r.note(a.Kind)
+		r.trace.printf("%s %v", a.Kind, a)
+		r.perform(a)
+		r.countEvent(a.Kind)
 		time.Sleep(30 * time.Millisecond)
 	}
 	r.calls.Wait()
 	r.healAll()
-	time.Sleep(settledIn)
+	time.Sleep(convergenceTime)
 	r.checkAll()
 	r.stopAll()
 	time.Sleep(releaseTimeout)
@@ -192,54 +192,54 @@
 	return r.failures
 }
 
-func (r *run) act(a action) {
+func (r *run) perform(a action) {
 	m := r.machines[a.A%len(r.machines)]
 	switch a.Kind {
 	case "turn", "abandon":
-		r.calls.Go(func() { r.turn(a) })
+		r.calls.Go(func() { r.runTurn(a) })
 	case "unknown":
-		r.calls.Go(func() { r.unknownTurn(a) })
+		r.calls.Go(func() { r.continueUnknownTurn(a) })
 	case "draw":
-		r.calls.Go(func() { r.drawTurns(a) })
+		r.calls.Go(func() { r.runUnretainedTurns(a) })
 	case "newentry":
 		r.oracle.mu.Lock()
 		delete(r.entries, a.A%3)
 		r.oracle.mu.Unlock()
 	case "kill":
 		m.stop()
-		r.later(a.For, m.restart)
+		r.runAfter(a.For, m.restart)
 	case "power":
 		m.powerOff(float64(a.B) / 1000)
-		r.later(a.For, m.restart)
+		r.runAfter(a.For, m.restart)
 	case "wipe", "wipesilent":
 		r.wipe(m, a)
 	case "freeze":
-		m.freeze()
-		r.later(a.For, m.unfreeze)
+		m.pause()
+		r.runAfter(a.For, m.resume)
 	case "cut":
 		other := r.machines[a.B%len(r.machines)]
-		r.cut(m.name, other.name, true)
-		r.later(a.For, func() { r.cut(m.name, other.name, false) })
+		r.setLinkDown(m.name, other.name, true)
+		r.runAfter(a.For, func() { r.setLinkDown(m.name, other.name, false) })
 	case "centre":
-		r.cutDataCentre(m.dataCentre, true)
-		r.later(a.For, func() { r.cutDataCentre(m.dataCentre, false) })
+		r.setDataCentreIsolated(m.dataCentre, true)
+		r.runAfter(a.For, func() { r.setDataCentreIsolated(m.dataCentre, false) })
 	case "retire":
 		r.setRetiring(m.name)
-		r.later(a.For, func() { r.setRetiring("") })
+		r.runAfter(a.For, func() { r.setRetiring("") })
 	case "centrewipe":
-		r.wipeBehindCut(m, a)
+		r.wipeWhileIsolated(m, a)
 	case "store":
-		r.setStore(true)
-		r.later(a.For, func() { r.setStore(false) })
+		r.setStoreUnavailable(true)
+		r.runAfter(a.For, func() { r.setStoreUnavailable(false) })
 	case "lose":
-		r.world.mu.Lock()
-		r.loseWrites = 1 + a.B%2
-		r.world.mu.Unlock()
+		r.cluster.mu.Lock()
+		r.writeResponsesToLose = 1 + a.B%2
+		r.cluster.mu.Unlock()
 	case "powerall":
 		for _, m := range r.machines {
 			m.powerOff(float64(a.B) / 1000)
 		}
-		r.later(a.For, func() {
+		r.runAfter(a.For, func() {
 			for _, m := range r.machines {
 				m.restart()
 			}
@@ -252,23 +252,23 @@
 // wipe empties as many disks at once as may be lost, if no other is lost: what is
 // on one keeper alone until it is copied must not be lost too.
 func (r *run) wipe(m *machine, a action) {
-	if time.Now().Before(r.lostUntil) || !r.calm() {
+	if time.Now().Before(r.diskLostUntil) || !r.staysFaultFree() {
 		return
 	}
-	r.note("wiped")
+	r.countEvent("wiped")
 	if a.Kind == "wipesilent" {
-		r.setStore(true)
-		r.later(a.For, func() { r.setStore(false) })
+		r.setStoreUnavailable(true)
+		r.runAfter(a.For, func() { r.setStoreUnavailable(false) })
 		for n := range 4 {
-			r.calls.Go(func() { r.turn(action{Kind: "turn", A: a.A + n, B: a.B + n, For: a.For}) })
+			r.calls.Go(func() { r.runTurn(action{Kind: "turn", A: a.A + n, B: a.B + n, For: a.For}) })
 		}
-		time.Sleep(time.Duration(a.B) * wayTime / 10)
+		time.Sleep(time.Duration(a.B) * messageDelay / 10)
 	}
 	m.wipe()
-	if r.disksLost > 1 {
+	if r.maxDiskFailures > 1 {
 		r.machines[(a.A+1+a.B%(len(r.machines)-1))%len(r.machines)].wipe()
 	}
-	if r.disksLost > 1 && a.B%2 == 0 {
+	if r.maxDiskFailures > 1 && a.B%2 == 0 {
 		for _, other := range r.machines {
 			other.powerOff(float64(a.B) / 1000)
 		}
@@ -277,83 +277,83 @@
 	for _, other := range r.machines {
 		other.restart()
 	}
-	r.lostUntil = time.Now().Add(settledIn)
+	r.diskLostUntil = time.Now().Add(convergenceTime)
 }
 
 // wipeBehindCut empties the disk of a keeper whose data centre is cut off, before
 // the cut is over: it is one disk of those that are lost with the data centre.
-func (r *run) wipeBehindCut(m *machine, a action) {
-	if time.Now().Before(r.lostUntil) || !r.calm() {
+func (r *run) wipeWhileIsolated(m *machine, a action) {
+	if time.Now().Before(r.diskLostUntil) || !r.staysFaultFree() {
 		return
 	}
-	r.note("wiped behind a cut")
-	r.cutDataCentre(m.dataCentre, true)
+	r.countEvent("wiped behind a cut")
+	r.setDataCentreIsolated(m.dataCentre, true)
 	if a.B%2 == 0 {
-		r.setNoStore(m.dataCentre)
+		r.setStoreUnreachableFrom(m.dataCentre)
 	}
 	for n := range 4 {
-		r.calls.Go(func() { r.turn(action{Kind: "turn", A: a.A + n, B: a.B + n, For: a.For}) })
+		r.calls.Go(func() { r.runTurn(action{Kind: "turn", A: a.A + n, B: a.B + n, For: a.For}) })
 		time.Sleep(a.For / 4)
 	}
 	m.wipe()
 	m.restart()
 	time.Sleep(a.For / 4)
-	r.cutDataCentre(m.dataCentre, false)
-	r.setNoStore("")
-	r.lostUntil = time.Now().Add(settledIn)
+	r.setDataCentreIsolated(m.dataCentre, false)
+	r.setStoreUnreachableFrom("")
+	r.diskLostUntil = time.Now().Add(convergenceTime)
 }
 
 // calm reports that all keepers run and reach each other and the store, and
 // have done so for long enough to be whole.
-func (r *run) calm() bool {
-	if !r.undisturbed() {
+func (r *run) staysFaultFree() bool {
+	if !r.faultFree() {
 		return false
 	}
-	time.Sleep(settledIn)
-	return r.undisturbed()
+	time.Sleep(convergenceTime)
+	return r.faultFree()
 }
 
-func (r *run) undisturbed() bool {
-	r.world.mu.Lock()
-	defer r.world.mu.Unlock()
+func (r *run) faultFree() bool {
+	r.cluster.mu.Lock()
+	defer r.cluster.mu.Unlock()
 	for _, m := range r.machines {
-		if m.process == nil || m.frozen != nil {
+		if m.process == nil || m.paused != nil {
 			return false
 		}
 	}
-	for _, on := range r.cuts {
-		if on {
+	for _, down := range r.linksDown {
+		if down {
 			return false
 		}
 	}
-	return !r.storeDown
+	return !r.storeUnavailable
 }
 
-func (r *run) later(after time.Duration, f func()) {
+func (r *run) runAfter(delay time.Duration, f func()) {
 	r.calls.Go(func() {
-		time.Sleep(after)
+		time.Sleep(delay)
 		f()
 	})
 }
 
 func (m *machine) restart() {
-	m.running.Lock()
-	defer m.running.Unlock()
-	m.world.mu.Lock()
+	m.lifecycleMu.Lock()
+	defer m.lifecycleMu.Unlock()
+	m.cluster.mu.Lock()
 	running := m.process != nil
-	m.world.mu.Unlock()
+	m.cluster.mu.Unlock()
 	if !running {
 		m.startLocked()
 	}
 }
 
 func (r *run) healAll() {
-	r.world.mu.Lock()
-	clear(r.cuts)
-	r.storeDown, r.loseWrites = false, 0
-	r.world.mu.Unlock()
+	r.cluster.mu.Lock()
+	clear(r.linksDown)
+	r.storeUnavailable, r.writeResponsesToLose = false, 0
+	r.cluster.mu.Unlock()
 	for _, m := range r.machines {
-		m.unfreeze()
+		m.resume()
 		m.restart()
 	}
 }
@@ -364,47 +364,47 @@
 func customerName(i int) string { return fmt.Sprintf("customer-%d", i%2) }
 
 // turn runs one turn of a program, continuing one of its kept turns.
-func (r *run) turn(a action) {
-	p := a.A % programs
+func (r *run) runTurn(a action) {
+	p := a.A % programCount
 	r.oracle.mu.Lock()
-	r.turns++
-	id := fmt.Sprintf("turn-%d", r.turns)
-	var before keptAnswer
-	if n := len(r.kept[p]); n > 0 && a.B%3 > 0 {
-		before = r.kept[p][a.B%n]
+	r.turnCount++
+	id := fmt.Sprintf("turn-%d", r.turnCount)
+	var previous acknowledgedTurn
+	if n := len(r.retained[p]); n > 0 && a.B%3 > 0 {
+		previous = r.retained[p][a.B%n]
 	}
 	r.oracle.mu.Unlock()
 	client := r.client(fmt.Sprintf("entry-%d", a.B%3))
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	reserved, err := client.Reserve(ctx, gateway.Reservation{
-		Customer: customerName(p), Program: programName(p), Turn: id, Previous: before.id,
-		MaxOutputTokens: testMost, Budget: testBudget, Retention: time.Hour, Retain: true,
+		Customer: customerName(p), Program: programName(p), Turn: id, Previous: previous.id,
+		MaxOutputTokens: testMaxOutputTokens, Budget: testBudget, Retention: time.Hour, Retain: true,
 	})
 	if err != nil {
-		r.judgeRefusal(err, before)
+		r.checkError(err, previous)
 		return
 	}
-	r.judgeChain(reserved.Chain, before)
-	r.count(p, testMost)
+	r.checkChain(reserved.Chain, previous)
+	r.countOutputTokens(p, testMaxOutputTokens)
 	time.Sleep(a.For / 20)
-	ending := gateway.Settlement{Customer: customerName(p), Program: programName(p), Turn: id, OutputTokens: testMost, Retention: time.Hour}
+	settlement := gateway.Settlement{Customer: customerName(p), Program: programName(p), Turn: id, OutputTokens: testMaxOutputTokens, Retention: time.Hour}
 	if a.Kind == "turn" {
-		ending.OutputTokens = a.B % testMost
-		r.count(p, ending.OutputTokens-testMost)
-		ending.RetainedTurn = &gateway.Turn{ID: id, Previous: before.id, Input: []byte(id), Ended: time.Now()}
+		settlement.OutputTokens = a.B % testMaxOutputTokens
+		r.countOutputTokens(p, settlement.OutputTokens-testMaxOutputTokens)
+		settlement.RetainedTurn = &gateway.Turn{ID: id, Previous: previous.id, Input: []byte(id), Ended: time.Now()}
 	}
-	err = client.Settle(ctx, ending)
-	r.trace.say("%s of %s in slice %d after %q settled: %v", id, programName(p), ShardOf(programName(p)), before.id, err)
-	if err == nil && ending.RetainedTurn != nil {
+	err = client.Settle(ctx, settlement)
+	r.trace.printf("%s of %s in slice %d after %q settled: %v", id, programName(p), ShardOf(programName(p)), previous.id, err)
+	if err == nil && settlement.RetainedTurn != nil {
 		r.oracle.mu.Lock()
-		r.kept[p] = append(r.kept[p], keptAnswer{id: id, chain: append(append([]string(nil), before.chain...), id)})
+		r.retained[p] = append(r.retained[p], acknowledgedTurn{id: id, chain: append(append([]string(nil), previous.chain...), id)})
 		r.oracle.mu.Unlock()
 	}
 }
 
 // entry returns the client of an instance, which holds allowances until it ends.
-func (r *run) entry(n int) *Client {
+func (r *run) entryClient(n int) *Client {
 	r.oracle.mu.Lock()
 	defer r.oracle.mu.Unlock()
 	if r.entries[n] == nil {
@@ -415,77 +415,77 @@
 
 // drawTurns runs turns that are not kept, one after the other. Each makes at
 // most what it reserved; all together never more than the budget.
-func (r *run) drawTurns(a action) {
-	p := a.A % programs
-	c := r.entry(a.B % 3)
+func (r *run) runUnretainedTurns(a action) {
+	p := a.A % programCount
+	c := r.entryClient(a.B % 3)
 	program := fmt.Sprintf("drawing-%d", p)
 	ctx := context.Background()
-	for range drawTurns {
+	for range unretainedTurnCount {
 		r.oracle.mu.Lock()
-		r.turns++
-		id := fmt.Sprintf("turn-%d", r.turns)
+		r.turnCount++
+		id := fmt.Sprintf("turn-%d", r.turnCount)
 		r.oracle.mu.Unlock()
-		began := time.Now()
-		_, err := c.Reserve(ctx, gateway.Reservation{Program: program, Turn: id, MaxOutputTokens: drawMost, Budget: drawBudget, Retention: time.Hour})
+		start := time.Now()
+		_, err := c.Reserve(ctx, gateway.Reservation{Program: program, Turn: id, MaxOutputTokens: unretainedMaxOutputTokens, Budget: unretainedBudget, Retention: time.Hour})
 		if err != nil {
-			r.judgeRefusal(err, keptAnswer{})
+			r.checkError(err, acknowledgedTurn{})
 			time.Sleep(a.For / 20)
 			continue
 		}
-		made := drawMost - a.B%5
+		outputTokens := unretainedMaxOutputTokens - a.B%5
 		r.oracle.mu.Lock()
-		r.drawn[p] += made
-		total := r.drawn[p]
-		if time.Since(began) == 0 {
-			r.seen["at once"]++
+		r.unretainedTokens[p] += outputTokens
+		total := r.unretainedTokens[p]
+		if time.Since(start) == 0 {
+			r.eventCounts["at once"]++
 		}
 		r.oracle.mu.Unlock()
-		if total > drawBudget {
-			r.fail("%s made %d of %d tokens", program, total, drawBudget)
+		if total > unretainedBudget {
+			r.fail("%s made %d of %d tokens", program, total, unretainedBudget)
 		}
 		time.Sleep(a.For / 20)
-		if err := c.Settle(ctx, gateway.Settlement{Program: program, Turn: id, OutputTokens: made, Retention: time.Hour}); err != nil {
-			r.judgeRefusal(err, keptAnswer{})
+		if err := c.Settle(ctx, gateway.Settlement{Program: program, Turn: id, OutputTokens: outputTokens, Retention: time.Hour}); err != nil {
+			r.checkError(err, acknowledgedTurn{})
 		}
 	}
 }
 
 // count adds what a turn made, and checks the budget.
-func (r *run) count(p, tokens int) {
+func (r *run) countOutputTokens(p, tokens int) {
 	r.oracle.mu.Lock()
-	r.made[p] += tokens
-	made := r.made[p]
+	r.outputTokens[p] += tokens
+	total := r.outputTokens[p]
 	r.oracle.mu.Unlock()
-	if made > testBudget {
-		r.fail("program %d made %d of %d tokens", p, made, testBudget)
+	if total > testBudget {
+		r.fail("program %d made %d of %d tokens", p, total, testBudget)
 	}
 }
 
-func (r *run) judgeRefusal(err error, before keptAnswer) {
+func (r *run) checkError(err error, previous acknowledgedTurn) {
 	if errors.Is(err, gateway.ErrNoSuchTurn) {
-		r.fail("turn %s was kept and is denied", before.id)
+		r.fail("turn %s was kept and is denied", previous.id)
 	}
-	r.note(err.Error())
+	r.countEvent(err.Error())
 }
 
-func (r *run) judgeChain(chain []gateway.Turn, before keptAnswer) {
+func (r *run) checkChain(chain []gateway.Turn, previous acknowledgedTurn) {
 	var ids []string
 	for _, t := range chain {
 		ids = append(ids, t.ID)
 	}
-	if fmt.Sprint(ids) != fmt.Sprint(before.chain) {
-		r.fail("chain %v in place of %v", ids, before.chain)
+	if fmt.Sprint(ids) != fmt.Sprint(previous.chain) {
+		r.fail("chain %v in place of %v", ids, previous.chain)
 	}
-	r.note("served")
+	r.countEvent("served")
 }
 
 // unknownTurn continues a turn that never was.
-func (r *run) unknownTurn(a action) {
+func (r *run) continueUnknownTurn(a action) {
 	client := r.client("entry-0")
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	_, err := client.Reserve(ctx, gateway.Reservation{
-		Program: programName(programs + a.A), Turn: fmt.Sprintf("after-nothing-%d", a.B), Previous: "nothing", MaxOutputTokens: 1, Budget: 10,
+		Program: programName(programCount + a.A), Turn: fmt.Sprintf("after-nothing-%d", a.B), Previous: "nothing", MaxOutputTokens: 1, Budget: 10,
 	})
 	if err == nil {
 		r.fail("a turn that never was is continued")
@@ -496,23 +496,23 @@
 // that all slices are asked.
 func (r *run) checkAll() {
 	client := r.client("entry-9")
-	for p := range programs {
-		for i, k := range r.kept[p] {
+	for p := range programCount {
+		for i, k := range r.retained[p] {
 			reserved, err := client.Reserve(context.Background(), gateway.Reservation{
 				Customer: customerName(p), Program: fmt.Sprintf("heir-%d-%d", p, i), Turn: "heir", Previous: k.id, MaxOutputTokens: 1, Budget: 10,
 			})
 			if err != nil {
-				r.fail("turn %s not served after the faults: %v%s", k.id, err, r.whereIs(k.id))
+				r.fail("turn %s not served after the faults: %v%s", k.id, err, r.describeHolders(k.id))
 				continue
 			}
-			r.judgeChain(reserved.Chain, k)
-			r.checkStranger(client, p, k)
+			r.checkChain(reserved.Chain, k)
+			r.checkOtherCustomer(client, p, k)
 		}
 	}
 }
 
 // checkStranger has another customer ask for a turn.
-func (r *run) checkStranger(client *Client, p int, k keptAnswer) {
+func (r *run) checkOtherCustomer(client *Client, p int, k acknowledgedTurn) {
 	_, err := client.Reserve(context.Background(), gateway.Reservation{
 		Customer: customerName(p + 1), Program: programName(p), Turn: "stranger-" + k.id, Previous: k.id, MaxOutputTokens: 1, Budget: 10,
 	})
@@ -522,7 +522,7 @@
 }
 
 // whereIs tells which keepers hold a turn, and what they take themselves for.
-func (r *run) whereIs(turn string) string {
+func (r *run) describeHolders(turn string) string {
 	var b strings.Builder
 	for _, m := range r.machines {
 		k := m.process.keeper
--- a/internal/history/telling_test.go
+++ b/internal/history/telling_test.go
@@ -14,17 +14,17 @@
 
 // Keepers of a large fleet call each other all the time, which grows with the square of
 // their number. At rest they must only tell each other, and be heard all the same.
-func TestKeepersAtRestDoNotCallEachOther(t *testing.T) {
-	inWorldOf(t, func(t *testing.T) *world { return newWorld(t, 12, 2) }, func(w *world, fail func(error)) {
-		before := w.asked.Load()
+func TestKeepersAtRestSendNoStatusRequests(t *testing.T) {
+	testOnCluster(t, func(t *testing.T) *cluster { return newCluster(t, 12, 2) }, func(cl *cluster, fail func(error)) {
+		before := cl.statusRequests.Load()
 		time.Sleep(30 * time.Second)
-		if calls := w.asked.Load() - before; calls > 0 {
+		if calls := cl.statusRequests.Load() - before; calls > 0 {
 			fail(errors.Errorf("%d calls in half a minute", calls))
 		}
-		w.machines[3].freeze()
+		cl.machines[3].pause()
 		time.Sleep(suspectTimeout + statusPollInterval)
-		for s, role := range w.assigned().Shards {
-			if role.hasHolder(w.machines[3].name) {
+		for s, role := range cl.currentAssignment().Shards {
+			if role.hasHolder(cl.machines[3].name) {
 				fail(errors.Errorf("slice %d is still held by the frozen one", s))
 			}
 		}
@@ -34,24 +34,24 @@
 // Slices change their holders for nothing where links lose packets: a keeper's words are
 // lost in a row, and it is taken for lost. While one packet of forty is lost, as in the
 // users' data centres on a bad day, no holder may change.
-func TestLostPacketsChangeNoHolders(t *testing.T) {
+func TestPacketLossCausesNoReassignment(t *testing.T) {
 	for keepers, lossyFor := range map[int]time.Duration{4: 20 * time.Minute, 24: 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, keepers, min(2, keepers-3))
-			w.startAll()
-			time.Sleep(settledIn)
-			before := w.assigned()
-			w.mu.Lock()
-			w.lossy = 1.0 / 40
-			w.mu.Unlock()
+			cl := newCluster(t, keepers, min(2, keepers-3))
+			cl.startAll()
+			time.Sleep(convergenceTime)
+			before := cl.currentAssignment()
+			cl.mu.Lock()
+			cl.datagramLossRate = 1.0 / 40
+			cl.mu.Unlock()
 			time.Sleep(lossyFor)
-			after := w.assigned()
+			after := cl.currentAssignment()
 			for s := range after.Shards {
 				if after.Shards[s].Epoch != before.Shards[s].Epoch {
 					t.Errorf("%d keepers: slice %d went from %v to %v", keepers, s, before.Shards[s], after.Shards[s])
 				}
 			}
-			w.stopAll()
+			cl.stopAll()
 			time.Sleep(releaseTimeout)
 		})
 	}
@@ -59,43 +59,43 @@
 
 // A keeper takes another's older marks for the present ones: the word that told of a change
 // was lost, and those after it list no slices. They must not count as heard.
-func TestWordOfAnEditionThatWasNotToldCountsForNothing(t *testing.T) {
+func TestShortStatusOfUnknownEditionIsIgnored(t *testing.T) {
 	is := is.New(t)
-	began := time.Now()
+	start := time.Now()
 	k := &Keeper{settings: Settings{Name: "a", IsRetiring: func(string) bool { return false }}, views: map[string]*peerView{}, wakeReconciler: make(chan struct{}, 1)}
-	told := func(edition uint64, slices ...*historypb.SliceMark) {
-		k.ObserveStatus(&historypb.StatusResponse{Name: "b", Disk: "b1", Edition: edition, Slices: slices})
+	observe := func(edition uint64, states ...*historypb.SliceMark) {
+		k.ObserveStatus(&historypb.StatusResponse{Name: "b", Disk: "b1", Edition: edition, Slices: states})
 	}
-	told(1)
+	observe(1)
 	is.Equal(len(k.views), 0)
-	told(1, encodeEpochState(3, epochState{promised: 5, base: 5}))
-	is.True(k.assessPeers(began)["b"].isComplete(3, 5))
-	k.views["b"].lastContact = began.Add(-time.Minute)
-	told(2)
-	is.Equal(k.views["b"].lastContact, began.Add(-time.Minute))
-	told(1)
-	is.True(k.views["b"].lastContact.After(began.Add(-time.Second)))
-	told(2, encodeEpochState(3, epochState{promised: 6, base: 5}))
-	is.True(!k.assessPeers(began)["b"].isComplete(3, 6))
+	observe(1, encodeEpochState(3, epochState{promised: 5, base: 5}))
+	is.True(k.assessPeers(start)["b"].isComplete(3, 5))
+	k.views["b"].lastContact = start.Add(-time.Minute)
+	observe(2)
+	is.Equal(k.views["b"].lastContact, start.Add(-time.Minute))
+	observe(1)
+	is.True(k.views["b"].lastContact.After(start.Add(-time.Second)))
+	observe(2, encodeEpochState(3, epochState{promised: 6, base: 5}))
+	is.True(!k.assessPeers(start)["b"].isComplete(3, 6))
 	k.ObserveStatus(&historypb.StatusResponse{Name: "a", Edition: 1})
 	k.ObserveStatus(&historypb.StatusResponse{})
 	is.Equal(len(k.views), 1)
 }
 
 // A keeper is asked by a call where its words are lost, all of them: only datagrams are.
-func TestKeeperWhoseWordsAreLostIsAsked(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		before := w.assigned()
-		w.mu.Lock()
-		w.lossy = 1
-		w.mu.Unlock()
+func TestStatusIsRequestedWhenBroadcastsAreLost(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		before := cl.currentAssignment()
+		cl.mu.Lock()
+		cl.datagramLossRate = 1
+		cl.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		if after := w.assigned(); after.Shards[0].Epoch != before.Shards[0].Epoch {
+		if after := cl.currentAssignment(); after.Shards[0].Epoch != before.Shards[0].Epoch {
 			fail(errors.Errorf("holders changed: %v", after.Shards[0]))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		if _, err := w.machines[0].Status(ctx, w.machines[1].name, &historypb.StatusRequest{}); err != nil {
+		if _, err := cl.machines[0].Status(ctx, cl.machines[1].name, &historypb.StatusRequest{}); err != nil {
 			fail(err)
 		}
 	})
--- a/internal/history/world_test.go
+++ b/internal/history/world_test.go
@@ -23,84 +23,84 @@
 
 const (
 	// wayTime is the time of a message in the tests' network.
-	wayTime = time.Millisecond
+	messageDelay = time.Millisecond
 	// mirrorTime is how long after a write the instances hear of it.
-	mirrorTime = 100 * time.Millisecond
+	mirrorDelay = 100 * time.Millisecond
 )
 
 // trace keeps what keepers say, to be told with a failure.
 type trace struct {
 	mu    sync.Mutex
-	began time.Time
+	start time.Time
 	lines []string
 }
 
 // HandleLog implements log.Handler.
 func (t *trace) HandleLog(e *log.Entry) error {
-	t.say("%s %v", e.Message, e.Fields)
+	t.printf("%s %v", e.Message, e.Fields)
 	return nil
 }
 
-func (t *trace) say(format string, args ...any) {
+func (t *trace) printf(format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lines = append(t.lines, fmt.Sprintf("%8.3f ", time.Since(t.began).Seconds())+fmt.Sprintf(format, args...))
+	t.lines = append(t.lines, fmt.Sprintf("%8.3f ", time.Since(t.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // world is a few keepers with a store and a network between them, whose faults
 // a test sets.
-type world struct {
-	t      *testing.T
-	folder string
-	trace  *trace
-
-	mu       sync.Mutex
-	machines []*machine
-	cuts     map[[2]string]bool
-
-	assignment Assignment
-	version    store.Version
-	storeDown  bool
+type cluster struct {
+	t     *testing.T
+	dir   string
+	trace *trace
+
+	mu        sync.Mutex
+	machines  []*machine
+	linksDown map[[2]string]bool
+
+	assignment       Assignment
+	version          store.Version
+	storeUnavailable bool
 	// noStore names a machine that the store does not answer, or a data centre.
-	noStore string
+	storeUnreachableFrom string
 	// storeCalls counts the calls to the store.
 	storeCalls int
 	// storeReads counts those of them that read.
-	storeReads int
-	loseWrites int
+	storeReads           int
+	writeResponsesToLose int
 	// readError, if set, is what reading the assignment ends with.
 	readError error
 	// disksLost is the number of disks that may be lost at once.
-	disksLost int
+	maxDiskFailures int
 	// deaf names data centres whose entries can't tell whom they hear.
-	deaf map[string]bool
+	unresponsiveEntries map[string]bool
 	// entriesOnly names data centres without a keeper.
-	entriesOnly []string
+	entryOnlyDataCentres []string
 	// witnessed counts the questions to entries.
-	witnessed atomic.Int64
+	witnessQueries atomic.Int64
 	// moved counts the bytes of records that keepers send each other.
-	moved atomic.Int64
+	transferredBytes atomic.Int64
 	// asked counts the questions between keepers how they stand.
-	asked atomic.Int64
+	statusRequests atomic.Int64
 	// lossy is the share of datagrams that are lost, as drawn by random.
-	lossy  float64
-	random *rand.Rand
+	datagramLossRate float64
+	random           *rand.Rand
 	// retiring names the keeper that operators want emptied.
-	retiring string
+	retiringKeeper string
 }
 
 // machine is one place where a keeper runs, again and again.
 type machine struct {
-	world      *world
+	cluster    *cluster
 	name       string
 	dataCentre string
-	folder     string
+	dir        string
 
 	// running orders starts and ends of the process.
-	running sync.Mutex
+	lifecycleMu sync.Mutex
 	// The world's lock guards the rest.
 	process *process
-	frozen  chan struct{}
+	paused  chan struct{}
 }
 
 // process is one run of a keeper.
@@ -108,79 +108,79 @@
 	keeper *Keeper
 	ctx    context.Context
 	kill   context.CancelFunc
-	ended  chan struct{}
+	done   chan struct{}
 }
 
-func newWorld(t *testing.T, keepers, disksLost int) *world {
-	w := &world{t: t, disksLost: disksLost, folder: t.TempDir(), cuts: map[[2]string]bool{}, deaf: map[string]bool{}, random: rand.New(rand.NewPCG(1, 2)), trace: &trace{began: time.Now()}}
+func newCluster(t *testing.T, keepers, maxDiskFailures int) *cluster {
+	cl := &cluster{t: t, maxDiskFailures: maxDiskFailures, dir: t.TempDir(), linksDown: map[[2]string]bool{}, unresponsiveEntries: map[string]bool{}, random: rand.New(rand.NewPCG(1, 2)), trace: &trace{start: time.Now()}}
 	for i := range keepers {
 		name := string(rune('a' + i))
-		m := &machine{world: w, name: name, dataCentre: "dc-" + name, folder: filepath.Join(w.folder, name)}
-		w.machines = append(w.machines, m)
+		m := &machine{cluster: cl, name: name, dataCentre: "dc-" + name, dir: filepath.Join(cl.dir, name)}
+		cl.machines = append(cl.machines, m)
 	}
-	return w
+	return cl
 }
 
 // logger keeps what an instance says for the trace.
-func (w *world) logger(name string) log.Interface {
-	return (&log.Logger{Handler: w.trace, Level: log.InfoLevel}).WithField("instance", name)
+func (cl *cluster) logger(name string) log.Interface {
+	return (&log.Logger{Handler: cl.trace, Level: log.InfoLevel}).WithField("instance", name)
 }
 
-func (w *world) startAll() {
-	for _, m := range w.machines {
+func (cl *cluster) startAll() {
+	for _, m := range cl.machines {
 		m.start()
 	}
 }
 
-func (w *world) stopAll() {
-	for _, m := range w.machines {
-		m.unfreeze()
+func (cl *cluster) stopAll() {
+	for _, m := range cl.machines {
+		m.resume()
 		m.stop()
 	}
 }
 
 func (m *machine) start() {
-	m.running.Lock()
-	defer m.running.Unlock()
+	m.lifecycleMu.Lock()
+	defer m.lifecycleMu.Unlock()
 	m.startLocked()
 }
 
 func (m *machine) startLocked() {
-	w := m.world
+	cl := m.cluster
 	k, err := Open(Settings{
 		Name:            m.name,
 		DataCentre:      m.dataCentre,
-		DataCentres:     len(w.dataCentres()),
-		LogDir:          m.folder,
-		MaxDiskFailures: w.disksLost,
-		Keepers:         w.candidates,
-		IsRetiring:      w.isRetiring,
-		Logger:          w.logger(m.name),
+		DataCentres:     len(cl.dataCentres()),
+		LogDir:          m.dir,
+		MaxDiskFailures: cl.maxDiskFailures,
+		Keepers:         cl.candidates,
+		IsRetiring:      cl.isRetiring,
+		Logger:          cl.logger(m.name),
 	}, m, m)
 	if err != nil {
-		w.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{keeper: k, ctx: ctx, kill: cancel, ended: make(chan struct{})}
-	w.mu.Lock()
+	p := &process{keeper: k, ctx: ctx, kill: cancel, done: make(chan struct{})}
+	cl.mu.Lock()
 	m.process = p
-	w.mu.Unlock()
+	cl.mu.Unlock()
 	go func() {
-		defer close(p.ended)
+		defer close(p.done)
 		_ = k.Run(ctx)
 	}()
-	go m.follow(p)
+	go m.deliverAssignments(p)
 }
 
 // follow passes the assignment on to the keeper as the mirror does.
-func (m *machine) follow(p *process) {
+func (m *machine) deliverAssignments(p *process) {
 	for p.ctx.Err() == nil {
-		sleep(p.ctx, mirrorTime)
-		w := m.world
-		w.mu.Lock()
-		a, version, lost := w.assignment, w.version, w.storeDown || w.noStore == m.name || w.noStore == m.dataCentre
-		w.mu.Unlock()
-		if !lost && version > 0 {
+		sleep(p.ctx, mirrorDelay)
+		cl := m.cluster
+		cl.mu.Lock()
+		a, version, unavailable := cl.assignment, cl.version, cl.storeUnavailable || cl.storeUnreachableFrom == m.name || cl.storeUnreachableFrom == m.dataCentre
+		cl.mu.Unlock()
+		if !unavailable && version > 0 {
 			p.keeper.ApplyAssignment(a, version)
 		}
 	}
@@ -188,100 +188,100 @@
 
 // stop ends the process as SIGKILL does.
 func (m *machine) stop() {
-	m.running.Lock()
-	defer m.running.Unlock()
+	m.lifecycleMu.Lock()
+	defer m.lifecycleMu.Unlock()
 	m.stopLocked()
 }
 
 func (m *machine) stopLocked() {
-	m.world.mu.Lock()
+	m.cluster.mu.Lock()
 	p := m.process
 	m.process = nil
-	m.world.mu.Unlock()
+	m.cluster.mu.Unlock()
 	if p != nil {
 		p.kill()
-		<-p.ended
+		<-p.done
 	}
 }
 
 // powerOff ends the process and loses some of what was not synced.
-func (m *machine) powerOff(kept float64) {
-	m.running.Lock()
-	defer m.running.Unlock()
-	m.world.mu.Lock()
+func (m *machine) powerOff(survivingShare float64) {
+	m.lifecycleMu.Lock()
+	defer m.lifecycleMu.Unlock()
+	m.cluster.mu.Lock()
 	p := m.process
-	m.world.mu.Unlock()
+	m.cluster.mu.Unlock()
 	m.stopLocked()
 	if p == nil {
 		return
 	}
 	l := p.keeper.log
-	size := l.synced + int64(kept*float64(l.size-l.synced))
+	size := l.synced + int64(survivingShare*float64(l.size-l.synced))
 	if err := os.Truncate(l.segmentPath(l.segment), size); err != nil {
-		m.world.t.Fatal(err)
+		m.cluster.t.Fatal(err)
 	}
 }
 
 // wipe ends the process and empties its disk.
 func (m *machine) wipe() {
-	m.running.Lock()
-	defer m.running.Unlock()
+	m.lifecycleMu.Lock()
+	defer m.lifecycleMu.Unlock()
 	m.stopLocked()
-	if err := os.RemoveAll(m.folder); err != nil {
-		m.world.t.Fatal(err)
+	if err := os.RemoveAll(m.dir); err != nil {
+		m.cluster.t.Fatal(err)
 	}
 }
 
-func (m *machine) freeze() {
-	m.world.mu.Lock()
-	defer m.world.mu.Unlock()
-	if m.frozen == nil {
-		m.frozen = make(chan struct{})
+func (m *machine) pause() {
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	if m.paused == nil {
+		m.paused = make(chan struct{})
 	}
 }
 
-func (m *machine) unfreeze() {
-	m.world.mu.Lock()
-	defer m.world.mu.Unlock()
-	if m.frozen != nil {
-		close(m.frozen)
-		m.frozen = nil
+func (m *machine) resume() {
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	if m.paused != nil {
+		close(m.paused)
+		m.paused = nil
 	}
 }
 
-func (w *world) candidates() []Candidate {
+func (cl *cluster) candidates() []Candidate {
 	var list []Candidate
-	for _, m := range w.machines {
+	for _, m := range cl.machines {
 		list = append(list, Candidate{Name: m.name, DataCentre: m.dataCentre})
 	}
 	return list
 }
 
-func (w *world) machine(name string) *machine {
-	i := slices.IndexFunc(w.machines, func(m *machine) bool { return m.name == name })
+func (cl *cluster) machine(name string) *machine {
+	i := slices.IndexFunc(cl.machines, func(m *machine) bool { return m.name == name })
 	if i < 0 {
 		return nil
 	}
-	return w.machines[i]
+	return cl.machines[i]
 }
 
-func (w *world) cut(a, b string, on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cuts[[2]string{a, b}], w.cuts[[2]string{b, a}] = on, on
+func (cl *cluster) setLinkDown(a, b string, down bool) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.linksDown[[2]string{a, b}], cl.linksDown[[2]string{b, a}] = down, down
 }
 
-func (w *world) isCut(a, b string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cuts[[2]string{a, b}]
+func (cl *cluster) isLinkDown(a, b string) bool {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.linksDown[[2]string{a, b}]
 }
 
 // pass waits until a frozen machine goes on.
-func (m *machine) pass(ctx context.Context) error {
-	m.world.mu.Lock()
-	frozen := m.frozen
-	m.world.mu.Unlock()
+func (m *machine) waitWhilePaused(ctx context.Context) error {
+	m.cluster.mu.Lock()
+	frozen := m.paused
+	m.cluster.mu.Unlock()
 	if frozen == nil {
 		return nil
 	}
@@ -294,71 +294,71 @@
 }
 
 // call runs a call from one place to a keeper, with the network's faults.
-func call[T any](ctx context.Context, w *world, from, to string, f func(context.Context, *Keeper) (T, error)) (T, error) {
+func call[T any](ctx context.Context, cl *cluster, from, to string, f func(context.Context, *Keeper) (T, error)) (T, error) {
 	var none T
-	target := w.machine(to)
+	target := cl.machine(to)
 	if target == nil {
 		return none, errors.New("no such keeper")
 	}
-	silent := func() (T, error) {
+	noResponse := func() (T, error) {
 		<-ctx.Done()
 		return none, ctx.Err()
 	}
-	sleep(ctx, wayTime)
-	if w.isCut(from, to) || target.pass(ctx) != nil {
-		return silent()
+	sleep(ctx, messageDelay)
+	if cl.isLinkDown(from, to) || target.waitWhilePaused(ctx) != nil {
+		return noResponse()
 	}
-	w.mu.Lock()
+	cl.mu.Lock()
 	p := target.process
-	w.mu.Unlock()
+	cl.mu.Unlock()
 	if p == nil {
 		return none, syscall.ECONNREFUSED
 	}
-	answer, err := f(ctx, p.keeper)
-	sleep(ctx, wayTime)
-	if w.isCut(from, to) || p.ctx.Err() != nil || target.pass(ctx) != nil || ctx.Err() != nil {
-		return silent()
+	response, err := f(ctx, p.keeper)
+	sleep(ctx, messageDelay)
+	if cl.isLinkDown(from, to) || p.ctx.Err() != nil || target.waitWhilePaused(ctx) != nil || ctx.Err() != nil {
+		return noResponse()
 	}
-	return answer, err
+	return response, err
 }
 
 // Append implements Peers.
 func (m *machine) Append(ctx context.Context, name string, r *historypb.AppendRequest) (*historypb.AppendResponse, error) {
-	if err := m.pass(ctx); err != nil {
+	if err := m.waitWhilePaused(ctx); err != nil {
 		return nil, err
 	}
-	m.world.moved.Add(int64(proto.Size(r)))
-	return call(ctx, m.world, m.name, name, func(ctx context.Context, k *Keeper) (*historypb.AppendResponse, error) {
+	m.cluster.transferredBytes.Add(int64(proto.Size(r)))
+	return call(ctx, m.cluster, m.name, name, func(ctx context.Context, k *Keeper) (*historypb.AppendResponse, error) {
 		return k.Append(ctx, r)
 	})
 }
 
 // Status implements Peers.
 func (m *machine) Status(ctx context.Context, name string, r *historypb.StatusRequest) (*historypb.StatusResponse, error) {
-	m.world.asked.Add(1)
-	if err := m.pass(ctx); err != nil {
+	m.cluster.statusRequests.Add(1)
+	if err := m.waitWhilePaused(ctx); err != nil {
 		return nil, err
 	}
-	return call(ctx, m.world, m.name, name, func(ctx context.Context, k *Keeper) (*historypb.StatusResponse, error) {
+	return call(ctx, m.cluster, m.name, name, func(ctx context.Context, k *Keeper) (*historypb.StatusResponse, error) {
 		return k.Status(ctx, r)
 	})
 }
 
 // Tell implements Peers.
 func (m *machine) BroadcastStatus(status *historypb.StatusResponse) {
-	w := m.world
-	if !w.runs(m.name) {
+	cl := m.cluster
+	if !cl.isRunning(m.name) {
 		return
 	}
-	for _, other := range w.machines {
-		if other == m || w.isCut(m.name, other.name) || w.datagramLost() {
+	for _, other := range cl.machines {
+		if other == m || cl.isLinkDown(m.name, other.name) || cl.datagramLost() {
 			continue
 		}
 		go func() {
-			time.Sleep(wayTime)
-			w.mu.Lock()
-			p, frozen := other.process, other.frozen != nil
-			w.mu.Unlock()
+			time.Sleep(messageDelay)
+			cl.mu.Lock()
+			p, frozen := other.process, other.paused != nil
+			cl.mu.Unlock()
 			if p != nil && !frozen && p.ctx.Err() == nil {
 				p.keeper.ObserveStatus(proto.Clone(status).(*historypb.StatusResponse))
 			}
@@ -367,32 +367,32 @@
 }
 
 // datagramLost draws whether the network loses a datagram.
-func (w *world) datagramLost() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.random.Float64() < w.lossy
+func (cl *cluster) datagramLost() bool {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.random.Float64() < cl.datagramLossRate
 }
 
 // Fetch implements Peers.
 func (m *machine) Fetch(ctx context.Context, name string, r *historypb.FetchRequest) (*historypb.FetchResponse, error) {
-	if err := m.pass(ctx); err != nil {
+	if err := m.waitWhilePaused(ctx); err != nil {
 		return nil, err
 	}
-	return call(ctx, m.world, m.name, name, func(ctx context.Context, k *Keeper) (*historypb.FetchResponse, error) {
+	return call(ctx, m.cluster, m.name, name, func(ctx context.Context, k *Keeper) (*historypb.FetchResponse, error) {
 		response, err := k.Fetch(ctx, r)
-		m.world.moved.Add(int64(proto.Size(response)))
+		m.cluster.transferredBytes.Add(int64(proto.Size(response)))
 		return response, err
 	})
 }
 
 // List implements Peers.
 func (m *machine) List(ctx context.Context, name string, r *historypb.ListRequest) (*historypb.ListResponse, error) {
-	if err := m.pass(ctx); err != nil {
+	if err := m.waitWhilePaused(ctx); err != nil {
 		return nil, err
 	}
-	return call(ctx, m.world, m.name, name, func(ctx context.Context, k *Keeper) (*historypb.ListResponse, error) {
+	return call(ctx, m.cluster, m.name, name, func(ctx context.Context, k *Keeper) (*historypb.ListResponse, error) {
 		response, err := k.List(ctx, r)
-		m.world.moved.Add(int64(proto.Size(response)))
+		m.cluster.transferredBytes.Add(int64(proto.Size(response)))
 		return response, err
 	})
 }
@@ -401,9 +401,9 @@
 func entryIn(dataCentre string) string { return "entry-of-" + dataCentre }
 
 // dataCentres returns where the keepers stand.
-func (w *world) dataCentres() []string {
-	names := slices.Clone(w.entriesOnly)
-	for _, m := range w.machines {
+func (cl *cluster) dataCentres() []string {
+	names := slices.Clone(cl.entryOnlyDataCentres)
+	for _, m := range cl.machines {
 		if !slices.Contains(names, m.dataCentre) {
 			names = append(names, m.dataCentre)
 		}
@@ -413,62 +413,62 @@
 
 // QueryWitnesses implements Peers.
 func (m *machine) QueryWitnesses(ctx context.Context, name string) []Witness {
-	if m.pass(ctx) != nil {
+	if m.waitWhilePaused(ctx) != nil {
 		return nil
 	}
-	sleep(ctx, 2*wayTime)
-	w := m.world
-	w.witnessed.Add(1)
+	sleep(ctx, 2*messageDelay)
+	cl := m.cluster
+	cl.witnessQueries.Add(1)
 	var witnesses []Witness
-	for _, dc := range w.dataCentres() {
-		if w.isDeaf(dc) || w.isCut(m.name, entryIn(dc)) {
+	for _, dc := range cl.dataCentres() {
+		if cl.entriesUnresponsive(dc) || cl.isLinkDown(m.name, entryIn(dc)) {
 			continue
 		}
-		witnesses = append(witnesses, Witness{DataCentre: dc, HearsKeeper: w.runs(name) && !w.isCut(name, entryIn(dc))})
+		witnesses = append(witnesses, Witness{DataCentre: dc, HearsKeeper: cl.isRunning(name) && !cl.isLinkDown(name, entryIn(dc))})
 	}
 	return witnesses
 }
 
-func (w *world) isRetiring(name string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.retiring == name
+func (cl *cluster) isRetiring(name string) bool {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.retiringKeeper == name
 }
 
-func (w *world) isDeaf(dataCentre string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.deaf[dataCentre]
+func (cl *cluster) entriesUnresponsive(dataCentre string) bool {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.unresponsiveEntries[dataCentre]
 }
 
 // runs reports whether a keeper's process runs and is not frozen.
-func (w *world) runs(name string) bool {
-	m := w.machine(name)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return m != nil && m.process != nil && m.frozen == nil
+func (cl *cluster) isRunning(name string) bool {
+	m := cl.machine(name)
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return m != nil && m.process != nil && m.paused == nil
 }
 
 // cutDataCentre cuts a data centre's keepers and entry off from all others.
-func (w *world) cutDataCentre(dataCentre string, on bool) {
-	inside, outside := w.places(dataCentre)
+func (cl *cluster) setDataCentreIsolated(dataCentre string, isolated bool) {
+	inside, outside := cl.splitByDataCentre(dataCentre)
 	for _, a := range inside {
 		for _, b := range outside {
-			w.cut(a, b, on)
+			cl.setLinkDown(a, b, isolated)
 		}
 	}
 }
 
 // places returns the keepers and entries inside and outside of a data centre.
-func (w *world) places(dataCentre string) (inside, outside []string) {
-	for _, dc := range w.dataCentres() {
+func (cl *cluster) splitByDataCentre(dataCentre string) (inside, outside []string) {
+	for _, dc := range cl.dataCentres() {
 		if dc == dataCentre {
 			inside = append(inside, entryIn(dc))
 		} else {
 			outside = append(outside, entryIn(dc))
 		}
 	}
-	for _, m := range w.machines {
+	for _, m := range cl.machines {
 		if m.dataCentre == dataCentre {
 			inside = append(inside, m.name)
 		} else {
@@ -480,61 +480,61 @@
 
 // Read implements Assignments.
 func (m *machine) Read(ctx context.Context) (Assignment, store.Version, error) {
-	if err := m.pass(ctx); err != nil {
+	if err := m.waitWhilePaused(ctx); err != nil {
 		return Assignment{}, 0, err
 	}
-	sleep(ctx, 4*wayTime)
-	w := m.world
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.storeCalls++
-	w.storeReads++
-	if w.storeDown || w.noStore == m.name || w.noStore == m.dataCentre {
+	sleep(ctx, 4*messageDelay)
+	cl := m.cluster
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.storeCalls++
+	cl.storeReads++
+	if cl.storeUnavailable || cl.storeUnreachableFrom == m.name || cl.storeUnreachableFrom == m.dataCentre {
 		return Assignment{}, 0, store.ErrUnavailable
 	}
-	return w.assignment, w.version, w.readError
+	return cl.assignment, cl.version, cl.readError
 }
 
 // Write implements Assignments.
 func (m *machine) Write(ctx context.Context, a Assignment, base store.Version) (Assignment, store.Version, error) {
-	if err := m.pass(ctx); err != nil {
+	if err := m.waitWhilePaused(ctx); err != nil {
 		return Assignment{}, 0, err
 	}
-	sleep(ctx, 4*wayTime)
-	w := m.world
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.storeCalls++
+	sleep(ctx, 4*messageDelay)
+	cl := m.cluster
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.storeCalls++
 	switch {
-	case w.storeDown || w.noStore == m.name || w.noStore == m.dataCentre:
+	case cl.storeUnavailable || cl.storeUnreachableFrom == m.name || cl.storeUnreachableFrom == m.dataCentre:
 		return Assignment{}, 0, store.ErrUnavailable
-	case base != w.version:
-		return w.assignment, w.version, store.ErrConflict
+	case base != cl.version:
+		return cl.assignment, cl.version, store.ErrConflict
 	}
-	w.assignment = a
-	w.version++
-	if w.loseWrites > 0 {
-		w.loseWrites--
+	cl.assignment = a
+	cl.version++
+	if cl.writeResponsesToLose > 0 {
+		cl.writeResponsesToLose--
 		return Assignment{}, 0, store.ErrUnknown
 	}
-	return a, w.version, nil
+	return a, cl.version, nil
 }
 
 // entryPoint is an instance that reserves and settles.
 type entryPoint struct {
-	world *world
-	name  string
+	cluster *cluster
+	name    string
 	// only, if set, is the one keeper in reach.
-	only string
+	onlyKeeper string
 	// cutOff says that it hears nobody beyond its data centre.
-	cutOff bool
+	isolated bool
 }
 
 // WhenSilent implements Keepers. Its silence shows in the time of the calls here.
 func (e *entryPoint) OnSilence(string, func()) (stop func()) { return func() {} }
 
 // CutOff implements Keepers.
-func (e *entryPoint) Isolated() bool { return e.cutOff }
+func (e *entryPoint) Isolated() bool { return e.isolated }
 
 type remoteKeeper struct {
 	historypb.Keeper
@@ -544,59 +544,59 @@
 
 // Keeper implements Keepers.
 func (e *entryPoint) Keeper(name string) (historypb.Keeper, bool) {
-	if e.world.machine(name) == nil || e.only != "" && e.only != name {
+	if e.cluster.machine(name) == nil || e.onlyKeeper != "" && e.onlyKeeper != name {
 		return nil, false
 	}
 	return &remoteKeeper{e: e, name: name}, true
 }
 
-func (r *remoteKeeper) Reserve(ctx context.Context, q *historypb.ReserveRequest) (*historypb.ReserveResponse, error) {
-	return call(ctx, r.e.world, r.e.name, r.name, func(ctx context.Context, k *Keeper) (*historypb.ReserveResponse, error) {
-		return k.Reserve(ctx, q)
+func (r *remoteKeeper) Reserve(ctx context.Context, request *historypb.ReserveRequest) (*historypb.ReserveResponse, error) {
+	return call(ctx, r.e.cluster, r.e.name, r.name, func(ctx context.Context, k *Keeper) (*historypb.ReserveResponse, error) {
+		return k.Reserve(ctx, request)
 	})
 }
 
-func (r *remoteKeeper) Settle(ctx context.Context, q *historypb.SettleRequest) (*historypb.SettleResponse, error) {
-	return call(ctx, r.e.world, r.e.name, r.name, func(ctx context.Context, k *Keeper) (*historypb.SettleResponse, error) {
-		return k.Settle(ctx, q)
+func (r *remoteKeeper) Settle(ctx context.Context, request *historypb.SettleRequest) (*historypb.SettleResponse, error) {
+	return call(ctx, r.e.cluster, r.e.name, r.name, func(ctx context.Context, k *Keeper) (*historypb.SettleResponse, error) {
+		return k.Settle(ctx, request)
 	})
 }
 
-func (r *remoteKeeper) Draw(ctx context.Context, q *historypb.DrawRequest) (*historypb.DrawResponse, error) {
-	return call(ctx, r.e.world, r.e.name, r.name, func(ctx context.Context, k *Keeper) (*historypb.DrawResponse, error) {
-		return k.Draw(ctx, q)
+func (r *remoteKeeper) Draw(ctx context.Context, request *historypb.DrawRequest) (*historypb.DrawResponse, error) {
+	return call(ctx, r.e.cluster, r.e.name, r.name, func(ctx context.Context, k *Keeper) (*historypb.DrawResponse, error) {
+		return k.Draw(ctx, request)
 	})
 }
 
-func (r *remoteKeeper) Find(ctx context.Context, q *historypb.FindRequest) (*historypb.FindResponse, error) {
-	return call(ctx, r.e.world, r.e.name, r.name, func(ctx context.Context, k *Keeper) (*historypb.FindResponse, error) {
-		return k.Find(ctx, q)
+func (r *remoteKeeper) Find(ctx context.Context, request *historypb.FindRequest) (*historypb.FindResponse, error) {
+	return call(ctx, r.e.cluster, r.e.name, r.name, func(ctx context.Context, k *Keeper) (*historypb.FindResponse, error) {
+		return k.Find(ctx, request)
 	})
 }
 
 // client returns a client whose assignment is the store's newest.
-func (w *world) client(name string) *Client {
-	return NewClient(&entryPoint{world: w, name: name}, func() (Assignment, bool) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return w.assignment, w.version > 0
-	}, w.logger("entry"))
+func (cl *cluster) client(name string) *Client {
+	return NewClient(&entryPoint{cluster: cl, name: name}, func() (Assignment, bool) {
+		cl.mu.Lock()
+		defer cl.mu.Unlock()
+		return cl.assignment, cl.version > 0
+	}, cl.logger("entry"))
 }
 
-func (w *world) setStore(down bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.storeDown = down
+func (cl *cluster) setStoreUnavailable(unavailable bool) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.storeUnavailable = unavailable
 }
 
-func (w *world) setNoStore(name string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.noStore = name
+func (cl *cluster) setStoreUnreachableFrom(name string) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.storeUnreachableFrom = name
 }
 
-func (w *world) setRetiring(name string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.retiring = name
+func (cl *cluster) setRetiring(name string) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.retiringKeeper = name
 }
