--- a/internal/history/alone_test.go
+++ b/internal/history/alone_test.go
@@ -16,13 +16,13 @@
 
 const (
 	east, west, north = "east", "west", "north"
-	// aloneIn is how long a last keeper may take until it serves: the silence, the
-	// witnesses, the store, and a turn's caller that comes again.
+	// soleHolderTime is how long the last keeper may take until it serves as the sole holder: the
+	// suspicion timeout, the queries of witnesses, the write to the store and a caller's retry.
 	soleHolderTime = 2 * suspectTimeout
 )
 
-// newLoneWorld returns three keepers, a and b in the east and c in the west, with
-// entries there and in the north.
+// newThreeKeeperCluster returns a cluster of three keepers, a and b in the east and c in the west,
+// with entries there and in the north.
 func newThreeKeeperCluster(t *testing.T, maxDiskFailures int) *cluster {
 	cl := newCluster(t, 3, maxDiskFailures)
 	cl.machines[0].dataCentre, cl.machines[1].dataCentre, cl.machines[2].dataCentre = east, east, west
@@ -30,12 +30,13 @@
 	return cl
 }
 
-// inLoneWorld runs a test in such a world that is whole.
+// testOnThreeKeepers runs a test on such a cluster, of which all keepers are complete.
 func testOnThreeKeepers(t *testing.T, maxDiskFailures int, test func(cl *cluster, fail func(error))) {
 	testOnCluster(t, func(t *testing.T) *cluster { return newThreeKeeperCluster(t, maxDiskFailures) }, test)
 }
 
-// inWorldOf runs a test on virtual time over keepers that are whole.
+// testOnCluster runs a test with virtual time on a cluster whose keepers are complete. The first
+// error given to fail fails the test, and the trace is printed.
 func testOnCluster(t *testing.T, build func(t *testing.T) *cluster, test func(cl *cluster, fail func(error))) {
 	var failed error
 	synctest.Test(t, func(t *testing.T) {
@@ -56,7 +57,7 @@
 	is.New(t).NoErr(failed)
 }
 
-// find looks a turn up, for a program of its own.
+// findTurn looks a turn up by continuing it in another program.
 func findTurn(cl *cluster, turn string) error {
 	_, err := cl.client(entryIn(north)).Reserve(context.Background(), gateway.Reservation{
 		Program: "heir-" + turn, Turn: "heir", Previous: turn, MaxOutputTokens: 1, Budget: 10,
@@ -64,6 +65,7 @@
 	return errors.Wrapf(err, "after %s", turn)
 }
 
+// powerCycleAll cuts the power of all machines, which loses all unsynced writes, and restarts them.
 func (cl *cluster) powerCycleAll() {
 	for _, m := range cl.machines {
 		m.powerOff(0)
@@ -73,9 +75,9 @@
 	}
 }
 
-// Callers everywhere lose each turn for the whole of a cut: two of three keepers
-// are cut off with their data centre, and the third has nobody to share with. It
-// must serve alone, and what it said must outlast a loss of everyone's power.
+// Guards against an outage for all callers while a data centre with two of three keepers is
+// isolated, which leaves the third keeper without a backup. It must serve as the sole holder, and
+// the turns that it acknowledged must survive a power failure of all machines.
 func TestLastKeeperServesAsSoleHolder(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		fail(retainTurn(cl.client(entryIn(west)), "p", "first", ""))
@@ -84,7 +86,7 @@
 		start := time.Now()
 		fail(retainTurn(cl.client(entryIn(west)), "p", "second", "first"))
 		if took := time.Since(start); took > suspectTimeout {
-			fail(errors.Errorf("served after %v", took))
+			fail(errors.Errorf("served only after %v", took))
 		}
 		cl.powerCycleAll()
 		time.Sleep(startupGrace + soleHolderTime)
@@ -94,22 +96,22 @@
 		cl.powerCycleAll()
 		time.Sleep(convergenceTime)
 		if !cl.fullyReplicated() || len(cl.roleOf("p").Backups) != 1 {
-			fail(errors.New("not on two disks after the cut"))
+			fail(errors.New("shard not on two disks after the isolation ended"))
 		}
 		fail(findTurn(cl, "third"))
 	})
 }
 
-// A turn is lost that its caller saw end. A keeper is cut off with its data
-// centre but reaches the store; taking its slices alone it would serve callers
-// there, and its disk, the one that may be lost, goes before the cut is over.
+// Guards against the loss of an acknowledged turn. A keeper is isolated with its data centre but
+// reaches the store. If it became a sole holder, it would serve the callers there, and its disk, the
+// one that may fail, fails before the isolation ends.
 func TestIsolatedKeeperDoesNotBecomeSoleHolder(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		cl.setDataCentreIsolated(west, true)
 		start := time.Now()
 		for time.Since(start) < 5*time.Second {
 			if retainTurn(cl.client(entryIn(west)), "p", "alone", "") == nil {
-				fail(errors.New("a turn was kept on the disk of the keeper that is cut off"))
+				fail(errors.New("a turn was retained on the disk of the isolated keeper"))
 			}
 			time.Sleep(messageDelay)
 		}
@@ -122,9 +124,9 @@
 	})
 }
 
-// A turn is lost that its caller saw end. Only the way between the keepers of a
-// slice is cut, and each takes the other for lost. Entries hear both, so that
-// neither may go on alone.
+// Guards against the loss of an acknowledged turn. Only the link between the two holders of a shard
+// is down, and each counts the other as lost. Entries have contact with both, so that neither may
+// become a sole holder.
 func TestPartitionedHoldersDoNotBecomeSoleHolders(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		cl.machine("b").stop()
@@ -133,7 +135,7 @@
 		time.Sleep(convergenceTime)
 		for s, role := range cl.currentAssignment().Shards {
 			if len(role.Backups) == 0 {
-				fail(errors.Errorf("slice %d is held by %s alone", s, role.Primary))
+				fail(errors.Errorf("shard %d has %s as its sole holder", s, role.Primary))
 			}
 		}
 		cl.setLinkDown("a", "c", false)
@@ -148,9 +150,9 @@
 	return cl.assignment
 }
 
-// A turn is lost that its caller saw end. A last keeper was frozen; the others are
-// back meanwhile and whole, and its own disk is the next to go. What the entries
-// said of the others before must not count after it woke.
+// Guards against the loss of an acknowledged turn. A sole holder was paused; the other keepers have
+// returned meanwhile and are complete, and the disk of the sole holder fails next. The reports of
+// witnesses from before the pause must not count after it.
 func TestSoleHolderDiscardsLossEvidenceAfterPause(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		cl.setDataCentreIsolated(east, true)
@@ -160,20 +162,20 @@
 		defer k.mu.Unlock()
 		s := k.shards[ShardOf("p")]
 		if v := k.servingVerdict(s, time.Now()); v != historypb.Verdict_DONE {
-			fail(errors.Errorf("alone: %v", v))
+			fail(errors.Errorf("verdict %v as the sole holder before the pause, want DONE", v))
 		}
 		k.mu.Unlock()
 		k.ResetAfterPause()
 		k.mu.Lock()
 		if v := k.servingVerdict(s, time.Now()); v == historypb.Verdict_DONE {
-			fail(errors.New("serves by an old word"))
+			fail(errors.New("the sole holder serves by evidence from before its pause"))
 		}
 	})
 }
 
-// A turn is lost that its caller saw end. A last keeper hears the others again but
-// can't reach the store, which alone makes them partners. Once they no longer
-// count as lost its own disk may go, so that it must stop to acknowledge.
+// Guards against the loss of an acknowledged turn. A sole holder has contact with the other keepers
+// again but can't reach the store, so that no reassignment makes them backups. Once they have
+// returned for good, its own disk may fail, so it must stop acknowledging turns.
 func TestSoleHolderStopsServingAfterOthersReturn(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		cl.setDataCentreIsolated(east, true)
@@ -183,7 +185,7 @@
 		cl.setDataCentreIsolated(east, false)
 		time.Sleep(rejoinGrace + suspectTimeout)
 		if retainTurn(cl.client(entryIn(north)), "p", "on-one-disk", "first") == nil {
-			fail(errors.New("a turn is on one disk, though no other is lost"))
+			fail(errors.New("a turn was acknowledged on one disk, although no other disk is lost"))
 		}
 		cl.setStoreUnavailable(false)
 		time.Sleep(convergenceTime)
@@ -191,8 +193,8 @@
 	})
 }
 
-// Callers lose each turn for a second time: a partner is back and is lost again
-// while it is filled. The last keeper must take the slices alone once more.
+// Guards against a second outage for all callers: a keeper that returned as a backup is lost again
+// during the state transfer to it. The last keeper must become the sole holder once more.
 func TestBackupLossDuringTransferLeavesSoleHolder(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		cl.setDataCentreIsolated(east, true)
@@ -211,15 +213,16 @@
 	})
 }
 
-// Callers lose each turn for longer than the store is away: it is silent as a
-// keeper is left alone. The keeper must take its slices soon after its return.
+// Guards against an outage that lasts longer than that of the store, which is unavailable when all
+// keepers but one are lost. The last keeper must become the sole holder soon after the store is
+// available again, and must not serve before.
 func TestLastKeeperServesOnceStoreIsAvailable(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		cl.setStoreUnavailable(true)
 		cl.setDataCentreIsolated(east, true)
 		time.Sleep(3 * time.Second)
 		if retainTurn(cl.client(entryIn(north)), "p", "too-early", "") == nil {
-			fail(errors.New("kept on one disk with no change of holders"))
+			fail(errors.New("a turn was retained on one disk without a reassignment"))
 		}
 		cl.setStoreUnavailable(false)
 		time.Sleep(soleHolderTime)
@@ -227,8 +230,9 @@
 	})
 }
 
-// Where two disks may be lost, a keeper is left alone only after two are: while one
-// is lost, its partner's disk may be the second to go.
+// Guards against a sole holder after one loss where two disks may fail at once: the disk of the
+// sole holder may be the second to fail. Two of three keepers must remain holders after the first
+// loss, and the last one may become the sole holder only after the second.
 func TestSoleHolderNeedsTwoLossesIfTwoDisksMayFail(t *testing.T) {
 	testOnThreeKeepers(t, 2, func(cl *cluster, fail func(error)) {
 		fail(retainTurn(cl.client(entryIn(north)), "p", "first", ""))
@@ -236,7 +240,7 @@
 		time.Sleep(soleHolderTime)
 		for s, role := range cl.currentAssignment().Shards {
 			if len(role.Backups) != 1 {
-				fail(errors.Errorf("slice %d has %d partners", s, len(role.Backups)))
+				fail(errors.Errorf("shard %d has %d backups, want 1", s, len(role.Backups)))
 			}
 		}
 		cl.machine("b").stop()
@@ -249,8 +253,8 @@
 	})
 }
 
-// Where two disks may be lost and there are only two keepers, the loss of one leaves
-// no room for the loss of the other.
+// Guards against a sole holder among only two keepers where two disks may fail at once: after the
+// loss of one, the disk of the other may still fail.
 func TestLastOfTwoKeepersIsNoSoleHolderIfTwoDisksMayFail(t *testing.T) {
 	twoKeepers := func(t *testing.T) *cluster {
 		cl := newThreeKeeperCluster(t, 2)
@@ -262,14 +266,15 @@
 		time.Sleep(convergenceTime)
 		for s, role := range cl.currentAssignment().Shards {
 			if len(role.Backups) == 0 {
-				fail(errors.Errorf("slice %d is held by %s alone", s, role.Primary))
+				fail(errors.Errorf("shard %d has %s as its sole holder", s, role.Primary))
 			}
 		}
 	})
 }
 
-// A last keeper is ordered to be emptied. It must go on until another is back,
-// share its slices with that one, and be empty only when they are whole without it.
+// Guards against data loss when operators drain a sole holder. It must serve until another keeper
+// has returned, replicate its shards to that one, and count as drained only when the other holders
+// are complete.
 func TestRetiringSoleHolderDrainsOnceOthersAreComplete(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		cl.setDataCentreIsolated(east, true)
@@ -278,20 +283,21 @@
 		time.Sleep(soleHolderTime)
 		fail(retainTurn(cl.client(entryIn(north)), "p", "first", ""))
 		if cl.machine("c").process.keeper.Drained() {
-			fail(errors.New("the last keeper says that it is empty"))
+			fail(errors.New("the sole holder reports that it is drained"))
 		}
 		cl.setDataCentreIsolated(east, false)
 		time.Sleep(convergenceTime)
 		if !cl.machine("c").process.keeper.Drained() {
-			fail(errors.Errorf("not emptied: %v", cl.roleOf("p")))
+			fail(errors.Errorf("keeper c not drained; shard assigned to %v", cl.roleOf("p")))
 		}
 		cl.machine("c").wipe()
 		fail(findTurn(cl, "first"))
 	})
 }
 
-// A slice is never served again: its last keeper lost its disk too, which is more
-// than may be lost. The one that had all of it before must take it back.
+// Guards against a shard that is never served again. Its sole holder lost its disk as well, so that
+// more disks are lost than may fail at once. The keeper that had all of the shard before must take
+// it over.
 func TestEarlierHolderRecoversShardOfLostSoleHolder(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		fail(retainTurn(cl.client(entryIn(north)), "p", "first", ""))
@@ -305,9 +311,9 @@
 	})
 }
 
-// Entries are asked about a keeper that is gone for good as long as it is registered,
-// by all other keepers, ten times a second. Once it holds nothing, nobody needs to
-// know of it.
+// Guards against needless witness queries: about a keeper that is lost for good but still
+// registered, all other keepers would ask the entries ten times a second. Once it holds no shards,
+// they must stop.
 func TestWitnessesAreNotQueriedAboutKeeperWithoutShards(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		cl.machine("b").stop()
@@ -315,13 +321,14 @@
 		before := cl.witnessQueries.Load()
 		time.Sleep(time.Minute)
 		if queries := cl.witnessQueries.Load() - before; queries > 0 {
-			fail(errors.Errorf("asked %d times in a minute", queries))
+			fail(errors.Errorf("%d witness queries in a minute, want none", queries))
 		}
 	})
 }
 
-// An assignment of another version, or one written by hand, names keepers that
-// are not there or no partners at all. A keeper must judge it and stay up.
+// Guards against a crash on an assignment that was written by another version or by hand. It names
+// keepers that do not exist, the same keeper twice, or no backups. Keepers must apply it and
+// continue to run.
 func TestKeepersSurviveInvalidAssignment(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		odd, err := DecodeAssignment([]byte(`{"slices":[{"epoch":90,"primary":"c"},{"epoch":91,"primary":"nobody","partners":null},
--- a/internal/history/cost_test.go
+++ b/internal/history/cost_test.go
@@ -14,8 +14,8 @@
 	"foxhall/internal/gateway"
 )
 
-// looksIn returns how often keepers looked at their roles in half a minute of rest, each on
-// the mean.
+// reconciliationsAtRest returns the mean number of reconciliations of a keeper in half a minute
+// without any event.
 func reconciliationsAtRest(t *testing.T, keepers int) int64 {
 	perKeeper := int64(0)
 	synctest.Test(t, func(t *testing.T) {
@@ -37,18 +37,19 @@
 	return perKeeper
 }
 
-// Keepers of a large fleet spend their time on each other: each answer of each other one
-// has a keeper look at all roles, which grows with the square of their number. At rest a
-// keeper must look as often among many as among few.
+// Guards against reconciliations that grow with the square of the number of keepers, which happens
+// if each status of each other keeper starts one. At rest, a keeper must reconcile as often among
+// 24 keepers as among 4.
 func TestReconciliationsAtRestDoNotGrowWithKeepers(t *testing.T) {
 	few, many := reconciliationsAtRest(t, 4), reconciliationsAtRest(t, 24)
-	t.Logf("%d looks among 4 keepers, %d among 24", few, many)
+	t.Logf("%d reconciliations each of 4 keepers, %d each of 24", few, many)
 	is.New(t).True(many <= few+few/10)
 }
 
-// A data centre is lost, and a fleet of many keepers spends the next second on writing the
-// assignment: all change it at once, and each but one comes too late, reads it anew, waits
-// and tries again. The slices must have other holders soon, and a try must cost one call.
+// Guards against a slow reassignment after the loss of a data centre. All keepers then write the
+// assignment at once, and all but one conflict. If each had to read it again and wait before the
+// next try, this would take a second. The shards must have other holders soon, and each try must
+// cost one call, without a read.
 func TestConcurrentReassignmentsNeedNoReads(t *testing.T) {
 	build := func(t *testing.T) *cluster {
 		cl := newCluster(t, 24, 2)
@@ -68,22 +69,22 @@
 		for s := range a.Shards {
 			for _, name := range a.Shards[s].holders() {
 				if cl.machine(name).dataCentre == lost {
-					fail(errors.Errorf("slice %d is still held by %s", s, name))
+					fail(errors.Errorf("shard %d is still held by %s, whose data centre is isolated", s, name))
 				}
 			}
 		}
 		cl.mu.Lock()
 		defer cl.mu.Unlock()
-		t.Logf("%d changes in %d calls, %d of them reads", cl.version-before, cl.storeCalls-calls, cl.storeReads-reads)
+		t.Logf("%d assignments written in %d store calls, %d of them reads", cl.version-before, cl.storeCalls-calls, cl.storeReads-reads)
 		if cl.storeReads > reads {
-			fail(errors.Errorf("%d reads", cl.storeReads-reads))
+			fail(errors.Errorf("%d reads of the assignment, want none", cl.storeReads-reads))
 		}
 	})
 }
 
-// Turns wait for seconds after a keeper was lost, and keepers are taken for lost in turn:
-// those that take its slices over fetch and send all that is kept, over links that are busy
-// for longer than their silence may last. What the others have already must not be moved.
+// Guards against take-overs that transfer all retained records. These transfers would keep the links
+// busy for longer than a keeper may be unresponsive, so that turns wait for seconds and further
+// keepers are replaced. Records that a keeper has already must not be sent to it.
 func TestTakeOverTransfersOnlyMissingRecords(t *testing.T) {
 	testOnCluster(t, func(t *testing.T) *cluster { return newCluster(t, 3, 1) }, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
@@ -102,9 +103,9 @@
 		cl.machines[0].start()
 		time.Sleep(convergenceTime)
 		transferred := cl.transferredBytes.Load() - before
-		t.Logf("%d bytes moved at a loss and a return, %d kept", transferred, turns*size)
+		t.Logf("%d bytes transferred after the loss and return of a keeper, %d retained", transferred, turns*size)
 		if transferred > turns*size/4 {
-			fail(errors.Errorf("%d bytes moved of %d that all have", transferred, turns*size))
+			fail(errors.Errorf("%d bytes transferred of %d that all keepers have", transferred, turns*size))
 		}
 		fail(retainTurn(c, "heir", "heir", "p7"))
 	})
--- a/internal/history/customer_test.go
+++ b/internal/history/customer_test.go
@@ -14,7 +14,8 @@
 
 func customer(name string) *string { return &name }
 
-// keepFor keeps a turn of the customer's program.
+// retainTurnFor runs a turn of 60 output tokens of the customer's program, with a budget of 100, and
+// retains it.
 func retainTurnFor(c *Client, customer, program, turn, previous string) error {
 	ctx := context.Background()
 	_, err := c.Reserve(ctx, gateway.Reservation{
@@ -27,44 +28,45 @@
 	return c.Settle(ctx, gateway.Settlement{Customer: customer, Program: program, Turn: turn, OutputTokens: 60, RetainedTurn: retained, Retention: time.Hour})
 }
 
-// A customer reads another's conversation by naming its turn, in a program of the same id
-// or of another.
+// Guards against a customer who reads another customer's conversation by naming its turn, in a
+// program with the same id or another id, or without a key.
 func TestTurnOfAnotherCustomerIsNotContinued(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
 		fail(retainTurnFor(c, "one", "p", "first", ""))
 		for _, program := range []string{"p", "elsewhere"} {
 			if err := retainTurnFor(c, "two", program, "stolen", "first"); !errors.Is(err, gateway.ErrNoSuchTurn) {
-				fail(errors.Errorf("another customer's turn continued in %s: %v", program, err))
+				fail(errors.Errorf("another customer's turn in program %s: got %v, want ErrNoSuchTurn", program, err))
 			}
 		}
 		if err := retainTurnFor(c, "", "p", "stolen", "first"); !errors.Is(err, gateway.ErrNoSuchTurn) {
-			fail(errors.Errorf("a customer's turn continued without a key: %v", err))
+			fail(errors.Errorf("a customer's turn without a key: got %v, want ErrNoSuchTurn", err))
 		}
 	})
 }
 
-// A customer spends another's tokens: both use one program id, and one turn id.
+// Guards against a customer who spends another customer's tokens when both use the same program id
+// and turn id.
 func TestCustomersWithSameProgramIDHaveSeparateAccounts(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
 		fail(retainTurnFor(c, "one", "p", "t", ""))
 		fail(retainTurnFor(c, "two", "p", "t", ""))
 		if err := retainTurnFor(c, "two", "p", "more", "t"); !errors.Is(err, gateway.ErrBudgetExhausted) {
-			fail(errors.Errorf("spent twice: %v", err))
+			fail(errors.Errorf("turn beyond the customer's own budget: got %v, want ErrBudgetExhausted", err))
 		}
 		reserved, err := c.Reserve(context.Background(), gateway.Reservation{
 			Customer: "two", Program: "heir", Turn: "heir", Previous: "t", MaxOutputTokens: 1, Budget: 10,
 		})
 		fail(err)
 		if len(reserved.Chain) != 1 || string(reserved.Chain[0].Input) != "two" {
-			fail(errors.Errorf("chain %v", reserved.Chain))
+			fail(errors.Errorf("chain %v, want the one turn of customer two", reserved.Chain))
 		}
 	})
 }
 
-// An upgrade in place loses turns and tokens that keepers of an older version kept without
-// a customer.
+// Guards against an in-place upgrade that loses turns and spent tokens: keepers of older versions
+// stored them without a customer.
 func TestRecordsWithoutCustomerRemainValid(t *testing.T) {
 	is := is.New(t)
 	s, now := newState(), time.Now()
@@ -81,8 +83,9 @@
 	is.True(!ok)
 }
 
-// A turn kept through an upgraded entry is refused by one that is not upgraded yet, and
-// its program's tokens are handed out twice.
+// Guards against faults during an upgrade: an entry of the older version, which sends no customer,
+// must find a turn that was retained through an upgraded entry, and must not get the program's
+// tokens a second time.
 func TestEntriesOfOlderVersionFindTurnsOfCustomers(t *testing.T) {
 	is := is.New(t)
 	s, now := newState(), time.Now()
@@ -95,8 +98,8 @@
 	is.Equal(s.account(customer("one"), "p").Spent, int64(70))
 }
 
-// A keeper of an older version hands out another customer's turn, as it looks at the id
-// alone.
+// Guards against keepers of older versions, which look turns up by the id without the customer: the
+// client must reject a chain that belongs to another customer.
 func TestClientRejectsChainsOfOtherCustomers(t *testing.T) {
 	is := is.New(t)
 	is.True(ownsChain([]*historypb.Turn{{Id: "a"}, {Id: "b", Customer: customer("one")}}, customer("one")))
--- a/internal/history/failure_test.go
+++ b/internal/history/failure_test.go
@@ -14,11 +14,12 @@
 	"foxhall/internal/history/historypb"
 )
 
-// inWorld runs a test on virtual time over four keepers that are whole.
+// testOnFourKeepers runs a test with virtual time on four keepers that are complete.
 func testOnFourKeepers(t *testing.T, test func(cl *cluster, fail func(error))) {
 	testOnCluster(t, func(t *testing.T) *cluster { return newCluster(t, 4, 1) }, test)
 }
 
+// retainTurn runs a turn that continues the previous one, if any, and retains it.
 func retainTurn(c *Client, program, turn, previous string) error {
 	ctx := context.Background()
 	_, err := c.Reserve(ctx, gateway.Reservation{Program: program, Turn: turn, Previous: previous, MaxOutputTokens: 1, Retention: time.Hour})
@@ -35,10 +36,10 @@
 	return cl.assignment.Shards[ShardOf(program)]
 }
 
-// A caller's next turn is denied. The primary of its slice proposed another
-// partner, the store's answer was late, and the primary lost its disk; then the
-// proposal took effect, which left the old partner, with all turns, out. It
-// must see that neither of the new pair has them, and take the slice back.
+// Guards against the loss of acknowledged turns by a late write of the assignment. The primary of a
+// shard proposed other backups, the write was delayed, and the primary lost its disk. Then the write
+// took effect and removed the old backups, which have all turns. They must notice that none of the
+// new holders has them, and take the shard over.
 func TestLateAssignmentByLostPrimaryLosesNoTurn(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
@@ -66,9 +67,9 @@
 	})
 }
 
-// A caller's next turn is denied. The slice's partner lost its disk while it
-// was being filled; the rest of the filling went to the empty disk, whose
-// keeper took itself for whole. What fills must name the disk that it fills.
+// Guards against an empty disk that counts as complete. A backup lost its disk during a state
+// transfer, and the rest of the transfer reached the empty disk. A transfer must name the disk that
+// it is for, and a keeper with another disk must refuse it.
 func TestTransferForLostDiskDoesNotCompleteNewDisk(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		role := cl.roleOf("p")
@@ -86,7 +87,7 @@
 		last := &historypb.AppendRequest{Slices: []*historypb.SliceAppend{
 			{Slice: ShardOf("p"), Epoch: role.Epoch, Complete: true, Disk: before.Disk},
 		}}
-		// The first has it read the assignment, without which it follows nobody.
+		// The first call makes the keeper read the assignment; until then it refuses all records.
 		for range 2 {
 			if _, err := k.Append(ctx, last); err != nil {
 				fail(err)
@@ -95,14 +96,14 @@
 		}
 		after, err := k.Status(ctx, &historypb.StatusRequest{})
 		if err != nil || decodeEpochState(after.Slices[ShardOf("p")]).base > 0 {
-			fail(errors.New("an empty disk counts as whole"))
+			fail(errors.New("an empty disk counts as complete"))
 		}
 	})
 }
 
-// A program's tokens are handed out twice. Its primary was frozen and did not
-// notice that it was replaced; callers that still ask it must get no
-// reservation from it, and the new primary counts on from where it stood.
+// Guards against tokens of a program that are reserved twice. The primary was paused and did not
+// notice that it was replaced. Callers that still call it must get no reservation, and the new
+// primary must include the reservations of the old one.
 func TestReplacedPausedPrimaryReservesNothing(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
@@ -129,21 +130,22 @@
 	})
 }
 
-// A caller is refused for the whole of a cut, though the other keepers could
-// serve it: its slice's primary, which it reaches, is cut off from them and says
-// so. Its word must not count before the partner is asked, which takes over.
+// Guards against the refusal of a caller during a network partition although the other keepers can
+// serve it. The caller reaches the shard's primary, which is isolated from the other keepers and
+// responds with ISOLATED. The caller must call the backups, of which one takes over, before it
+// accepts that.
 func TestCallerOfIsolatedPrimaryReachesItsSuccessor(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		role := cl.roleOf("p")
 		cl.isolateMachine(role.Primary)
 		time.Sleep(2 * suspectTimeout)
-		// The entry, too, has not heard of the change yet.
+		// The entry does not know the new assignment yet either.
 		c := NewClient(&entryPoint{cluster: cl, name: "entry"}, role.forAllShards, cl.logger("entry"))
 		fail(retainTurn(c, "p", "first", ""))
 	})
 }
 
-// isolate cuts a machine off from the others and from the store.
+// isolateMachine isolates a machine from the others and from the store. Entries still reach it.
 func (cl *cluster) isolateMachine(name string) {
 	for _, m := range cl.machines {
 		if m.name != name {
@@ -155,7 +157,7 @@
 	cl.storeUnreachableFrom = name
 }
 
-// alone is an assignment that gives the role to all slices.
+// forAllShards returns an assignment that gives each shard the same role.
 func (r ShardAssignment) forAllShards() (Assignment, bool) {
 	var a Assignment
 	for s := range a.Shards {
@@ -164,8 +166,8 @@
 	return a, true
 }
 
-// A caller is held until its patience is over, though nothing can serve it: its
-// data centre is cut off with one keeper. It must be refused at once.
+// Guards against a caller that waits until its timeout although no keeper can serve it: its data
+// centre is isolated with one keeper, the primary. It must be refused at once.
 func TestCallerIsolatedWithPrimaryFailsFast(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		role := cl.roleOf("p")
@@ -180,10 +182,9 @@
 	})
 }
 
-// The same where the keeper in reach is the partner: it sends the caller on to the
-// primary, which is out of reach, again and again. An instance that knows itself
-// cut off must take that for a refusal, also where it looks for another
-// program's turn.
+// The same where the reachable keeper is a backup, which redirects the caller to the unreachable
+// primary again and again. An instance that knows that it is isolated must take that as a refusal,
+// also when it looks up a turn of another program.
 func TestCallerIsolatedWithBackupFailsFast(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		role := cl.roleOf("p")
@@ -204,9 +205,9 @@
 	})
 }
 
-// Programs of a data centre that is cut off stand still, although their turns
-// need not be kept. What their entry drew ahead must serve them, and when it is
-// used up they must be refused, since the budget could be spent elsewhere.
+// Guards against an outage for programs in an isolated data centre whose turns need not be retained.
+// The allowance that their entry drew before must cover them. Once it is used up they must be
+// refused, since the budget may be spent elsewhere.
 func TestAllowanceCoversTurnsWhileKeepersAreUnreachable(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
@@ -231,16 +232,16 @@
 		for turn(served) == nil {
 			served++
 		}
-		// 300 tokens are held: a turn begins while 100 of them are left.
+		// The allowance is 300 tokens, and a turn begins while at least 100 of them are left.
 		if served != 10 {
-			fail(errors.Errorf("%d turns served", served))
+			fail(errors.Errorf("%d turns served, want 10", served))
 		}
 	})
 }
 
-// Slices move needlessly, and turns wait for them: a keeper that was frozen for
-// two seconds wakes and takes its own deafness for the silence of all others. It
-// must judge none of them before it could hear them again.
+// Guards against needless reassignments, during which turns wait, after a keeper was paused for two
+// seconds. It received nothing during the pause, and all other keepers would seem unresponsive. It
+// must count none of them as unresponsive before it can have received their status again.
 func TestNoKeeperIsUnresponsiveAfterOwnPause(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		k := cl.machines[0].process.keeper
@@ -248,7 +249,7 @@
 		for _, v := range k.views {
 			v.lastContact = v.lastContact.Add(-2 * time.Second)
 		}
-		// Entries have answered all the while.
+		// Entries have responded throughout.
 		k.quorumContact = contactPeriod{since: time.Now().Add(-2 * time.Second), last: time.Now()}
 		allIneligible := len(k.views) > 0
 		for _, o := range k.assessPeers(time.Now()) {
@@ -256,23 +257,23 @@
 		}
 		k.mu.Unlock()
 		if !allIneligible {
-			fail(errors.New("the others are not judged silent before"))
+			fail(errors.New("before the reset, some keepers are not counted as unresponsive"))
 		}
 		k.ResetAfterPause()
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		for name, o := range k.assessPeers(time.Now()) {
 			if o.ineligible {
-				fail(errors.Errorf("%s is judged silent", name))
+				fail(errors.Errorf("after the reset, %s counts as unresponsive", name))
 			}
 		}
 	})
 }
 
-// Turns are lost for good where a second disk goes while the first one's copies
-// are still being made again. A disk is lost under a hundred programs' turns; each
-// slice must be whole on two disks again within the shortest time that operators
-// of today's sites name, 4.4 s, the new process's start included.
+// Guards against the loss of turns when a second disk fails before the records of the first are
+// replicated again. A disk with the turns of a hundred programs is lost. All holders of each shard
+// must be complete again within 4.4 s, the shortest time that operators of present sites ask for,
+// which includes the start of the new process.
 func TestShardsOfLostDiskAreReplicatedAgainInTime(t *testing.T) {
 	const catchUp = 4400 * time.Millisecond
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
@@ -296,15 +297,15 @@
 		for !cl.fullyReplicated() {
 			time.Sleep(messageDelay)
 			if time.Since(start) > catchUp {
-				fail(errors.Errorf("not whole after %v", time.Since(start)))
+				fail(errors.Errorf("shards not fully replicated after %v", time.Since(start)))
 				return
 			}
 		}
-		t.Logf("whole again after %v", time.Since(start))
+		t.Logf("shards fully replicated again after %v", time.Since(start))
 	})
 }
 
-// whole reports that each slice is whole on the disks of both its holders.
+// fullyReplicated reports whether all holders of each shard are complete.
 func (cl *cluster) fullyReplicated() bool {
 	cl.mu.Lock()
 	roles := cl.assignment.Shards
@@ -323,9 +324,9 @@
 	return true
 }
 
-// The store comes back into a storm: while it was away, all keepers that had lost a
-// partner called it ten times a second and more. They must wait longer from call to
-// call, and still change holders soon after its return.
+// Guards against overload of the store as it returns from an outage. During the outage, all keepers
+// that lost a backup would call it ten times a second or more. They must back off, and still
+// reassign the shards soon after its return.
 func TestKeepersBackOffFromUnavailableStore(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		cl.setStoreUnavailable(true)
@@ -337,9 +338,9 @@
 		cl.mu.Lock()
 		calls := cl.storeCalls - before
 		cl.mu.Unlock()
-		t.Logf("%d calls in 5 s by three keepers", calls)
+		t.Logf("%d store calls in 5 s by three keepers", calls)
 		if calls > 60 {
-			fail(errors.Errorf("%d calls in 5 s", calls))
+			fail(errors.Errorf("%d store calls in 5 s, want at most 60", calls))
 		}
 		cl.setStoreUnavailable(false)
 		time.Sleep(time.Second)
@@ -347,16 +348,17 @@
 		defer cl.mu.Unlock()
 		for s, role := range cl.assignment.Shards {
 			if role.Primary == cl.machines[0].name || role.hasBackup(cl.machines[0].name) {
-				fail(errors.Errorf("slice %d is still held by the lost keeper", s))
+				fail(errors.Errorf("shard %d is still held by the lost keeper", s))
 				return
 			}
 		}
 	})
 }
 
-// A slice moves to a data centre that is cut off. A partner that was just filled had
-// heard the primary for the last time before that one's own mark was on the disk;
-// then it was cut off, and took the old word for a lost disk again and again.
+// Guards against a shard that moves to an isolated data centre. A backup that had just become
+// complete received the primary's last status before the primary's own epoch state was on its disk.
+// Then the backup was isolated, and took the old status repeatedly for a lost disk. An incomplete
+// primary must count as failed only after newer statuses of it.
 func TestOldStatusOfPrimaryIsNoFailure(t *testing.T) {
 	is := is.New(t)
 	s := &shard{id: 1, role: ShardAssignment{Ensemble: Ensemble{Epoch: 3}}}
@@ -370,9 +372,9 @@
 	is.True(s.primaryIncomplete(status))
 }
 
-// A program's tokens are handed out twice. A primary had written a change that its
-// partner never got, and was replaced; what the new one acknowledged must count more
-// than that on the old one's disk, also where both are the account's next version.
+// Guards against tokens of a program that are reserved twice. A primary wrote a change that its
+// backup never received, and was replaced. What the new primary acknowledged must replace that
+// change on the old one's disk, also where each is the next version of the same account.
 func TestAccountVersionOfLaterEpochWins(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -387,9 +389,9 @@
 	is.Equal(old.accounts["p"].Open[0].Id, "acknowledged")
 }
 
-// A turn is lost that its caller saw end. Its primary had it on its own disk alone
-// when it was killed; after the restart its caller settled it again, which was
-// acknowledged by a partner that still lacked it. A repeat must bring its records.
+// Guards against the loss of an acknowledged turn. The primary had it only on its own disk when it
+// was killed. After the restart the caller settled the turn again, which was acknowledged by a
+// backup that still lacked it. A repeated settlement must return the records again.
 func TestRepeatedSettlementReturnsItsRecords(t *testing.T) {
 	is := is.New(t)
 	s, backup := newState(), newState()
@@ -403,9 +405,9 @@
 	is.True(ok)
 }
 
-// A cut of one data centre stops all turns though a keeper stands outside of it: that
-// one had been lost for a while, and its slices stayed with what was left, two keepers
-// of one data centre. They must be spread again.
+// Guards against an outage for all turns when one data centre is isolated although a keeper is
+// outside of it. That keeper had been lost for a while, and its shards stayed with the other two
+// keepers, both in one data centre. After its return the shards must be spread again.
 func TestShardsAreSpreadAfterDataCentreReturns(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
 		fail(retainTurn(cl.client(entryIn(north)), "p", "first", ""))
@@ -415,7 +417,7 @@
 		time.Sleep(convergenceTime)
 		for s, role := range cl.currentAssignment().Shards {
 			if role.Primary != "c" && !role.hasBackup("c") || len(role.Backups) != 1 {
-				fail(errors.Errorf("slice %d is on %v", s, role.holders()))
+				fail(errors.Errorf("shard %d is held by %v, want keeper c and one other", s, role.holders()))
 				return
 			}
 		}
@@ -425,9 +427,9 @@
 	})
 }
 
-// A turn is lost that its caller saw end. A keeper is ordered to be emptied, its slice's
-// primary takes another partner, and is lost for good while that one is filled. The
-// one that leaves must hold the slice until the other has all of it.
+// Guards against the loss of an acknowledged turn. A backup is to be drained, the primary of its
+// shard chooses another backup, and is lost for good during the state transfer to that one. The
+// draining keeper must remain a holder until the new backup is complete.
 func TestPrimaryLossDuringBackupReplacementLosesNoTurn(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
--- a/internal/history/machine_test.go
+++ b/internal/history/machine_test.go
@@ -17,16 +17,22 @@
 
 // action is one step of a plan, drawn before the run so that it can be replayed.
 type action struct {
+	// Kind is one of the cases of perform.
 	Kind string
+	// A and B are random numbers that select the machine, the program and other parameters.
 	A, B int
-	For  time.Duration
+	// For is the duration of a fault. Turns use a fraction of it as their running time.
+	For time.Duration
 }
 
+// actionKinds are the kinds of actions that a plan consists of. A kind that is listed several times
+// is drawn more often.
 var actionKinds = []string{
 	"turn", "turn", "turn", "turn", "turn", "turn", "abandon", "unknown", "draw", "draw", "draw", "draw", "newentry",
 	"kill", "power", "wipe", "freeze", "cut", "store", "lose", "powerall", "wait",
 }
 
+// drawPlan draws a plan of 10 to 50 actions of the given kinds.
 func drawPlan(rt *rapid.T, kinds []string) []action {
 	kind := rapid.SampledFrom(kinds)
 	anyAction := rapid.Custom(func(rt *rapid.T) action {
@@ -41,35 +47,40 @@
 }
 
 const (
+	// testBudget is the budget, in tokens, of programs whose turns are retained, and
+	// testMaxOutputTokens the maximum output of each of their turns.
 	testBudget          = 100
 	testMaxOutputTokens = 20
-	// settledIn is how long keepers take at the most to be whole again after
-	// all faults are over: they notice a loss, change keepers and fill the new one.
+	// convergenceTime is the longest time from the end of all faults until all holders are complete
+	// again: keepers detect a loss, reassign shards and transfer the records to the new holders.
 	convergenceTime = 5 * time.Second
 	programCount    = 3
-	// drawBudget is that of programs whose turns are not kept; drawMost and
-	// drawTurns make their turns reach it.
+	// unretainedBudget is the budget, in tokens, of programs whose turns are not retained. With
+	// unretainedMaxOutputTokens and unretainedTurnCount their turns reach it.
 	unretainedBudget          = 300
 	unretainedMaxOutputTokens = 25
 	unretainedTurnCount       = 10
 )
 
-// oracle is what callers were told.
+// oracle records the responses that callers received, and the failures found in them.
 type oracle struct {
 	mu       sync.Mutex
 	failures []string
-	// kept are the acknowledged turns of each program, with their chains.
+	// retained are the acknowledged turns of each program.
 	retained [programCount][]acknowledgedTurn
-	// made counts the tokens that callers of each program may have got, drawn
-	// those of the programs whose turns are not kept.
+	// outputTokens counts the tokens that callers of each program may have received, and
+	// unretainedTokens those of the programs whose turns are not retained.
 	outputTokens     [programCount]int
 	unretainedTokens [programCount]int
-	// entries are the clients of the instances that callers reach.
+	// entries are the clients of the entries that hold allowances, by the entry's number.
 	entries   map[int]*Client
 	turnCount int
-	calls     sync.WaitGroup
+	// calls are the calls and the ends of faults that run in the background.
+	calls sync.WaitGroup
 }
 
+// acknowledgedTurn is a retained turn whose settlement was acknowledged. Its chain ends with the
+// turn itself.
 type acknowledgedTurn struct {
 	id    string
 	chain []string
@@ -81,27 +92,28 @@
 	o.failures = append(o.failures, fmt.Sprintf(format, args...))
 }
 
-// note counts what the runs went through, so that a machine that no longer
-// reaches a fault is seen.
+// countEvent counts the faults and outcomes of all runs. The log of the counts shows if the random
+// plans stop covering one of them.
 func (r *run) countEvent(event string) {
 	r.oracle.mu.Lock()
 	defer r.oracle.mu.Unlock()
 	r.eventCounts[event]++
 }
 
+// run is the execution of one plan.
 type run struct {
 	*cluster
 	oracle
 	eventCounts map[string]int
-	// lostUntil is until when one disk counts as lost, after which another may be.
+	// diskLostUntil is when the last lost disk has been replicated again, so that another may fail.
 	diskLostUntil time.Time
 }
 
-// TestKeepersMachine runs random plans of turns and faults over four keepers, of
-// which one at a time may lose its disk. A turn whose end was acknowledged is
-// found with its whole chain, or nothing is said of it; "no such turn" is only
-// said of one that never was; a program's turns never make more than its
-// budget; and some seconds after the last fault everything is served.
+// TestRandomFaults runs random plans of turns and faults on four keepers, of which one at a time may
+// lose its disk. A turn whose settlement was acknowledged must be found with its complete chain, or
+// the caller gets no result; ErrNoSuchTurn must be returned only for a turn that never existed; the
+// output of a program's turns must never exceed its budget; and convergenceTime after the last fault
+// all turns must be served.
 func TestRandomFaults(t *testing.T) {
 	eventCounts := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -115,8 +127,8 @@
 	t.Log(eventCounts)
 }
 
-// TestKeepersMachineOfThreeDisks is the same where two disks at once may be lost,
-// at times while all others lose power: each slice is on three.
+// TestRandomFaultsWithTwoDiskFailures is the same on six keepers where two disks may fail at once,
+// in some plans while all other machines lose power. Each shard is on at least three disks.
 func TestRandomFaultsWithTwoDiskFailures(t *testing.T) {
 	eventCounts := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -130,12 +142,13 @@
 	t.Log(eventCounts)
 }
 
-// lastKeeperKinds leave a keeper alone more often than the other faults.
+// dataCentreFaultKinds are actionKinds and faults of whole data centres, which often leave one
+// keeper as the last one.
 var dataCentreFaultKinds = append([]string{"centre", "centre", "centrewipe", "centrewipe", "retire"}, actionKinds...)
 
-// TestLastKeeperMachine is the same where a data centre with two of three keepers
-// may be cut off, at times with the store in reach of both sides, and one of the
-// keepers that are cut off may lose its disk before the cut is over.
+// TestRandomFaultsWithSoleHolders is the same on three keepers, where the data centre with two of
+// them may be isolated, in some plans with the store reachable from both sides. An isolated keeper
+// may lose its disk before the isolation ends.
 func TestRandomFaultsWithSoleHolders(t *testing.T) {
 	eventCounts := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -149,8 +162,8 @@
 	t.Log(eventCounts)
 }
 
-// TestDataCentresMachine is the same over six keepers in three data centres, of which
-// two at once may lose their disks.
+// TestRandomFaultsInThreeDataCentres is the same on six keepers in three data centres, where two
+// disks may fail at once.
 func TestRandomFaultsInThreeDataCentres(t *testing.T) {
 	eventCounts := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -170,6 +183,8 @@
 	t.Log(eventCounts)
 }
 
+// runPlan runs a plan on the cluster, ends all faults, and checks that all acknowledged turns are
+// served. It returns the failures found.
 func runPlan(t *testing.T, cl *cluster, plan []action, eventCounts map[string]int) []string {
 	r := &run{cluster: cl, eventCounts: eventCounts, oracle: oracle{entries: map[int]*Client{}}}
 	r.startAll()
@@ -192,6 +207,7 @@
 	return r.failures
 }
 
+// perform starts one action. Calls continue and faults end in the background.
 func (r *run) perform(a action) {
 	m := r.machines[a.A%len(r.machines)]
 	switch a.Kind {
@@ -202,6 +218,7 @@
 	case "draw":
 		r.calls.Go(func() { r.runUnretainedTurns(a) })
 	case "newentry":
+		// An entry that restarts has lost its allowances.
 		r.oracle.mu.Lock()
 		delete(r.entries, a.A%3)
 		r.oracle.mu.Unlock()
@@ -232,6 +249,7 @@
 		r.setStoreUnavailable(true)
 		r.runAfter(a.For, func() { r.setStoreUnavailable(false) })
 	case "lose":
+		// The next one or two writes to the store take effect, but their responses are lost.
 		r.cluster.mu.Lock()
 		r.writeResponsesToLose = 1 + a.B%2
 		r.cluster.mu.Unlock()
@@ -249,8 +267,10 @@
 	}
 }
 
-// wipe empties as many disks at once as may be lost, if no other is lost: what is
-// on one keeper alone until it is copied must not be lost too.
+// wipe replaces as many disks at once as may fail. It does nothing unless there is no other fault and
+// all disks lost before have been replicated again: until then, a record may be on one disk only.
+// Where two disks may fail, the power of all machines fails as well in half of the cases. The kind
+// "wipesilent" replaces the disks during an outage of the store, with turns in flight.
 func (r *run) wipe(m *machine, a action) {
 	if time.Now().Before(r.diskLostUntil) || !r.staysFaultFree() {
 		return
@@ -280,13 +300,13 @@
 	r.diskLostUntil = time.Now().Add(convergenceTime)
 }
 
-// wipeBehindCut empties the disk of a keeper whose data centre is cut off, before
-// the cut is over: it is one disk of those that are lost with the data centre.
+// wipeWhileIsolated replaces the disk of a keeper while its data centre is isolated. The keepers of
+// the isolated data centre count as lost already, so that this is no further disk failure.
 func (r *run) wipeWhileIsolated(m *machine, a action) {
 	if time.Now().Before(r.diskLostUntil) || !r.staysFaultFree() {
 		return
 	}
-	r.countEvent("wiped behind a cut")
+	r.countEvent("wiped while isolated")
 	r.setDataCentreIsolated(m.dataCentre, true)
 	if a.B%2 == 0 {
 		r.setStoreUnreachableFrom(m.dataCentre)
@@ -303,8 +323,8 @@
 	r.diskLostUntil = time.Now().Add(convergenceTime)
 }
 
-// calm reports that all keepers run and reach each other and the store, and
-// have done so for long enough to be whole.
+// staysFaultFree reports whether there is no fault now and, after a wait of convergenceTime, none
+// either. All holders are complete then.
 func (r *run) staysFaultFree() bool {
 	if !r.faultFree() {
 		return false
@@ -313,6 +333,7 @@
 	return r.faultFree()
 }
 
+// faultFree reports whether all keepers run and reach each other and the store.
 func (r *run) faultFree() bool {
 	r.cluster.mu.Lock()
 	defer r.cluster.mu.Unlock()
@@ -329,6 +350,7 @@
 	return !r.storeUnavailable
 }
 
+// runAfter runs f in the background after the delay.
 func (r *run) runAfter(delay time.Duration, f func()) {
 	r.calls.Go(func() {
 		time.Sleep(delay)
@@ -336,6 +358,7 @@
 	})
 }
 
+// restart starts the process unless it runs.
 func (m *machine) restart() {
 	m.lifecycleMu.Lock()
 	defer m.lifecycleMu.Unlock()
@@ -347,6 +370,7 @@
 	}
 }
 
+// healAll ends all faults.
 func (r *run) healAll() {
 	r.cluster.mu.Lock()
 	clear(r.linksDown)
@@ -358,12 +382,16 @@
 	}
 }
 
-// programName and customerName have programs of two customers share each id.
+// programName returns the id of a program. Programs 2n and 2n+1 share an id and belong to different
+// customers.
 func programName(i int) string { return fmt.Sprintf("program-%d", i/2) }
 
+// customerName returns the customer of a program.
 func customerName(i int) string { return fmt.Sprintf("customer-%d", i%2) }
 
-// turn runs one turn of a program, continuing one of its kept turns.
+// runTurn runs one turn of a program. Two thirds of the turns continue one of the program's
+// acknowledged turns, if there are any. A turn of the kind "abandon" is settled with the maximum
+// output and is not retained.
 func (r *run) runTurn(a action) {
 	p := a.A % programCount
 	r.oracle.mu.Lock()
@@ -395,7 +423,7 @@
 		settlement.RetainedTurn = &gateway.Turn{ID: id, Previous: previous.id, Input: []byte(id), Ended: time.Now()}
 	}
 	err = client.Settle(ctx, settlement)
-	r.trace.printf("%s of %s in slice %d after %q settled: %v", id, programName(p), ShardOf(programName(p)), previous.id, err)
+	r.trace.printf("%s of %s in shard %d after %q settled: %v", id, programName(p), ShardOf(programName(p)), previous.id, err)
 	if err == nil && settlement.RetainedTurn != nil {
 		r.oracle.mu.Lock()
 		r.retained[p] = append(r.retained[p], acknowledgedTurn{id: id, chain: append(append([]string(nil), previous.chain...), id)})
@@ -403,7 +431,7 @@
 	}
 }
 
-// entry returns the client of an instance, which holds allowances until it ends.
+// entryClient returns the client of an entry, which keeps its allowances until the entry restarts.
 func (r *run) entryClient(n int) *Client {
 	r.oracle.mu.Lock()
 	defer r.oracle.mu.Unlock()
@@ -413,8 +441,8 @@
 	return r.entries[n]
 }
 
-// drawTurns runs turns that are not kept, one after the other. Each makes at
-// most what it reserved; all together never more than the budget.
+// runUnretainedTurns runs turns of a program that are not retained, one after the other. Their total
+// output must never exceed the budget.
 func (r *run) runUnretainedTurns(a action) {
 	p := a.A % programCount
 	c := r.entryClient(a.B % 3)
@@ -437,11 +465,11 @@
 		r.unretainedTokens[p] += outputTokens
 		total := r.unretainedTokens[p]
 		if time.Since(start) == 0 {
-			r.eventCounts["at once"]++
+			r.eventCounts["covered by an allowance"]++
 		}
 		r.oracle.mu.Unlock()
 		if total > unretainedBudget {
-			r.fail("%s made %d of %d tokens", program, total, unretainedBudget)
+			r.fail("%s output %d tokens of a budget of %d", program, total, unretainedBudget)
 		}
 		time.Sleep(a.For / 20)
 		if err := c.Settle(ctx, gateway.Settlement{Program: program, Turn: id, OutputTokens: outputTokens, Retention: time.Hour}); err != nil {
@@ -450,36 +478,39 @@
 	}
 }
 
-// count adds what a turn made, and checks the budget.
+// countOutputTokens adds output tokens to those of a program, and checks its budget. A negative
+// number corrects an earlier call.
 func (r *run) countOutputTokens(p, tokens int) {
 	r.oracle.mu.Lock()
 	r.outputTokens[p] += tokens
 	total := r.outputTokens[p]
 	r.oracle.mu.Unlock()
 	if total > testBudget {
-		r.fail("program %d made %d of %d tokens", p, total, testBudget)
+		r.fail("program %d output %d tokens of a budget of %d", p, total, testBudget)
 	}
 }
 
+// checkError checks that an acknowledged turn is not reported as missing, and counts the error.
 func (r *run) checkError(err error, previous acknowledgedTurn) {
 	if errors.Is(err, gateway.ErrNoSuchTurn) {
-		r.fail("turn %s was kept and is denied", previous.id)
+		r.fail("turn %s was acknowledged and is reported as missing", previous.id)
 	}
 	r.countEvent(err.Error())
 }
 
+// checkChain checks that the chain is that of the previous turn.
 func (r *run) checkChain(chain []gateway.Turn, previous acknowledgedTurn) {
 	var ids []string
 	for _, t := range chain {
 		ids = append(ids, t.ID)
 	}
 	if fmt.Sprint(ids) != fmt.Sprint(previous.chain) {
-		r.fail("chain %v in place of %v", ids, previous.chain)
+		r.fail("chain %v, want %v", ids, previous.chain)
 	}
 	r.countEvent("served")
 }
 
-// unknownTurn continues a turn that never was.
+// continueUnknownTurn tries to continue a turn that never existed, which must fail.
 func (r *run) continueUnknownTurn(a action) {
 	client := r.client("entry-0")
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
@@ -488,12 +519,12 @@
 		Program: programName(programCount + a.A), Turn: fmt.Sprintf("after-nothing-%d", a.B), Previous: "nothing", MaxOutputTokens: 1, Budget: 10,
 	})
 	if err == nil {
-		r.fail("a turn that never was is continued")
+		r.fail("a turn that never existed was continued")
 	}
 }
 
-// checkAll asks for everything that was acknowledged, from another program, so
-// that all slices are asked.
+// checkAll checks that all acknowledged turns are served, by continuing each in another program, so
+// that all shards are searched.
 func (r *run) checkAll() {
 	client := r.client("entry-9")
 	for p := range programCount {
@@ -511,17 +542,18 @@
 	}
 }
 
-// checkStranger has another customer ask for a turn.
+// checkOtherCustomer checks that another customer can't continue the turn.
 func (r *run) checkOtherCustomer(client *Client, p int, k acknowledgedTurn) {
 	_, err := client.Reserve(context.Background(), gateway.Reservation{
 		Customer: customerName(p + 1), Program: programName(p), Turn: "stranger-" + k.id, Previous: k.id, MaxOutputTokens: 1, Budget: 10,
 	})
 	if !errors.Is(err, gateway.ErrNoSuchTurn) {
-		r.fail("turn %s of %s asked for by another customer: %v", k.id, customerName(p), err)
+		r.fail("turn %s of %s continued by another customer: got %v, want ErrNoSuchTurn", k.id, customerName(p), err)
 	}
 }
 
-// whereIs tells which keepers hold a turn, and what they take themselves for.
+// describeHolders describes, for a failure message, which keepers have a turn, with their epoch
+// states and roles.
 func (r *run) describeHolders(turn string) string {
 	var b strings.Builder
 	for _, m := range r.machines {
@@ -529,7 +561,7 @@
 		k.mu.Lock()
 		for _, s := range k.shards {
 			if s.state.turnByID(turn) != nil || s.id == ShardOf(programName(0)) {
-				fmt.Fprintf(&b, "; %s slice %d: here %v, mark %v, role %v, primary %v",
+				fmt.Fprintf(&b, "; %s shard %d: turn present %v, epoch state %v, role %v, primary %v",
 					m.name, s.id, s.state.turnByID(turn) != nil, s.epochState, s.role, k.isPrimary(s))
 			}
 		}
--- a/internal/history/quorum_test.go
+++ b/internal/history/quorum_test.go
@@ -16,11 +16,12 @@
 	"foxhall/internal/store"
 )
 
-// silentStoreKinds lose keepers while the store is silent more often than other faults.
+// storeOutageKinds are actionKinds with more outages of the store, and more losses of keepers and
+// disks during them.
 var storeOutageKinds = append([]string{"store", "store", "store", "cut", "cut", "freeze", "freeze", "wipe", "wipe", "wipesilent", "wipesilent"}, actionKinds...)
 
-// TestSilentStoreMachine is TestKeepersMachine where keepers are frozen, cut off and lose
-// their disks while the store is silent.
+// TestRandomFaultsDuringStoreOutages is TestRandomFaults where keepers are paused, lose links and
+// lose their disks while the store is unavailable.
 func TestRandomFaultsDuringStoreOutages(t *testing.T) {
 	for _, diskFailures := range []int{1, 2} {
 		eventCounts := map[string]int{}
@@ -38,20 +39,20 @@
 	}
 }
 
-// keepWithin fails where a turn is not kept in that time.
+// retainTurnWithin is retainTurn with an error if that takes longer than the limit.
 func retainTurnWithin(limit time.Duration, c *Client, program, turn, previous string) error {
 	start := time.Now()
 	if err := retainTurn(c, program, turn, previous); err != nil {
 		return err
 	}
 	if took := time.Since(start); took > limit {
-		return errors.Errorf("%s kept after %v", turn, took)
+		return errors.Errorf("turn %s retained only after %v", turn, took)
 	}
 	return nil
 }
 
-// Every turn of a slice waits for as long as the store is silent, since one of its
-// partners was lost meanwhile and can't be replaced. The others must decide without it.
+// Guards against turns that wait for the end of a store outage because a backup of their shard was
+// lost, which can't be replaced during the outage. The other holders must commit without it.
 func TestBackupLossDuringStoreOutageDelaysNoTurn(t *testing.T) {
 	for _, diskFailures := range []int{1, 2} {
 		build := func(t *testing.T) *cluster { return newCluster(t, 3+diskFailures, diskFailures) }
@@ -67,14 +68,14 @@
 			cl.setStoreUnavailable(false)
 			time.Sleep(convergenceTime)
 			if role := cl.roleOf("p"); role.OptionalBackups != maxOptionalBackups {
-				fail(errors.Errorf("no spare partner again: %v", role))
+				fail(errors.Errorf("no optional backup again: %v", role))
 			}
 			fail(retainTurn(c, "p", "fourth", "third"))
 		})
 	}
 }
 
-// A frozen partner delays every turn of its slices until it is replaced.
+// Guards against a paused backup that delays every turn of its shards until it is replaced.
 func TestPausedBackupDelaysNoTurn(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
@@ -83,7 +84,7 @@
 	})
 }
 
-// takenOver writes what a keeper proposes that takes a slice over.
+// writeTakeOver writes the assignment with which a holder takes over the shard of a program.
 func (cl *cluster) writeTakeOver(program, by string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -101,9 +102,9 @@
 	cl.version++
 }
 
-// A turn is lost that its caller saw end. It was on the disks of the primary and of one
-// partner when the primary's was lost; the other partner, which lacked it, took the slice
-// over. It must fetch it first.
+// Guards against the loss of an acknowledged turn. It was on the disks of the primary and of one
+// backup when the primary's disk was lost. The other backup, which lacks it, took the shard over. It
+// must fetch the turn before it serves.
 func TestNewPrimaryFetchesMissingRecords(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
@@ -114,14 +115,14 @@
 		cl.writeTakeOver("p", role.Backups[0])
 		time.Sleep(convergenceTime)
 		if now := cl.roleOf("p"); now.Epoch > role.Epoch+1 && now.Primary != role.Backups[0] {
-			fail(errors.Errorf("taken over by another: %v", now))
+			fail(errors.Errorf("shard taken over by another keeper: %v", now))
 		}
 		fail(retainTurn(c, "p", "second", "first"))
 	})
 }
 
-// The same where the keeper that took the slice over is lost before it fetched anything.
-// Who takes over then must still ask the holders of the last epoch that decided.
+// The same where the keeper that took the shard over is lost before it fetched anything. The next
+// primary must fetch from the holders of the last epoch in which changes were committed.
 func TestNewPrimaryLossBeforeRecoveryLosesNoTurn(t *testing.T) {
 	build := func(t *testing.T) *cluster { return newCluster(t, 6, 2) }
 	testOnCluster(t, build, func(cl *cluster, fail func(error)) {
@@ -137,8 +138,8 @@
 	})
 }
 
-// A turn is lost that its caller saw end. A holder lost its disk, and its word, that it
-// has nothing, counted for what was on that disk.
+// Guards against the loss of an acknowledged turn. A holder lost its disk, and its response that it
+// has no records counted as the contents of the lost disk. Such a holder must not count as intact.
 func TestHolderWithReplacedDiskIsNotIntact(t *testing.T) {
 	is := is.New(t)
 	e := Ensemble{Epoch: 7, Primary: "a", Backups: []string{"b", "c"}, Disks: []string{"a1", "b1", "c1"}, OptionalBackups: 1}
@@ -154,9 +155,10 @@
 	is.True(!e.isIntact("b", "b2", 0))
 }
 
-// A turn is lost that its caller saw end. A disk was lost and its keeper is back with an
-// empty one under the same name, while the store is silent; the primary counted it as the
-// one that it was.
+// Guards against the loss of an acknowledged turn. A keeper lost its disk and returned under the same
+// name with an empty one while the store was unavailable, and the primary counted this disk as the
+// old one. The keeper must refuse records for the old disk, and the new disk must be assigned once
+// the store is available.
 func TestKeeperWithNewDiskRefusesRecordsForOldDisk(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		role := cl.roleOf("p")
@@ -170,18 +172,18 @@
 			{Slice: ShardOf("p"), Epoch: role.Epoch, Disk: role.diskOf(backup.name)},
 		}})
 		if err != nil || len(response.Refused) != 1 {
-			fail(errors.Errorf("taken: %v, %v", response, err))
+			fail(errors.Errorf("records for the old disk not refused: %v, %v", response, err))
 		}
 		cl.setStoreUnavailable(false)
 		time.Sleep(convergenceTime)
 		if now := cl.roleOf("p"); now.diskOf(backup.name) == role.diskOf(backup.name) || !cl.fullyReplicated() {
-			fail(errors.Errorf("not made good: %v", now))
+			fail(errors.Errorf("not fully replicated on the new disk: %v", now))
 		}
 	})
 }
 
-// Slices stop with one data centre: two of three holders stand in it, and what they
-// decided the third one need not have.
+// Guards against shards that become unavailable with one data centre: two of three holders are in
+// it, and the third one may lack changes that these two committed.
 func TestOptionalBackupNeedsHoldersOutsideEachDataCentre(t *testing.T) {
 	holdersIn := func(dataCentres ...string) []Candidate {
 		var list []Candidate
@@ -200,8 +202,8 @@
 	is.True(!allowsOptionalBackup(append(holdersIn(east, west), Candidate{Name: "c", DataCentre: north})))
 }
 
-// Holders of slices change for nothing, each time a keeper looks. What was chosen once must
-// be chosen again, in fleets of any shape.
+// Guards against needless reassignments at each reconciliation. The selection for an existing
+// assignment must return the same holders, for any number of keepers and data centres.
 func TestBackupSelectionIsStable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		maxDiskFailures := rapid.IntRange(1, 3).Draw(rt, "disks lost")
@@ -213,7 +215,7 @@
 		}
 		a, ok := InitialAssignment(list, maxDiskFailures)
 		if !ok {
-			rt.Fatal("not assigned")
+			rt.Fatal("no initial assignment")
 		}
 		for s := range a.Shards {
 			r := &a.Shards[s]
@@ -224,18 +226,18 @@
 			primary := list[slices.IndexFunc(list, func(k Candidate) bool { return k.Name == r.Primary })]
 			again := newEnsemble(r.Epoch, primary, c.selectBackups(s, primary), maxDiskFailures)
 			if !again.sameReplicaSet(&r.Ensemble) {
-				rt.Fatalf("slice %d: %v, then %v", s, r.Ensemble, again)
+				rt.Fatalf("shard %d: selected %v, then %v", s, r.Ensemble, again)
 			}
 			if want := min(maxDiskFailures, len(list)-1); len(r.Backups) < want || len(r.Backups) > maxDiskFailures+1 {
-				rt.Fatalf("slice %d has %d partners", s, len(r.Backups))
+				rt.Fatalf("shard %d has %d backups", s, len(r.Backups))
 			}
 		}
 	})
 }
 
-// A program's tokens are handed out twice. A primary lost the last change of an account
-// with its power, before its own disk had it, but not before a partner's had; the next
-// change got the same version, and the partner took it for the one that it had.
+// Guards against tokens of a program that are reserved twice. A primary lost power when the last
+// change of an account was on a backup's disk but not yet on its own. If the next change had the same
+// version, the backup would take it for the change that it has, and acknowledge it unseen.
 func TestRestartedPrimaryUsesNewAccountVersions(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		role := cl.roleOf("p")
@@ -262,14 +264,14 @@
 			a := k.shards[ShardOf("p")].state.accounts["p"]
 			k.mu.Unlock()
 			if !slices.ContainsFunc(a.Open, func(o *historypb.OpenTurn) bool { return o.Id == "two" }) {
-				fail(errors.Errorf("%s acknowledged a turn and has %v", name, a))
+				fail(errors.Errorf("keeper %s acknowledged a turn but its account is %v", name, a))
 			}
 		}
 	})
 }
 
-// An upgrade loses slices: the assignment and the marks on the disks are of the form
-// before. They must be carried over, and what was kept be found.
+// Guards against an upgrade that loses shards. The assignment and the epoch states on the disks are
+// of format version 1. They must be migrated, and the retained turns must be found.
 func TestAssignmentOfFormat1IsMigrated(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
@@ -277,7 +279,7 @@
 		for _, m := range cl.machines {
 			m.stop()
 		}
-		// As if all had been written by the version before: two holders, no disks' names.
+		// As the previous version wrote it: two holders, and no names of disks.
 		format1 := ShardAssignment{Ensemble: Ensemble{Epoch: 40, Primary: role.Primary, Backups: role.Backups[:1]}}
 		for _, name := range format1.holders() {
 			l, err := openLog(cl.machine(name).dir, func(*historypb.Record) {})
@@ -303,13 +305,14 @@
 		time.Sleep(convergenceTime)
 		fail(retainTurn(c, "p", "second", "first"))
 		if now := cl.roleOf("p"); now.OptionalBackups != maxOptionalBackups || len(now.Disks) != len(now.Backups)+1 {
-			fail(errors.Errorf("not of the new form: %v", now))
+			fail(errors.Errorf("assignment not migrated to format version 2: %v", now))
 		}
 	})
 }
 
-// A keeper of the version before takes a slice over without what it lacks. While holders
-// do not say that they know better, decisions must be on all disks.
+// Guards against a keeper of the previous version that takes a shard over without fetching what it
+// lacks. As long as a holder does not report that it supports optional backups, changes must be on
+// all disks.
 func TestNoOptionalBackupAmongKeepersOfOlderVersion(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{settings: Settings{Name: "a", DataCentre: east, Keepers: func() []Candidate {
@@ -323,8 +326,8 @@
 	is.Equal(newEnsemble(2, candidates[0], candidates[1:], 1).OptionalBackups, 1)
 }
 
-// An assignment of a later version is misread and written over. It must be refused, with
-// its form named.
+// Guards against an assignment of a later format version that is misread and overwritten. It must
+// be refused with an error that names its format version.
 func TestAssignmentOfUnknownFormatIsRefused(t *testing.T) {
 	is := is.New(t)
 	_, err := DecodeAssignment([]byte(`{"form":3,"slices":[]}`))
@@ -341,18 +344,19 @@
 		cl.startAll()
 		time.Sleep(2 * convergenceTime)
 		if cl.version != store.Version(0) {
-			t.Errorf("written over: version %d", cl.version)
+			t.Errorf("assignment overwritten: version %d", cl.version)
 		}
 		cl.stopAll()
 		time.Sleep(releaseTimeout)
 	})
 }
 
-// err3 is what reading an assignment of form 3 ends with.
+// errFormat3 is the error of reading an assignment of format version 3.
 var errFormat3 = func() error { _, err := DecodeAssignment([]byte(`{"form":3}`)); return err }()
 
-// A turn is lost that its caller saw end. A keeper gave a new primary what it had and went
-// on acknowledging for the one before, also after a loss of its power.
+// Guards against the loss of an acknowledged turn. After a new primary has fetched the records of a
+// keeper, the keeper must not acknowledge changes of the previous primary, also after a power
+// failure.
 func TestKeeperRefusesPreviousPrimaryAfterFetch(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		role := cl.roleOf("p")
@@ -362,14 +366,14 @@
 		fetched, err := holder.process.keeper.Fetch(ctx, &historypb.FetchRequest{Slice: shardID, Epoch: role.Epoch + 1, Disk: role.diskOf(holder.name)})
 		fail(err)
 		if fetched.Refused {
-			fail(errors.New("not fetched"))
+			fail(errors.New("fetch refused"))
 		}
 		refuses := func() {
 			late := &historypb.SliceAppend{Slice: shardID, Epoch: role.Epoch, Disk: role.diskOf(holder.name)}
 			response, err := holder.process.keeper.Append(ctx, &historypb.AppendRequest{Slices: []*historypb.SliceAppend{late}})
 			fail(err)
 			if len(response.Refused) != 1 {
-				fail(errors.New("acknowledged for the primary before"))
+				fail(errors.New("append of the previous primary not refused"))
 			}
 		}
 		refuses()
@@ -379,7 +383,8 @@
 	})
 }
 
-// A keeper answers for a disk that it has no longer, or for an epoch that is over.
+// Guards against a keeper that serves a fetch for a disk that it does not have any more, for an
+// epoch that is over, or for a shard that does not exist.
 func TestFetchIsRefusedForOtherDiskOrEarlierEpoch(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		role := cl.roleOf("p")
@@ -396,9 +401,10 @@
 	})
 }
 
-// A slice is never served again: one of its holders was taken away for good while another
-// lost its disk, which is more than may be lost. The third must go on with what it has, but
-// not before those that are silent could be back with decisions that are still kept.
+// Guards against a shard that is never served again. One of its holders was removed for good while
+// another lost its disk, which is more than the number of disks that may fail. The third must
+// continue with its records, but not as long as the unresponsive holder may return with committed
+// changes whose retention has not passed.
 func TestForcedRecoveryWaitsForRetentionOfLostHolders(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
@@ -409,7 +415,7 @@
 		cl.machine(role.Primary).start()
 		time.Sleep(defaultRetention / 2)
 		if err := retainTurn(c, "p", "too-early", ""); err == nil {
-			fail(errors.New("decided without a holder that may be back"))
+			fail(errors.New("a change was committed without a holder that may return"))
 		}
 		time.Sleep(defaultRetention)
 		fail(retainTurn(c, "p", "second", "first"))
--- a/internal/history/telling_test.go
+++ b/internal/history/telling_test.go
@@ -12,28 +12,28 @@
 	"foxhall/internal/history/historypb"
 )
 
-// Keepers of a large fleet call each other all the time, which grows with the square of
-// their number. At rest they must only tell each other, and be heard all the same.
+// Guards against status requests whose number grows with the square of the number of keepers. At
+// rest, broadcasts must replace them, and a paused keeper must still be detected.
 func TestKeepersAtRestSendNoStatusRequests(t *testing.T) {
 	testOnCluster(t, func(t *testing.T) *cluster { return newCluster(t, 12, 2) }, func(cl *cluster, fail func(error)) {
 		before := cl.statusRequests.Load()
 		time.Sleep(30 * time.Second)
 		if calls := cl.statusRequests.Load() - before; calls > 0 {
-			fail(errors.Errorf("%d calls in half a minute", calls))
+			fail(errors.Errorf("%d status requests in half a minute, want none", calls))
 		}
 		cl.machines[3].pause()
 		time.Sleep(suspectTimeout + statusPollInterval)
 		for s, role := range cl.currentAssignment().Shards {
 			if role.hasHolder(cl.machines[3].name) {
-				fail(errors.Errorf("slice %d is still held by the frozen one", s))
+				fail(errors.Errorf("shard %d is still held by the paused keeper", s))
 			}
 		}
 	})
 }
 
-// Slices change their holders for nothing where links lose packets: a keeper's words are
-// lost in a row, and it is taken for lost. While one packet of forty is lost, as in the
-// users' data centres on a bad day, no holder may change.
+// Guards against needless reassignments on links that lose packets: several broadcasts of a keeper
+// are lost in a row, and it counts as lost. At a loss of one packet in forty, as in the users' data
+// centres under bad conditions, no holder may change.
 func TestPacketLossCausesNoReassignment(t *testing.T) {
 	for keepers, lossyFor := range map[int]time.Duration{4: 20 * time.Minute, 24: 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -48,7 +48,7 @@
 			after := cl.currentAssignment()
 			for s := range after.Shards {
 				if after.Shards[s].Epoch != before.Shards[s].Epoch {
-					t.Errorf("%d keepers: slice %d went from %v to %v", keepers, s, before.Shards[s], after.Shards[s])
+					t.Errorf("%d keepers: shard %d reassigned from %v to %v", keepers, s, before.Shards[s], after.Shards[s])
 				}
 			}
 			cl.stopAll()
@@ -57,8 +57,9 @@
 	}
 }
 
-// A keeper takes another's older marks for the present ones: the word that told of a change
-// was lost, and those after it list no slices. They must not count as heard.
+// Guards against a keeper that takes another's old epoch states for the present ones. The broadcast
+// with a change was lost, and the broadcasts after it list no shards. These must be ignored and not
+// count as contact.
 func TestShortStatusOfUnknownEditionIsIgnored(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
@@ -82,7 +83,8 @@
 	is.Equal(len(k.views), 1)
 }
 
-// A keeper is asked by a call where its words are lost, all of them: only datagrams are.
+// Guards against the replacement of keepers whose broadcasts are all lost although calls arrive:
+// their status must be requested by calls.
 func TestStatusIsRequestedWhenBroadcastsAreLost(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		before := cl.currentAssignment()
@@ -91,7 +93,7 @@
 		cl.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		if after := cl.currentAssignment(); after.Shards[0].Epoch != before.Shards[0].Epoch {
-			fail(errors.Errorf("holders changed: %v", after.Shards[0]))
+			fail(errors.Errorf("shard 0 reassigned to %v", after.Shards[0]))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
--- a/internal/history/world_test.go
+++ b/internal/history/world_test.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	// wayTime is the time of a message in the tests' network.
+	// messageDelay is the one-way latency of the simulated network.
 	messageDelay = time.Millisecond
-	// mirrorTime is how long after a write the instances hear of it.
+	// mirrorDelay is how long after a write of the assignment the instances learn of it.
 	mirrorDelay = 100 * time.Millisecond
 )
 
-// trace keeps what keepers say, to be told with a failure.
+// trace collects the log lines of a test, which are printed if it fails.
 type trace struct {
 	mu    sync.Mutex
 	start time.Time
@@ -47,63 +47,63 @@
 	t.lines = append(t.lines, fmt.Sprintf("%8.3f ", time.Since(t.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// world is a few keepers with a store and a network between them, whose faults
-// a test sets.
+// cluster simulates keepers, the network between them and the store, with faults set by a test.
 type cluster struct {
 	t     *testing.T
 	dir   string
 	trace *trace
 
-	mu        sync.Mutex
-	machines  []*machine
+	mu       sync.Mutex
+	machines []*machine
+	// linksDown is keyed by sender and receiver. A link with true delivers no message.
 	linksDown map[[2]string]bool
 
 	assignment       Assignment
 	version          store.Version
 	storeUnavailable bool
-	// noStore names a machine that the store does not answer, or a data centre.
+	// storeUnreachableFrom names a machine or a data centre from which the store is unreachable.
 	storeUnreachableFrom string
-	// storeCalls counts the calls to the store.
+	// storeCalls counts the calls to the store, and storeReads the reads among them.
 	storeCalls int
-	// storeReads counts those of them that read.
-	storeReads           int
+	storeReads int
+	// writeResponsesToLose is the number of coming writes that take effect but whose response is
+	// lost.
 	writeResponsesToLose int
-	// readError, if set, is what reading the assignment ends with.
+	// readError is returned by reads of the assignment; nil if they succeed.
 	readError error
-	// disksLost is the number of disks that may be lost at once.
+	// maxDiskFailures is the number of disks that may fail at once.
 	maxDiskFailures int
-	// deaf names data centres whose entries can't tell whom they hear.
+	// unresponsiveEntries names data centres whose entries do not respond to witness queries.
 	unresponsiveEntries map[string]bool
-	// entriesOnly names data centres without a keeper.
+	// entryOnlyDataCentres names the data centres that have an entry but no keeper.
 	entryOnlyDataCentres []string
-	// witnessed counts the questions to entries.
-	witnessQueries atomic.Int64
-	// moved counts the bytes of records that keepers send each other.
+	witnessQueries       atomic.Int64
+	// transferredBytes counts the bytes of records and inventories that keepers send each other.
 	transferredBytes atomic.Int64
-	// asked counts the questions between keepers how they stand.
-	statusRequests atomic.Int64
-	// lossy is the share of datagrams that are lost, as drawn by random.
+	statusRequests   atomic.Int64
+	// datagramLossRate is the share of datagrams that are lost, as drawn by random.
 	datagramLossRate float64
 	random           *rand.Rand
-	// retiring names the keeper that operators want emptied.
+	// retiringKeeper names the keeper that operators want drained.
 	retiringKeeper string
 }
 
-// machine is one place where a keeper runs, again and again.
+// machine is a host with a disk, on which successive processes of a keeper run.
 type machine struct {
 	cluster    *cluster
 	name       string
 	dataCentre string
 	dir        string
 
-	// running orders starts and ends of the process.
+	// lifecycleMu serialises starts and stops of the process.
 	lifecycleMu sync.Mutex
-	// The world's lock guards the rest.
+	// The cluster's lock guards the rest. process is nil while none runs. paused is nil unless the
+	// process is paused, and is closed when it resumes.
 	process *process
 	paused  chan struct{}
 }
 
-// process is one run of a keeper.
+// process is one incarnation of a keeper.
 type process struct {
 	keeper *Keeper
 	ctx    context.Context
@@ -121,7 +121,7 @@
 	return cl
 }
 
-// logger keeps what an instance says for the trace.
+// logger returns a logger that adds an instance's log lines to the trace.
 func (cl *cluster) logger(name string) log.Interface {
 	return (&log.Logger{Handler: cl.trace, Level: log.InfoLevel}).WithField("instance", name)
 }
@@ -172,7 +172,7 @@
 	go m.deliverAssignments(p)
 }
 
-// follow passes the assignment on to the keeper as the mirror does.
+// deliverAssignments gives new assignments to the keeper, as the mirror does.
 func (m *machine) deliverAssignments(p *process) {
 	for p.ctx.Err() == nil {
 		sleep(p.ctx, mirrorDelay)
@@ -186,7 +186,7 @@
 	}
 }
 
-// stop ends the process as SIGKILL does.
+// stop ends the process as SIGKILL would. Writes that were not synced survive.
 func (m *machine) stop() {
 	m.lifecycleMu.Lock()
 	defer m.lifecycleMu.Unlock()
@@ -204,7 +204,8 @@
 	}
 }
 
-// powerOff ends the process and loses some of what was not synced.
+// powerOff ends the process as a power failure would. Of the unsynced bytes, the given share
+// survives, from their start.
 func (m *machine) powerOff(survivingShare float64) {
 	m.lifecycleMu.Lock()
 	defer m.lifecycleMu.Unlock()
@@ -222,7 +223,7 @@
 	}
 }
 
-// wipe ends the process and empties its disk.
+// wipe ends the process and replaces its disk by an empty one.
 func (m *machine) wipe() {
 	m.lifecycleMu.Lock()
 	defer m.lifecycleMu.Unlock()
@@ -277,7 +278,7 @@
 	return cl.linksDown[[2]string{a, b}]
 }
 
-// pass waits until a frozen machine goes on.
+// waitWhilePaused waits until the machine is not paused, or fails when ctx ends.
 func (m *machine) waitWhilePaused(ctx context.Context) error {
 	m.cluster.mu.Lock()
 	frozen := m.paused
@@ -293,7 +294,8 @@
 	}
 }
 
-// call runs a call from one place to a keeper, with the network's faults.
+// call calls a keeper from an instance through the simulated network. Without a link, or with a
+// paused or killed keeper, there is no response until ctx ends.
 func call[T any](ctx context.Context, cl *cluster, from, to string, f func(context.Context, *Keeper) (T, error)) (T, error) {
 	var none T
 	target := cl.machine(to)
@@ -344,7 +346,7 @@
 	})
 }
 
-// Tell implements Peers.
+// BroadcastStatus implements Peers.
 func (m *machine) BroadcastStatus(status *historypb.StatusResponse) {
 	cl := m.cluster
 	if !cl.isRunning(m.name) {
@@ -366,7 +368,7 @@
 	}
 }
 
-// datagramLost draws whether the network loses a datagram.
+// datagramLost decides at random whether the network loses a datagram.
 func (cl *cluster) datagramLost() bool {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -397,10 +399,10 @@
 	})
 }
 
-// entryIn names the entry of a data centre, which witnesses whom it hears.
+// entryIn returns the name of a data centre's entry, which serves as a witness.
 func entryIn(dataCentre string) string { return "entry-of-" + dataCentre }
 
-// dataCentres returns where the keepers stand.
+// dataCentres returns the data centres of all keepers and entries.
 func (cl *cluster) dataCentres() []string {
 	names := slices.Clone(cl.entryOnlyDataCentres)
 	for _, m := range cl.machines {
@@ -441,7 +443,7 @@
 	return cl.unresponsiveEntries[dataCentre]
 }
 
-// runs reports whether a keeper's process runs and is not frozen.
+// isRunning reports whether a keeper's process runs and is not paused.
 func (cl *cluster) isRunning(name string) bool {
 	m := cl.machine(name)
 	cl.mu.Lock()
@@ -449,7 +451,7 @@
 	return m != nil && m.process != nil && m.paused == nil
 }
 
-// cutDataCentre cuts a data centre's keepers and entry off from all others.
+// setDataCentreIsolated isolates a data centre's keepers and entry from all others, or ends that.
 func (cl *cluster) setDataCentreIsolated(dataCentre string, isolated bool) {
 	inside, outside := cl.splitByDataCentre(dataCentre)
 	for _, a := range inside {
@@ -459,7 +461,7 @@
 	}
 }
 
-// places returns the keepers and entries inside and outside of a data centre.
+// splitByDataCentre returns the keepers and entries inside and outside of a data centre.
 func (cl *cluster) splitByDataCentre(dataCentre string) (inside, outside []string) {
 	for _, dc := range cl.dataCentres() {
 		if dc == dataCentre {
@@ -520,22 +522,24 @@
 	return a, cl.version, nil
 }
 
-// entryPoint is an instance that reserves and settles.
+// entryPoint is an entry, which reserves and settles turns at the keepers.
 type entryPoint struct {
 	cluster *cluster
 	name    string
-	// only, if set, is the one keeper in reach.
+	// onlyKeeper is the only reachable keeper; empty if all are reachable.
 	onlyKeeper string
-	// cutOff says that it hears nobody beyond its data centre.
+	// isolated means that the entry reaches no other data centre.
 	isolated bool
 }
 
-// WhenSilent implements Keepers. Its silence shows in the time of the calls here.
+// OnSilence implements Keepers. It never calls f: in these tests, calls to an unresponsive keeper
+// end by their timeout.
 func (e *entryPoint) OnSilence(string, func()) (stop func()) { return func() {} }
 
-// CutOff implements Keepers.
+// Isolated implements Keepers.
 func (e *entryPoint) Isolated() bool { return e.isolated }
 
+// remoteKeeper calls a keeper from an entry.
 type remoteKeeper struct {
 	historypb.Keeper
 	e    *entryPoint
@@ -574,7 +578,7 @@
 	})
 }
 
-// client returns a client whose assignment is the store's newest.
+// client returns a client that knows the newest assignment in the store.
 func (cl *cluster) client(name string) *Client {
 	return NewClient(&entryPoint{cluster: cl, name: name}, func() (Assignment, bool) {
 		cl.mu.Lock()
