--- a/internal/history/alone_test.go
+++ b/internal/history/alone_test.go
@@ -62,7 +62,7 @@
 	_, err := cl.client(entryIn(north)).Reserve(context.Background(), gateway.Reservation{
 		Program: "heir-" + turn, Turn: "heir", Previous: turn, MaxOutputTokens: 1, Budget: 10,
 	})
-	return errors.Wrapf(err, "after %s", turn)
+	return errors.Wrapf(err, "continuing turn %s", turn)
 }
 
 // powerCycleAll cuts the power of all machines, which loses all unsynced writes, and restarts them.
@@ -331,11 +331,11 @@
 // continue to run.
 func TestKeepersSurviveInvalidAssignment(t *testing.T) {
 	testOnThreeKeepers(t, 1, func(cl *cluster, fail func(error)) {
-		odd, err := DecodeAssignment([]byte(`{"slices":[{"epoch":90,"primary":"c"},{"epoch":91,"primary":"nobody","partners":null},
+		invalid, err := DecodeAssignment([]byte(`{"slices":[{"epoch":90,"primary":"c"},{"epoch":91,"primary":"nobody","partners":null},
 			{"epoch":92,"primary":"","partners":["c","c","x"]}],"more":{"x":1}}`))
 		fail(err)
 		cl.mu.Lock()
-		cl.assignment, cl.version = odd, cl.version+1
+		cl.assignment, cl.version = invalid, cl.version+1
 		cl.mu.Unlock()
 		time.Sleep(convergenceTime)
 		for _, m := range cl.machines {
--- a/internal/history/choose.go
+++ b/internal/history/choose.go
@@ -33,9 +33,9 @@
 		}
 		taken = append(taken, next)
 	}
-	spare, found := c.bestCandidate(taken, func(k, best Candidate) bool { return c.betterOptional(shardID, primary, k, best) }, allowsOptionalBackup)
+	optional, found := c.bestCandidate(taken, func(k, best Candidate) bool { return c.betterOptional(shardID, primary, k, best) }, allowsOptionalBackup)
 	if found {
-		taken = append(taken, spare)
+		taken = append(taken, optional)
 	}
 	return taken[1:]
 }
--- a/internal/history/customer_test.go
+++ b/internal/history/customer_test.go
@@ -29,7 +29,7 @@
 }
 
 // Guards against a customer who reads another customer's conversation by naming its turn, in a
-// program with the same id or another id, or without a key.
+// program with the same id or another id, or without an API key.
 func TestTurnOfAnotherCustomerIsNotContinued(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
--- a/internal/history/failure_test.go
+++ b/internal/history/failure_test.go
@@ -140,7 +140,7 @@
 		cl.isolateMachine(role.Primary)
 		time.Sleep(2 * suspectTimeout)
 		// The entry does not know the new assignment yet either.
-		c := NewClient(&entryPoint{cluster: cl, name: "entry"}, role.forAllShards, cl.logger("entry"))
+		c := NewClient(&entry{cluster: cl, name: "entry"}, role.forAllShards, cl.logger("entry"))
 		fail(retainTurn(c, "p", "first", ""))
 	})
 }
@@ -173,11 +173,11 @@
 		role := cl.roleOf("p")
 		cl.isolateMachine(role.Primary)
 		time.Sleep(2 * suspectTimeout)
-		c := NewClient(&entryPoint{cluster: cl, name: "entry", onlyKeeper: role.Primary}, role.forAllShards, cl.logger("entry"))
+		c := NewClient(&entry{cluster: cl, name: "entry", onlyKeeper: role.Primary}, role.forAllShards, cl.logger("entry"))
 		start := time.Now()
 		_, err := c.Reserve(context.Background(), gateway.Reservation{Program: "p", Turn: "t", MaxOutputTokens: 1})
 		if !errors.Is(err, gateway.ErrIsolated) || time.Since(start) > 10*messageDelay {
-			fail(errors.Errorf("%v after %v", err, time.Since(start)))
+			fail(errors.Errorf("got %v after %v, want ErrIsolated at once", err, time.Since(start)))
 		}
 	})
 }
@@ -190,17 +190,17 @@
 		role := cl.roleOf("p")
 		cl.isolateMachine(role.Backups[0])
 		time.Sleep(2 * suspectTimeout)
-		c := NewClient(&entryPoint{cluster: cl, name: "entry", onlyKeeper: role.Backups[0], isolated: true}, role.forAllShards, cl.logger("entry"))
+		c := NewClient(&entry{cluster: cl, name: "entry", onlyKeeper: role.Backups[0], isolated: true}, role.forAllShards, cl.logger("entry"))
 		start := time.Now()
 		_, err := c.Reserve(context.Background(), gateway.Reservation{Program: "p", Turn: "t", MaxOutputTokens: 1})
 		if !errors.Is(err, gateway.ErrIsolated) {
-			fail(errors.Errorf("reserve: %v", err))
+			fail(errors.Errorf("reserve: got %v, want ErrIsolated", err))
 		}
 		if _, err = c.findChain(context.Background(), "", "elsewhere"); !errors.Is(err, gateway.ErrIsolated) {
-			fail(errors.Errorf("find: %v", err))
+			fail(errors.Errorf("find: got %v, want ErrIsolated", err))
 		}
 		if took := time.Since(start); took > 10*messageDelay {
-			fail(errors.Errorf("refused after %v", took))
+			fail(errors.Errorf("refused only after %v", took))
 		}
 	})
 }
@@ -211,7 +211,7 @@
 func TestAllowanceCoversTurnsWhileKeepersAreUnreachable(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
-		turn := func(n int) error {
+		runTurn := func(n int) error {
 			id := string(rune('a' + n))
 			ctx := context.Background()
 			r := gateway.Reservation{Program: "p", Turn: id, MaxOutputTokens: 100, Budget: 2400, Retention: time.Minute}
@@ -220,7 +220,7 @@
 			}
 			return c.Settle(ctx, gateway.Settlement{Program: "p", Turn: id, OutputTokens: 25, Retention: time.Minute})
 		}
-		if err := turn(0); err != nil {
+		if err := runTurn(0); err != nil {
 			fail(err)
 			return
 		}
@@ -229,7 +229,7 @@
 			cl.setLinkDown("entry", m.name, true)
 		}
 		served := 1
-		for turn(served) == nil {
+		for runTurn(served) == nil {
 			served++
 		}
 		// The allowance is 300 tokens, and a turn begins while at least 100 of them are left.
@@ -275,7 +275,7 @@
 // must be complete again within 4.4 s, the shortest time that operators of present sites ask for,
 // which includes the start of the new process.
 func TestShardsOfLostDiskAreReplicatedAgainInTime(t *testing.T) {
-	const catchUp = 4400 * time.Millisecond
+	const timeLimit = 4400 * time.Millisecond
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
 		input := bytes.Repeat([]byte("x"), 16<<10)
@@ -296,7 +296,7 @@
 		start := time.Now()
 		for !cl.fullyReplicated() {
 			time.Sleep(messageDelay)
-			if time.Since(start) > catchUp {
+			if time.Since(start) > timeLimit {
 				fail(errors.Errorf("shards not fully replicated after %v", time.Since(start)))
 				return
 			}
@@ -357,8 +357,8 @@
 
 // Guards against a shard that moves to an isolated data centre. A backup that had just become
 // complete received the primary's last status before the primary's own epoch state was on its disk.
-// Then the backup was isolated, and took the old status repeatedly for a lost disk. An incomplete
-// primary must count as failed only after newer statuses of it.
+// Then the backup was isolated, and repeatedly took the old status as a sign that the primary had
+// lost its disk. An incomplete primary must count as failed only after newer statuses of it.
 func TestOldStatusOfPrimaryIsNoFailure(t *testing.T) {
 	is := is.New(t)
 	s := &shard{id: 1, role: ShardAssignment{Ensemble: Ensemble{Epoch: 3}}}
--- a/internal/history/machine_test.go
+++ b/internal/history/machine_test.go
@@ -105,15 +105,16 @@
 	*cluster
 	oracle
 	eventCounts map[string]int
-	// diskLostUntil is when the last lost disk has been replicated again, so that another may fail.
+	// diskLostUntil is when the records of the last lost disk have been replicated again, so that
+	// another disk may fail.
 	diskLostUntil time.Time
 }
 
 // TestRandomFaults runs random plans of turns and faults on four keepers, of which one at a time may
-// lose its disk. A turn whose settlement was acknowledged must be found with its complete chain, or
-// the caller gets no result; ErrNoSuchTurn must be returned only for a turn that never existed; the
-// output of a program's turns must never exceed its budget; and convergenceTime after the last fault
-// all turns must be served.
+// lose its disk. A call that continues an acknowledged turn must get the turn's complete chain, or
+// fail with another error than ErrNoSuchTurn, which is only for turns that never existed. The output
+// of a program's turns must never exceed its budget. All acknowledged turns must be served some
+// seconds after the last fault, see convergenceTime.
 func TestRandomFaults(t *testing.T) {
 	eventCounts := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -142,8 +143,8 @@
 	t.Log(eventCounts)
 }
 
-// dataCentreFaultKinds are actionKinds and faults of whole data centres, which often leave one
-// keeper as the last one.
+// dataCentreFaultKinds are actionKinds with the isolation of data centres, which often leaves one
+// keeper as the last one, and the draining of a keeper.
 var dataCentreFaultKinds = append([]string{"centre", "centre", "centrewipe", "centrewipe", "retire"}, actionKinds...)
 
 // TestRandomFaultsWithSoleHolders is the same on three keepers, where the data centre with two of
@@ -267,10 +268,10 @@
 	}
 }
 
-// wipe replaces as many disks at once as may fail. It does nothing unless there is no other fault and
-// all disks lost before have been replicated again: until then, a record may be on one disk only.
-// Where two disks may fail, the power of all machines fails as well in half of the cases. The kind
-// "wipesilent" replaces the disks during an outage of the store, with turns in flight.
+// wipe replaces as many disks at once as may fail. It does nothing unless there is no other fault
+// and all disks lost before have been replicated again: until then, a record may be on one disk
+// only. Where two disks may fail, the power of all machines fails as well in half of the cases. The
+// kind "wipesilent" replaces the disks during an outage of the store, with turns in flight.
 func (r *run) wipe(m *machine, a action) {
 	if time.Now().Before(r.diskLostUntil) || !r.staysFaultFree() {
 		return
@@ -464,6 +465,7 @@
 		r.oracle.mu.Lock()
 		r.unretainedTokens[p] += outputTokens
 		total := r.unretainedTokens[p]
+		// A call to a keeper takes time on the virtual clock; a turn on an allowance begins without.
 		if time.Since(start) == 0 {
 			r.eventCounts["covered by an allowance"]++
 		}
@@ -553,7 +555,7 @@
 }
 
 // describeHolders describes, for a failure message, which keepers have a turn, with their epoch
-// states and roles.
+// states and roles in its shard. The shard of the first program is always included.
 func (r *run) describeHolders(turn string) string {
 	var b strings.Builder
 	for _, m := range r.machines {
--- a/internal/history/quorum_test.go
+++ b/internal/history/quorum_test.go
@@ -32,7 +32,7 @@
 				failures = runPlan(t, newCluster(t, 3+diskFailures, diskFailures), plan, eventCounts)
 			})
 			if len(failures) > 0 {
-				rt.Fatalf("%d disks: %v", diskFailures, failures[:min(3, len(failures))])
+				rt.Fatalf("%d disk failures at once: %v", diskFailures, failures[:min(3, len(failures))])
 			}
 		})
 		t.Log(eventCounts)
@@ -155,10 +155,10 @@
 	is.True(!e.isIntact("b", "b2", 0))
 }
 
-// Guards against the loss of an acknowledged turn. A keeper lost its disk and returned under the same
-// name with an empty one while the store was unavailable, and the primary counted this disk as the
-// old one. The keeper must refuse records for the old disk, and the new disk must be assigned once
-// the store is available.
+// Guards against the loss of an acknowledged turn. A keeper lost its disk and returned under the
+// same name with an empty one while the store was unavailable, and the primary counted this disk as
+// the old one. The keeper must refuse records for the old disk, and the new disk must be assigned
+// once the store is available.
 func TestKeeperWithNewDiskRefusesRecordsForOldDisk(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		role := cl.roleOf("p")
@@ -224,9 +224,9 @@
 				c.countHolders(&a.Shards[i])
 			}
 			primary := list[slices.IndexFunc(list, func(k Candidate) bool { return k.Name == r.Primary })]
-			again := newEnsemble(r.Epoch, primary, c.selectBackups(s, primary), maxDiskFailures)
-			if !again.sameReplicaSet(&r.Ensemble) {
-				rt.Fatalf("shard %d: selected %v, then %v", s, r.Ensemble, again)
+			reselected := newEnsemble(r.Epoch, primary, c.selectBackups(s, primary), maxDiskFailures)
+			if !reselected.sameReplicaSet(&r.Ensemble) {
+				rt.Fatalf("shard %d: selected %v, then %v", s, r.Ensemble, reselected)
 			}
 			if want := min(maxDiskFailures, len(list)-1); len(r.Backups) < want || len(r.Backups) > maxDiskFailures+1 {
 				rt.Fatalf("shard %d has %d backups", s, len(r.Backups))
@@ -236,8 +236,9 @@
 }
 
 // Guards against tokens of a program that are reserved twice. A primary lost power when the last
-// change of an account was on a backup's disk but not yet on its own. If the next change had the same
-// version, the backup would take it for the change that it has, and acknowledge it unseen.
+// change of an account was on a backup's disk but not yet on its own. If the next change got the
+// same version, the backup would take it for the change that it has, and acknowledge it without
+// storing it.
 func TestRestartedPrimaryUsesNewAccountVersions(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		role := cl.roleOf("p")
@@ -249,11 +250,11 @@
 		}
 		fail(reserve("one"))
 		primary := cl.machine(role.Primary).process.keeper
-		lost := primary.shards[ShardOf("p")].state.accounts["p"].Version + 1
+		lostVersion := primary.shards[ShardOf("p")].state.accounts["p"].Version + 1
 		cl.machine(role.Primary).stop()
 		for _, name := range role.Backups {
 			s := cl.machine(name).process.keeper.shards[ShardOf("p")]
-			s.state.accounts["p"] = &historypb.Account{Program: "p", Version: lost, TouchedUnixMs: time.Now().UnixMilli(), RetentionMs: time.Hour.Milliseconds()}
+			s.state.accounts["p"] = &historypb.Account{Program: "p", Version: lostVersion, TouchedUnixMs: time.Now().UnixMilli(), RetentionMs: time.Hour.Milliseconds()}
 		}
 		cl.machine(role.Primary).start()
 		time.Sleep(200 * time.Millisecond)
@@ -368,7 +369,7 @@
 		if fetched.Refused {
 			fail(errors.New("fetch refused"))
 		}
-		refuses := func() {
+		expectRefusal := func() {
 			late := &historypb.SliceAppend{Slice: shardID, Epoch: role.Epoch, Disk: role.diskOf(holder.name)}
 			response, err := holder.process.keeper.Append(ctx, &historypb.AppendRequest{Slices: []*historypb.SliceAppend{late}})
 			fail(err)
@@ -376,10 +377,10 @@
 				fail(errors.New("append of the previous primary not refused"))
 			}
 		}
-		refuses()
+		expectRefusal()
 		holder.powerOff(0)
 		holder.restart()
-		refuses()
+		expectRefusal()
 	})
 }
 
@@ -395,7 +396,7 @@
 			{Slice: ShardCount, Epoch: role.Epoch + 1, Disk: k.disk},
 		} {
 			if response, err := k.Fetch(context.Background(), r); err != nil || !response.Refused {
-				fail(errors.Errorf("%v: %v, %v", r, response, err))
+				fail(errors.Errorf("fetch %v not refused: %v, %v", r, response, err))
 			}
 		}
 	})
@@ -403,8 +404,8 @@
 
 // Guards against a shard that is never served again. One of its holders was removed for good while
 // another lost its disk, which is more than the number of disks that may fail. The third must
-// continue with its records, but not as long as the unresponsive holder may return with committed
-// changes whose retention has not passed.
+// continue with the records that it has, but only after the retention of the removed holder's
+// records: until then, that one may return with committed changes.
 func TestForcedRecoveryWaitsForRetentionOfLostHolders(t *testing.T) {
 	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
 		c := cl.client("entry")
--- a/internal/history/recover.go
+++ b/internal/history/recover.go
@@ -112,7 +112,7 @@
 	if !found {
 		return
 	}
-	k.logLostDecisions(s, assessments)
+	k.logLostCommits(s, assessments)
 	if len(from) == 0 {
 		k.markComplete(s)
 		return
@@ -121,9 +121,9 @@
 	go k.recoverShard(ctx, s, s.role.Epoch, from)
 }
 
-// logLostDecisions logs the earlier ensembles that lost more disks than may fail at once: changes
+// logLostCommits logs the earlier ensembles that lost more disks than may fail at once: changes
 // that were on these disks only are lost. The lock is held.
-func (k *Keeper) logLostDecisions(s *shard, assessments map[string]assessment) {
+func (k *Keeper) logLostCommits(s *shard, assessments map[string]assessment) {
 	for _, e := range s.role.Previous {
 		if e.Epoch >= s.epochState.base && !e.isRecoveryQuorum(k.intactHolders(s, &e, assessments)) {
 			k.settings.Logger.WithField("slice", s.id).WithField("epoch", e.Epoch).WithField("holders", e.holders()).
--- a/internal/history/telling_test.go
+++ b/internal/history/telling_test.go
@@ -35,7 +35,7 @@
 // are lost in a row, and it counts as lost. At a loss of one packet in forty, as in the users' data
 // centres under bad conditions, no holder may change.
 func TestPacketLossCausesNoReassignment(t *testing.T) {
-	for keepers, lossyFor := range map[int]time.Duration{4: 20 * time.Minute, 24: 30 * time.Second} {
+	for keepers, lossDuration := range map[int]time.Duration{4: 20 * time.Minute, 24: 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			cl := newCluster(t, keepers, min(2, keepers-3))
 			cl.startAll()
@@ -44,7 +44,7 @@
 			cl.mu.Lock()
 			cl.datagramLossRate = 1.0 / 40
 			cl.mu.Unlock()
-			time.Sleep(lossyFor)
+			time.Sleep(lossDuration)
 			after := cl.currentAssignment()
 			for s := range after.Shards {
 				if after.Shards[s].Epoch != before.Shards[s].Epoch {
--- a/internal/history/witness.go
+++ b/internal/history/witness.go
@@ -92,7 +92,7 @@
 
 func (k *Keeper) queryWitnesses(ctx context.Context, name string) {
 	witnesses := k.peers.QueryWitnesses(ctx, name)
-	unheard := !anyHears(witnesses)
+	noContact := !anyHasContact(witnesses)
 	reachable := k.reachableShare(witnesses)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -101,7 +101,7 @@
 		k.quorumContact.record(now)
 	}
 	v := k.views[name]
-	if unheard && reachable > halfOfDataCentres && now.Sub(v.lastContact) > suspicionDelay {
+	if noContact && reachable > halfOfDataCentres && now.Sub(v.lastContact) > suspicionDelay {
 		if !v.loss.isCurrent(now) {
 			k.settings.Logger.WithField("keeper", name).WithField("silent_ms", now.Sub(v.lastContact).Milliseconds()).
 				WithField("witnesses", len(witnesses)).Info("loss of keeper confirmed by witnesses")
@@ -111,7 +111,7 @@
 	notify(k.wakeReconciler)
 }
 
-func anyHears(witnesses []Witness) bool {
+func anyHasContact(witnesses []Witness) bool {
 	for _, w := range witnesses {
 		if w.HearsKeeper {
 			return true
--- a/internal/history/world_test.go
+++ b/internal/history/world_test.go
@@ -47,7 +47,7 @@
 	t.lines = append(t.lines, fmt.Sprintf("%8.3f ", time.Since(t.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// cluster simulates keepers, the network between them and the store, with faults set by a test.
+// cluster runs keepers over a simulated network and store, with faults set by a test.
 type cluster struct {
 	t     *testing.T
 	dir   string
@@ -88,7 +88,7 @@
 	retiringKeeper string
 }
 
-// machine is a host with a disk, on which successive processes of a keeper run.
+// machine is a host with a disk that runs one keeper, in successive processes.
 type machine struct {
 	cluster    *cluster
 	name       string
@@ -281,30 +281,31 @@
 // waitWhilePaused waits until the machine is not paused, or fails when ctx ends.
 func (m *machine) waitWhilePaused(ctx context.Context) error {
 	m.cluster.mu.Lock()
-	frozen := m.paused
+	resumed := m.paused
 	m.cluster.mu.Unlock()
-	if frozen == nil {
+	if resumed == nil {
 		return nil
 	}
 	select {
-	case <-frozen:
+	case <-resumed:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// call calls a keeper from an instance through the simulated network. Without a link, or with a
-// paused or killed keeper, there is no response until ctx ends.
+// call calls a keeper through the simulated network. A machine without a process refuses the
+// connection. If the link is down, or the keeper is paused or killed during the call, there is no
+// response until ctx ends.
 func call[T any](ctx context.Context, cl *cluster, from, to string, f func(context.Context, *Keeper) (T, error)) (T, error) {
-	var none T
+	var zero T
 	target := cl.machine(to)
 	if target == nil {
-		return none, errors.New("no such keeper")
+		return zero, errors.New("no such keeper")
 	}
 	noResponse := func() (T, error) {
 		<-ctx.Done()
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 	sleep(ctx, messageDelay)
 	if cl.isLinkDown(from, to) || target.waitWhilePaused(ctx) != nil {
@@ -314,7 +315,7 @@
 	p := target.process
 	cl.mu.Unlock()
 	if p == nil {
-		return none, syscall.ECONNREFUSED
+		return zero, syscall.ECONNREFUSED
 	}
 	response, err := f(ctx, p.keeper)
 	sleep(ctx, messageDelay)
@@ -359,9 +360,9 @@
 		go func() {
 			time.Sleep(messageDelay)
 			cl.mu.Lock()
-			p, frozen := other.process, other.paused != nil
+			p, paused := other.process, other.paused != nil
 			cl.mu.Unlock()
-			if p != nil && !frozen && p.ctx.Err() == nil {
+			if p != nil && !paused && p.ctx.Err() == nil {
 				p.keeper.ObserveStatus(proto.Clone(status).(*historypb.StatusResponse))
 			}
 		}()
@@ -522,8 +523,8 @@
 	return a, cl.version, nil
 }
 
-// entryPoint is an entry, which reserves and settles turns at the keepers.
-type entryPoint struct {
+// entry is an instance that takes callers' calls, and reserves and settles turns at the keepers.
+type entry struct {
 	cluster *cluster
 	name    string
 	// onlyKeeper is the only reachable keeper; empty if all are reachable.
@@ -534,20 +535,20 @@
 
 // OnSilence implements Keepers. It never calls f: in these tests, calls to an unresponsive keeper
 // end by their timeout.
-func (e *entryPoint) OnSilence(string, func()) (stop func()) { return func() {} }
+func (e *entry) OnSilence(string, func()) (stop func()) { return func() {} }
 
 // Isolated implements Keepers.
-func (e *entryPoint) Isolated() bool { return e.isolated }
+func (e *entry) Isolated() bool { return e.isolated }
 
 // remoteKeeper calls a keeper from an entry.
 type remoteKeeper struct {
 	historypb.Keeper
-	e    *entryPoint
+	e    *entry
 	name string
 }
 
 // Keeper implements Keepers.
-func (e *entryPoint) Keeper(name string) (historypb.Keeper, bool) {
+func (e *entry) Keeper(name string) (historypb.Keeper, bool) {
 	if e.cluster.machine(name) == nil || e.onlyKeeper != "" && e.onlyKeeper != name {
 		return nil, false
 	}
@@ -580,7 +581,7 @@
 
 // client returns a client that knows the newest assignment in the store.
 func (cl *cluster) client(name string) *Client {
-	return NewClient(&entryPoint{cluster: cl, name: name}, func() (Assignment, bool) {
+	return NewClient(&entry{cluster: cl, name: name}, func() (Assignment, bool) {
 		cl.mu.Lock()
 		defer cl.mu.Unlock()
 		return cl.assignment, cl.version > 0
