--- a/internal/history/quorum_test.go
+++ b/internal/history/quorum_test.go
@@ -16,76 +16,79 @@
 	"foxhall/internal/store"
 )
 
-// silentStoreKinds lose keepers while the store is silent more often than other faults.
-var silentStoreKinds = append([]string{"store", "store", "store", "cut", "cut", "freeze", "freeze", "wipe", "wipe", "wipesilent", "wipesilent"}, actionKinds...)
+// storeOutageKinds are actionKinds with more outages of the store, and more losses of keepers and
+// disks during them.
+var storeOutageKinds = append([]string{"store", "store", "store", "cut", "cut", "freeze", "freeze", "wipe", "wipe", "wipesilent", "wipesilent"}, actionKinds...)
 
-// TestSilentStoreMachine is TestKeepersMachine where keepers are frozen, cut off and lose
-// their disks while the store is silent.
-func TestSilentStoreMachine(t *testing.T) {
-	for _, disks := range []int{1, 2} {
-		seen := map[string]int{}
+// TestRandomFaultsDuringStoreOutages is TestRandomFaults where keepers are paused, lose links and
+// lose their disks while the store is unavailable.
+func TestRandomFaultsDuringStoreOutages(t *testing.T) {
+	for _, diskFailures := range []int{1, 2} {
+		eventCounts := map[string]int{}
 		rapid.Check(t, func(rt *rapid.T) {
-			plan := drawPlan(rt, silentStoreKinds)
+			plan := drawPlan(rt, storeOutageKinds)
 			var failures []string
-			synctest.Test(t, func(t *testing.T) { failures = runPlan(t, newWorld(t, 3+disks, disks), plan, seen) })
+			synctest.Test(t, func(t *testing.T) {
+				failures = runPlan(t, newCluster(t, 3+diskFailures, diskFailures), plan, eventCounts)
+			})
 			if len(failures) > 0 {
-				rt.Fatalf("%d disks: %v", disks, failures[:min(3, len(failures))])
+				rt.Fatalf("%d disk failures at once: %v", diskFailures, failures[:min(3, len(failures))])
 			}
 		})
-		t.Log(seen)
+		t.Log(eventCounts)
 	}
 }
 
-// keepWithin fails where a turn is not kept in that time.
-func keepWithin(limit time.Duration, c *Client, program, turn, previous string) error {
-	began := time.Now()
-	if err := keep(c, program, turn, previous); err != nil {
+// retainTurnWithin is retainTurn with an error if that takes longer than the limit.
+func retainTurnWithin(limit time.Duration, c *Client, program, turn, previous string) error {
+	start := time.Now()
+	if err := retainTurn(c, program, turn, previous); err != nil {
 		return err
 	}
-	if took := time.Since(began); took > limit {
-		return errors.Errorf("%s kept after %v", turn, took)
+	if took := time.Since(start); took > limit {
+		return errors.Errorf("turn %s retained only after %v", turn, took)
 	}
 	return nil
 }
 
-// Every turn of a slice waits for as long as the store is silent, since one of its
-// partners was lost meanwhile and can't be replaced. The others must decide without it.
-func TestPartnerIsLostWhileTheStoreIsSilent(t *testing.T) {
-	for _, disks := range []int{1, 2} {
-		build := func(t *testing.T) *world { return newWorld(t, 3+disks, disks) }
-		inWorldOf(t, build, func(w *world, fail func(error)) {
-			c := w.client("entry")
-			fail(keep(c, "p", "first", ""))
-			w.setStore(true)
-			role := w.role("p")
-			w.machine(role.Backups[len(role.Backups)-1]).stop()
-			fail(keepWithin(100*time.Millisecond, c, "p", "second", "first"))
+// Guards against turns that wait for the end of a store outage because a backup of their shard was
+// lost, which can't be replaced during the outage. The other holders must commit without it.
+func TestBackupLossDuringStoreOutageDelaysNoTurn(t *testing.T) {
+	for _, diskFailures := range []int{1, 2} {
+		build := func(t *testing.T) *cluster { return newCluster(t, 3+diskFailures, diskFailures) }
+		testOnCluster(t, build, func(cl *cluster, fail func(error)) {
+			c := cl.client("entry")
+			fail(retainTurn(c, "p", "first", ""))
+			cl.setStoreUnavailable(true)
+			role := cl.roleOf("p")
+			cl.machine(role.Backups[len(role.Backups)-1]).stop()
+			fail(retainTurnWithin(100*time.Millisecond, c, "p", "second", "first"))
 			time.Sleep(5 * time.Second)
-			fail(keepWithin(100*time.Millisecond, c, "p", "third", "second"))
-			w.setStore(false)
-			time.Sleep(settledIn)
-			if role := w.role("p"); role.OptionalBackups != maxOptionalBackups {
-				fail(errors.Errorf("no spare partner again: %v", role))
+			fail(retainTurnWithin(100*time.Millisecond, c, "p", "third", "second"))
+			cl.setStoreUnavailable(false)
+			time.Sleep(convergenceTime)
+			if role := cl.roleOf("p"); role.OptionalBackups != maxOptionalBackups {
+				fail(errors.Errorf("no optional backup again: %v", role))
 			}
-			fail(keep(c, "p", "fourth", "third"))
+			fail(retainTurn(c, "p", "fourth", "third"))
 		})
 	}
 }
 
-// A frozen partner delays every turn of its slices until it is replaced.
-func TestFrozenPartnerDelaysNoTurn(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		c := w.client("entry")
-		w.machine(w.role("p").Backups[0]).freeze()
-		fail(keepWithin(100*time.Millisecond, c, "p", "first", ""))
+// Guards against a paused backup that delays every turn of its shards until it is replaced.
+func TestPausedBackupDelaysNoTurn(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
+		cl.machine(cl.roleOf("p").Backups[0]).pause()
+		fail(retainTurnWithin(100*time.Millisecond, c, "p", "first", ""))
 	})
 }
 
-// takenOver writes what a keeper proposes that takes a slice over.
-func (w *world) takenOver(program, by string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r := &w.assignment.Shards[ShardOf(program)]
+// writeTakeOver writes the assignment with which a holder takes over the shard of a program.
+func (cl *cluster) writeTakeOver(program, by string) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	r := &cl.assignment.Shards[ShardOf(program)]
 	next := ShardAssignment{Previous: r.ensembles()}
 	next.Epoch, next.Primary, next.OptionalBackups = r.Epoch+1, by, r.OptionalBackups
 	next.Disks = []string{r.diskOf(by)}
@@ -96,48 +99,48 @@
 		}
 	}
 	*r = next
-	w.version++
+	cl.version++
 }
 
-// A turn is lost that its caller saw end. It was on the disks of the primary and of one
-// partner when the primary's was lost; the other partner, which lacked it, took the slice
-// over. It must fetch it first.
-func TestNewPrimaryFetchesWhatItLacks(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		c := w.client("entry")
-		role := w.role("p")
-		w.cut(role.Primary, role.Backups[0], true)
-		fail(keepWithin(100*time.Millisecond, c, "p", "first", ""))
-		w.machine(role.Primary).wipe()
-		w.takenOver("p", role.Backups[0])
-		time.Sleep(settledIn)
-		if now := w.role("p"); now.Epoch > role.Epoch+1 && now.Primary != role.Backups[0] {
-			fail(errors.Errorf("taken over by another: %v", now))
+// Guards against the loss of an acknowledged turn. It was on the disks of the primary and of one
+// backup when the primary's disk was lost. The other backup, which lacks it, took the shard over. It
+// must fetch the turn before it serves.
+func TestNewPrimaryFetchesMissingRecords(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
+		role := cl.roleOf("p")
+		cl.setLinkDown(role.Primary, role.Backups[0], true)
+		fail(retainTurnWithin(100*time.Millisecond, c, "p", "first", ""))
+		cl.machine(role.Primary).wipe()
+		cl.writeTakeOver("p", role.Backups[0])
+		time.Sleep(convergenceTime)
+		if now := cl.roleOf("p"); now.Epoch > role.Epoch+1 && now.Primary != role.Backups[0] {
+			fail(errors.Errorf("shard taken over by another keeper: %v", now))
 		}
-		fail(keep(c, "p", "second", "first"))
+		fail(retainTurn(c, "p", "second", "first"))
 	})
 }
 
-// The same where the keeper that took the slice over is lost before it fetched anything.
-// Who takes over then must still ask the holders of the last epoch that decided.
-func TestNewPrimaryIsLostBeforeItFetched(t *testing.T) {
-	build := func(t *testing.T) *world { return newWorld(t, 6, 2) }
-	inWorldOf(t, build, func(w *world, fail func(error)) {
-		c := w.client("entry")
-		role := w.role("p")
-		w.cut(role.Primary, role.Backups[0], true)
-		fail(keepWithin(100*time.Millisecond, c, "p", "first", ""))
-		w.machine(role.Primary).wipe()
-		w.machine(role.Backups[1]).wipe()
-		w.takenOver("p", role.Backups[1])
-		time.Sleep(settledIn)
-		fail(keep(c, "p", "second", "first"))
+// The same where the keeper that took the shard over is lost before it fetched anything. The next
+// primary must fetch from the holders of the last epoch in which changes were committed.
+func TestNewPrimaryLossBeforeRecoveryLosesNoTurn(t *testing.T) {
+	build := func(t *testing.T) *cluster { return newCluster(t, 6, 2) }
+	testOnCluster(t, build, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
+		role := cl.roleOf("p")
+		cl.setLinkDown(role.Primary, role.Backups[0], true)
+		fail(retainTurnWithin(100*time.Millisecond, c, "p", "first", ""))
+		cl.machine(role.Primary).wipe()
+		cl.machine(role.Backups[1]).wipe()
+		cl.writeTakeOver("p", role.Backups[1])
+		time.Sleep(convergenceTime)
+		fail(retainTurn(c, "p", "second", "first"))
 	})
 }
 
-// A turn is lost that its caller saw end. A holder lost its disk, and its word, that it
-// has nothing, counted for what was on that disk.
-func TestHolderWithANewDiskIsNoSource(t *testing.T) {
+// Guards against the loss of an acknowledged turn. A holder lost its disk, and its response that it
+// has no records counted as the contents of the lost disk. Such a holder must not count as intact.
+func TestHolderWithReplacedDiskIsNotIntact(t *testing.T) {
 	is := is.New(t)
 	e := Ensemble{Epoch: 7, Primary: "a", Backups: []string{"b", "c"}, Disks: []string{"a1", "b1", "c1"}, OptionalBackups: 1}
 	is.True(e.isIntact("b", "b1", 0))
@@ -152,133 +155,135 @@
 	is.True(!e.isIntact("b", "b2", 0))
 }
 
-// A turn is lost that its caller saw end. A disk was lost and its keeper is back with an
-// empty one under the same name, while the store is silent; the primary counted it as the
-// one that it was.
-func TestKeeperWithANewDiskTakesNoRecordsForTheOld(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		role := w.role("p")
-		partner := w.machine(role.Backups[0])
-		w.setStore(true)
-		partner.wipe()
-		partner.start()
-		k := partner.process.keeper
+// Guards against the loss of an acknowledged turn. A keeper lost its disk and returned under the
+// same name with an empty one while the store was unavailable, and the primary counted this disk as
+// the old one. The keeper must refuse records for the old disk, and the new disk must be assigned
+// once the store is available.
+func TestKeeperWithNewDiskRefusesRecordsForOldDisk(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		role := cl.roleOf("p")
+		backup := cl.machine(role.Backups[0])
+		cl.setStoreUnavailable(true)
+		backup.wipe()
+		backup.start()
+		k := backup.process.keeper
 		k.verified = true
 		response, err := k.Append(context.Background(), &historypb.AppendRequest{Slices: []*historypb.SliceAppend{
-			{Slice: ShardOf("p"), Epoch: role.Epoch, Disk: role.diskOf(partner.name)},
+			{Slice: ShardOf("p"), Epoch: role.Epoch, Disk: role.diskOf(backup.name)},
 		}})
 		if err != nil || len(response.Refused) != 1 {
-			fail(errors.Errorf("taken: %v, %v", response, err))
+			fail(errors.Errorf("records for the old disk not refused: %v, %v", response, err))
 		}
-		w.setStore(false)
-		time.Sleep(settledIn)
-		if now := w.role("p"); now.diskOf(partner.name) == role.diskOf(partner.name) || !w.whole() {
-			fail(errors.Errorf("not made good: %v", now))
+		cl.setStoreUnavailable(false)
+		time.Sleep(convergenceTime)
+		if now := cl.roleOf("p"); now.diskOf(backup.name) == role.diskOf(backup.name) || !cl.fullyReplicated() {
+			fail(errors.Errorf("not fully replicated on the new disk: %v", now))
 		}
 	})
 }
 
-// Slices stop with one data centre: two of three holders stand in it, and what they
-// decided the third one need not have.
-func TestSpareNeedsHoldersBeyondEachDataCentre(t *testing.T) {
-	in := func(centres ...string) []Candidate {
+// Guards against shards that become unavailable with one data centre: two of three holders are in
+// it, and the third one may lack changes that these two committed.
+func TestOptionalBackupNeedsHoldersOutsideEachDataCentre(t *testing.T) {
+	holdersIn := func(dataCentres ...string) []Candidate {
 		var list []Candidate
-		for i, dc := range centres {
+		for i, dc := range dataCentres {
 			name := string(rune('a' + i))
 			list = append(list, Candidate{Name: name, DataCentre: dc, Disk: name + "1"})
 		}
 		return list
 	}
 	is := is.New(t)
-	is.True(allowsOptionalBackup(in(east, west, north)))
-	is.True(allowsOptionalBackup(in(east, east, west, north)))
-	is.True(allowsOptionalBackup(in(east, east, west, west)))
-	is.True(!allowsOptionalBackup(in(east, east, west)))
-	is.True(!allowsOptionalBackup(in(east, west)))
-	is.True(!allowsOptionalBackup(append(in(east, west), Candidate{Name: "c", DataCentre: north})))
+	is.True(allowsOptionalBackup(holdersIn(east, west, north)))
+	is.True(allowsOptionalBackup(holdersIn(east, east, west, north)))
+	is.True(allowsOptionalBackup(holdersIn(east, east, west, west)))
+	is.True(!allowsOptionalBackup(holdersIn(east, east, west)))
+	is.True(!allowsOptionalBackup(holdersIn(east, west)))
+	is.True(!allowsOptionalBackup(append(holdersIn(east, west), Candidate{Name: "c", DataCentre: north})))
 }
 
-// Holders of slices change for nothing, each time a keeper looks. What was chosen once must
-// be chosen again, in fleets of any shape.
-func TestChoicesAreStable(t *testing.T) {
+// Guards against needless reassignments at each reconciliation. The selection for an existing
+// assignment must return the same holders, for any number of keepers and data centres.
+func TestBackupSelectionIsStable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		disksLost := rapid.IntRange(1, 3).Draw(rt, "disks lost")
+		maxDiskFailures := rapid.IntRange(1, 3).Draw(rt, "disks lost")
 		keepers := rapid.SliceOfN(rapid.IntRange(0, 4), 2, 24).Draw(rt, "data centres")
 		var list []Candidate
 		for i, dc := range keepers {
 			name := string(rune('a' + i))
 			list = append(list, Candidate{Name: name, DataCentre: string(rune('A' + dc)), Disk: name + "1"})
 		}
-		a, ok := InitialAssignment(list, disksLost)
+		a, ok := InitialAssignment(list, maxDiskFailures)
 		if !ok {
-			rt.Fatal("not assigned")
+			rt.Fatal("no initial assignment")
 		}
 		for s := range a.Shards {
 			r := &a.Shards[s]
-			c := backupSelector{assignment: &a, keepers: list, maxDiskFailures: disksLost, shardsHeld: map[string]int{}}
+			c := backupSelector{assignment: &a, keepers: list, maxDiskFailures: maxDiskFailures, shardsHeld: map[string]int{}}
 			for i := range a.Shards {
 				c.countHolders(&a.Shards[i])
 			}
 			primary := list[slices.IndexFunc(list, func(k Candidate) bool { return k.Name == r.Primary })]
-			again := newEnsemble(r.Epoch, primary, c.selectBackups(s, primary), disksLost)
-			if !again.sameReplicaSet(&r.Ensemble) {
-				rt.Fatalf("slice %d: %v, then %v", s, r.Ensemble, again)
+			reselected := newEnsemble(r.Epoch, primary, c.selectBackups(s, primary), maxDiskFailures)
+			if !reselected.sameReplicaSet(&r.Ensemble) {
+				rt.Fatalf("shard %d: selected %v, then %v", s, r.Ensemble, reselected)
 			}
-			if want := min(disksLost, len(list)-1); len(r.Backups) < want || len(r.Backups) > disksLost+1 {
-				rt.Fatalf("slice %d has %d partners", s, len(r.Backups))
+			if want := min(maxDiskFailures, len(list)-1); len(r.Backups) < want || len(r.Backups) > maxDiskFailures+1 {
+				rt.Fatalf("shard %d has %d backups", s, len(r.Backups))
 			}
 		}
 	})
 }
 
-// A program's tokens are handed out twice. A primary lost the last change of an account
-// with its power, before its own disk had it, but not before a partner's had; the next
-// change got the same version, and the partner took it for the one that it had.
-func TestRestartedPrimaryNumbersItsChangesAnew(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		role := w.role("p")
-		c := w.client("entry")
+// Guards against tokens of a program that are reserved twice. A primary lost power when the last
+// change of an account was on a backup's disk but not yet on its own. If the next change got the
+// same version, the backup would take it for the change that it has, and acknowledge it without
+// storing it.
+func TestRestartedPrimaryUsesNewAccountVersions(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		role := cl.roleOf("p")
+		c := cl.client("entry")
 		ctx := context.Background()
 		reserve := func(turn string) error {
 			_, err := c.Reserve(ctx, gateway.Reservation{Program: "p", Turn: turn, MaxOutputTokens: 10, Budget: 100, Retention: time.Hour})
 			return err
 		}
 		fail(reserve("one"))
-		primary := w.machine(role.Primary).process.keeper
-		lost := primary.shards[ShardOf("p")].state.accounts["p"].Version + 1
-		w.machine(role.Primary).stop()
+		primary := cl.machine(role.Primary).process.keeper
+		lostVersion := primary.shards[ShardOf("p")].state.accounts["p"].Version + 1
+		cl.machine(role.Primary).stop()
 		for _, name := range role.Backups {
-			s := w.machine(name).process.keeper.shards[ShardOf("p")]
-			s.state.accounts["p"] = &historypb.Account{Program: "p", Version: lost, TouchedUnixMs: time.Now().UnixMilli(), RetentionMs: time.Hour.Milliseconds()}
+			s := cl.machine(name).process.keeper.shards[ShardOf("p")]
+			s.state.accounts["p"] = &historypb.Account{Program: "p", Version: lostVersion, TouchedUnixMs: time.Now().UnixMilli(), RetentionMs: time.Hour.Milliseconds()}
 		}
-		w.machine(role.Primary).start()
+		cl.machine(role.Primary).start()
 		time.Sleep(200 * time.Millisecond)
 		fail(reserve("two"))
 		for _, name := range role.Backups {
-			k := w.machine(name).process.keeper
+			k := cl.machine(name).process.keeper
 			k.mu.Lock()
 			a := k.shards[ShardOf("p")].state.accounts["p"]
 			k.mu.Unlock()
 			if !slices.ContainsFunc(a.Open, func(o *historypb.OpenTurn) bool { return o.Id == "two" }) {
-				fail(errors.Errorf("%s acknowledged a turn and has %v", name, a))
+				fail(errors.Errorf("keeper %s acknowledged a turn but its account is %v", name, a))
 			}
 		}
 	})
 }
 
-// An upgrade loses slices: the assignment and the marks on the disks are of the form
-// before. They must be carried over, and what was kept be found.
-func TestAssignmentOfTheFormBeforeIsCarriedOver(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		c := w.client("entry")
-		role := w.role("p")
-		for _, m := range w.machines {
+// Guards against an upgrade that loses shards. The assignment and the epoch states on the disks are
+// of format version 1. They must be migrated, and the retained turns must be found.
+func TestAssignmentOfFormat1IsMigrated(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
+		role := cl.roleOf("p")
+		for _, m := range cl.machines {
 			m.stop()
 		}
-		// As if all had been written by the version before: two holders, no disks' names.
-		before := ShardAssignment{Ensemble: Ensemble{Epoch: 40, Primary: role.Primary, Backups: role.Backups[:1]}}
-		for _, name := range before.holders() {
-			l, err := openLog(w.machine(name).folder, func(*historypb.Record) {})
+		// As the previous version wrote it: two holders, and no names of disks.
+		format1 := ShardAssignment{Ensemble: Ensemble{Epoch: 40, Primary: role.Primary, Backups: role.Backups[:1]}}
+		for _, name := range format1.holders() {
+			l, err := openLog(cl.machine(name).dir, func(*historypb.Record) {})
 			fail(err)
 			var framed []byte
 			for _, r := range []*historypb.Record{
@@ -291,39 +296,40 @@
 			fail(l.write(framed))
 			fail(l.close())
 		}
-		w.mu.Lock()
-		w.assignment.Shards[ShardOf("p")] = before
-		w.version++
-		w.mu.Unlock()
-		for _, m := range w.machines {
+		cl.mu.Lock()
+		cl.assignment.Shards[ShardOf("p")] = format1
+		cl.version++
+		cl.mu.Unlock()
+		for _, m := range cl.machines {
 			m.start()
 		}
-		time.Sleep(settledIn)
-		fail(keep(c, "p", "second", "first"))
-		if now := w.role("p"); now.OptionalBackups != maxOptionalBackups || len(now.Disks) != len(now.Backups)+1 {
-			fail(errors.Errorf("not of the new form: %v", now))
+		time.Sleep(convergenceTime)
+		fail(retainTurn(c, "p", "second", "first"))
+		if now := cl.roleOf("p"); now.OptionalBackups != maxOptionalBackups || len(now.Disks) != len(now.Backups)+1 {
+			fail(errors.Errorf("assignment not migrated to format version 2: %v", now))
 		}
 	})
 }
 
-// A keeper of the version before takes a slice over without what it lacks. While holders
-// do not say that they know better, decisions must be on all disks.
-func TestHoldersOfTheVersionBeforeHaveAllDecisions(t *testing.T) {
+// Guards against a keeper of the previous version that takes a shard over without fetching what it
+// lacks. As long as a holder does not report that it supports optional backups, changes must be on
+// all disks.
+func TestNoOptionalBackupAmongKeepersOfOlderVersion(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{settings: Settings{Name: "a", DataCentre: east, Keepers: func() []Candidate {
 		return []Candidate{{Name: "a", DataCentre: east}, {Name: "b", DataCentre: west}, {Name: "c", DataCentre: north}}
 	}}, disk: "a1"}
-	opinions := map[string]assessment{"b": {live: true, disk: "b1"}, "c": {live: true, disk: "c1", supportsOptionalBackups: true}}
-	list := k.candidates(opinions)
-	is.Equal(newEnsemble(2, list[0], list[1:], 1).OptionalBackups, 0)
-	opinions["b"] = assessment{live: true, disk: "b1", supportsOptionalBackups: true}
-	list = k.candidates(opinions)
-	is.Equal(newEnsemble(2, list[0], list[1:], 1).OptionalBackups, 1)
+	assessments := map[string]assessment{"b": {live: true, disk: "b1"}, "c": {live: true, disk: "c1", supportsOptionalBackups: true}}
+	candidates := k.candidates(assessments)
+	is.Equal(newEnsemble(2, candidates[0], candidates[1:], 1).OptionalBackups, 0)
+	assessments["b"] = assessment{live: true, disk: "b1", supportsOptionalBackups: true}
+	candidates = k.candidates(assessments)
+	is.Equal(newEnsemble(2, candidates[0], candidates[1:], 1).OptionalBackups, 1)
 }
 
-// An assignment of a later version is misread and written over. It must be refused, with
-// its form named.
-func TestAssignmentOfAnUnknownFormIsRefused(t *testing.T) {
+// Guards against an assignment of a later format version that is misread and overwritten. It must
+// be refused with an error that names its format version.
+func TestAssignmentOfUnknownFormatIsRefused(t *testing.T) {
 	is := is.New(t)
 	_, err := DecodeAssignment([]byte(`{"form":3,"slices":[]}`))
 	is.True(errors.Is(err, ErrUnknownFormat))
@@ -334,82 +340,85 @@
 	_, err = DecodeAssignment(data)
 	is.NoErr(err)
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, 1)
-		w.readError = err3
-		w.startAll()
-		time.Sleep(2 * settledIn)
-		if w.version != store.Version(0) {
-			t.Errorf("written over: version %d", w.version)
+		cl := newCluster(t, 3, 1)
+		cl.readError = errFormat3
+		cl.startAll()
+		time.Sleep(2 * convergenceTime)
+		if cl.version != store.Version(0) {
+			t.Errorf("assignment overwritten: version %d", cl.version)
 		}
-		w.stopAll()
+		cl.stopAll()
 		time.Sleep(releaseTimeout)
 	})
 }
 
-// err3 is what reading an assignment of form 3 ends with.
-var err3 = func() error { _, err := DecodeAssignment([]byte(`{"form":3}`)); return err }()
+// errFormat3 is the error of reading an assignment of format version 3.
+var errFormat3 = func() error { _, err := DecodeAssignment([]byte(`{"form":3}`)); return err }()
 
-// A turn is lost that its caller saw end. A keeper gave a new primary what it had and went
-// on acknowledging for the one before, also after a loss of its power.
-func TestFetchedKeeperRefusesThePrimaryBefore(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		role := w.role("p")
-		slice, holder := ShardOf("p"), w.machine(role.Backups[0])
-		w.cut(role.Primary, holder.name, true)
+// Guards against the loss of an acknowledged turn. After a new primary has fetched the records of a
+// keeper, the keeper must not acknowledge changes of the previous primary, also after a power
+// failure.
+func TestKeeperRefusesPreviousPrimaryAfterFetch(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		role := cl.roleOf("p")
+		shardID, holder := ShardOf("p"), cl.machine(role.Backups[0])
+		cl.setLinkDown(role.Primary, holder.name, true)
 		ctx := context.Background()
-		fetched, err := holder.process.keeper.Fetch(ctx, &historypb.FetchRequest{Slice: slice, Epoch: role.Epoch + 1, Disk: role.diskOf(holder.name)})
+		fetched, err := holder.process.keeper.Fetch(ctx, &historypb.FetchRequest{Slice: shardID, Epoch: role.Epoch + 1, Disk: role.diskOf(holder.name)})
 		fail(err)
 		if fetched.Refused {
-			fail(errors.New("not fetched"))
+			fail(errors.New("fetch refused"))
 		}
-		refuses := func() {
-			late := &historypb.SliceAppend{Slice: slice, Epoch: role.Epoch, Disk: role.diskOf(holder.name)}
+		expectRefusal := func() {
+			late := &historypb.SliceAppend{Slice: shardID, Epoch: role.Epoch, Disk: role.diskOf(holder.name)}
 			response, err := holder.process.keeper.Append(ctx, &historypb.AppendRequest{Slices: []*historypb.SliceAppend{late}})
 			fail(err)
 			if len(response.Refused) != 1 {
-				fail(errors.New("acknowledged for the primary before"))
+				fail(errors.New("append of the previous primary not refused"))
 			}
 		}
-		refuses()
+		expectRefusal()
 		holder.powerOff(0)
 		holder.restart()
-		refuses()
+		expectRefusal()
 	})
 }
 
-// A keeper answers for a disk that it has no longer, or for an epoch that is over.
-func TestFetchIsRefusedByAnotherDiskAndALaterEpoch(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		role := w.role("p")
-		k := w.machine(role.Backups[0]).process.keeper
+// Guards against a keeper that serves a fetch for a disk that it does not have any more, for an
+// epoch that is over, or for a shard that does not exist.
+func TestFetchIsRefusedForOtherDiskOrEarlierEpoch(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		role := cl.roleOf("p")
+		k := cl.machine(role.Backups[0]).process.keeper
 		for _, r := range []*historypb.FetchRequest{
 			{Slice: ShardOf("p"), Epoch: role.Epoch + 1, Disk: "another"},
 			{Slice: ShardOf("p"), Epoch: role.Epoch - 1, Disk: k.disk},
 			{Slice: ShardCount, Epoch: role.Epoch + 1, Disk: k.disk},
 		} {
 			if response, err := k.Fetch(context.Background(), r); err != nil || !response.Refused {
-				fail(errors.Errorf("%v: %v, %v", r, response, err))
+				fail(errors.Errorf("fetch %v not refused: %v, %v", r, response, err))
 			}
 		}
 	})
 }
 
-// A slice is never served again: one of its holders was taken away for good while another
-// lost its disk, which is more than may be lost. The third must go on with what it has, but
-// not before those that are silent could be back with decisions that are still kept.
-func TestSliceGoesOnWithoutHoldersThatAreGoneForGood(t *testing.T) {
-	inWorld(t, func(w *world, fail func(error)) {
-		c := w.client("entry")
-		fail(keep(c, "p", "first", ""))
-		role := w.role("p")
-		w.machine(role.Backups[0]).stop()
-		w.machine(role.Primary).wipe()
-		w.machine(role.Primary).start()
+// Guards against a shard that is never served again. One of its holders was removed for good while
+// another lost its disk, which is more than the number of disks that may fail. The third must
+// continue with the records that it has, but only after the retention of the removed holder's
+// records: until then, that one may return with committed changes.
+func TestForcedRecoveryWaitsForRetentionOfLostHolders(t *testing.T) {
+	testOnFourKeepers(t, func(cl *cluster, fail func(error)) {
+		c := cl.client("entry")
+		fail(retainTurn(c, "p", "first", ""))
+		role := cl.roleOf("p")
+		cl.machine(role.Backups[0]).stop()
+		cl.machine(role.Primary).wipe()
+		cl.machine(role.Primary).start()
 		time.Sleep(defaultRetention / 2)
-		if err := keep(c, "p", "too-early", ""); err == nil {
-			fail(errors.New("decided without a holder that may be back"))
+		if err := retainTurn(c, "p", "too-early", ""); err == nil {
+			fail(errors.New("a change was committed without a holder that may return"))
 		}
 		time.Sleep(defaultRetention)
-		fail(keep(c, "p", "second", "first"))
+		fail(retainTurn(c, "p", "second", "first"))
 	})
 }
