--- a/internal/history/assignment.go
+++ b/internal/history/assignment.go
@@ -42,7 +42,7 @@
 }
 
 // ErrUnknownFormat indicates an assignment that was written by a later version of foxhall.
-var ErrUnknownFormat = errors.New("history: assignment of an unknown form")
+var ErrUnknownFormat = errors.New("history: assignment of an unknown format version")
 
 // DecodeAssignment reads an assignment from the store.
 func DecodeAssignment(data []byte) (Assignment, error) {
@@ -51,7 +51,7 @@
 		return Assignment{}, errors.Wrap(err, "assignment")
 	}
 	if a.FormatVersion > assignmentFormatVersion {
-		return Assignment{}, errors.Wrapf(ErrUnknownFormat, "form %d, known up to %d", a.FormatVersion, assignmentFormatVersion)
+		return Assignment{}, errors.Wrapf(ErrUnknownFormat, "found format version %d, expected %d or lower", a.FormatVersion, assignmentFormatVersion)
 	}
 	return a, nil
 }
--- a/internal/history/choose.go
+++ b/internal/history/choose.go
@@ -40,8 +40,8 @@
 	return taken[1:]
 }
 
-// bestCandidate returns the best keeper to add to those taken among the keepers with which all
-// conditions hold.
+// bestCandidate returns the best keeper to add to those taken. Each condition must hold for the
+// list with the keeper added.
 func (c *backupSelector) bestCandidate(taken []Candidate, better func(k, best Candidate) bool, conditions ...func([]Candidate) bool) (Candidate, bool) {
 	best, found := Candidate{}, false
 	for _, k := range c.keepers {
--- a/internal/history/client.go
+++ b/internal/history/client.go
@@ -125,8 +125,8 @@
 	return errors.Wrapf(ErrNoKeeperResult, "shard %d in epoch %d: primary %s, backups %v", shardID, role.Epoch, role.Primary, role.Backups)
 }
 
-// callKeeper calls one keeper. The call is cancelled if the keeper becomes unresponsive: the next
-// holder knows sooner which keeper replaced it.
+// callKeeper calls one keeper. The call is cancelled if the keeper becomes unresponsive: the response
+// of the next holder shows sooner which keeper replaced it.
 func (c *Client) callKeeper(ctx context.Context, name string, k historypb.Keeper, call func(context.Context, historypb.Keeper) callOutcome) callOutcome {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/history/ensemble.go
+++ b/internal/history/ensemble.go
@@ -73,8 +73,8 @@
 	if recorded := e.diskOf(name); recorded != "" {
 		return recorded == disk
 	}
-	// Where the disk's name is unknown, a base of the preceding epoch shows that the keeper already
-	// had this disk when the ensemble began.
+	// Where the disk's name is unknown, a base of at least the preceding epoch shows that the keeper
+	// already had this disk when the ensemble began.
 	return base > 0 && base+1 >= e.Epoch
 }
 
--- a/internal/history/failure_test.go
+++ b/internal/history/failure_test.go
@@ -250,7 +250,7 @@
 			v.lastContact = v.lastContact.Add(-2 * time.Second)
 		}
 		// Entries have responded throughout.
-		k.quorumContact = contactPeriod{since: time.Now().Add(-2 * time.Second), last: time.Now()}
+		k.witnessContact = contactPeriod{since: time.Now().Add(-2 * time.Second), last: time.Now()}
 		allIneligible := len(k.views) > 0
 		for _, o := range k.assessPeers(time.Now()) {
 			allIneligible = allIneligible && o.ineligible
--- a/internal/history/holders.go
+++ b/internal/history/holders.go
@@ -12,12 +12,12 @@
 	if k.stalledFor() > diskStallTimeout {
 		return next, false
 	}
-	leaving := k.isDraining()
+	draining := k.isDraining()
 	selector := k.newBackupSelector(&next, assessments)
 	for _, s := range k.shards {
 		// A draining keeper leaves its shards to other complete holders. A shard of which it is the
 		// only complete holder it must replicate first.
-		if leaving && k.otherHolderComplete(s, assessments) || !k.mustReassign(s, assessments, now) {
+		if draining && k.otherHolderComplete(s, assessments) || !k.mustReassign(s, assessments, now) {
 			continue
 		}
 		role, found := k.nextAssignment(selector, s, assessments, now)
@@ -87,8 +87,8 @@
 	return have >= min(k.maxDiskFailures(), len(s.role.Backups))
 }
 
-// logUnplaceable logs why shards that need other holders don't get them: no keeper is eligible, and
-// it is not certain that this one is the last.
+// logUnplaceable logs that shards which need other holders keep theirs, because no keeper is eligible
+// and it is not certain that this one is the last, with the evidence on each other keeper.
 func (k *Keeper) logUnplaceable(shards int, assessments map[string]assessment, now time.Time) {
 	if shards == 0 || now.Sub(k.unplaceableLoggedAt) < unplaceableLogInterval {
 		return
@@ -97,7 +97,7 @@
 	for _, name := range k.otherKeepers() {
 		o, v := assessments[name], k.views[name]
 		entry := k.settings.Logger.WithField("slices", shards).WithField("keeper", name).
-			WithField("heard", o.live).WithField("out", o.ineligible).WithField("reach", k.quorumContact.isEstablished(now))
+			WithField("heard", o.live).WithField("out", o.ineligible).WithField("reach", k.witnessContact.isEstablished(now))
 		if v != nil {
 			entry = entry.WithField("silent_ms", now.Sub(v.lastContact).Milliseconds()).WithField("lost", v.loss.isCurrent(now))
 		}
@@ -105,7 +105,7 @@
 	}
 }
 
-// unplaceableLogInterval is the shortest time between two such reports.
+// unplaceableLogInterval is the shortest time between two calls of logUnplaceable that log.
 const unplaceableLogInterval = time.Second
 
 // maxDiskFailures is the number of disks that may fail at once, at least 1.
--- a/internal/history/inventory.go
+++ b/internal/history/inventory.go
@@ -39,9 +39,9 @@
 			records = append(records, accountRecord(shardID, a))
 		}
 	}
-	for key, kept := range s.turns {
+	for key, retained := range s.turns {
 		if !turns[xxhash.Sum64String(key)] {
-			records = append(records, turnRecord(shardID, kept.turn))
+			records = append(records, turnRecord(shardID, retained.turn))
 		}
 	}
 	return records
--- a/internal/history/keeper.go
+++ b/internal/history/keeper.go
@@ -94,9 +94,9 @@
 	version store.Version
 	// verified means that this keeper may accept records for epochs that it has not seen: it has
 	// its epoch states on disk, or has read the assignment since its start.
-	verified      bool
-	views         map[string]*peerView
-	quorumContact contactPeriod
+	verified       bool
+	views          map[string]*peerView
+	witnessContact contactPeriod
 	// unplaceableLoggedAt is when shards without an eligible backup were last logged.
 	unplaceableLoggedAt time.Time
 	draining            bool
@@ -127,7 +127,8 @@
 	role       ShardAssignment
 	// streams are the replication streams to the backups, by name.
 	streams map[string]*backupStream
-	// primaryTerm counts how often this keeper ceased to be the shard's primary.
+	// primaryTerm is incremented when an assignment or a promised epoch ends this keeper's time as
+	// the shard's primary. A change of an earlier term can't be committed by it.
 	primaryTerm int
 	// recovering means that records of earlier ensembles are being fetched. forcedEpoch is the
 	// epoch that starts from the records that are left if some are lost.
@@ -252,7 +253,7 @@
 	for _, v := range k.views {
 		v.refusedConnections, v.loss = 0, lossEvidence{}
 	}
-	k.quorumContact = contactPeriod{}
+	k.witnessContact = contactPeriod{}
 }
 
 // isPrimary reports whether this keeper is the shard's primary and complete in its epoch, so that
--- a/internal/history/opinion.go
+++ b/internal/history/opinion.go
@@ -44,10 +44,10 @@
 	assessments := map[string]assessment{}
 	for name, v := range k.views {
 		o := assessment{}
-		booted := now.Sub(k.started) > startupGrace
-		refusing := v.refusedConnections >= minRefusedConnections && booted
-		unresponsive := refusing || v.unresponsive(now) && booted
-		o.ineligible = refusing || unresponsive && k.quorumContact.isEstablished(now) || k.settings.IsRetiring(name)
+		pastStartupGrace := now.Sub(k.started) > startupGrace
+		refusing := v.refusedConnections >= minRefusedConnections && pastStartupGrace
+		unresponsive := refusing || v.unresponsive(now) && pastStartupGrace
+		o.ineligible = refusing || unresponsive && k.witnessContact.isEstablished(now) || k.settings.IsRetiring(name)
 		if v.status != nil {
 			o.live, o.lastContact = !unresponsive, v.lastContact
 			o.disk, o.supportsOptionalBackups = v.status.Disk, v.status.Spares
--- a/internal/history/quorum_test.go
+++ b/internal/history/quorum_test.go
@@ -333,7 +333,7 @@
 	is := is.New(t)
 	_, err := DecodeAssignment([]byte(`{"form":3,"slices":[]}`))
 	is.True(errors.Is(err, ErrUnknownFormat))
-	is.Equal(err.Error(), "form 3, known up to 2: history: assignment of an unknown form")
+	is.Equal(err.Error(), "found format version 3, expected 2 or lower: history: assignment of an unknown format version")
 	var a Assignment
 	data, err := a.Encode()
 	is.NoErr(err)
--- a/internal/history/recover.go
+++ b/internal/history/recover.go
@@ -166,15 +166,15 @@
 	if s.role.Epoch != epoch {
 		return
 	}
-	var learned []*historypb.Record
+	var applied []*historypb.Record
 	for response := range responses {
 		for _, r := range response.Records {
 			if s.state.apply(r) {
-				learned = append(learned, r)
+				applied = append(applied, r)
 			}
 		}
 	}
-	k.persist(learned, nil)
+	k.persist(applied, nil)
 	k.markComplete(s)
 }
 
--- a/internal/history/state.go
+++ b/internal/history/state.go
@@ -29,7 +29,8 @@
 }
 
 type retainedTurn struct {
-	turn    *historypb.Turn
+	turn *historypb.Turn
+	// expires is the end of the retention, in Unix milliseconds.
 	expires int64
 }
 
--- a/internal/history/witness.go
+++ b/internal/history/witness.go
@@ -13,10 +13,10 @@
 
 const (
 	// suspicionDelay is how long a keeper may be unresponsive before entries are asked about it, so
-	// that they have responded by the time it would be replaced. One of its statuses is late by
+	// that they have responded by the time it would be replaced. Two of its broadcasts are late by
 	// then.
 	suspicionDelay = 200 * time.Millisecond
-	// witnessInterval is the time between such queries.
+	// witnessInterval is the time between two queries of entries about unresponsive keepers.
 	witnessInterval = 100 * time.Millisecond
 	// maxContactGap is the longest time between two responses of entries that count as continuous
 	// contact. minContactSpan is how long the contact must have lasted, which is long enough to
@@ -98,7 +98,7 @@
 	defer k.mu.Unlock()
 	now := time.Now()
 	if reachable >= halfOfDataCentres {
-		k.quorumContact.record(now)
+		k.witnessContact.record(now)
 	}
 	v := k.views[name]
 	if noContact && reachable > halfOfDataCentres && now.Sub(v.lastContact) > suspicionDelay {
