--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -41,7 +41,7 @@
 
 const (
 	// errorCost is the cost of a failed call to its program, in seconds: the turn is retried after
-	// a backoff, and the number of attempts is small.
+	// a backoff, and may be attempted a few times only.
 	errorCost = 5
 	// toleratedErrorRate is the error rate up to which errors are ignored. Services fail one call
 	// in a hundred in normal operation, and a single failure must not divert all calls to the
@@ -95,8 +95,9 @@
 	return float64(excess) * c.Speed.Call / float64(slots)
 }
 
-// coRunnerTime returns the total delay of the calls already running there, in seconds. The larger
-// batch delays each of their tokens, and each call is delayed by half of the prefill time.
+// coRunnerTime returns the total delay, in seconds, that the step causes to the calls already running
+// at the candidate. The larger batch delays each of their tokens, and each call is delayed by half
+// of the prefill time.
 func coRunnerTime(c *Candidate, s *Step, prefill float64) float64 {
 	running := float64(min(c.Load.Total, c.Slots))
 	return running * (c.Speed.TokenPerCall*float64(s.OutputTokens) + 0.5*prefill) * c.Load.Slowness
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -120,7 +120,7 @@
 // Estimate is the estimated times and costs of a step at one candidate, in seconds.
 type Estimate struct {
 	Wait, Prefill, Decode float64
-	// CoRunnerCost is the total delay of the calls that already run there.
+	// CoRunnerCost is the total delay that the step causes to the calls already running there.
 	CoRunnerCost float64
 	// RedundantPrefill is the prefill time of tokens that another candidate has cached.
 	RedundantPrefill float64
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -31,7 +31,7 @@
 	Attained time.Duration
 	// Deadline is when the caller gives up; zero for none.
 	Deadline time.Time
-	// Priority is the plan's priority, from 0 to 9.
+	// Priority is the plan's priority, from 0 to 9; higher goes first.
 	Priority int
 	// Critical reports whether a parent waits for this sub-agent.
 	Critical bool
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -11,8 +11,9 @@
 const (
 	// sampleThreshold is the number of upstreams up to which a decision considers all of them.
 	// Above it, a decision considers about sampleSize of them, evenly spaced from a random offset,
-	// and up to maxCacheHolders that cache most of the prompt. The cost of a decision then does not
-	// grow with the fleet, and instances that share the same stale view choose different upstreams.
+	// and up to maxCacheHolders of those that have the longest part of the prompt cached. The cost of
+	// a decision then does not grow with the fleet, and instances that share the same stale view
+	// choose different upstreams.
 	sampleThreshold = 128
 	sampleSize      = 48
 	maxCacheHolders = 32
--- a/internal/scheduler/rules.go
+++ b/internal/scheduler/rules.go
@@ -82,8 +82,8 @@
 	if steps > 0 || len(w.blockHashes) < minSharedTokens/engine.BlockTokens {
 		return
 	}
-	// The hash of the block that ends at minSharedTokens identifies the prefix: it is long enough
-	// to distinguish prefixes, and every prompt that counts reaches it.
+	// The hash of the block that ends at minSharedTokens identifies the prefix: that length is enough
+	// to distinguish prefixes, and shorter prompts are left out above.
 	prefix := w.blockHashes[minSharedTokens/engine.BlockTokens-1]
 	rate := s.prefixPopularity.recordUse(prefix, now)
 	endpoints := s.endpoints(poolKey{name: w.request.Model})
@@ -125,7 +125,7 @@
 		return nil
 	}
 	if p.learnedCallTime() == 0 {
-		// Only default speeds are known, and a default must not refuse a step.
+		// Only default speeds are known, and no step may be refused because of a default.
 		return nil
 	}
 	expected := d.Estimate.Total()
@@ -154,7 +154,7 @@
 func (p *pool) overloadRetryAfter() time.Duration { return max(time.Second, p.expectedWait()) }
 
 // expectedCallTime returns the mean duration of a call over the usable upstreams, or a default
-// before any call has completed. It converts the queue length to a waiting time.
+// before any call has completed. It is for estimates of the waiting time from the queue length.
 func (p *pool) expectedCallTime() time.Duration {
 	if learned := p.learnedCallTime(); learned > 0 {
 		return learned
@@ -163,7 +163,8 @@
 }
 
 // learnedCallTime returns the mean duration of a call over the usable upstreams that have completed
-// one, or 0 if none has. A default must not refuse a step that has no other step before it.
+// one, or 0 if none has: a step that has no other step before it must not be refused because of a
+// default.
 func (p *pool) learnedCallTime() time.Duration {
 	now := time.Now().UnixNano()
 	sum, n := 0.0, 0
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -56,7 +56,8 @@
 
 // Request is one step that needs an upstream.
 type Request struct {
-	// Plan is the name of the customer's plan, and Grant is what the plan may use.
+	// Plan is the name of the customer's plan, or of the route where there are no plans. Grant is
+	// what the plan may use; nil for no restriction.
 	Plan  string
 	Grant *usage.Grant
 	// Exactly one of Model and Service is set.
@@ -71,7 +72,7 @@
 	Root    string
 	// Critical reports whether a parent waits for this sub-agent.
 	Critical bool
-	// Priority is the plan's priority, from 0 to 9.
+	// Priority is the plan's priority, from 0 to 9; higher goes first.
 	Priority int
 	// Messages is the complete conversation of a model call.
 	Messages []chat.Message
@@ -132,7 +133,8 @@
 	name    string
 }
 
-// New returns a scheduler that reads the table and the view, which the caller keeps up to date.
+// New returns a scheduler on the table and the cache view. The caller adds and removes the table's
+// upstreams; Run reads their load reports and cache events.
 func New(settings Settings, table *upstream.Table, view *cache.View) *Scheduler {
 	if settings.Policy == "" {
 		settings.Policy = placement.Cost
@@ -251,6 +253,7 @@
 }
 
 // EndProgram removes a program's state and releases its cache memory on the engines that hold it.
+// It finds only programs whose requests name no customer.
 func (s *Scheduler) EndProgram(program string) {
 	for _, address := range s.programs.remove(program) {
 		s.release(address, program)
@@ -263,5 +266,5 @@
 	}
 }
 
-// Programs returns the programs that this instance has state of.
+// Programs returns the programs that this instance has state of, each by its programKey.
 func (s *Scheduler) Programs() []string { return s.programs.names() }
