--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -63,5 +63,5 @@
 // Replicas sends calls to replicas. An error that wraps httpconn.ErrNotSent indicates that no byte
 // of the call was sent.
 type Replicas interface {
-	Send(ctx context.Context, s *Attempt) (*Response, error)
+	Send(ctx context.Context, a *Attempt) (*Response, error)
 }
--- a/internal/gateway/turns.go
+++ b/internal/gateway/turns.go
@@ -35,7 +35,7 @@
 	Deadline time.Time
 	// Retain is set if the turn is to be retained.
 	Retain bool
-	// Retention is how long the program's account is kept after its last turn.
+	// Retention is how long the program's account is retained after its last turn.
 	Retention time.Duration
 }
 
--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -46,9 +46,9 @@
 	maxInlineWrite = 8 << 10
 	// maxStrayBody bounds the body, in bytes, of a skipped response to another call.
 	maxStrayBody = 256 << 10
-	// maxStrayResponses bounds the responses read per call, stray and informational ones included.
-	maxStrayResponses = 4
-	readBufferSize    = 4 << 10
+	// maxResponsesPerCall bounds the responses read for a call: its own, stray and informational ones.
+	maxResponsesPerCall = 4
+	readBufferSize      = 4 << 10
 )
 
 // Call is one HTTP call.
@@ -105,7 +105,8 @@
 	// requires its number: a response may be closed after its connection was given to the next
 	// call, which must not be affected.
 	callCount int
-	// bodyUnwritten is set while the request body is being written, and stays set after a failure.
+	// bodyUnwritten is set while the rest of a large request body is being written, and stays set if
+	// that fails or the call is cancelled. The connection is not reused while it is set.
 	bodyUnwritten bool
 	callEnded     bool
 	// stopCancelWatch stops closing the connection when the call's context ends. It returns false
@@ -230,7 +231,7 @@
 	if err := c.writeRequest(request, call.Body); err != nil {
 		return nil, err
 	}
-	for range maxStrayResponses {
+	for range maxResponsesPerCall {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, responseLost(err)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -53,9 +53,9 @@
 	// Priority is the rank among routes; 0 is the most urgent.
 	Priority int
 	Services []WeightedService
-	// Affinity is set if a replica serves calls faster that resemble those it has served before.
+	// Affinity is set if a replica serves a call faster after it has served similar ones.
 	Affinity bool
-	// Resumable is set if a stream that breaks off may be resumed at another replica.
+	// Resumable is set if a stream that breaks off may be resumed, at the same replica or another.
 	Resumable bool
 	// RetainsTurns is set if calls continue from earlier turns, which are retained for Retention
 	// after the last turn of their chain.
