--- a/internal/program/convert.go
+++ b/internal/program/convert.go
@@ -41,11 +41,11 @@
 }
 
 func messagesTo(list []chat.Message) []*programpb.Message {
-	out := make([]*programpb.Message, 0, len(list))
+	converted := make([]*programpb.Message, 0, len(list))
 	for _, m := range list {
-		out = append(out, messageTo(m))
+		converted = append(converted, messageTo(m))
 	}
-	return out
+	return converted
 }
 
 func messageTo(m chat.Message) *programpb.Message {
@@ -53,29 +53,29 @@
 }
 
 func usageFrom(u *programpb.Usage) chat.Usage {
-	out := chat.Usage{PromptTokens: int(u.GetPrompt()), CompletionTokens: int(u.GetCompletion())}
-	out.TotalTokens = out.PromptTokens + out.CompletionTokens
+	usage := chat.Usage{PromptTokens: int(u.GetPrompt()), CompletionTokens: int(u.GetCompletion())}
+	usage.TotalTokens = usage.PromptTokens + usage.CompletionTokens
 	if u.GetCached() > 0 {
-		out.Details = &chat.UsageDetails{CachedTokens: int(u.GetCached())}
+		usage.Details = &chat.UsageDetails{CachedTokens: int(u.GetCached())}
 	}
-	return out
+	return usage
 }
 
 func usageTo(u chat.Usage) *programpb.Usage {
-	out := &programpb.Usage{Prompt: int64(u.PromptTokens), Completion: int64(u.CompletionTokens)}
+	pb := &programpb.Usage{Prompt: int64(u.PromptTokens), Completion: int64(u.CompletionTokens)}
 	if u.Details != nil {
-		out.Cached = int64(u.Details.CachedTokens)
+		pb.Cached = int64(u.Details.CachedTokens)
 	}
-	return out
+	return pb
 }
 
-func headFrom(h *programpb.Head) StepIdentity {
-	head := StepIdentity{Number: int(h.GetNumber()), Key: h.GetKey()}
-	copy(head.Hash[:], h.GetBodyHash())
-	return head
+func identityFrom(h *programpb.Head) StepIdentity {
+	identity := StepIdentity{Number: int(h.GetNumber()), Key: h.GetKey()}
+	copy(identity.Hash[:], h.GetBodyHash())
+	return identity
 }
 
-func headTo(h StepIdentity) *programpb.Head {
+func identityTo(h StepIdentity) *programpb.Head {
 	return &programpb.Head{Number: int32(h.Number), Key: h.Key, BodyHash: h.Hash[:]}
 }
 
--- a/internal/program/decide.go
+++ b/internal/program/decide.go
@@ -46,7 +46,7 @@
 // Intend decides that a call which may not be repeated is sent.
 func RecordIntent(h StepIdentity, call ToolCall) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Intent{Intent: &programpb.Intent{
-		Head:    headTo(h),
+		Head:    identityTo(h),
 		Service: call.Service,
 		Method:  call.Method,
 		Path:    call.Path,
@@ -72,18 +72,18 @@
 }
 
 // TakeTurn decides that a model step is answered.
-func RecordTurn(a StepResult, t Turn) *programpb.Event {
+func RecordTurn(r StepResult, t Turn) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Turn{Turn: &programpb.Turn{
-		Head:         headTo(a.Head),
+		Head:         identityTo(r.Head),
 		New:          messagesTo(t.Added),
 		Answer:       messageTo(t.Message),
 		Model:        t.Model,
 		FinishReason: t.FinishReason,
 		Usage:        usageTo(t.Usage),
-		Upstream:     a.Upstream,
-		Earning:      earningTo(a.Earning),
-		EndsProgram:  a.EndsProgram,
-		ServiceMs:    a.ServiceTime.Milliseconds(),
+		Upstream:     r.Upstream,
+		Earning:      earningTo(r.Earning),
+		EndsProgram:  r.EndsProgram,
+		ServiceMs:    r.ServiceTime.Milliseconds(),
 	}}}
 }
 
@@ -98,20 +98,20 @@
 
 // TakeOutcome decides what became of a tool step. NotRun takes the step's
 // intent back.
-func RecordOutcome(a StepResult, t ToolAnswer) *programpb.Event {
+func RecordOutcome(r StepResult, t ToolAnswer) *programpb.Event {
 	outcome := &programpb.Outcome{
-		Head:        headTo(a.Head),
+		Head:        identityTo(r.Head),
 		Verdict:     verdictTo(t.Verdict),
 		Status:      int32(t.Status),
 		ContentType: t.ContentType,
 		Body:        t.Body,
-		Upstream:    a.Upstream,
-		Earning:     earningTo(a.Earning),
-		EndsProgram: a.EndsProgram,
+		Upstream:    r.Upstream,
+		Earning:     earningTo(r.Earning),
+		EndsProgram: r.EndsProgram,
 		Service:     t.Call.Service,
 		Method:      t.Call.Method,
 		Path:        t.Call.Path,
-		ServiceMs:   a.ServiceTime.Milliseconds(),
+		ServiceMs:   r.ServiceTime.Milliseconds(),
 	}
 	if len(t.Body) > MaxBody {
 		outcome.Body, outcome.BodyDropped = nil, true
@@ -121,13 +121,13 @@
 
 // Fail decides that a placed step which may be repeated ended without an
 // answer; what it cost is counted, its number is still to be run.
-func Fail(a StepResult) *programpb.Event {
+func Fail(r StepResult) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Outcome{Outcome: &programpb.Outcome{
-		Head:      headTo(a.Head),
+		Head:      identityTo(r.Head),
 		Verdict:   programpb.Verdict_VERDICT_FAILED,
-		Upstream:  a.Upstream,
-		Earning:   earningTo(a.Earning),
-		ServiceMs: a.ServiceTime.Milliseconds(),
+		Upstream:  r.Upstream,
+		Earning:   earningTo(r.Earning),
+		ServiceMs: r.ServiceTime.Milliseconds(),
 	}}}
 }
 
@@ -182,20 +182,20 @@
 // SettledBy returns what a former owner's events tell of steps that are
 // unknown here.
 func (s *State) SettledBy(events []Event) []Resolution {
-	var out []Resolution
+	var resolutions []Resolution
 	for _, e := range events {
 		o := e.pb.GetOutcome()
-		head := headFrom(o.GetHead())
-		if o.GetVerdict() != programpb.Verdict_VERDICT_DONE || head.Number < 1 || head.Number > len(s.Steps) {
+		identity := identityFrom(o.GetHead())
+		if o.GetVerdict() != programpb.Verdict_VERDICT_DONE || identity.Number < 1 || identity.Number > len(s.Steps) {
 			continue
 		}
-		step := &s.Steps[head.Number-1]
-		if step.Verdict != Unknown || step.Head.Hash != head.Hash {
+		step := &s.Steps[identity.Number-1]
+		if step.Verdict != Unknown || step.Head.Hash != identity.Hash {
 			continue
 		}
-		out = append(out, Resolution{
-			Number:      head.Number,
-			Hash:        head.Hash,
+		resolutions = append(resolutions, Resolution{
+			Number:      identity.Number,
+			Hash:        identity.Hash,
 			Verdict:     Done,
 			Status:      int(o.Status),
 			ContentType: o.ContentType,
@@ -203,7 +203,7 @@
 			Earning:     Earning{Price: o.GetEarning().GetPrice(), Cut: o.GetEarning().GetCut()},
 		})
 	}
-	return out
+	return resolutions
 }
 
 // Recover decides what a successor makes of an intent without an outcome: it
--- a/internal/program/earning.go
+++ b/internal/program/earning.go
@@ -30,20 +30,20 @@
 
 // Earnings returns the buckets that begin at or after since.
 func (s *State) Earnings(since time.Time) []Bucket {
-	var out []Bucket
+	var buckets []Bucket
 	for _, b := range s.buckets {
 		if !b.Start.Before(since) {
-			out = append(out, b)
+			buckets = append(buckets, b)
 		}
 	}
-	return out
+	return buckets
 }
 
-func (s *State) earn(at time.Time, e *programpb.Earning) {
+func (s *State) addEarning(at time.Time, e *programpb.Earning) {
 	if e == nil {
 		return
 	}
-	s.add(Bucket{
+	s.addBucket(Bucket{
 		Customer: s.Customer,
 		Start:    at.Truncate(bucketSpan),
 		Steps:    1,
@@ -51,7 +51,7 @@
 	})
 }
 
-func (s *State) add(b Bucket) {
+func (s *State) addBucket(b Bucket) {
 	i := s.findBucket(b)
 	if i < 0 {
 		s.buckets = append(s.buckets, b)
@@ -60,15 +60,15 @@
 		}
 		return
 	}
-	have := &s.buckets[i]
-	have.Price += b.Price
-	have.Cut += b.Cut
-	have.Steps += b.Steps
+	existing := &s.buckets[i]
+	existing.Price += b.Price
+	existing.Cut += b.Cut
+	existing.Steps += b.Steps
 }
 
 // scanBuckets is the number of buckets up to which a scan does; a program has
 // one for each hour of its life, an account many.
-const scanBuckets = 16
+const maxScannedBuckets = 16
 
 type bucketKey struct {
 	customer string
@@ -79,13 +79,13 @@
 
 // findBucket returns the index of the bucket of the same customer and span, or -1.
 func (s *State) findBucket(b Bucket) int {
-	if len(s.buckets) <= scanBuckets {
-		return slices.IndexFunc(s.buckets, func(have Bucket) bool { return have.key() == b.key() })
+	if len(s.buckets) <= maxScannedBuckets {
+		return slices.IndexFunc(s.buckets, func(existing Bucket) bool { return existing.key() == b.key() })
 	}
 	if s.bucketIndex == nil {
 		s.bucketIndex = map[bucketKey]int{}
-		for i, have := range s.buckets {
-			s.bucketIndex[have.key()] = i
+		for i, existing := range s.buckets {
+			s.bucketIndex[existing.key()] = i
 		}
 	}
 	if i, ok := s.bucketIndex[b.key()]; ok {
@@ -94,14 +94,14 @@
 	return -1
 }
 
-func (s *State) absorb(list []*programpb.Bucket) {
+func (s *State) mergeBuckets(list []*programpb.Bucket) {
 	for _, b := range list {
-		s.add(bucketFrom(b))
+		s.addBucket(bucketFrom(b))
 	}
 }
 
 // rollUp joins old buckets as of now.
-func (s *State) rollUp(now time.Time) {
+func (s *State) rollUpBuckets(now time.Time) {
 	old := s.buckets
 	s.buckets, s.bucketIndex = nil, nil
 	for _, b := range old {
@@ -111,7 +111,7 @@
 		case age > hourlyFor:
 			b.Start = b.Start.Truncate(day)
 		}
-		s.add(b)
+		s.addBucket(b)
 	}
 }
 
@@ -125,9 +125,9 @@
 }
 
 func bucketsTo(list []Bucket) []*programpb.Bucket {
-	out := make([]*programpb.Bucket, 0, len(list))
+	converted := make([]*programpb.Bucket, 0, len(list))
 	for _, b := range list {
-		out = append(out, &programpb.Bucket{
+		converted = append(converted, &programpb.Bucket{
 			Customer: b.Customer,
 			Start:    b.Start.Unix(),
 			Price:    b.Price,
@@ -135,5 +135,5 @@
 			Steps:    b.Steps,
 		})
 	}
-	return out
+	return converted
 }
--- a/internal/program/event.go
+++ b/internal/program/event.go
@@ -37,10 +37,10 @@
 	if pb.Seq == 0 || pb.Kind == nil {
 		return Event{}, errors.Wrap(ErrCorrupt, "no number or no content")
 	}
-	return Event{Seq: pb.Seq, Raw: raw, chain: sum(raw), pb: pb}, nil
+	return Event{Seq: pb.Seq, Raw: raw, chain: chainOf(raw), pb: pb}, nil
 }
 
-func sum(raw []byte) Chain {
+func chainOf(raw []byte) Chain {
 	full := sha256.Sum256(raw)
 	return Chain(full[:chainSize])
 }
@@ -63,7 +63,7 @@
 // Seal numbers and chains what was decided, as the events that follow the
 // state's last one. The state is unchanged until they are applied.
 func (s *State) NumberEvents(at time.Time, decided ...*programpb.Event) []Event {
-	sealed := make([]Event, 0, len(decided))
+	numbered := make([]Event, 0, len(decided))
 	seq, chain := s.seq, s.chain
 	for _, pb := range decided {
 		seq++
@@ -74,10 +74,10 @@
 		if err != nil {
 			panic("program: an event made here does not encode: " + err.Error())
 		}
-		chain = sum(raw)
-		sealed = append(sealed, Event{Seq: seq, Raw: raw, chain: chain, pb: pb})
+		chain = chainOf(raw)
+		numbered = append(numbered, Event{Seq: seq, Raw: raw, chain: chain, pb: pb})
 	}
-	return sealed
+	return numbered
 }
 
 func chainBytes(seq uint64, chain Chain) []byte {
--- a/internal/program/fold.go
+++ b/internal/program/fold.go
@@ -22,7 +22,7 @@
 	// events share an entry of the log, which holds a megabyte.
 	MaxBody = 128 << 10
 	// maxBodies is the size in bytes of all answers kept.
-	maxBodies = 256 << 10
+	maxRetainedBodies = 256 << 10
 	// MaxHistory is the size in bytes of a history with its steps' names, such
 	// that a snapshot fits into an entry: 120,000 tokens (letter 1) at 4.5 bytes
 	// are 540,000.
@@ -51,7 +51,7 @@
 	for i, e := range sorted[start:] {
 		if err := s.Apply(e); err != nil {
 			s.Broken = true
-			s.salvage(sorted[start+i:])
+			s.salvageAfterGap(sorted[start+i:])
 			return s, err
 		}
 	}
@@ -60,7 +60,7 @@
 
 // salvage takes from the events after a gap what does not depend on the ones
 // before them: what they earned, and whether the program has ended.
-func (s *State) salvage(events []Event) {
+func (s *State) salvageAfterGap(events []Event) {
 	var last uint64
 	for _, e := range events {
 		if e.Seq == last {
@@ -68,10 +68,10 @@
 		}
 		last = e.Seq
 		at := time.UnixMilli(e.pb.At)
-		s.earn(at, e.pb.GetTurn().GetEarning())
-		s.earn(at, e.pb.GetOutcome().GetEarning())
-		s.earn(at, e.pb.GetResolved().GetEarning())
-		s.absorb(e.pb.GetAbsorbed().GetBuckets())
+		s.addEarning(at, e.pb.GetTurn().GetEarning())
+		s.addEarning(at, e.pb.GetOutcome().GetEarning())
+		s.addEarning(at, e.pb.GetResolved().GetEarning())
+		s.mergeBuckets(e.pb.GetAbsorbed().GetBuckets())
 		s.Ended = s.Ended || e.pb.GetEnded() != nil
 	}
 }
@@ -109,14 +109,14 @@
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, compareSeq)
 	seq, chain := s.seq, s.chain
-	var out []Event
+	var following []Event
 	for _, e := range sorted {
 		if !e.isSnapshot() && e.Seq == seq+1 && bytes.Equal(e.pb.Prev, chainBytes(e.Seq, chain)) {
 			seq, chain = e.Seq, e.chain
-			out = append(out, e)
+			following = append(following, e)
 		}
 	}
-	return out
+	return following
 }
 
 // Holds reports whether the state has the last of the events as its own last,
@@ -186,7 +186,7 @@
 	case *programpb.Event_ChildOpened:
 		s.Children++
 	case *programpb.Event_Absorbed:
-		s.absorb(kind.Absorbed.Buckets)
+		s.mergeBuckets(kind.Absorbed.Buckets)
 	case *programpb.Event_EndWanted:
 		s.EndRequestedAt = at
 	case *programpb.Event_Ended:
@@ -212,13 +212,13 @@
 
 func (s *State) applyTurn(at time.Time, t *programpb.Turn) {
 	service := time.Duration(t.ServiceMs) * time.Millisecond
-	s.notePause(at.Add(-service))
+	s.recordPause(at.Add(-service))
 	s.addHistory(messagesFrom(t.New)...)
 	s.addHistory(messageFrom(t.Answer))
 	usage := usageFrom(t.Usage)
 	s.HistoryTokens = usage.PromptTokens + usage.CompletionTokens
 	s.Steps = append(s.Steps, Step{
-		Head:    headFrom(t.Head),
+		Head:    identityFrom(t.Head),
 		Verdict: Done,
 		At:      at,
 		Model: &ModelStep{
@@ -229,15 +229,15 @@
 			Upstream:     t.Upstream,
 		},
 	})
-	s.finish(at, service, t.Earning, t.EndsProgram)
+	s.completeStep(at, service, t.Earning, t.EndsProgram)
 }
 
 func (s *State) addHistory(messages ...chat.Message) {
 	s.History = append(s.History, messages...)
-	s.historyBytes += size(messages)
+	s.historyBytes += messageBytes(messages)
 }
 
-func (s *State) notePause(start time.Time) {
+func (s *State) recordPause(start time.Time) {
 	for i := len(s.Steps) - 1; i >= 0; i-- {
 		if s.Steps[i].Model == nil {
 			continue
@@ -252,7 +252,7 @@
 
 func (s *State) applyIntent(at time.Time, i *programpb.Intent) {
 	s.Steps = append(s.Steps, Step{
-		Head:    headFrom(i.Head),
+		Head:    identityFrom(i.Head),
 		Verdict: Pending,
 		At:      at,
 		Tool:    &ToolStep{ToolCall: ToolCall{i.Service, i.Method, i.Path}, Intent: true},
@@ -261,26 +261,26 @@
 
 func (s *State) applyOutcome(at time.Time, o *programpb.Outcome) error {
 	service := time.Duration(o.ServiceMs) * time.Millisecond
-	head := headFrom(o.Head)
+	identity := identityFrom(o.Head)
 	if o.Verdict == programpb.Verdict_VERDICT_FAILED {
-		s.finish(at, service, o.Earning, false)
+		s.completeStep(at, service, o.Earning, false)
 		return nil
 	}
 	if o.Verdict == programpb.Verdict_VERDICT_NOT_RUN {
-		return s.applyNotRun(head.Number)
+		return s.applyNotRun(identity.Number)
 	}
-	if head.Number < 1 || head.Number > s.Next() {
-		return errors.Wrapf(ErrCorrupt, "%s: outcome of step %d after %d", s.ID, head.Number, len(s.Steps))
+	if identity.Number < 1 || identity.Number > s.Next() {
+		return errors.Wrapf(ErrCorrupt, "%s: outcome of step %d after %d", s.ID, identity.Number, len(s.Steps))
 	}
-	if head.Number == s.Next() {
-		s.Steps = append(s.Steps, Step{Head: head, Tool: &ToolStep{ToolCall: ToolCall{o.Service, o.Method, o.Path}}})
+	if identity.Number == s.Next() {
+		s.Steps = append(s.Steps, Step{Head: identity, Tool: &ToolStep{ToolCall: ToolCall{o.Service, o.Method, o.Path}}})
 	}
-	step := &s.Steps[head.Number-1]
+	step := &s.Steps[identity.Number-1]
 	step.At = at
 	step.Verdict = verdictFrom(o.Verdict)
 	step.Tool.Upstream = o.Upstream
-	s.keepAnswer(step.Tool, int(o.Status), o.ContentType, o.Body, o.BodyDropped)
-	s.finish(at, service, o.Earning, o.EndsProgram)
+	s.retainResponse(step.Tool, int(o.Status), o.ContentType, o.Body, o.BodyDropped)
+	s.completeStep(at, service, o.Earning, o.EndsProgram)
 	return nil
 }
 
@@ -294,11 +294,11 @@
 	return nil
 }
 
-func (s *State) keepAnswer(t *ToolStep, status int, contentType string, body []byte, dropped bool) {
+func (s *State) retainResponse(t *ToolStep, status int, contentType string, body []byte, dropped bool) {
 	t.Status, t.ContentType, t.Body, t.BodyDropped = status, contentType, body, dropped
 	s.bodyBytes += len(body)
-	for ; s.bodyBytes > maxBodies && s.firstBody < len(s.Steps)-1; s.firstBody++ {
-		old := s.Steps[s.firstBody].Tool
+	for ; s.bodyBytes > maxRetainedBodies && s.firstRetained < len(s.Steps)-1; s.firstRetained++ {
+		old := s.Steps[s.firstRetained].Tool
 		if old == nil || old == t || len(old.Body) == 0 {
 			continue
 		}
@@ -318,23 +318,23 @@
 	// was too large, or an operator told only that the step ran. Given out as an
 	// empty answer it would pass for the tool's own. A tool's empty answer counts
 	// as not kept too, which says less and nothing wrong.
-	unkept := step.Verdict == Done && len(r.Body) == 0
-	s.keepAnswer(step.Tool, int(r.Status), r.ContentType, r.Body, unkept)
-	s.earn(at, r.Earning)
+	bodyDropped := step.Verdict == Done && len(r.Body) == 0
+	s.retainResponse(step.Tool, int(r.Status), r.ContentType, r.Body, bodyDropped)
+	s.addEarning(at, r.Earning)
 }
 
-func (s *State) finish(at time.Time, service time.Duration, e *programpb.Earning, ends bool) {
+func (s *State) completeStep(at time.Time, service time.Duration, e *programpb.Earning, ends bool) {
 	s.Attained += service
-	s.earn(at, e)
+	s.addEarning(at, e)
 	if ends {
 		s.EndRequestedAt = at
 	}
 }
 
 func messagesFrom(list []*programpb.Message) []chat.Message {
-	out := make([]chat.Message, 0, len(list))
+	converted := make([]chat.Message, 0, len(list))
 	for _, m := range list {
-		out = append(out, messageFrom(m))
+		converted = append(converted, messageFrom(m))
 	}
-	return out
+	return converted
 }
--- a/internal/program/history.go
+++ b/internal/program/history.go
@@ -40,7 +40,7 @@
 // Merge returns the whole list of messages for the next turn and those of them
 // that are new. The caller may send only the new ones, or the whole list,
 // which must then start with the history exactly.
-func (s *State) Merge(sent []chat.Message) (whole, added []chat.Message, refusal *Refusal) {
+func (s *State) Merge(sent []chat.Message) (full, added []chat.Message, refusal *Refusal) {
 	if len(s.History) == 0 {
 		return sent, sent, nil
 	}
@@ -82,14 +82,14 @@
 	if a.After != "" && a.After != s.TurnToken() && !s.Uncertain {
 		return refuse(ReasonHistoryConflict, "the step follows another turn than the program's last")
 	}
-	if !s.Uncertain || s.proves(a, sent, k) {
+	if !s.Uncertain || s.provesHistory(a, sent, k) {
 		return nil
 	}
 	return refuse(ReasonHistoryUncertain,
 		"the latest turns may not have been recovered; the next step known here is %d", s.Next())
 }
 
-func (s *State) proves(a Attempt, sent []chat.Message, k Kind) bool {
+func (s *State) provesHistory(a Attempt, sent []chat.Message, k Kind) bool {
 	switch {
 	case k == OnceKind:
 		return false
@@ -113,9 +113,9 @@
 		return refuse(ReasonBounds, "the plan allows %d steps", b.Steps)
 	case b.Lifetime > 0 && now.Sub(s.OpenedAt) > b.Lifetime:
 		return refuse(ReasonBounds, "the plan allows a lifetime of %s", b.Lifetime)
-	case b.HistoryTokens > 0 && s.HistoryTokens+estimate(added) > b.HistoryTokens:
+	case b.HistoryTokens > 0 && s.HistoryTokens+estimateTokens(added) > b.HistoryTokens:
 		return refuse(ReasonBounds, "the plan allows a history of %d tokens", b.HistoryTokens)
-	case s.historyBytes+s.stepBytes()+size(added) > MaxHistory:
+	case s.historyBytes+s.stepBytes()+messageBytes(added) > MaxHistory:
 		return refuse(ReasonBounds, "a history and its steps hold %d bytes", MaxHistory)
 	}
 	return nil
@@ -137,9 +137,9 @@
 	return nil
 }
 
-func estimate(messages []chat.Message) int { return size(messages) / bytesPerToken }
+func estimateTokens(messages []chat.Message) int { return messageBytes(messages) / bytesPerToken }
 
-func size(messages []chat.Message) int {
+func messageBytes(messages []chat.Message) int {
 	n := 0
 	for _, m := range messages {
 		n += len(m.Raw)
--- a/internal/program/id.go
+++ b/internal/program/id.go
@@ -43,9 +43,9 @@
 // NewIDInSlice returns a fresh identity in the cohort with the given slice, so
 // that a program stays with its root through every take-over. It draws
 // identities until one fits, about as many as there are slices.
-func NewIDInShard(c Cohort, slice int) ID {
+func NewIDInShard(c Cohort, shard int) ID {
 	for {
-		if id := NewID(c); id.Shard() == slice {
+		if id := NewID(c); id.Shard() == shard {
 			return id
 		}
 	}
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -13,7 +13,7 @@
 // state's last event, so that the events after it still follow.
 func (s *State) Snapshot(now time.Time) Event {
 	if s.Account {
-		s.rollUp(now)
+		s.rollUpBuckets(now)
 	}
 	snapshot := s.snapshot()
 	pb := &programpb.Event{
@@ -29,7 +29,7 @@
 }
 
 func (s *State) snapshot() *programpb.Snapshot {
-	out := &programpb.Snapshot{
+	pb := &programpb.Snapshot{
 		Opened: &programpb.Opened{
 			Id:       string(s.ID),
 			Customer: s.Customer,
@@ -53,34 +53,34 @@
 		Broken:        s.Broken,
 	}
 	if !s.EndRequestedAt.IsZero() {
-		out.EndWantedAt = s.EndRequestedAt.UnixMilli()
+		pb.EndWantedAt = s.EndRequestedAt.UnixMilli()
 	}
 	for _, p := range s.Pauses {
-		out.PausesMs = append(out.PausesMs, p.Milliseconds())
+		pb.PausesMs = append(pb.PausesMs, p.Milliseconds())
 	}
 	fits := s.historyBytes+s.bodyBytes+s.stepBytes() <= maxSnapshot
 	for i := range s.Steps {
-		p := stepTo(&s.Steps[i])
+		step := stepTo(&s.Steps[i])
 		if !fits {
-			shorten(p)
+			shortenStep(step)
 		}
-		out.Steps = append(out.Steps, p)
+		pb.Steps = append(pb.Steps, step)
 	}
-	return out
+	return pb
 }
 
 // keptPath is how much of a path, in bytes, a snapshot that is too large keeps.
-const keptPath = 128
+const shortenedPath = 128
 
 // shorten leaves out what no step that follows depends on. The failure: one
 // program with long paths passes the log's entry and can never be taken over.
 // Paths are kept only for the operators' list; a repeat is known by its hash.
-func shorten(p *programpb.Step) {
+func shortenStep(p *programpb.Step) {
 	if len(p.Body) > 0 {
 		p.Body, p.BodyDropped = nil, true
 	}
-	if len(p.Path) > keptPath {
-		p.Path = strings.ToValidUTF8(p.Path[:keptPath], "")
+	if len(p.Path) > shortenedPath {
+		p.Path = strings.ToValidUTF8(p.Path[:shortenedPath], "")
 	}
 }
 
@@ -125,7 +125,7 @@
 	for _, ms := range p.PausesMs {
 		s.Pauses = append(s.Pauses, time.Duration(ms)*time.Millisecond)
 	}
-	s.absorb(p.Buckets)
+	s.mergeBuckets(p.Buckets)
 	for _, step := range p.Steps {
 		s.Steps = append(s.Steps, stepFrom(step))
 		s.bodyBytes += len(step.Body)
@@ -134,24 +134,24 @@
 }
 
 func stepTo(step *Step) *programpb.Step {
-	out := &programpb.Step{Head: headTo(step.Head), Verdict: verdictTo(step.Verdict), At: step.At.UnixMilli()}
+	pb := &programpb.Step{Head: identityTo(step.Head), Verdict: verdictTo(step.Verdict), At: step.At.UnixMilli()}
 	if m := step.Model; m != nil {
-		out.Message = int32(m.Message)
-		out.Model, out.FinishReason = m.Name, m.FinishReason
-		out.Usage, out.Upstream = usageTo(m.Usage), m.Upstream
-		return out
+		pb.Message = int32(m.Message)
+		pb.Model, pb.FinishReason = m.Name, m.FinishReason
+		pb.Usage, pb.Upstream = usageTo(m.Usage), m.Upstream
+		return pb
 	}
 	t := step.Tool
-	out.Tool, out.Intent = true, t.Intent
-	out.Service, out.Method, out.Path = t.Service, t.Method, t.Path
-	out.Status, out.ContentType = int32(t.Status), t.ContentType
-	out.Body, out.BodyDropped = t.Body, t.BodyDropped
-	out.Upstream, out.ResolvedBy, out.Note = t.Upstream, t.ResolvedBy, t.Note
-	return out
+	pb.Tool, pb.Intent = true, t.Intent
+	pb.Service, pb.Method, pb.Path = t.Service, t.Method, t.Path
+	pb.Status, pb.ContentType = int32(t.Status), t.ContentType
+	pb.Body, pb.BodyDropped = t.Body, t.BodyDropped
+	pb.Upstream, pb.ResolvedBy, pb.Note = t.Upstream, t.ResolvedBy, t.Note
+	return pb
 }
 
 func stepFrom(p *programpb.Step) Step {
-	step := Step{Head: headFrom(p.Head), Verdict: verdictFrom(p.Verdict), At: time.UnixMilli(p.At)}
+	step := Step{Head: identityFrom(p.Head), Verdict: verdictFrom(p.Verdict), At: time.UnixMilli(p.At)}
 	if !p.Tool {
 		step.Model = &ModelStep{
 			Message:      int(p.Message),
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -121,14 +121,14 @@
 	// Broken says that an event in the middle is missing; the history is never served again.
 	Broken bool
 
-	buckets      []Bucket
-	bucketIndex  map[bucketKey]int
-	seq          uint64
-	chain        Chain
-	turn         Chain
-	historyBytes int
-	bodyBytes    int
-	firstBody    int
+	buckets       []Bucket
+	bucketIndex   map[bucketKey]int
+	seq           uint64
+	chain         Chain
+	turn          Chain
+	historyBytes  int
+	bodyBytes     int
+	firstRetained int
 }
 
 // Seq returns the number of the last event.
