--- a/internal/program/convert.go
+++ b/internal/program/convert.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// roles are shared by all messages, which saves an allocation for each.
+// roles maps each known role to one shared string, which saves an allocation per message.
 var roles = map[string]string{
 	"system": "system", "developer": "developer", "user": "user", "assistant": "assistant", "tool": "tool",
 }
--- a/internal/program/decide.go
+++ b/internal/program/decide.go
@@ -7,18 +7,19 @@
 	"foxhall/internal/program/programpb"
 )
 
-// Opening is what a program or an account is opened with.
+// Opening holds the parameters with which a program or an account is opened.
 type Opening struct {
 	ID       ID
 	Customer string
 	Plan     string
 	// Parent is nil for a program that the customer started.
-	Parent  *State
-	Bounds  Bounds
+	Parent *State
+	Bounds Bounds
+	// Account marks an account of earnings, which has no steps.
 	Account bool
 }
 
-// Open decides that a program starts.
+// Open returns the event that starts a program or an account.
 func Open(o Opening) *programpb.Event {
 	opened := &programpb.Opened{
 		Id:       string(o.ID),
@@ -36,14 +37,14 @@
 	return &programpb.Event{Kind: &programpb.Event_Opened{Opened: opened}}
 }
 
-// OpenChild decides that the program has one more sub-agent.
+// OpenChild returns the event that adds a sub-agent to the program.
 func OpenChild(child ID) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_ChildOpened{
 		ChildOpened: &programpb.ChildOpened{Child: string(child)},
 	}}
 }
 
-// Intend decides that a call which may not be repeated is sent.
+// RecordIntent returns the event that is logged before a call that may not be repeated is sent.
 func RecordIntent(h StepIdentity, call ToolCall) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Intent{Intent: &programpb.Intent{
 		Head:    identityTo(h),
@@ -53,7 +54,7 @@
 	}}}
 }
 
-// Answer is what a placed step came to.
+// StepResult is the result of a placed step, apart from the upstream's response.
 type StepResult struct {
 	Head        StepIdentity
 	Upstream    string
@@ -62,8 +63,9 @@
 	EndsProgram bool
 }
 
-// Turn is the model's part of an answer.
+// Turn is a model's response together with the messages that it responds to.
 type Turn struct {
+	// Added are the messages that the caller appended to the history.
 	Added        []chat.Message
 	Message      chat.Message
 	Model        string
@@ -71,7 +73,7 @@
 	Usage        chat.Usage
 }
 
-// TakeTurn decides that a model step is answered.
+// RecordTurn returns the event that completes a model step.
 func RecordTurn(r StepResult, t Turn) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Turn{Turn: &programpb.Turn{
 		Head:         identityTo(r.Head),
@@ -87,7 +89,7 @@
 	}}}
 }
 
-// ToolAnswer is the tool's part of an answer.
+// ToolAnswer is a tool's response and the verdict on its step.
 type ToolAnswer struct {
 	Call        ToolCall
 	Verdict     Verdict
@@ -96,8 +98,8 @@
 	Body        []byte
 }
 
-// TakeOutcome decides what became of a tool step. NotRun takes the step's
-// intent back.
+// RecordOutcome returns the event that records the outcome of a tool step. The verdict NotRun
+// withdraws the step's intent. A body larger than MaxBody is not recorded.
 func RecordOutcome(r StepResult, t ToolAnswer) *programpb.Event {
 	outcome := &programpb.Outcome{
 		Head:        identityTo(r.Head),
@@ -119,8 +121,8 @@
 	return &programpb.Event{Kind: &programpb.Event_Outcome{Outcome: outcome}}
 }
 
-// Fail decides that a placed step which may be repeated ended without an
-// answer; what it cost is counted, its number is still to be run.
+// Fail returns the event for a placed, repeatable step that ended without a response: its cost is
+// counted, and its number is not used up.
 func Fail(r StepResult) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Outcome{Outcome: &programpb.Outcome{
 		Head:      identityTo(r.Head),
@@ -131,10 +133,10 @@
 	}}}
 }
 
-// Resolution settles a step whose outcome was unknown.
+// Resolution is the outcome of a step that was recorded as unknown.
 type Resolution struct {
 	Number int
-	// Hash is that of the step's Head, where the sender settles it.
+	// Hash is the one in the step's Head; set if the step's sender reports the outcome.
 	Hash        [chainSize]byte
 	Verdict     Verdict
 	Status      int
@@ -146,11 +148,11 @@
 	Earning Earning
 }
 
-// Resolve decides that an unknown step is settled. Its sender, who saw the
-// answer, may also correct what an operator resolved. A sender's word on a step
-// with another content is refused: the failure is a former owner that ran one
-// step while its successor gave the number to another, whose caller would get
-// the foreign answer. The hash covers the whole call, so it is enough.
+// Resolve returns the event that resolves an unknown step. The instance that sent the step has
+// seen the response and may also correct an operator who resolved the step as not run. A report
+// by the sender whose hash differs from the recorded step's is refused. Otherwise, if a former
+// owner ran one step while its successor gave the number to another, the caller of the second
+// step would get the response to the first. The hash covers the whole call.
 func (s *State) Resolve(r Resolution, bySender bool) (*programpb.Event, *Refusal) {
 	if r.Number < 1 || r.Number > len(s.Steps) || s.Steps[r.Number-1].Tool == nil {
 		return nil, refuse(ReasonNoStep, "the program has no tool step %d", r.Number)
@@ -179,8 +181,8 @@
 	return &programpb.Event{Kind: &programpb.Event_Resolved{Resolved: resolved}}, nil
 }
 
-// SettledBy returns what a former owner's events tell of steps that are
-// unknown here.
+// SettledBy returns resolutions for the steps that are unknown here and recorded as done in the
+// events of a former owner.
 func (s *State) SettledBy(events []Event) []Resolution {
 	var resolutions []Resolution
 	for _, e := range events {
@@ -206,8 +208,8 @@
 	return resolutions
 }
 
-// Recover decides what a successor makes of an intent without an outcome: it
-// is unknown, since the step may have been sent. It returns nil where none is.
+// Recover returns the event by which a successor marks an intent without an outcome as unknown,
+// since the step may have been sent. It returns nil if there is no such intent.
 func (s *State) Recover() *programpb.Event {
 	if len(s.Steps) == 0 {
 		return nil
@@ -219,18 +221,18 @@
 	return RecordOutcome(StepResult{Head: last.Head}, ToolAnswer{Call: last.Tool.ToolCall, Verdict: Unknown})
 }
 
-// WantEnd decides that the caller needs the program no longer.
+// RequestEnd returns the event that records the caller's request to end the program.
 func RequestEnd() *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_EndWanted{EndWanted: &programpb.EndWanted{}}}
 }
 
-// End decides that the program is over and drops it from the log.
+// End returns the event that ends the program and removes it from the log.
 func End(reason string) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Ended{Ended: &programpb.Ended{Reason: reason}}}
 }
 
-// Absorb decides that an account takes over the earnings of a program or of
-// another account that ends with the same append.
+// MergeEarnings returns the event by which an account takes over the earnings of a program or of
+// another account that ends in the same append.
 func MergeEarnings(from *State) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Absorbed{Absorbed: &programpb.Absorbed{
 		From:    string(from.ID),
--- a/internal/program/earning.go
+++ b/internal/program/earning.go
@@ -7,12 +7,12 @@
 	"foxhall/internal/program/programpb"
 )
 
-// bucketSpan is the resolution of earnings.
+// bucketSpan is the span of one bucket, and so the time resolution of earnings.
 const bucketSpan = time.Hour
 
-// The ages at which an account's buckets are joined into days, then into
-// spans of 32 days, so that an account's size depends on its customers and not
-// on its age.
+// An account's buckets are merged into days once they are older than hourlyFor, and into spans of
+// 32 days (longSpan) once they are older than dailyFor, so that the size of an account depends on
+// the number of its customers and not on its age.
 const (
 	hourlyFor = 48 * time.Hour
 	dailyFor  = 64 * 24 * time.Hour
@@ -20,7 +20,7 @@
 	longSpan  = 32 * day
 )
 
-// Bucket sums what one customer's steps brought in the span that begins at Start.
+// Bucket is the sum of the earnings from one customer's steps in the span that begins at Start.
 type Bucket struct {
 	Customer string
 	Start    time.Time
@@ -39,6 +39,7 @@
 	return buckets
 }
 
+// addEarning counts a step of the program and its earning; a nil earning is not counted.
 func (s *State) addEarning(at time.Time, e *programpb.Earning) {
 	if e == nil {
 		return
@@ -51,6 +52,7 @@
 	})
 }
 
+// addBucket adds b to the bucket of the same customer and span, or appends it.
 func (s *State) addBucket(b Bucket) {
 	i := s.findBucket(b)
 	if i < 0 {
@@ -66,8 +68,8 @@
 	existing.Steps += b.Steps
 }
 
-// scanBuckets is the number of buckets up to which a scan does; a program has
-// one for each hour of its life, an account many.
+// maxScannedBuckets is the number of buckets up to which findBucket scans the list instead of
+// using an index. A program has one bucket for each hour of its life, an account many.
 const maxScannedBuckets = 16
 
 type bucketKey struct {
@@ -100,7 +102,7 @@
 	}
 }
 
-// rollUp joins old buckets as of now.
+// rollUpBuckets merges the buckets that are old at the time now into days and longer spans.
 func (s *State) rollUpBuckets(now time.Time) {
 	old := s.buckets
 	s.buckets, s.bucketIndex = nil, nil
--- a/internal/program/event.go
+++ b/internal/program/event.go
@@ -10,14 +10,15 @@
 	"foxhall/internal/program/programpb"
 )
 
-// chainSize is the length in bytes of a chain value. 128 bits are enough
-// against accident; the log is written by foxhall alone.
+// chainSize is the length of a chain value in bytes. 128 bits protect against accidental
+// collisions; only foxhall writes the log, so attacks need not be considered.
 const chainSize = 16
 
-// Chain is the sum over an event and, through its Prev, over all before it.
+// Chain is a truncated SHA-256 hash of an event and, through the event's Prev, of all events
+// before it.
 type Chain [chainSize]byte
 
-// Event is one numbered, chained event in the form in which the log holds it.
+// Event is a numbered and chained event. Raw is its encoding in the log.
 type Event struct {
 	Seq   uint64
 	Raw   []byte
@@ -25,17 +26,17 @@
 	pb    *programpb.Event
 }
 
-// ErrCorrupt says that an event in the log can't be read.
+// ErrCorrupt indicates that an event in the log can't be decoded or applied.
 var ErrCorrupt = errors.New("program: corrupt event")
 
-// Decode reads an event as the log holds it.
+// Decode decodes an event from its encoding in the log.
 func Decode(raw []byte) (Event, error) {
 	pb := &programpb.Event{}
 	if err := proto.Unmarshal(raw, pb); err != nil {
 		return Event{}, errors.Wrap(ErrCorrupt, err.Error())
 	}
 	if pb.Seq == 0 || pb.Kind == nil {
-		return Event{}, errors.Wrap(ErrCorrupt, "no number or no content")
+		return Event{}, errors.Wrap(ErrCorrupt, "the event has no sequence number or no kind")
 	}
 	return Event{Seq: pb.Seq, Raw: raw, chain: chainOf(raw), pb: pb}, nil
 }
@@ -45,8 +46,8 @@
 	return Chain(full[:chainSize])
 }
 
-// HashBody returns the sum by which a step's repeat is told from another step
-// under the same number or key.
+// HashBody returns the hash that distinguishes a repeat of a step from another step under the
+// same number or key. Each part is preceded by its length, so that parts can't run into each other.
 func HashBody(parts ...[]byte) [chainSize]byte {
 	h := sha256.New()
 	for _, part := range parts {
@@ -60,8 +61,8 @@
 	return [chainSize]byte(h.Sum(nil)[:chainSize])
 }
 
-// Seal numbers and chains what was decided, as the events that follow the
-// state's last one. The state is unchanged until they are applied.
+// NumberEvents numbers, chains and encodes the decided events as those that follow the state's
+// last event. The state does not change until they are applied.
 func (s *State) NumberEvents(at time.Time, decided ...*programpb.Event) []Event {
 	numbered := make([]Event, 0, len(decided))
 	seq, chain := s.seq, s.chain
@@ -72,7 +73,7 @@
 		pb.At = at.UnixMilli()
 		raw, err := proto.Marshal(pb)
 		if err != nil {
-			panic("program: an event made here does not encode: " + err.Error())
+			panic("program: encoding a new event failed: " + err.Error())
 		}
 		chain = chainOf(raw)
 		numbered = append(numbered, Event{Seq: seq, Raw: raw, chain: chain, pb: pb})
@@ -80,6 +81,8 @@
 	return numbered
 }
 
+// chainBytes returns the Prev of the event with the number seq, given the chain value of the
+// event before it. The first event has none.
 func chainBytes(seq uint64, chain Chain) []byte {
 	if seq == 1 {
 		return nil
--- a/internal/program/fold.go
+++ b/internal/program/fold.go
@@ -11,38 +11,38 @@
 	"foxhall/internal/program/programpb"
 )
 
-// maxPauses is how many pauses a program remembers.
+// maxPauses is the number of latest pauses that a program retains.
 const maxPauses = 8
 
-// The limits of the recorded tool answers that a program keeps for repeats. A
-// caller that sends step N+1 has the answer of step N, so the older ones are
-// wanted only by repeats that crossed it.
+// Size limits of a program, in bytes. Tool responses are retained to answer repeats. A caller that
+// sends step N+1 has the response to step N, so older responses are needed only by repeats that
+// were sent earlier and arrive late.
 const (
-	// MaxBody is the largest answer, in bytes, that is recorded whole. Many
-	// events share an entry of the log, which holds a megabyte.
+	// MaxBody is the largest response body that is recorded. Many events share an entry of the
+	// log, which holds a megabyte.
 	MaxBody = 128 << 10
-	// maxBodies is the size in bytes of all answers kept.
+	// maxRetainedBodies limits the response bodies that a program retains in total.
 	maxRetainedBodies = 256 << 10
-	// MaxHistory is the size in bytes of a history with its steps' names, such
-	// that a snapshot fits into an entry: 120,000 tokens (letter 1) at 4.5 bytes
-	// are 540,000.
+	// MaxHistory limits the history and the steps without their responses, so that a snapshot
+	// fits into one entry of the log. A history of 120,000 tokens at 4.5 bytes takes 540,000.
 	MaxHistory = 768 << 10
-	// maxSnapshot is the size in bytes of the history, steps and answers in a snapshot.
+	// maxSnapshot limits the history, steps and responses in a snapshot. Above it, steps are
+	// shortened.
 	maxSnapshot = 896 << 10
 )
 
-// The reasons why an event can't follow a state.
+// Errors of Fold and Apply.
 var (
-	// ErrChain says that an event does not follow the one before it.
+	// ErrChain indicates that an event does not follow the state's last one.
 	ErrChain = errors.New("program: chain of events is broken")
-	// ErrOtherProgram says that the events are not of one program.
+	// ErrOtherProgram indicates that an event belongs to another program.
 	ErrOtherProgram = errors.New("program: event of another program")
 )
 
-// Fold rebuilds a program from the events that a log and held copies gave, in
-// any order and with doubles. Where an event is missing before others, the
-// state ends there, is Broken, and the error is ErrChain: what comes after a
-// gap proves that the history before it is not whole.
+// Fold rebuilds a program from the events of a log and of held copies, in any order and with
+// duplicates. If an event is missing and later ones exist, the state ends before the gap and is
+// Broken, and the error is ErrChain: the events after the gap prove that the history before it is
+// incomplete.
 func Fold(id ID, events []Event) (*State, error) {
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, compareSeq)
@@ -58,8 +58,8 @@
 	return s, nil
 }
 
-// salvage takes from the events after a gap what does not depend on the ones
-// before them: what they earned, and whether the program has ended.
+// salvageAfterGap applies the parts of the events after a gap that don't depend on earlier
+// events: the earnings, and whether the program has ended.
 func (s *State) salvageAfterGap(events []Event) {
 	var last uint64
 	for _, e := range events {
@@ -76,6 +76,7 @@
 	}
 }
 
+// compareSeq orders events by number; a snapshot comes after the event whose number it has.
 func compareSeq(a, b Event) int {
 	switch {
 	case a.Seq < b.Seq:
@@ -92,8 +93,8 @@
 
 func (e Event) isSnapshot() bool { return e.pb.GetSnapshot() != nil }
 
-// lastSnapshot returns the index of the first of the latest snapshots. Several
-// may follow the same event, one for each log that the program went through.
+// lastSnapshot returns the index of the first of the snapshots with the highest number, or 0.
+// Several snapshots may have the same number, one for each log that the program was in.
 func lastSnapshot(sorted []Event) int {
 	start := 0
 	for i, e := range sorted {
@@ -104,7 +105,7 @@
 	return start
 }
 
-// Following returns those of the events that follow on the state, in order.
+// Following returns, in order, those of the events that continue the state's chain.
 func (s *State) Following(events []Event) []Event {
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, compareSeq)
@@ -119,8 +120,8 @@
 	return following
 }
 
-// Holds reports whether the state has the last of the events as its own last,
-// or has taken later ones.
+// Contains reports whether the state covers all the events: each has a lower number than the
+// state's last event, or is that event or a snapshot with its number.
 func (s *State) Contains(events []Event) bool {
 	for _, e := range events {
 		if e.Seq > s.seq || e.Seq == s.seq && !e.isSnapshot() && e.chain != s.chain {
@@ -130,12 +131,11 @@
 	return true
 }
 
-// FromFirst returns the events that follow on nothing, in order: a program
-// from its opening on.
+// FromFirst returns, in order, the events that form an unbroken chain from a program's opening.
 func FromFirst(events []Event) []Event { return new(State).Following(events) }
 
-// Apply takes the event into the state. An event that the state already holds
-// is ignored, since an append with a lost answer is made again.
+// Apply applies the event to the state. An event that was applied before is ignored, since an
+// append is repeated if its response is lost.
 func (s *State) Apply(e Event) error {
 	if snapshot := e.pb.GetSnapshot(); snapshot != nil {
 		return s.applySnapshot(e.Seq, snapshot)
@@ -144,7 +144,7 @@
 		return nil
 	}
 	if e.Seq != s.seq+1 || !bytes.Equal(e.pb.Prev, chainBytes(e.Seq, s.chain)) {
-		return errors.Wrapf(ErrChain, "%s: event %d after %d", s.ID, e.Seq, s.seq)
+		return errors.Wrapf(ErrChain, "%s: event %d does not follow event %d", s.ID, e.Seq, s.seq)
 	}
 	at := time.UnixMilli(e.pb.At)
 	if err := s.apply(at, e.pb); err != nil {
@@ -157,8 +157,9 @@
 	return nil
 }
 
-// applySnapshot takes a snapshot as the state. Of two after the same event one
-// may be older than the loss of a tail that the other tells of; the doubt stays.
+// applySnapshot replaces the state by a later snapshot. Of two snapshots with the same number, one
+// may have been taken before the tail of a log was lost and the other after it, so Uncertain and
+// Broken stay set if either has them.
 func (s *State) applySnapshot(seq uint64, p *programpb.Snapshot) error {
 	switch {
 	case seq > s.seq:
@@ -197,7 +198,7 @@
 
 func (s *State) applyOpened(at time.Time, o *programpb.Opened) error {
 	if ID(o.Id) != s.ID {
-		return errors.Wrapf(ErrOtherProgram, "%s in the events of %s", o.Id, s.ID)
+		return errors.Wrapf(ErrOtherProgram, "found %s among the events of %s", o.Id, s.ID)
 	}
 	s.setOpened(o)
 	s.OpenedAt = at
@@ -232,11 +233,13 @@
 	s.completeStep(at, service, t.Earning, t.EndsProgram)
 }
 
+// addHistory appends the messages to the history.
 func (s *State) addHistory(messages ...chat.Message) {
 	s.History = append(s.History, messages...)
 	s.historyBytes += messageBytes(messages)
 }
 
+// recordPause adds the time between the last model step and start to the pauses.
 func (s *State) recordPause(start time.Time) {
 	for i := len(s.Steps) - 1; i >= 0; i-- {
 		if s.Steps[i].Model == nil {
@@ -270,7 +273,7 @@
 		return s.applyNotRun(identity.Number)
 	}
 	if identity.Number < 1 || identity.Number > s.Next() {
-		return errors.Wrapf(ErrCorrupt, "%s: outcome of step %d after %d", s.ID, identity.Number, len(s.Steps))
+		return errors.Wrapf(ErrCorrupt, "%s: outcome of step %d, but only %d steps are recorded", s.ID, identity.Number, len(s.Steps))
 	}
 	if identity.Number == s.Next() {
 		s.Steps = append(s.Steps, Step{Head: identity, Tool: &ToolStep{ToolCall: ToolCall{o.Service, o.Method, o.Path}}})
@@ -284,16 +287,18 @@
 	return nil
 }
 
-// applyNotRun takes back the intent of the last step, so that its number is to
-// be run again.
+// applyNotRun removes the last step, which must be an intent without an outcome, so that its
+// number can be used again.
 func (s *State) applyNotRun(number int) error {
 	if number < 1 || number != len(s.Steps) || s.Steps[number-1].Verdict != Pending {
-		return errors.Wrapf(ErrCorrupt, "%s: no intent of step %d to take back", s.ID, number)
+		return errors.Wrapf(ErrCorrupt, "%s: step %d is recorded as not run, but is not the last step with a pending intent", s.ID, number)
 	}
 	s.Steps = s.Steps[:number-1]
 	return nil
 }
 
+// retainResponse stores a tool's response in its step and drops the oldest bodies while all bodies
+// together exceed maxRetainedBodies.
 func (s *State) retainResponse(t *ToolStep, status int, contentType string, body []byte, dropped bool) {
 	t.Status, t.ContentType, t.Body, t.BodyDropped = status, contentType, body, dropped
 	s.bodyBytes += len(body)
@@ -314,15 +319,16 @@
 	step := &s.Steps[r.Number-1]
 	step.Verdict = verdictFrom(r.Verdict)
 	step.Tool.ResolvedBy, step.Tool.Note = r.By, r.Note
-	// A settled step without an answer is one whose answer is not known here: it
-	// was too large, or an operator told only that the step ran. Given out as an
-	// empty answer it would pass for the tool's own. A tool's empty answer counts
-	// as not kept too, which says less and nothing wrong.
+	// A resolved step without a body is one whose response is not known here: it was too large,
+	// or an operator reported only that the step ran. Returned as an empty response, it would be
+	// taken for the tool's own. A response that was really empty is marked as dropped too; that
+	// loses information but is not wrong.
 	bodyDropped := step.Verdict == Done && len(r.Body) == 0
 	s.retainResponse(step.Tool, int(r.Status), r.ContentType, r.Body, bodyDropped)
 	s.addEarning(at, r.Earning)
 }
 
+// completeStep records the service time and earning of a step and whether it ends the program.
 func (s *State) completeStep(at time.Time, service time.Duration, e *programpb.Earning, ends bool) {
 	s.Attained += service
 	s.addEarning(at, e)
--- a/internal/program/history.go
+++ b/internal/program/history.go
@@ -8,10 +8,10 @@
 	"foxhall/internal/chat"
 )
 
-// Reason names why a program's rules refuse a step.
+// Reason is the rule by which a program refuses a step.
 type Reason int8
 
-// The reasons of a refusal.
+// Reasons of a refusal.
 const (
 	ReasonEnded Reason = iota + 1
 	ReasonBounds
@@ -21,7 +21,7 @@
 	ReasonNoStep
 )
 
-// Refusal says that a program's rules do not allow what was asked.
+// Refusal is the error for a request that a program's rules don't allow.
 type Refusal struct {
 	Reason  Reason
 	Message string
@@ -34,12 +34,12 @@
 	return &Refusal{Reason: reason, Message: fmt.Sprintf(format, args...)}
 }
 
-// bytesPerToken estimates the tokens of messages that no engine has counted yet.
+// bytesPerToken is used to estimate the tokens of messages that no engine has counted yet.
 const bytesPerToken = 4
 
-// Merge returns the whole list of messages for the next turn and those of them
-// that are new. The caller may send only the new ones, or the whole list,
-// which must then start with the history exactly.
+// Merge returns the full list of messages for the next turn and those of them that are new. The
+// caller may send only the new messages, or the full list, which must then start with exactly the
+// program's history.
 func (s *State) Merge(sent []chat.Message) (full, added []chat.Message, refusal *Refusal) {
 	if len(s.History) == 0 {
 		return sent, sent, nil
@@ -55,7 +55,7 @@
 	return slices.Concat(s.History, added), added, nil
 }
 
-// Kind tells how a step may be treated.
+// Kind distinguishes model calls and tool calls, and whether a tool call may be repeated.
 type Kind int8
 
 // The kinds of step.
@@ -64,17 +64,17 @@
 	ModelKind Kind = iota
 	// RepeatableKind is a tool call that may be repeated.
 	RepeatableKind
-	// OnceKind is a tool call that may not.
+	// OnceKind is a tool call that may not be repeated.
 	OnceKind
 )
 
-// CheckWhole refuses a step where the history here is not the one that the
-// caller has seen, or may not be. In a program whose latest turns may be lost
-// a step must prove that none is: by the token of the last turn, or by a whole
-// list that ends in no answer that is missing here. A step number proves less,
-// since a late repeat of a lost turn carries it too, so it is enough only for a
-// tool call that may be repeated. One that may not is refused while there is
-// any doubt: its own intent may have been in an entry that is corrupt.
+// CheckHistory refuses a step if the history here differs, or may differ, from the one that the
+// caller has seen. If the latest turns may be lost (Uncertain), a step must prove that none is:
+// by the token of the last turn, or by a full list of messages that starts with the history here
+// and continues without a response that is missing here. A step number is weaker proof, since a
+// late repeat of a lost turn has the same number, so it suffices only for a tool call that may be
+// repeated. A tool call that may not be repeated is refused while the state is Uncertain, since
+// its own intent may have been in a corrupt entry of the log.
 func (s *State) CheckHistory(a Attempt, sent []chat.Message, k Kind) *Refusal {
 	if s.Broken {
 		return refuse(ReasonHistoryUncertain, "a part of the program's history is missing; it is not served")
@@ -89,6 +89,8 @@
 		"the latest turns may not have been recovered; the next step known here is %d", s.Next())
 }
 
+// provesHistory reports whether the step proves that no turn of an Uncertain program is lost; see
+// CheckHistory.
 func (s *State) provesHistory(a Attempt, sent []chat.Message, k Kind) bool {
 	switch {
 	case k == OnceKind:
@@ -103,7 +105,8 @@
 	return chat.IsContinuation(sent[len(s.History):])
 }
 
-// CheckBounds refuses a step beyond what the program may grow to.
+// CheckBounds refuses a step that would exceed the program's bounds, and any step of a program
+// that has ended.
 func (s *State) CheckBounds(now time.Time, added []chat.Message) *Refusal {
 	b := s.Bounds
 	switch {
@@ -121,8 +124,8 @@
 	return nil
 }
 
-// CheckChild refuses one more sub-agent of the program beyond its bounds;
-// unrecorded is the number of those that no event counts yet.
+// CheckChild refuses another sub-agent that would exceed the program's bounds; unrecorded is the
+// number of sub-agents that no event counts yet.
 func (s *State) CheckChild(now time.Time, unrecorded int) *Refusal {
 	switch {
 	case s.Ended || !s.EndRequestedAt.IsZero():
@@ -137,8 +140,10 @@
 	return nil
 }
 
+// estimateTokens estimates the tokens of the messages from their size.
 func estimateTokens(messages []chat.Message) int { return messageBytes(messages) / bytesPerToken }
 
+// messageBytes returns the size of the messages' encodings in bytes.
 func messageBytes(messages []chat.Message) int {
 	n := 0
 	for _, m := range messages {
--- a/internal/program/place.go
+++ b/internal/program/place.go
@@ -1,33 +1,36 @@
 package program
 
-// Attempt is a step as its caller names it. Number 0 asks for the next one.
+// Attempt identifies a step as its caller does. Number 0 means the program's next step.
 type Attempt struct {
 	Number int
-	Key    string
-	Hash   [chainSize]byte
+	// Key is the idempotency key; may be empty.
+	Key  string
+	Hash [chainSize]byte
 	// After is the token of the last turn that the caller has seen; may be empty.
 	After string
-	// Whole says that the body holds the whole conversation, so that the same
-	// body can't be meant twice.
+	// FullConversation reports whether the body holds the full conversation. The same body is
+	// then always a repeat and never a new step.
 	FullConversation bool
 }
 
-// Place says where an attempt stands in its program.
+// Position is the position of an attempt among the steps of its program.
 type Position int8
 
-// The places of an attempt.
+// Positions of an attempt.
 const (
-	// Ready says that it is the program's next step.
+	// Ready means that the attempt is the program's next step.
 	Ready Position = iota
-	// Early says that steps before it are missing.
+	// Early means that steps before the attempt are missing.
 	Early
-	// Recorded says that it is a repeat of a step that has its number.
+	// Recorded means that the attempt repeats a step that is recorded.
 	Recorded
-	// Reused says that its number or key belongs to a step with another body.
+	// Reused means that the attempt's number or key belongs to a step with another body, or that
+	// they belong to different steps.
 	Reused
 )
 
-// Find says where the attempt stands, and for a recorded one which step it is.
+// Find returns the position of the attempt, and the recorded step if its number, key or body
+// matches one.
 func (s *State) Find(a Attempt) (Position, *Step) {
 	if step := s.byKey(a.Key); step != nil {
 		return a.compare(step.Head), step
@@ -57,7 +60,8 @@
 	return nil
 }
 
-// Matches reports whether the attempt names the step that has the head.
+// Matches reports whether the attempt names the step with the identity h, by number, by key or, if
+// it has neither, by the body of a full conversation.
 func (a Attempt) Matches(h StepIdentity) bool {
 	if a.Number == 0 && a.Key == "" {
 		return a.FullConversation && a.Hash == h.Hash
@@ -65,8 +69,8 @@
 	return a.Number != 0 && a.Number == h.Number || a.Key != "" && a.Key == h.Key
 }
 
-// Repeats reports whether an attempt that names the step asks for the same
-// thing under the same names.
+// Repeats reports whether an attempt that matches the step has the same body and no other number
+// or key.
 func (a Attempt) Repeats(h StepIdentity) bool { return a.compare(h) == Recorded }
 
 func (a Attempt) compare(h StepIdentity) Position {
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -22,7 +22,7 @@
 	return chat.Message{Role: role, Raw: raw}
 }
 
-// life is a program with all its events, as an owner would have written them.
+// testProgram is a program with all its events, as its owner would write them.
 type testProgram struct {
 	state  *State
 	events []Event
@@ -30,32 +30,32 @@
 }
 
 func newTestProgram(b Bounds) *testProgram {
-	l := &testProgram{state: &State{ID: NewID("dc.i.x")}, now: time.UnixMilli(1_700_000_000_000)}
-	l.apply(Open(Opening{ID: l.state.ID, Customer: "semente", Plan: "p", Bounds: b}))
-	return l
+	p := &testProgram{state: &State{ID: NewID("dc.i.x")}, now: time.UnixMilli(1_700_000_000_000)}
+	p.apply(Open(Opening{ID: p.state.ID, Customer: "semente", Plan: "p", Bounds: b}))
+	return p
 }
 
-func (l *testProgram) apply(decided ...*programpb.Event) {
-	l.now = l.now.Add(time.Second)
-	for _, e := range l.state.NumberEvents(l.now, decided...) {
-		if err := l.state.Apply(e); err != nil {
+func (p *testProgram) apply(decided ...*programpb.Event) {
+	p.now = p.now.Add(time.Second)
+	for _, e := range p.state.NumberEvents(p.now, decided...) {
+		if err := p.state.Apply(e); err != nil {
 			panic(err)
 		}
-		l.events = append(l.events, e)
+		p.events = append(p.events, e)
 	}
 }
 
-func (l *testProgram) nextIdentity() StepIdentity {
-	n := l.state.Next()
+func (p *testProgram) nextIdentity() StepIdentity {
+	n := p.state.Next()
 	return StepIdentity{Number: n, Key: fmt.Sprint("key", n), Hash: HashBody([]byte{byte(n)})}
 }
 
-func (l *testProgram) nextResult() StepResult {
-	return StepResult{Head: l.nextIdentity(), Upstream: "u", ServiceTime: time.Second, Earning: Earning{Price: 10, Cut: 1}}
+func (p *testProgram) nextResult() StepResult {
+	return StepResult{Head: p.nextIdentity(), Upstream: "u", ServiceTime: time.Second, Earning: Earning{Price: 10, Cut: 1}}
 }
 
-func (l *testProgram) addTurn(user, answer string) {
-	l.apply(RecordTurn(l.nextResult(), Turn{
+func (p *testProgram) addTurn(user, answer string) {
+	p.apply(RecordTurn(p.nextResult(), Turn{
 		Added:   []chat.Message{message("user", user)},
 		Message: message("assistant", answer),
 		Usage:   chat.Usage{PromptTokens: 7, CompletionTokens: 3},
@@ -64,53 +64,53 @@
 
 var chargeCall = ToolCall{Service: "pay", Method: "POST", Path: "/"}
 
-// grow takes one random step of a program's life.
-func (l *testProgram) addRandomStep(rt *rapid.T) {
-	n := l.state.Next()
+// addRandomStep applies the events of one random step.
+func (p *testProgram) addRandomStep(rt *rapid.T) {
+	n := p.state.Next()
 	switch rapid.IntRange(0, 6).Draw(rt, "event") {
 	case 0, 1:
-		l.addTurn(fmt.Sprint("q", n), fmt.Sprint("a", n))
+		p.addTurn(fmt.Sprint("q", n), fmt.Sprint("a", n))
 	case 2:
-		a := l.nextResult()
-		l.apply(RecordIntent(a.Head, chargeCall))
-		l.apply(RecordOutcome(a, ToolAnswer{Call: chargeCall, Verdict: Done, Status: 200, Body: bytes.Repeat([]byte("x"), n*20_000)}))
+		result := p.nextResult()
+		p.apply(RecordIntent(result.Head, chargeCall))
+		p.apply(RecordOutcome(result, ToolAnswer{Call: chargeCall, Verdict: Done, Status: 200, Body: bytes.Repeat([]byte("x"), n*20_000)}))
 	case 3:
-		a := l.nextResult()
-		l.apply(RecordIntent(a.Head, chargeCall))
-		l.apply(RecordOutcome(StepResult{Head: a.Head}, ToolAnswer{Call: chargeCall, Verdict: NotRun}))
+		result := p.nextResult()
+		p.apply(RecordIntent(result.Head, chargeCall))
+		p.apply(RecordOutcome(StepResult{Head: result.Head}, ToolAnswer{Call: chargeCall, Verdict: NotRun}))
 	case 4:
-		a := l.nextResult()
-		l.apply(RecordIntent(a.Head, chargeCall), RecordOutcome(a, ToolAnswer{Call: chargeCall, Verdict: Unknown}))
+		result := p.nextResult()
+		p.apply(RecordIntent(result.Head, chargeCall), RecordOutcome(result, ToolAnswer{Call: chargeCall, Verdict: Unknown}))
 		if rapid.Bool().Draw(rt, "resolve") {
-			event, _ := l.state.Resolve(Resolution{Number: n, Verdict: Done, Status: 200, By: "operator"}, false)
-			l.apply(event)
+			event, _ := p.state.Resolve(Resolution{Number: n, Verdict: Done, Status: 200, By: "operator"}, false)
+			p.apply(event)
 		}
 	case 5:
-		l.apply(Fail(l.nextResult()))
+		p.apply(Fail(p.nextResult()))
 	case 6:
-		l.apply(OpenChild(NewID("dc.i.x")))
+		p.apply(OpenChild(NewID("dc.i.x")))
 	}
 }
 
-// same compares two states by all that a snapshot holds.
+// equalStates reports whether two states have the same snapshot.
 func equalStates(a, b *State) bool {
 	return bytes.Equal(a.Snapshot(time.Time{}).Raw, b.Snapshot(time.Time{}).Raw)
 }
 
-// A log and held copies give a program's events in any order, with doubles and
-// with snapshots in between. Folded, they are the program; without an event
-// that no snapshot covers they are a broken one, which no caller is served.
+// Fold restores a program from its events in any order, with duplicates and with snapshots in
+// between, as a log and held copies supply them. If an event is missing that no snapshot covers,
+// the program is broken and its steps are refused.
 func TestFoldRestoresProgram(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		l := newTestProgram(Bounds{})
+		p := newTestProgram(Bounds{})
 		var snapshots []Event
 		for range rapid.IntRange(0, 20).Draw(rt, "length") {
-			l.addRandomStep(rt)
+			p.addRandomStep(rt)
 			if rapid.IntRange(0, 4).Draw(rt, "snapshot") == 0 {
-				snapshots = append(snapshots, l.state.Snapshot(l.now))
+				snapshots = append(snapshots, p.state.Snapshot(p.now))
 			}
 		}
-		events := slices.Concat(l.events, snapshots, l.events[:rapid.IntRange(0, len(l.events)).Draw(rt, "doubles")])
+		events := slices.Concat(p.events, snapshots, p.events[:rapid.IntRange(0, len(p.events)).Draw(rt, "doubles")])
 		for i, e := range events {
 			read, err := Decode(e.Raw)
 			if err != nil {
@@ -119,34 +119,34 @@
 			events[i] = read
 		}
 		shuffled := rapid.Permutation(events).Draw(rt, "order")
-		got, err := Fold(l.state.ID, shuffled)
-		if err != nil || !equalStates(got, l.state) {
-			rt.Fatalf("folded to another program: %v", err)
+		got, err := Fold(p.state.ID, shuffled)
+		if err != nil || !equalStates(got, p.state) {
+			rt.Fatalf("the folded state differs from the program's: %v", err)
 		}
-		checkMissingEvent(rt, l, snapshots)
+		checkMissingEvent(rt, p, snapshots)
 	})
 }
 
-// checkGap loses one event and expects the fold to say so, unless a snapshot
-// covers it or nothing comes after it.
-func checkMissingEvent(rt *rapid.T, l *testProgram, snapshots []Event) {
-	missing := rapid.IntRange(0, len(l.events)-1).Draw(rt, "lost")
-	covered := missing == len(l.events)-1
+// checkMissingEvent removes one event and expects Fold to report it, unless a snapshot covers the
+// event or no event comes after it.
+func checkMissingEvent(rt *rapid.T, p *testProgram, snapshots []Event) {
+	missing := rapid.IntRange(0, len(p.events)-1).Draw(rt, "lost")
+	covered := missing == len(p.events)-1
 	for _, s := range snapshots {
 		covered = covered || s.Seq > uint64(missing)
 	}
-	got, err := Fold(l.state.ID, slices.Concat(slices.Delete(slices.Clone(l.events), missing, missing+1), snapshots))
+	got, err := Fold(p.state.ID, slices.Concat(slices.Delete(slices.Clone(p.events), missing, missing+1), snapshots))
 	if covered {
 		return
 	}
 	if !errors.Is(err, ErrChain) || !got.Broken {
-		rt.Fatalf("event %d of %d is missing and nobody says so", missing+1, len(l.events))
+		rt.Fatalf("event %d of %d is missing: expected ErrChain and a broken program", missing+1, len(p.events))
 	}
 	if got.CheckHistory(Attempt{Number: got.Next()}, nil, RepeatableKind) == nil {
-		rt.Fatal("a broken program is served")
+		rt.Fatal("a step of a broken program was not refused")
 	}
-	if earned(got) != earned(l.state)-earnedBy(l.events[missing]) {
-		rt.Fatal("the earnings of a broken program are not those of its events")
+	if earned(got) != earned(p.state)-earnedBy(p.events[missing]) {
+		rt.Fatal("the earnings of a broken program differ from those of its events")
 	}
 }
 
@@ -161,23 +161,23 @@
 	return e.pb.GetTurn().GetEarning().GetPrice() + e.pb.GetOutcome().GetEarning().GetPrice()
 }
 
-// A program went through two logs. When the second was adopted its tail may
-// have been lost, and both adoptions left a snapshot after the same event. In
-// whatever order they are read, the doubt is not forgotten.
+// A program was in two logs, and both adoptions wrote a snapshot with the same number. The tail of
+// the second log may have been lost. The state must be Uncertain in whichever order the snapshots
+// are read.
 func TestFoldPreservesUncertainty(t *testing.T) {
-	l := newTestProgram(Bounds{})
-	l.addTurn("q", "a")
-	certain := l.state.Snapshot(l.now)
-	l.state.Uncertain = true
-	doubtful := l.state.Snapshot(l.now)
+	p := newTestProgram(Bounds{})
+	p.addTurn("q", "a")
+	certain := p.state.Snapshot(p.now)
+	p.state.Uncertain = true
+	doubtful := p.state.Snapshot(p.now)
 	for _, order := range [][]Event{{certain, doubtful}, {doubtful, certain}} {
-		got, err := Fold(l.state.ID, append(order, l.events...))
+		got, err := Fold(p.state.ID, append(order, p.events...))
 		is.New(t).NoErr(err)
 		is.New(t).True(got.Uncertain)
 	}
 }
 
-// An event of another program, or one that was altered, does not follow.
+// Fold refuses an event of another program, and Decode an event that can't be decoded.
 func TestFoldRejectsForeignEvent(t *testing.T) {
 	is := is.New(t)
 	ours, theirs := newTestProgram(Bounds{}), newTestProgram(Bounds{})
@@ -192,39 +192,39 @@
 	is.True(errors.Is(err, ErrCorrupt))
 }
 
-// A caller sends only what is new, or its whole conversation: the engine gets
-// the same. A whole list that differs anywhere in the history is refused.
+// The engine gets the same messages whether the caller sends only the new ones or the full
+// conversation. A full conversation that differs anywhere from the history is refused.
 func TestMergeNewOrFullMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		l := newTestProgram(Bounds{})
+		p := newTestProgram(Bounds{})
 		for i := range rapid.IntRange(1, 6).Draw(rt, "turns") {
-			l.addTurn(fmt.Sprint("q", i), fmt.Sprint("a", i))
+			p.addTurn(fmt.Sprint("q", i), fmt.Sprint("a", i))
 		}
 		added := []chat.Message{message("tool", "result"), message("user", "next")}
-		sent := slices.Concat(l.state.History, added)
-		for i := range sent { // a client encodes what it read in its own way
+		sent := slices.Concat(p.state.History, added)
+		for i := range sent { // clients encode the same message differently
 			sent[i].Raw = append([]byte(`{"refusal": null, `), sent[i].Raw[1:]...)
 		}
-		fromNew, _, refusal := l.state.Merge(added)
+		fromNew, _, refusal := p.state.Merge(added)
 		if refusal != nil {
 			rt.Fatal(refusal)
 		}
-		fromFull, rest, refusal := l.state.Merge(sent)
+		fromFull, rest, refusal := p.state.Merge(sent)
 		if refusal != nil || len(rest) != len(added) || !chat.HasPrefix(fromFull, fromNew) || len(fromFull) != len(fromNew) {
-			rt.Fatalf("whole list: %v", refusal)
+			rt.Fatalf("merging the full conversation failed or differs: %v", refusal)
 		}
-		sent[rapid.IntRange(0, len(l.state.History)-1).Draw(rt, "changed")] = message("assistant", "invented")
-		if _, _, refusal = l.state.Merge(sent); refusal == nil || refusal.Reason != ReasonHistoryConflict {
-			rt.Fatal("a list that contradicts the history was taken")
+		sent[rapid.IntRange(0, len(p.state.History)-1).Draw(rt, "changed")] = message("assistant", "invented")
+		if _, _, refusal = p.state.Merge(sent); refusal == nil || refusal.Reason != ReasonHistoryConflict {
+			rt.Fatal("a conversation that contradicts the history was accepted")
 		}
 	})
 }
 
-// Steps are told apart by number, key and content.
+// Find distinguishes steps by number, key and content.
 func TestFind(t *testing.T) {
-	l := newTestProgram(Bounds{})
-	l.addTurn("q1", "a1")
-	l.addTurn("q2", "a2")
+	p := newTestProgram(Bounds{})
+	p.addTurn("q1", "a1")
+	p.addTurn("q2", "a2")
 	first, other := HashBody([]byte{1}), HashBody([]byte{9})
 	second := HashBody([]byte{2})
 	cases := []struct {
@@ -242,119 +242,120 @@
 		{Attempt{Key: "key1", Hash: other}, Reused},
 		{Attempt{Number: 2, Key: "key1", Hash: first}, Reused},
 		{Attempt{Number: 1, Key: "key9", Hash: first}, Reused},
-		{Attempt{Hash: second, FullConversation: true}, Recorded}, // an unnamed retry of the whole list
-		{Attempt{Hash: second}, Ready},                            // a user may say the same twice
+		{Attempt{Hash: second, FullConversation: true}, Recorded}, // a retry of the full conversation, without number and key
+		{Attempt{Hash: second}, Ready},                            // a user may send the same message twice
 	}
 	for _, c := range cases {
-		position, _ := l.state.Find(c.attempt)
+		position, _ := p.state.Find(c.attempt)
 		is.New(t).Equal(position, c.want)
 	}
 }
 
-// Each bound refuses the step beyond it and not the one before.
+// Each bound refuses the first step that exceeds it and not the one before. An ended program
+// refuses every step.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
-	l := newTestProgram(Bounds{Steps: 2, Lifetime: time.Hour, HistoryTokens: 100})
-	l.addTurn("q1", "a1")
-	soon, late := l.now.Add(time.Minute), l.now.Add(2*time.Hour)
-	is.True(l.state.CheckBounds(soon, nil) == nil)
-	is.Equal(l.state.CheckBounds(late, nil).Reason, ReasonBounds)
+	p := newTestProgram(Bounds{Steps: 2, Lifetime: time.Hour, HistoryTokens: 100})
+	p.addTurn("q1", "a1")
+	soon, late := p.now.Add(time.Minute), p.now.Add(2*time.Hour)
+	is.True(p.state.CheckBounds(soon, nil) == nil)
+	is.Equal(p.state.CheckBounds(late, nil).Reason, ReasonBounds)
 	long := []chat.Message{message("user", string(bytes.Repeat([]byte("x"), 400)))}
-	is.Equal(l.state.CheckBounds(soon, long).Reason, ReasonBounds)
-	l.addTurn("q2", "a2")
-	is.Equal(l.state.CheckBounds(soon, nil).Reason, ReasonBounds)
+	is.Equal(p.state.CheckBounds(soon, long).Reason, ReasonBounds)
+	p.addTurn("q2", "a2")
+	is.Equal(p.state.CheckBounds(soon, nil).Reason, ReasonBounds)
 	ended := newTestProgram(Bounds{})
-	a := ended.nextResult()
-	a.EndsProgram = true
-	ended.apply(RecordTurn(a, Turn{Message: message("assistant", "bye")}))
+	result := ended.nextResult()
+	result.EndsProgram = true
+	ended.apply(RecordTurn(result, Turn{Message: message("assistant", "bye")}))
 	is.Equal(ended.state.CheckBounds(soon, nil).Reason, ReasonEnded)
 	large := newTestProgram(Bounds{})
 	large.state.historyBytes = MaxHistory
 	is.Equal(large.state.CheckBounds(soon, long).Reason, ReasonBounds)
 }
 
-// What a program that was left has still to do.
+// HasOpenWork is true after a response that asks for a tool, after a tool's response that the model
+// has not seen, and while an outcome is unknown.
 func TestHasOpenWork(t *testing.T) {
 	is := is.New(t)
-	l := newTestProgram(Bounds{})
-	is.True(!l.state.HasOpenWork())
-	l.addTurn("q", "a plain answer")
-	is.True(!l.state.HasOpenWork())
-	l.apply(RecordTurn(l.nextResult(), Turn{Message: chat.Message{Role: "assistant",
+	p := newTestProgram(Bounds{})
+	is.True(!p.state.HasOpenWork())
+	p.addTurn("q", "a plain answer")
+	is.True(!p.state.HasOpenWork())
+	p.apply(RecordTurn(p.nextResult(), Turn{Message: chat.Message{Role: "assistant",
 		Raw: []byte(`{"role":"assistant","tool_calls":[{"id":"1"}]}`)}}))
-	is.True(l.state.HasOpenWork()) // the caller never called the tool
-	a := l.nextResult()
-	l.apply(RecordIntent(a.Head, chargeCall), RecordOutcome(a, ToolAnswer{Call: chargeCall, Verdict: Done}))
-	is.True(l.state.HasOpenWork()) // the model never saw the tool's answer
-	l.addTurn("q", "done")
-	is.True(!l.state.HasOpenWork())
-	a = l.nextResult()
-	l.apply(RecordIntent(a.Head, chargeCall), RecordOutcome(a, ToolAnswer{Call: chargeCall, Verdict: Unknown}))
-	l.addTurn("q", "done")
-	is.True(l.state.HasOpenWork()) // nobody knows whether the charge was made
+	is.True(p.state.HasOpenWork()) // the tool was not called yet
+	result := p.nextResult()
+	p.apply(RecordIntent(result.Head, chargeCall), RecordOutcome(result, ToolAnswer{Call: chargeCall, Verdict: Done}))
+	is.True(p.state.HasOpenWork()) // the model has not seen the tool's response
+	p.addTurn("q", "done")
+	is.True(!p.state.HasOpenWork())
+	result = p.nextResult()
+	p.apply(RecordIntent(result.Head, chargeCall), RecordOutcome(result, ToolAnswer{Call: chargeCall, Verdict: Unknown}))
+	p.addTurn("q", "done")
+	is.True(p.state.HasOpenWork()) // it is unknown whether the charge was made
 }
 
-// Operators settle only unknown steps; the sender's own knowledge corrects an
-// operator who took a step for not run.
+// Operators resolve only unknown steps. The sender may correct an operator who resolved a step as
+// not run, but not by the outcome of another step with the same number.
 func TestResolve(t *testing.T) {
 	is := is.New(t)
-	l := newTestProgram(Bounds{})
-	l.addTurn("q", "a")
-	a := l.nextResult()
-	l.apply(RecordIntent(a.Head, chargeCall), RecordOutcome(a, ToolAnswer{Call: chargeCall, Verdict: Unknown}))
-	_, refusal := l.state.Resolve(Resolution{Number: 1, Verdict: Done}, false)
+	p := newTestProgram(Bounds{})
+	p.addTurn("q", "a")
+	result := p.nextResult()
+	p.apply(RecordIntent(result.Head, chargeCall), RecordOutcome(result, ToolAnswer{Call: chargeCall, Verdict: Unknown}))
+	_, refusal := p.state.Resolve(Resolution{Number: 1, Verdict: Done}, false)
 	is.Equal(refusal.Reason, ReasonNoStep)
-	event, refusal := l.state.Resolve(Resolution{Number: 2, Verdict: NotRun, By: "operator ana"}, false)
+	event, refusal := p.state.Resolve(Resolution{Number: 2, Verdict: NotRun, By: "operator ana"}, false)
 	is.True(refusal == nil)
-	l.apply(event)
-	_, refusal = l.state.Resolve(Resolution{Number: 2, Verdict: Done}, false)
+	p.apply(event)
+	_, refusal = p.state.Resolve(Resolution{Number: 2, Verdict: Done}, false)
 	is.Equal(refusal.Reason, ReasonResolved)
-	_, refusal = l.state.Resolve(Resolution{Number: 2, Verdict: Done, Hash: HashBody([]byte("other"))}, true)
+	_, refusal = p.state.Resolve(Resolution{Number: 2, Verdict: Done, Hash: HashBody([]byte("other"))}, true)
 	is.True(refusal != nil) // the sender ran another step under the number
 	is.Equal(refusal.Reason, ReasonNoStep)
-	event, refusal = l.state.Resolve(Resolution{Number: 2, Verdict: Done, Hash: a.Head.Hash, Body: []byte("made")}, true)
+	event, refusal = p.state.Resolve(Resolution{Number: 2, Verdict: Done, Hash: result.Head.Hash, Body: []byte("made")}, true)
 	is.True(refusal == nil)
-	l.apply(event)
-	is.Equal(string(l.state.Steps[1].Tool.Body), "made")
+	p.apply(event)
+	is.Equal(string(p.state.Steps[1].Tool.Body), "made")
 }
 
-// A charge is settled by a lookup whose answer is too large for the record, or
-// by an operator who knows only that it ran. The record holds no answer, and a
-// repeat was answered with an empty one as if the tool had given that. It is to
-// be told that the step ran and its answer is not kept, also from a snapshot.
+// A step is resolved by a lookup whose response is too large to record, or by an operator who knows
+// only that it ran. Guards against answering a repeat with an empty response as if the tool had
+// sent it: the step must be marked BodyDropped, also after a restore from a snapshot.
 func TestResolvedStepWithoutResponse(t *testing.T) {
 	is := is.New(t)
 	for _, body := range [][]byte{make([]byte, MaxBody+1), nil} {
-		l := newTestProgram(Bounds{})
-		l.apply(RecordIntent(l.nextIdentity(), chargeCall), RecordOutcome(l.nextResult(), ToolAnswer{Call: chargeCall, Verdict: Unknown}))
-		event, _ := l.state.Resolve(Resolution{Number: 1, Verdict: Done, Status: 200, Body: body}, false)
-		l.apply(event)
-		is.True(l.state.Steps[0].Tool.BodyDropped)
-		folded, err := Fold(l.state.ID, []Event{l.state.Snapshot(l.now)})
+		p := newTestProgram(Bounds{})
+		p.apply(RecordIntent(p.nextIdentity(), chargeCall), RecordOutcome(p.nextResult(), ToolAnswer{Call: chargeCall, Verdict: Unknown}))
+		event, _ := p.state.Resolve(Resolution{Number: 1, Verdict: Done, Status: 200, Body: body}, false)
+		p.apply(event)
+		is.True(p.state.Steps[0].Tool.BodyDropped)
+		folded, err := Fold(p.state.ID, []Event{p.state.Snapshot(p.now)})
 		is.NoErr(err)
 		is.True(folded.Steps[0].Tool.BodyDropped)
 	}
 }
 
-// A program of forty searches with 28 KB of query each is taken over. Its
-// snapshot listed every path whole and passed the log's entry, which refused it
-// on every try, so the slice of all its neighbours was never taken over.
+// A program with forty searches of 28 KB of query each is taken over. Guards against a snapshot
+// that contains every full path and exceeds the size of a log entry: the log refuses it at every
+// attempt, and the whole shard is never taken over.
 func TestSnapshotShortensLongPaths(t *testing.T) {
 	is := is.New(t)
-	l := newTestProgram(Bounds{})
+	p := newTestProgram(Bounds{})
 	search := ToolCall{Service: "search", Method: "GET", Path: "/?" + strings.Repeat("q", 28<<10)}
 	for range 40 {
-		l.apply(RecordOutcome(l.nextResult(), ToolAnswer{Call: search, Verdict: Done, Status: 200, Body: []byte("trees")}))
+		p.apply(RecordOutcome(p.nextResult(), ToolAnswer{Call: search, Verdict: Done, Status: 200, Body: []byte("trees")}))
 	}
-	snapshot := l.state.Snapshot(l.now)
+	snapshot := p.state.Snapshot(p.now)
 	is.True(len(snapshot.Raw) <= maxSnapshot)
-	folded, err := Fold(l.state.ID, []Event{snapshot})
+	folded, err := Fold(p.state.ID, []Event{snapshot})
 	is.NoErr(err)
-	is.True(equalStates(folded, l.state))
-	is.Equal(l.state.CheckBounds(l.now, nil).Reason, ReasonBounds) // it grows no further
+	is.True(equalStates(folded, p.state))
+	is.Equal(p.state.CheckBounds(p.now, nil).Reason, ReasonBounds) // the limit refuses further steps
 }
 
-// An account of a year holds every step, in few buckets for each customer.
+// After a year an account has counted every step and has few buckets for each customer.
 func TestAccountSizeOverAYear(t *testing.T) {
 	is := is.New(t)
 	account := &State{ID: "x", Account: true}
@@ -371,25 +372,25 @@
 		steps += b.Steps
 	}
 	is.Equal(steps, int64(365*24))
-	is.True(len(account.buckets) < 160) // 48 to 72 hours, 64 days and ten spans
+	is.True(len(account.buckets) < 160) // 48 to 72 hours, 64 days and ten spans of 32 days
 }
 
 func BenchmarkFold(b *testing.B) {
 	for _, turns := range []int{10, 260} {
 		b.Run(fmt.Sprint(turns, "turns"), func(b *testing.B) {
-			l := newTestProgram(Bounds{})
+			p := newTestProgram(Bounds{})
 			text := string(bytes.Repeat([]byte("word "), 180))
 			for range turns {
-				l.addTurn(text, text)
+				p.addTurn(text, text)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				events := make([]Event, 0, len(l.events))
-				for _, e := range l.events {
+				events := make([]Event, 0, len(p.events))
+				for _, e := range p.events {
 					read, _ := Decode(e.Raw)
 					events = append(events, read)
 				}
-				if _, err := Fold(l.state.ID, events); err != nil {
+				if _, err := Fold(p.state.ID, events); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -9,8 +9,9 @@
 	"foxhall/internal/program/programpb"
 )
 
-// Snapshot returns the whole state as one event. It takes the number of the
-// state's last event, so that the events after it still follow.
+// Snapshot returns the complete state as one event. The snapshot has the number and the chain value
+// of the state's last event, so that later events continue the chain. In an account, it first rolls
+// up the buckets that are old at the time now.
 func (s *State) Snapshot(now time.Time) Event {
 	if s.Account {
 		s.rollUpBuckets(now)
@@ -23,7 +24,7 @@
 	}
 	raw, err := proto.Marshal(pb)
 	if err != nil {
-		panic("program: a snapshot made here does not encode: " + err.Error())
+		panic("program: encoding a snapshot failed: " + err.Error())
 	}
 	return Event{Seq: s.seq, Raw: raw, chain: s.chain, pb: pb}
 }
@@ -69,12 +70,13 @@
 	return pb
 }
 
-// keptPath is how much of a path, in bytes, a snapshot that is too large keeps.
+// shortenedPath is the length, in bytes, to which paths are cut in a snapshot that is too large.
 const shortenedPath = 128
 
-// shorten leaves out what no step that follows depends on. The failure: one
-// program with long paths passes the log's entry and can never be taken over.
-// Paths are kept only for the operators' list; a repeat is known by its hash.
+// shortenStep drops the response body and most of the path, on which no later step depends. A
+// snapshot that exceeds the size of a log entry, for instance because of long paths, could never
+// be written, and its program never be taken over. Paths are recorded only for the list that
+// operators see; a repeat is recognised by its hash.
 func shortenStep(p *programpb.Step) {
 	if len(p.Body) > 0 {
 		p.Body, p.BodyDropped = nil, true
@@ -84,10 +86,10 @@
 	}
 }
 
-// stepOverhead bounds in bytes what a step needs beside its strings.
+// stepOverhead is an upper bound, in bytes, for the encoding of a step without its strings.
 const stepOverhead = 96
 
-// stepBytes bounds the size in bytes of the steps without their answers.
+// stepBytes returns an upper bound, in bytes, for the size of the steps without their responses.
 func (s *State) stepBytes() int {
 	n := 0
 	for i := range s.Steps {
@@ -104,6 +106,7 @@
 	return n
 }
 
+// restore replaces the state by the snapshot with the number seq.
 func (s *State) restore(seq uint64, p *programpb.Snapshot) error {
 	if ID(p.GetOpened().GetId()) != s.ID {
 		return ErrOtherProgram
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -7,7 +7,7 @@
 	"foxhall/internal/chat"
 )
 
-// Bounds limit one program; they are fixed when it is opened. Zero means no bound.
+// Bounds limits one program; it is fixed when the program is opened. Zero means no limit.
 type Bounds struct {
 	Steps         int
 	Depth         int
@@ -16,36 +16,37 @@
 	HistoryTokens int
 }
 
-// Verdict is what is known of a step.
+// Verdict is the state of a step.
 type Verdict int8
 
-// The verdicts on a step.
+// Verdicts on a step.
 const (
-	// Pending is an intent without an outcome.
+	// Pending means that the step has an intent but no outcome.
 	Pending Verdict = iota
-	// Done says that the step ran and its answer is recorded.
+	// Done means that the step ran. Its response is recorded unless BodyDropped is set.
 	Done
-	// NotRun says that the step was resolved as not run.
+	// NotRun means that the step was resolved as not run.
 	NotRun
-	// Unknown says that the step may have run.
+	// Unknown means that the step may have run.
 	Unknown
 )
 
-// Head identifies a step towards its caller.
+// StepIdentity identifies a step to its caller: by number, by idempotency key and by the hash of
+// the call.
 type StepIdentity struct {
 	Number int
 	Key    string
 	Hash   [chainSize]byte
 }
 
-// ToolCall names what a tool step called.
+// ToolCall is the target of a tool step's call.
 type ToolCall struct {
 	Service string
 	Method  string
 	Path    string
 }
 
-// Step is a step that has taken its number.
+// Step is a step that has a number in its program.
 type Step struct {
 	Head    StepIdentity
 	Verdict Verdict
@@ -56,24 +57,27 @@
 	At    time.Time
 }
 
-// ToolStep is what is kept of a tool step.
+// ToolStep is the record of a tool step.
 type ToolStep struct {
 	ToolCall
-	// Intent says that the call may not be repeated.
+	// Intent reports whether an intent was recorded first, which means that the call may not be
+	// repeated.
 	Intent      bool
 	Status      int
 	ContentType string
 	Body        []byte
-	// BodyDropped says that the answer was too large or is too old to be kept, or
-	// that the step was settled without it.
+	// BodyDropped reports whether the response is not recorded: it was too large, is too old to
+	// be retained, or the step was resolved without it.
 	BodyDropped bool
 	Upstream    string
-	ResolvedBy  string
-	Note        string
+	// ResolvedBy is Resolution.By if the step was resolved, else empty.
+	ResolvedBy string
+	Note       string
 }
 
-// ModelStep is what is kept of a model step; its answer is in the history.
+// ModelStep is the record of a model step.
 type ModelStep struct {
+	// Message is the index of the response in State.History.
 	Message      int
 	Name         string
 	FinishReason string
@@ -81,65 +85,75 @@
 	Upstream     string
 }
 
-// Earning is what one placed step brought, in micros.
+// Earning is the revenue from one placed step, in micros.
 type Earning struct {
+	// Price is what the customer pays.
 	Price int64
-	Cut   int64
+	// Cut is foxhall's share of the price.
+	Cut int64
 }
 
-// State is a program as its events tell it. It is not safe for concurrent use.
+// State is the state of a program, built from its events. It is not safe for concurrent use.
 type State struct {
 	ID       ID
 	Customer string
 	Plan     string
 	Parent   ID
-	// Root is the program that the customer started; itself where there is no parent.
-	Root     ID
+	// Root is the program that the customer started; it is ID if there is no parent.
+	Root ID
+	// Depth is the number of ancestors.
 	Depth    int
 	Bounds   Bounds
 	OpenedAt time.Time
-	// Account marks the earnings of ended programs, which is no program.
+	// Account marks an account, which is not a program but sums the earnings of ended programs.
 	Account bool
 
 	// History holds the messages of all turns.
 	History       []chat.Message
 	HistoryTokens int
 	// Steps[i] is the step with the number i+1.
-	Steps    []Step
+	Steps []Step
+	// Children is the number of sub-agents that were opened.
 	Children int
-	// Attained is the time that upstreams have worked for the program.
+	// Attained is the service time that upstreams have spent on the program.
 	Attained time.Duration
-	// Pauses are the latest times between a turn's end and the next turn's start.
+	// Pauses are the latest durations from the end of a turn to the start of the next, at most
+	// maxPauses, oldest first.
 	Pauses []time.Duration
 	// LastAt is the time of the last event.
 	LastAt time.Time
-	// EndWantedAt is when the caller said that it needs the program no longer; zero before.
+	// EndRequestedAt is when the caller asked to end the program; zero before.
 	EndRequestedAt time.Time
 	Ended          bool
-	// Uncertain says that events after the last one here may have been lost.
+	// Uncertain reports whether events after the last one here may have been lost.
 	Uncertain bool
-	// Broken says that an event in the middle is missing; the history is never served again.
+	// Broken reports whether an event is missing before later ones. The program then takes no
+	// steps any more.
 	Broken bool
 
-	buckets       []Bucket
-	bucketIndex   map[bucketKey]int
-	seq           uint64
-	chain         Chain
-	turn          Chain
-	historyBytes  int
-	bodyBytes     int
+	buckets []Bucket
+	// bucketIndex is nil until there are more than maxScannedBuckets.
+	bucketIndex map[bucketKey]int
+	// seq and chain are those of the last event.
+	seq   uint64
+	chain Chain
+	// turn is the chain value of the last turn.
+	turn         Chain
+	historyBytes int
+	// bodyBytes is the size of all response bodies that are retained.
+	bodyBytes int
+	// firstRetained is the index of the first step whose body may be retained.
 	firstRetained int
 }
 
-// Seq returns the number of the last event.
+// Seq returns the number of the last event that was applied.
 func (s *State) Seq() uint64 { return s.seq }
 
 // Next returns the number of the next step.
 func (s *State) Next() int { return len(s.Steps) + 1 }
 
-// TurnToken names the last turn and, through its chain value, all before it. A
-// caller that sends it back proves which history it has seen. It is empty
-// before the first turn.
+// TurnToken returns a token for the last turn and, through its chain value, all turns before it. A
+// caller that sends it back proves which history it has seen. It is empty before the first turn.
 func (s *State) TurnToken() string {
 	if len(s.History) == 0 {
 		return ""
@@ -147,7 +161,7 @@
 	return hex.EncodeToString(s.turn[:])
 }
 
-// Unresolved returns the number of steps whose outcome is not known.
+// Unresolved returns the number of steps without a known outcome.
 func (s *State) Unresolved() int {
 	n := 0
 	for i := range s.Steps {
@@ -158,9 +172,9 @@
 	return n
 }
 
-// HasOpenWork reports whether the program was left where something remains to
-// be done: a step without a known outcome, an answer that asks for a tool, or
-// a tool's answer that its model has not seen.
+// HasOpenWork reports whether something remains to be done in the program: a step has no known
+// outcome, the last response of the model asks for a tool, or the model has not seen the last
+// response of a tool. It is also true for a program that is Broken.
 func (s *State) HasOpenWork() bool {
 	if s.Broken || s.Unresolved() > 0 {
 		return true
