--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -14,22 +14,22 @@
 // admission is what a step holds from Admit until it has ended: its entry past
 // the gate, its reservation and its present grant.
 type admission struct {
-	executor  *Executor
-	work      *owner.Work
-	grantList *usage.Grant
-	price     price
-	leave     func()
-	reserved  Reservation
-	grant     *scheduler.Grant
-	tried     []string
-	end       sync.Once
+	executor    *Executor
+	work        *owner.Work
+	grantList   *usage.Grant
+	price       price
+	leaveGate   func()
+	reservation Reservation
+	grant       *scheduler.Grant
+	tried       []string
+	end         sync.Once
 }
 
 // acquire takes a place on an upstream that the step has not tried yet.
-func (a *admission) acquire(ctx context.Context) *step.Result {
-	grant, refusal := a.executor.o.Scheduler.Acquire(ctx, a.request())
+func (a *admission) acquireUpstream(ctx context.Context) *step.Result {
+	grant, refusal := a.executor.opt.Scheduler.Acquire(ctx, a.request())
 	if refusal != nil {
-		return resultOf(refusal)
+		return refusalResult(refusal)
 	}
 	a.grant = grant
 	return nil
@@ -58,26 +58,26 @@
 	return r
 }
 
-func resultOf(refusal *scheduler.Refusal) *step.Result {
-	r := refuse(refusal.Status, refusal.Code, refusal.Message)
-	r.RetryAfter = refusal.RetryAfter
-	return r
+func refusalResult(refusal *scheduler.Refusal) *step.Result {
+	result := refuse(refusal.Status, refusal.Code, refusal.Message)
+	result.RetryAfter = refusal.RetryAfter
+	return result
 }
 
 // Cancel implements owner.Placed.
 func (a *admission) Cancel() {
 	a.end.Do(func() {
 		a.grant.Done(scheduler.Feedback{Cancelled: true})
-		a.reserved.Release()
-		a.leave()
+		a.reservation.Release()
+		a.leaveGate()
 	})
 }
 
 // finish settles what the step cost and gives its entry back.
 func (a *admission) finish(cost Cost) {
 	a.end.Do(func() {
-		a.reserved.Settle(cost)
-		a.leave()
+		a.reservation.Settle(cost)
+		a.leaveGate()
 	})
 }
 
@@ -85,9 +85,9 @@
 // reports whether there is one. The owner is asked last, since a place may take
 // long: a process that was paused must not send a step that its successor has
 // run on without.
-func (a *admission) next(ctx context.Context) bool {
+func (a *admission) acquireNext(ctx context.Context) bool {
 	a.tried = append(a.tried, a.grant.Upstream)
-	if ctx.Err() != nil || a.acquire(ctx) != nil {
+	if ctx.Err() != nil || a.acquireUpstream(ctx) != nil {
 		return false
 	}
 	if a.work.MaySend != nil && !a.work.MaySend() {
@@ -100,7 +100,7 @@
 
 // failure describes a step that got no answer. mayHaveRun decides between
 // "unknown" and "not run"; it covers all attempts.
-func (a *admission) failure(ctx context.Context, mayHaveRun bool, upstream string, err error) step.Result {
+func (a *admission) failedResult(ctx context.Context, mayHaveRun bool, upstream string, err error) step.Result {
 	r := step.Result{
 		Outcome:  step.NotRun,
 		Upstream: upstream,
@@ -112,13 +112,13 @@
 		r.Outcome = step.Unknown
 	}
 	if a.work.Repeatable || !mayHaveRun {
-		r.RetryAfter = failureRetry
+		r.RetryAfter = failureRetryAfter
 	}
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
 		r.Status, r.Code, r.RetryAfter = http.StatusGatewayTimeout, step.CodeDeadline, 0
 	case context.Canceled:
-		r.Status, r.Code, r.RetryAfter = statusClientClosed, step.CodeCancelled, 0
+		r.Status, r.Code, r.RetryAfter = statusClientClosedRequest, step.CodeCancelled, 0
 	}
 	return r
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -34,7 +34,7 @@
 	uses  *usage.List
 
 	mu       sync.Mutex
-	entered  int
+	admitted int
 	reserved int
 	settled  []Cost
 	sent     []string
@@ -48,11 +48,11 @@
 func (f *fakes) Enter(context.Context, *plan.Plan, time.Time) (func(), *step.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.entered++
+	f.admitted++
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.entered--
+		f.admitted--
 	}, nil
 }
 
@@ -82,16 +82,16 @@
 }
 
 func (f *fakes) Call(ctx context.Context, c tool.Call) (tool.Answer, error) {
-	f.note(c.Address)
+	f.recordSent(c.Address)
 	return f.tool(ctx, c.Address)
 }
 
 func (f *fakes) Complete(ctx context.Context, addr string, _ *engine.Request, onChunk func(engine.Chunk) error) (*engine.Response, error) {
-	f.note(addr)
+	f.recordSent(addr)
 	return f.engine(ctx, addr, onChunk)
 }
 
-func (f *fakes) note(address string) {
+func (f *fakes) recordSent(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sent = append(f.sent, address)
@@ -100,8 +100,8 @@
 // testUsage is two engines of one model and two replicas of one service.
 func testUsage() []byte {
 	text := []byte("[[model]]\nname = \"m\"\noutput_price_micros = 1000000\n[[service]]\nname = \"s\"\ncall_price_micros = 7\n")
-	for n, serves := range []string{"engine\"\nmodels = [\"m\"]", "engine\"\nmodels = [\"m\"]", "service\"\nservice = \"s\"", "service\"\nservice = \"s\""} {
-		text = fmt.Appendf(text, "[[upstream]]\nname = \"u%d\"\naddress = \"127.0.0.1:%d\"\ndata_centre = \"dc\"\nslots = 2\nkind = \"%s\n", n, n+1, serves)
+	for n, role := range []string{"engine\"\nmodels = [\"m\"]", "engine\"\nmodels = [\"m\"]", "service\"\nservice = \"s\"", "service\"\nservice = \"s\""} {
+		text = fmt.Appendf(text, "[[upstream]]\nname = \"u%d\"\naddress = \"127.0.0.1:%d\"\ndata_centre = \"dc\"\nslots = 2\nkind = \"%s\n", n, n+1, role)
 	}
 	return append(text, "[[grant]]\nplan = \"p\"\nmodels = [\"m\"]\nservices = [\"s\"]\ndata_centres = [\"dc\"]\nlatency_weight = 1.0\n"...)
 }
@@ -148,7 +148,7 @@
 // replica only where nothing of it left or the service itself refused it; where
 // it may have run it is never sent again and the answer is unknown. Whatever
 // happens, the entry and the reservation are given back.
-func TestOnlyWhatSurelyDidNotRunIsSentAgain(t *testing.T) {
+func TestRetryOnlyIfStepDidNotRun(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		failure    error
@@ -176,7 +176,7 @@
 			r := f.run(e, toolWork(test.repeatable), nil)
 			is.Equal(r.Outcome, test.outcome)
 			is.Equal(len(f.sent), test.sent)
-			is.Equal(f.entered, 0)
+			is.Equal(f.admitted, 0)
 			is.Equal(f.reserved, 0)
 			is.Equal(f.settled, []Cost{{Money: 7}})
 		})
@@ -187,7 +187,7 @@
 // on. It woke and sent the old step to the next upstream, out of order, though
 // the owner had its lease looked at once before the first attempt. It asks
 // again before each further one, gives all back, and "not run" stays true.
-func TestNoRetryOnceTheStepMayNotBeSent(t *testing.T) {
+func TestNoRetryIfOwnerMayNotSend(t *testing.T) {
 	for outcome, w := range map[step.Outcome]*owner.Work{step.NotRun: toolWork(false), step.Unknown: modelWork()} {
 		is := is.New(t)
 		f, e := newFakes(t)
@@ -198,13 +198,13 @@
 		w.MaySend = func() bool { return false }
 		is.Equal(f.run(e, w, nil).Outcome, outcome)
 		is.Equal(len(f.sent), 1)
-		is.Equal(f.entered, 0)
+		is.Equal(f.admitted, 0)
 		is.Equal(f.reserved, 0)
 	}
 }
 
 // Every replica refuses: the step was not run, costs nothing, and may be asked again.
-func TestRefusedEverywhereIsNotRun(t *testing.T) {
+func TestRefusedByAllReplicasIsNotRun(t *testing.T) {
 	is := is.New(t)
 	f, e := newFakes(t)
 	f.tool = func(context.Context, string) (tool.Answer, error) { return tool.Answer{}, tool.ErrRefused }
@@ -215,23 +215,23 @@
 }
 
 // A refusal behind the gate gives the entry back at once.
-func TestRefusedBudgetGivesTheEntryBack(t *testing.T) {
+func TestBudgetRefusalLeavesGate(t *testing.T) {
 	is := is.New(t)
 	f, e := newFakes(t)
 	f.noBudget = true
 	r := f.run(e, toolWork(false), nil)
 	is.Equal(r.Code, step.CodeBudget)
-	is.Equal(f.entered, 0)
+	is.Equal(f.admitted, 0)
 	is.Equal(len(f.sent), 0)
 }
 
-func answerOf(text string) *engine.Response {
+func testResponse(text string) *engine.Response {
 	return &engine.Response{Message: chat.Message{Role: "assistant", Raw: []byte(text)}, FinishReason: "stop"}
 }
 
 // An engine takes a model call and gives no token. After its patience the call
 // is cancelled there, which frees the slot, and another engine answers.
-func TestHangingEngineIsLeft(t *testing.T) {
+func TestUnresponsiveEngineFailsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f, e := newFakes(t)
@@ -242,7 +242,7 @@
 				<-ctx.Done()
 				return nil, &engine.Error{Class: engine.ErrUnknown, Cause: ctx.Err()}
 			}
-			return answerOf(`{"role":"assistant","content":"a"}`), nil
+			return testResponse(`{"role":"assistant","content":"a"}`), nil
 		}
 		r := f.run(e, modelWork(), nil)
 		is.Equal(r.Outcome, step.Done)
@@ -259,7 +259,7 @@
 // An engine breaks off after a part of the answer has gone to the caller.
 // Another engine's answer could contradict that part, so there is no retry and
 // the caller is told that the outcome is unknown.
-func TestNoRetryBehindAPartOfTheAnswer(t *testing.T) {
+func TestNoRetryAfterPartialResponse(t *testing.T) {
 	is := is.New(t)
 	f, e := newFakes(t)
 	f.engine = func(_ context.Context, _ string, onChunk func(engine.Chunk) error) (*engine.Response, error) {
@@ -273,14 +273,14 @@
 	is.Equal(r.Outcome, step.Unknown)
 	is.Equal(sink.chunks, 1)
 	is.Equal(len(f.sent), 1)
-	is.Equal(f.entered, 0)
+	is.Equal(f.admitted, 0)
 }
 
 // A repeatable call hangs, a second copy goes to the other replica. The first
 // answer is lost, then the second replica turns out unreachable. The caller
 // must hear "unknown" and be charged, since the first may have run, and no
 // replica gets the call again.
-func TestLostCopyIsUnknownThoughTheOtherWasNotSent(t *testing.T) {
+func TestLostResponseIsUnknownIfHedgeWasNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f, e := newFakes(t)
@@ -303,7 +303,7 @@
 // A caller wants its answer whole. One engine breaks off after a chunk, and
 // the others break off too or reject the request. The tokens may be spent, so
 // the step is settled and priced at its worst, as it is for a streaming caller.
-func TestWholeAnswerThatBrokeOffIsCharged(t *testing.T) {
+func TestTruncatedNonStreamingResponseIsCharged(t *testing.T) {
 	for _, then := range []error{engine.ErrUnknown, engine.ErrRejected} {
 		is := is.New(t)
 		f, e := newFakes(t)
@@ -318,9 +318,9 @@
 		}
 		w := modelWork()
 		r := f.run(e, w, nil)
-		worst := price{output: 1000000}.worst(w)
+		worstCase := price{output: 1000000}.worstCase(w)
 		is.Equal(r.Outcome, step.Unknown)
-		is.Equal(f.settled, []Cost{worst})
-		is.Equal(r.Price, worst.Money)
+		is.Equal(f.settled, []Cost{worstCase})
+		is.Equal(r.Price, worstCase.Money)
 	}
 }
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -76,7 +76,7 @@
 
 // Executor implements owner.Executor.
 type Executor struct {
-	o       Options
+	opt     Options
 	retries metrics.Counter
 	hedges  metrics.Counter
 	cached  metrics.Counter
@@ -86,7 +86,7 @@
 // New returns an executor.
 func New(o Options) *Executor {
 	return &Executor{
-		o:       o,
+		opt:     o,
 		retries: metrics.GetOrRegisterCounter("dispatch.retries", o.Registry),
 		hedges:  metrics.GetOrRegisterCounter("dispatch.hedges", o.Registry),
 		cached:  metrics.GetOrRegisterCounter("dispatch.prompt_tokens_cached", o.Registry),
@@ -97,25 +97,25 @@
 // Admit implements owner.Executor. What it takes is given back in the reverse
 // order if a later part refuses.
 func (e *Executor) Admit(ctx context.Context, w *owner.Work) (owner.Placed, *step.Result) {
-	_, lists := e.o.Lists.Lists()
+	_, lists := e.opt.Lists.Lists()
 	grant := lists.Grant(w.Call.Plan.Name)
 	price, refusal := e.price(w, lists, grant)
 	if refusal != nil {
 		return nil, refusal
 	}
-	leave, refusal := e.o.Gate.Enter(ctx, w.Call.Plan, w.Deadline)
+	leaveGate, refusal := e.opt.Gate.Enter(ctx, w.Call.Plan, w.Deadline)
 	if refusal != nil {
 		return nil, refusal
 	}
-	reserved, refusal := e.o.Budget.Reserve(ctx, w.Call.Plan, price.worst(w))
+	reservation, refusal := e.opt.Budget.Reserve(ctx, w.Call.Plan, price.worstCase(w))
 	if refusal != nil {
-		leave()
+		leaveGate()
 		return nil, refusal
 	}
-	a := &admission{executor: e, work: w, grantList: grant, price: price, leave: leave, reserved: reserved}
-	if refusal := a.acquire(ctx); refusal != nil {
-		reserved.Release()
-		leave()
+	a := &admission{executor: e, work: w, grantList: grant, price: price, leaveGate: leaveGate, reservation: reservation}
+	if refusal := a.acquireUpstream(ctx); refusal != nil {
+		reservation.Release()
+		leaveGate()
 		return nil, refusal
 	}
 	if w.Call.Model != nil {
@@ -169,7 +169,7 @@
 	call           plan.Micros
 }
 
-func (p price) of(prompt, output int) plan.Micros {
+func (p price) total(prompt, output int) plan.Micros {
 	tokens := p.prompt*plan.Micros(prompt) + p.output*plan.Micros(output)
 	return p.call + (tokens+tokensPerPrice-1)/tokensPerPrice
 }
@@ -179,16 +179,16 @@
 const estimateMargin = 2
 
 // worst returns the most that the step can cost.
-func (p price) worst(w *owner.Work) Cost {
+func (p price) worstCase(w *owner.Work) Cost {
 	if w.Call.Model == nil {
 		return Cost{Money: p.call}
 	}
 	prompt := estimateMargin * chat.EstimateTokens(w.History)
 	output := w.Call.Model.AnswerBound()
-	return Cost{Money: p.of(prompt, output), Tokens: int64(prompt + output)}
+	return Cost{Money: p.total(prompt, output), Tokens: int64(prompt + output)}
 }
 
 // settled returns the cost of a step that used so many tokens.
-func (p price) settled(u chat.Usage) Cost {
-	return Cost{Money: p.of(u.PromptTokens, u.CompletionTokens), Tokens: int64(u.PromptTokens + u.CompletionTokens)}
+func (p price) actual(u chat.Usage) Cost {
+	return Cost{Money: p.total(u.PromptTokens, u.CompletionTokens), Tokens: int64(u.PromptTokens + u.CompletionTokens)}
 }
--- a/internal/dispatch/model.go
+++ b/internal/dispatch/model.go
@@ -17,13 +17,13 @@
 
 const (
 	// statusClientClosed is what proxies log for a caller that went away.
-	statusClientClosed = 499
+	statusClientClosedRequest = 499
 	// failureRetry is when a repeatable step that failed is worth another try.
-	failureRetry = time.Second
+	failureRetryAfter = time.Second
 )
 
 // errPatience ends an attempt whose engine gave no token for too long.
-var errPatience = errors.New("dispatch: the engine gave no token in time")
+var errProgressTimeout = errors.New("dispatch: the engine gave no token in time")
 
 // modelStep is an admitted model call. It implements owner.Placed.
 type modelStep struct {
@@ -32,9 +32,9 @@
 	// which another engine's answer could only contradict it.
 	streamed bool
 	// begun says that an attempt has given a part of an answer, passed on or not.
-	begun bool
+	responseBegun bool
 	// unsettled says that an attempt may have run.
-	unsettled bool
+	mayHaveRun bool
 	// callerGone says that nobody takes the answer any longer.
 	callerGone bool
 }
@@ -44,17 +44,17 @@
 func (m *modelStep) Run(ctx context.Context, sink step.Sink) step.Result {
 	for {
 		upstream := m.grant.Upstream
-		answer, err := m.attempt(ctx, sink)
+		response, err := m.attempt(ctx, sink)
 		if err == nil {
-			return m.done(upstream, answer)
+			return m.complete(upstream, response)
 		}
-		m.unsettled = m.unsettled || engine.MayHaveRun(err)
+		m.mayHaveRun = m.mayHaveRun || engine.MayHaveRun(err)
 		if errors.Is(err, engine.ErrRejected) {
-			return m.rejected(upstream, err)
+			return m.finishRejected(upstream, err)
 		}
-		if m.streamed || !m.next(ctx) {
-			r := m.failure(ctx, m.unsettled, upstream, err)
-			r.Price = m.finishFailed()
+		if m.streamed || !m.acquireNext(ctx) {
+			r := m.failedResult(ctx, m.mayHaveRun, upstream, err)
+			r.Price = m.settleFailed()
 			return r
 		}
 	}
@@ -67,20 +67,20 @@
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	grant.MarkSent()
-	patience := time.AfterFunc(grant.ProgressTimeout, func() { cancel(errPatience) })
-	defer patience.Stop()
-	answer, err := m.executor.o.Engines.Complete(attemptCtx, grant.Address, m.engineRequest(), func(c engine.Chunk) error {
-		patience.Reset(grant.ProgressTimeout)
+	progressTimer := time.AfterFunc(grant.ProgressTimeout, func() { cancel(errProgressTimeout) })
+	defer progressTimer.Stop()
+	response, err := m.executor.opt.Engines.Complete(attemptCtx, grant.Address, m.engineRequest(), func(c engine.Chunk) error {
+		progressTimer.Reset(grant.ProgressTimeout)
 		grant.RecordFirstToken()
-		m.begun = true
-		return m.pass(sink, c)
+		m.responseBegun = true
+		return m.forwardChunk(sink, c)
 	})
-	feedback := scheduler.FeedbackOf(answer, err)
+	feedback := scheduler.FeedbackOf(response, err)
 	if err != nil && (ctx.Err() != nil || m.callerGone) {
 		feedback = scheduler.Feedback{Cancelled: true}
 	}
 	grant.Done(feedback)
-	return answer, err
+	return response, err
 }
 
 func (m *modelStep) engineRequest() *engine.Request {
@@ -97,7 +97,7 @@
 
 // pass hands one chunk to the caller. The closing usage chunk is foxhall's own
 // wish and goes only to callers that asked for it.
-func (m *modelStep) pass(sink step.Sink, c engine.Chunk) error {
+func (m *modelStep) forwardChunk(sink step.Sink, c engine.Chunk) error {
 	if sink == nil || c.UsageOnly && !wantsUsage(m.work.Call.Model) {
 		return nil
 	}
@@ -120,30 +120,30 @@
 	return json.Unmarshal(r.Extra["stream_options"], &options) == nil && options.IncludeUsage
 }
 
-func (m *modelStep) done(upstream string, answer *engine.Response) step.Result {
+func (m *modelStep) complete(upstream string, response *engine.Response) step.Result {
 	e := m.executor
-	e.prompt.Inc(int64(answer.Usage.PromptTokens))
-	e.cached.Inc(int64(answer.CachedTokens()))
-	cost := m.price.settled(answer.Usage)
+	e.prompt.Inc(int64(response.Usage.PromptTokens))
+	e.cached.Inc(int64(response.CachedTokens()))
+	cost := m.price.actual(response.Usage)
 	m.finish(cost)
 	return step.Result{
 		Outcome:      step.Done,
 		Status:       http.StatusOK,
 		Upstream:     upstream,
-		Usage:        answer.Usage,
-		Answer:       answer.Message,
+		Usage:        response.Usage,
+		Answer:       response.Message,
 		Model:        m.work.Call.Model.Model,
-		FinishReason: answer.FinishReason,
+		FinishReason: response.FinishReason,
 		Price:        cost.Money,
 	}
 }
 
 // rejected answers a request that no engine would take.
-func (m *modelStep) rejected(upstream string, err error) step.Result {
+func (m *modelStep) finishRejected(upstream string, err error) step.Result {
 	r := step.Refuse(http.StatusBadRequest, step.CodeBadRequest, err.Error())
 	r.Upstream = upstream
-	r.Price = m.finishFailed()
-	if m.unsettled {
+	r.Price = m.settleFailed()
+	if m.mayHaveRun {
 		r.Outcome = step.Unknown
 	}
 	return r
@@ -153,10 +153,10 @@
 // reserved if an attempt began to answer, since the engine does not say how
 // far it came. It holds for whole answers too: settled at nothing, the tokens
 // of calls that break off would be spent beyond the plan's budget.
-func (m *modelStep) finishFailed() plan.Micros {
+func (m *modelStep) settleFailed() plan.Micros {
 	cost := Cost{}
-	if m.unsettled && m.begun {
-		cost = m.price.worst(m.work)
+	if m.mayHaveRun && m.responseBegun {
+		cost = m.price.worstCase(m.work)
 	}
 	m.finish(cost)
 	return cost.Money
--- a/internal/dispatch/tool.go
+++ b/internal/dispatch/tool.go
@@ -19,9 +19,9 @@
 
 // attempt is what became of one sending of a call.
 type attempt struct {
-	grant  *scheduler.Grant
-	answer tool.Answer
-	err    error
+	grant    *scheduler.Grant
+	response tool.Answer
+	err      error
 	// mayHaveRun says that this sending, or another copy of it, may have run.
 	mayHaveRun bool
 }
@@ -31,42 +31,42 @@
 func (t *toolStep) Run(ctx context.Context, _ step.Sink) step.Result {
 	mayHaveRun := false
 	for {
-		a := t.send(ctx)
+		a := t.attemptWithHedge(ctx)
 		if a.err == nil {
-			return t.done(a)
+			return t.complete(a)
 		}
 		mayHaveRun = mayHaveRun || a.mayHaveRun
-		if a.mayHaveRun && !t.work.Repeatable || !t.next(ctx) {
+		if a.mayHaveRun && !t.work.Repeatable || !t.acquireNext(ctx) {
 			cost := Cost{}
 			if mayHaveRun {
-				cost = t.price.worst(t.work)
+				cost = t.price.worstCase(t.work)
 			}
 			t.finish(cost)
-			r := t.failure(ctx, mayHaveRun, a.grant.Upstream, a.err)
+			r := t.failedResult(ctx, mayHaveRun, a.grant.Upstream, a.err)
 			r.Price = cost.Money
 			return r
 		}
 	}
 }
 
-func (t *toolStep) done(a attempt) step.Result {
+func (t *toolStep) complete(a attempt) step.Result {
 	t.finish(Cost{Money: t.price.call})
 	return step.Result{
 		Outcome:     step.Done,
 		Upstream:    a.grant.Upstream,
-		Status:      a.answer.Status,
-		ContentType: a.answer.ContentType,
-		Body:        a.answer.Body,
+		Status:      a.response.Status,
+		ContentType: a.response.ContentType,
+		Body:        a.response.Body,
 		Price:       t.price.call,
 	}
 }
 
 // errNoHedge stands for a second copy that got no place.
-var errNoHedge = errors.New("dispatch: no place for a second copy")
+var errHedgeNotPlaced = errors.New("dispatch: no place for a second copy")
 
 // send sends the call to the granted replica and, where the grant allows it
 // and no answer comes, a second copy to another one. The first answer counts.
-func (t *toolStep) send(ctx context.Context) attempt {
+func (t *toolStep) attemptWithHedge(ctx context.Context) attempt {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan attempt, 2)
@@ -87,7 +87,7 @@
 		return first
 	}
 	second := <-results
-	if errors.Is(second.err, errNoHedge) {
+	if errors.Is(second.err, errHedgeNotPlaced) {
 		return first
 	}
 	// The second copy's failure says nothing of the first: told alone, a lost
@@ -101,14 +101,14 @@
 func (t *toolStep) hedge(ctx context.Context, results chan<- attempt) {
 	request := t.request()
 	request.Tried = append(append([]string(nil), t.tried...), t.grant.Upstream)
-	grant, refusal := t.executor.o.Scheduler.Acquire(ctx, request)
+	grant, refusal := t.executor.opt.Scheduler.Acquire(ctx, request)
 	if refusal != nil {
-		results <- attempt{grant: t.grant, err: errNoHedge}
+		results <- attempt{grant: t.grant, err: errHedgeNotPlaced}
 		return
 	}
 	if t.work.MaySend != nil && !t.work.MaySend() {
 		grant.Done(scheduler.Feedback{Cancelled: true})
-		results <- attempt{grant: t.grant, err: errNoHedge}
+		results <- attempt{grant: t.grant, err: errHedgeNotPlaced}
 		return
 	}
 	t.executor.hedges.Inc(1)
@@ -117,21 +117,21 @@
 
 func (t *toolStep) call(ctx context.Context, grant *scheduler.Grant, results chan<- attempt) {
 	grant.MarkSent()
-	begin := time.Now()
-	answer, err := t.executor.o.Tools.Call(ctx, tool.Call{
+	started := time.Now()
+	response, err := t.executor.opt.Tools.Call(ctx, tool.Call{
 		Address:    grant.Address,
 		Request:    t.work.Call.Tool,
 		Key:        t.work.IdempotencyKey,
 		Repeatable: t.work.Repeatable,
 	})
-	took := time.Since(begin)
+	duration := time.Since(started)
 	grant.Done(scheduler.Feedback{
 		Cancelled:  errors.Is(ctx.Err(), context.Canceled),
 		Failure:    failureOf(err),
-		FirstToken: took,
-		Total:      took,
+		FirstToken: duration,
+		Total:      duration,
 	})
-	results <- attempt{grant: grant, answer: answer, err: err, mayHaveRun: mayHaveRun(err)}
+	results <- attempt{grant: grant, response: response, err: err, mayHaveRun: mayHaveRun(err)}
 }
 
 func mayHaveRun(err error) bool {
