--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -11,8 +11,8 @@
 	"foxhall/internal/usage"
 )
 
-// admission is what a step holds from Admit until it has ended: its entry past
-// the gate, its reservation and its present grant.
+// admission holds the resources of a step from Admit until the step ends: its admission by the
+// gate, its reservation and its current grant.
 type admission struct {
 	executor    *Executor
 	work        *owner.Work
@@ -21,11 +21,13 @@
 	leaveGate   func()
 	reservation Reservation
 	grant       *scheduler.Grant
-	tried       []string
-	end         sync.Once
+	// tried are the upstreams of earlier attempts.
+	tried []string
+	// end makes sure that the resources are released once.
+	end sync.Once
 }
 
-// acquire takes a place on an upstream that the step has not tried yet.
+// acquireUpstream acquires a grant for an upstream that the step has not tried yet.
 func (a *admission) acquireUpstream(ctx context.Context) *step.Result {
 	grant, refusal := a.executor.opt.Scheduler.Acquire(ctx, a.request())
 	if refusal != nil {
@@ -73,7 +75,7 @@
 	})
 }
 
-// finish settles what the step cost and gives its entry back.
+// finish settles the step's cost and releases its admission by the gate.
 func (a *admission) finish(cost Cost) {
 	a.end.Do(func() {
 		a.reservation.Settle(cost)
@@ -81,10 +83,10 @@
 	})
 }
 
-// next moves the step to another upstream after a failure that allows it. It
-// reports whether there is one. The owner is asked last, since a place may take
-// long: a process that was paused must not send a step that its successor has
-// run on without.
+// acquireNext moves the step to another upstream after a failed attempt that may be repeated, and
+// reports whether it got one. The owner's MaySend is checked after the grant, which may take long:
+// if the process was paused, a successor may have continued the program, and the step must not be
+// sent any more.
 func (a *admission) acquireNext(ctx context.Context) bool {
 	a.tried = append(a.tried, a.grant.Upstream)
 	if ctx.Err() != nil || a.acquireUpstream(ctx) != nil {
@@ -98,8 +100,8 @@
 	return true
 }
 
-// failure describes a step that got no answer. mayHaveRun decides between
-// "unknown" and "not run"; it covers all attempts.
+// failedResult returns the result of a step that got no response. Its outcome is unknown if any of
+// the attempts may have run (mayHaveRun), else not run.
 func (a *admission) failedResult(ctx context.Context, mayHaveRun bool, upstream string, err error) step.Result {
 	r := step.Result{
 		Outcome:  step.NotRun,
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -26,8 +26,8 @@
 	"foxhall/internal/usage"
 )
 
-// fakes stands for everything outside of the executor but the scheduler, and
-// counts what is taken and given back.
+// fakes implements all dependencies of the executor but the scheduler, and counts what is acquired
+// and released.
 type fakes struct {
 	t     *testing.T
 	plans *plan.List
@@ -97,7 +97,7 @@
 	f.sent = append(f.sent, address)
 }
 
-// testUsage is two engines of one model and two replicas of one service.
+// testUsage returns a usage list with two engines of one model and two replicas of one service.
 func testUsage() []byte {
 	text := []byte("[[model]]\nname = \"m\"\noutput_price_micros = 1000000\n[[service]]\nname = \"s\"\ncall_price_micros = 7\n")
 	for n, role := range []string{"engine\"\nmodels = [\"m\"]", "engine\"\nmodels = [\"m\"]", "service\"\nservice = \"s\"", "service\"\nservice = \"s\""} {
@@ -144,10 +144,9 @@
 	return placed.Run(f.t.Context(), sink)
 }
 
-// A call that may not be repeated meets a failure. It is sent to another
-// replica only where nothing of it left or the service itself refused it; where
-// it may have run it is never sent again and the answer is unknown. Whatever
-// happens, the entry and the reservation are given back.
+// An attempt fails. A call that may not be repeated is sent to another replica only if nothing of
+// it was sent or the service itself refused it; if it may have run, it is never sent again and the
+// outcome is unknown. In every case the gate and the reservation are released.
 func TestRetryOnlyIfStepDidNotRun(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -156,9 +155,9 @@
 		sent       int
 		outcome    step.Outcome
 	}{
-		{"nothing left", tool.ErrNotSent, false, 2, step.Done},
+		{"nothing sent", tool.ErrNotSent, false, 2, step.Done},
 		{"refused by the service", tool.ErrRefused, false, 2, step.Done},
-		{"leaving", tool.ErrLeaving, false, 2, step.Done},
+		{"draining", tool.ErrLeaving, false, 2, step.Done},
 		{"may have run", tool.ErrUnknown, false, 1, step.Unknown},
 		{"may have run, repeatable", tool.ErrUnknown, true, 2, step.Done},
 	} {
@@ -183,10 +182,10 @@
 	}
 }
 
-// A process is paused while an attempt fails, and a successor runs the program
-// on. It woke and sent the old step to the next upstream, out of order, though
-// the owner had its lease looked at once before the first attempt. It asks
-// again before each further one, gives all back, and "not run" stays true.
+// A process is paused while an attempt fails, and a successor continues the program. Guards against
+// the process resuming and sending the old step to the next upstream, out of order, because the
+// lease was checked only before the first attempt. MaySend must be checked before each further
+// attempt; if it refuses, everything is released and the outcome "not run" stays true.
 func TestNoRetryIfOwnerMayNotSend(t *testing.T) {
 	for outcome, w := range map[step.Outcome]*owner.Work{step.NotRun: toolWork(false), step.Unknown: modelWork()} {
 		is := is.New(t)
@@ -203,7 +202,7 @@
 	}
 }
 
-// Every replica refuses: the step was not run, costs nothing, and may be asked again.
+// If every replica refuses, the step was not run, costs nothing, and may be sent again.
 func TestRefusedByAllReplicasIsNotRun(t *testing.T) {
 	is := is.New(t)
 	f, e := newFakes(t)
@@ -214,7 +213,7 @@
 	is.Equal(f.settled, []Cost{{}})
 }
 
-// A refusal behind the gate gives the entry back at once.
+// A step that the budget refuses after the gate admitted it releases the gate at once.
 func TestBudgetRefusalLeavesGate(t *testing.T) {
 	is := is.New(t)
 	f, e := newFakes(t)
@@ -229,8 +228,8 @@
 	return &engine.Response{Message: chat.Message{Role: "assistant", Raw: []byte(text)}, FinishReason: "stop"}
 }
 
-// An engine takes a model call and gives no token. After its patience the call
-// is cancelled there, which frees the slot, and another engine answers.
+// An engine accepts a model call and sends no token. After the progress timeout the call is
+// cancelled there, which frees the slot, and another engine responds.
 func TestUnresponsiveEngineFailsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -256,9 +255,8 @@
 func (*countingSink) Begin(step.Result) error { return nil }
 func (s *countingSink) Chunk([]byte) error    { s.chunks++; return nil }
 
-// An engine breaks off after a part of the answer has gone to the caller.
-// Another engine's answer could contradict that part, so there is no retry and
-// the caller is told that the outcome is unknown.
+// An engine's response is truncated after a part of it was passed to the caller. Another engine's
+// response could contradict that part, so there is no retry and the outcome is unknown.
 func TestNoRetryAfterPartialResponse(t *testing.T) {
 	is := is.New(t)
 	f, e := newFakes(t)
@@ -276,10 +274,9 @@
 	is.Equal(f.admitted, 0)
 }
 
-// A repeatable call hangs, a second copy goes to the other replica. The first
-// answer is lost, then the second replica turns out unreachable. The caller
-// must hear "unknown" and be charged, since the first may have run, and no
-// replica gets the call again.
+// A repeatable call gets no response and is hedged on the other replica. The first response is
+// lost, then the second replica is found unreachable. The outcome must be unknown and charged,
+// since the first attempt may have run, and no replica gets the call again.
 func TestLostResponseIsUnknownIfHedgeWasNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -300,9 +297,9 @@
 	})
 }
 
-// A caller wants its answer whole. One engine breaks off after a chunk, and
-// the others break off too or reject the request. The tokens may be spent, so
-// the step is settled and priced at its worst, as it is for a streaming caller.
+// For a non-streaming request one engine's response is truncated after a chunk, and the other
+// engine's is truncated too or the request is rejected. Tokens may have been spent, so the step is
+// settled at its worst-case cost, as for a streaming caller.
 func TestTruncatedNonStreamingResponseIsCharged(t *testing.T) {
 	for _, then := range []error{engine.ErrUnknown, engine.ErrRejected} {
 		is := is.New(t)
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -1,6 +1,5 @@
-// Package dispatch is the executor of steps: it takes limits, budget and a
-// place for a step, sends it to the chosen upstream, and retries where that is
-// safe. It implements owner.Executor.
+// Package dispatch executes steps: it checks limits, reserves budget, acquires an upstream, sends
+// the step to it, and retries where that is safe. It implements owner.Executor.
 package dispatch
 
 import (
@@ -20,50 +19,52 @@
 	"foxhall/internal/usage"
 )
 
-// Cost is what a step reserves from its plan's budget and settles afterwards.
+// Cost is the amount that a step reserves from its plan's budget or settles afterwards.
 type Cost struct {
 	Money  plan.Micros
 	Tokens int64
 }
 
-// Reservation is a part of a plan's budget that is held for one step.
+// Reservation is a part of a plan's budget that is reserved for one step.
 type Reservation interface {
+	// Settle replaces the reservation by the actual cost.
 	Settle(actual Cost)
+	// Release cancels the reservation.
 	Release()
 }
 
-// Budget reserves from plans' budgets.
+// Budget reserves amounts from the budgets of plans.
 type Budget interface {
 	Reserve(ctx context.Context, p *plan.Plan, cost Cost) (Reservation, *step.Result)
 }
 
-// Gate admits steps within their plan's rate and concurrency. The release is
-// called once, when the step has ended.
+// Gate admits steps within the rate and concurrency limits of their plan. The caller of Enter calls
+// release once, when the step has ended.
 type Gate interface {
 	Enter(ctx context.Context, p *plan.Plan, deadline time.Time) (release func(), refusal *step.Result)
 }
 
-// Lists gives the usage list in force.
+// Lists returns the plan list and the usage list in force.
 type Lists interface {
 	Lists() (*plan.List, *usage.List)
 }
 
-// Scheduler gives steps a place.
+// Scheduler grants steps a slot on an upstream.
 type Scheduler interface {
 	Acquire(ctx context.Context, r scheduler.Request) (*scheduler.Grant, *scheduler.Refusal)
 }
 
-// Engines sends model calls.
+// Engines sends model calls to engines. It passes each chunk of the response to onChunk.
 type Engines interface {
 	Complete(ctx context.Context, addr string, r *engine.Request, onChunk func(engine.Chunk) error) (*engine.Response, error)
 }
 
-// Tools sends calls to services.
+// Tools sends calls to tool services.
 type Tools interface {
 	Call(ctx context.Context, call tool.Call) (tool.Answer, error)
 }
 
-// Options are what an Executor works with.
+// Options are the dependencies of an Executor.
 type Options struct {
 	Lists     Lists
 	Gate      Gate
@@ -94,8 +95,8 @@
 	}
 }
 
-// Admit implements owner.Executor. What it takes is given back in the reverse
-// order if a later part refuses.
+// Admit implements owner.Executor. If a later check refuses the step, the resources acquired so far
+// are released in reverse order.
 func (e *Executor) Admit(ctx context.Context, w *owner.Work) (owner.Placed, *step.Result) {
 	_, lists := e.opt.Lists.Lists()
 	grant := lists.Grant(w.Call.Plan.Name)
@@ -124,7 +125,7 @@
 	return &toolStep{admission: a}, nil
 }
 
-// price checks that the plan may make the call and returns what it costs.
+// price checks that the plan may make the call and returns its price.
 func (e *Executor) price(w *owner.Work, lists *usage.List, grant *usage.Grant) (price, *step.Result) {
 	if grant == nil {
 		return price{}, refuse(http.StatusForbidden, step.CodeForbidden, "the plan may use nothing at present")
@@ -160,25 +161,28 @@
 	return &r
 }
 
-// tokensPerPrice is the number of tokens that a model's price is for.
+// tokensPerPrice is the number of tokens to which the prices of a model refer.
 const tokensPerPrice = 1_000_000
 
-// price is what one step's parts cost.
+// price holds the prices that apply to one step.
 type price struct {
+	// prompt and output are the prices of tokensPerPrice tokens.
 	prompt, output plan.Micros
-	call           plan.Micros
+	// call is the price of a tool call.
+	call plan.Micros
 }
 
+// total returns the price of a step with the given token counts, rounded up.
 func (p price) total(prompt, output int) plan.Micros {
 	tokens := p.prompt*plan.Micros(prompt) + p.output*plan.Micros(output)
 	return p.call + (tokens+tokensPerPrice-1)/tokensPerPrice
 }
 
-// estimateMargin is how much larger than its estimate a prompt may turn out;
-// budgets hold only if no step settles above its reservation.
+// estimateMargin is the factor by which a prompt may exceed its estimated tokens. Budgets are
+// enforced only if no step settles for more than its reservation.
 const estimateMargin = 2
 
-// worst returns the most that the step can cost.
+// worstCase returns the highest possible cost of the step.
 func (p price) worstCase(w *owner.Work) Cost {
 	if w.Call.Model == nil {
 		return Cost{Money: p.call}
@@ -188,7 +192,7 @@
 	return Cost{Money: p.total(prompt, output), Tokens: int64(prompt + output)}
 }
 
-// settled returns the cost of a step that used so many tokens.
+// actual returns the cost of a step with the given token usage.
 func (p price) actual(u chat.Usage) Cost {
 	return Cost{Money: p.total(u.PromptTokens, u.CompletionTokens), Tokens: int64(u.PromptTokens + u.CompletionTokens)}
 }
--- a/internal/dispatch/model.go
+++ b/internal/dispatch/model.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// statusClientClosed is what proxies log for a caller that went away.
+	// statusClientClosedRequest is the status that proxies log if the caller disconnects.
 	statusClientClosedRequest = 499
-	// failureRetry is when a repeatable step that failed is worth another try.
+	// failureRetryAfter is the time after which a caller should retry a failed step.
 	failureRetryAfter = time.Second
 )
 
-// errPatience ends an attempt whose engine gave no token for too long.
+// errProgressTimeout cancels an attempt whose engine sent no token within the progress timeout.
 var errProgressTimeout = errors.New("dispatch: the engine gave no token in time")
 
 // modelStep is an admitted model call. It implements owner.Placed.
 type modelStep struct {
 	*admission
-	// streamed says that a part of the answer has gone to the caller, after
-	// which another engine's answer could only contradict it.
+	// streamed reports whether a part of the response was passed to the caller. Another engine's
+	// response could then only contradict it.
 	streamed bool
-	// begun says that an attempt has given a part of an answer, passed on or not.
+	// responseBegun reports whether an attempt returned a part of a response, passed on or not.
 	responseBegun bool
-	// unsettled says that an attempt may have run.
+	// mayHaveRun reports whether any attempt may have run.
 	mayHaveRun bool
-	// callerGone says that nobody takes the answer any longer.
+	// callerGone reports whether the caller has disconnected.
 	callerGone bool
 }
 
-// Run implements owner.Placed. A model call has no effect outside the engine,
-// so an attempt that failed before the first chunk is made again elsewhere.
+// Run implements owner.Placed. A model call has no effect outside the engine, so an attempt that
+// fails before anything was passed to the caller is repeated on another engine.
 func (m *modelStep) Run(ctx context.Context, sink step.Sink) step.Result {
 	for {
 		upstream := m.grant.Upstream
@@ -60,8 +60,8 @@
 	}
 }
 
-// attempt sends the call to the granted engine. The answer is always streamed
-// from it, also for callers that want it whole: only so a hanging engine shows.
+// attempt sends the call to the granted engine. The engine always streams its response, also for a
+// non-streaming request, since an unresponsive engine can only be detected that way.
 func (m *modelStep) attempt(ctx context.Context, sink step.Sink) (*engine.Response, error) {
 	grant := m.grant
 	attemptCtx, cancel := context.WithCancelCause(ctx)
@@ -95,8 +95,8 @@
 	}
 }
 
-// pass hands one chunk to the caller. The closing usage chunk is foxhall's own
-// wish and goes only to callers that asked for it.
+// forwardChunk passes one chunk to a streaming caller. foxhall itself requests the final usage chunk
+// from engines; it is passed only to callers that asked for it.
 func (m *modelStep) forwardChunk(sink step.Sink, c engine.Chunk) error {
 	if sink == nil || c.UsageOnly && !wantsUsage(m.work.Call.Model) {
 		return nil
@@ -138,7 +138,7 @@
 	}
 }
 
-// rejected answers a request that no engine would take.
+// finishRejected ends a step whose request an engine rejected, as every engine would.
 func (m *modelStep) finishRejected(upstream string, err error) step.Result {
 	r := step.Refuse(http.StatusBadRequest, step.CodeBadRequest, err.Error())
 	r.Upstream = upstream
@@ -149,10 +149,10 @@
 	return r
 }
 
-// finishFailed settles a failed call and returns its price: all that was
-// reserved if an attempt began to answer, since the engine does not say how
-// far it came. It holds for whole answers too: settled at nothing, the tokens
-// of calls that break off would be spent beyond the plan's budget.
+// settleFailed settles a failed call and returns its price. If an attempt began to respond and may
+// have run, the price is the full reservation, since the engine does not report the tokens
+// generated so far. This applies to non-streaming requests too: if they were settled at zero, the
+// tokens of truncated responses would be spent beyond the plan's budget.
 func (m *modelStep) settleFailed() plan.Micros {
 	cost := Cost{}
 	if m.mayHaveRun && m.responseBegun {
--- a/internal/dispatch/tool.go
+++ b/internal/dispatch/tool.go
@@ -17,17 +17,17 @@
 	*admission
 }
 
-// attempt is what became of one sending of a call.
+// attempt is the result of one attempt to run a call.
 type attempt struct {
 	grant    *scheduler.Grant
 	response tool.Answer
 	err      error
-	// mayHaveRun says that this sending, or another copy of it, may have run.
+	// mayHaveRun reports whether this attempt, or the one that it hedges, may have run.
 	mayHaveRun bool
 }
 
-// Run implements owner.Placed. A call that may not be repeated is sent again
-// only where no byte of it left or the service itself said that it did not run it.
+// Run implements owner.Placed. A call that may not be repeated is sent again only if no byte of it
+// was sent or the service itself reported that it did not run the call.
 func (t *toolStep) Run(ctx context.Context, _ step.Sink) step.Result {
 	mayHaveRun := false
 	for {
@@ -61,11 +61,13 @@
 	}
 }
 
-// errNoHedge stands for a second copy that got no place.
-var errHedgeNotPlaced = errors.New("dispatch: no place for a second copy")
+// errHedgeNotPlaced indicates that a hedge was not sent: it got no replica, or the owner may not
+// send the step any more.
+var errHedgeNotPlaced = errors.New("dispatch: no upstream for a hedged attempt, or sending not allowed")
 
-// send sends the call to the granted replica and, where the grant allows it
-// and no answer comes, a second copy to another one. The first answer counts.
+// attemptWithHedge sends the call to the granted replica. If the call may be repeated, the grant
+// allows a hedge and no response arrives within HedgeAfter, it also sends the call to another
+// replica. The first response counts.
 func (t *toolStep) attemptWithHedge(ctx context.Context) attempt {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -90,14 +92,14 @@
 	if errors.Is(second.err, errHedgeNotPlaced) {
 		return first
 	}
-	// The second copy's failure says nothing of the first: told alone, a lost
-	// answer before an unreachable replica would read as "not run".
+	// The failure of the second attempt proves nothing about the first. If the first response was
+	// lost and the second replica is unreachable, the result must not be "not run".
 	second.mayHaveRun = second.mayHaveRun || first.mayHaveRun
 	t.tried = append(t.tried, first.grant.Upstream, second.grant.Upstream)
 	return second
 }
 
-// hedge sends a second copy of the call once it has a place.
+// hedge sends the call to another replica once the scheduler grants one.
 func (t *toolStep) hedge(ctx context.Context, results chan<- attempt) {
 	request := t.request()
 	request.Tried = append(append([]string(nil), t.tried...), t.grant.Upstream)
@@ -138,7 +140,7 @@
 	return err != nil && !errors.Is(err, tool.ErrNotSent) && !errors.Is(err, tool.ErrRefused)
 }
 
-// failureOf gives a service's failure in the terms of the upstream table.
+// failureOf converts a service's failure into one for the upstream table.
 func failureOf(err error) *upstream.Failure {
 	if err == nil {
 		return nil
