--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -29,7 +29,7 @@
 }
 
 // answer writes the result of a step that was not streamed.
-func (s *Server) answer(c echo.Context, r step.Result) error {
+func (s *Server) respond(c echo.Context, r step.Result) error {
 	writeHeaders(c.Response().Header(), r)
 	if r.Code == "" {
 		return c.Blob(statusOf(r), r.ContentType, r.Body)
@@ -93,5 +93,5 @@
 	if he != nil {
 		outcome = step.NotRun
 	}
-	_ = s.answer(c, step.Result{Outcome: outcome, Status: status, Code: step.CodeBadRequest, Message: message})
+	_ = s.respond(c, step.Result{Outcome: outcome, Status: status, Code: step.CodeBadRequest, Message: message})
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -87,22 +87,22 @@
 	return callersServer.URL, strings.TrimPrefix(peersServer.URL, "http://")
 }
 
-func completion(text string) []byte {
+func completionBody(text string) []byte {
 	return fmt.Appendf(nil, `{"id":"x","object":"chat.completion","created":1,"model":"m","choices":[{"index":0,"message":{"role":"assistant","content":%q},"finish_reason":"stop"}],"usage":{"prompt_tokens":1,"completion_tokens":1,"total_tokens":2}}`, text)
 }
 
-func chunk(text string) []byte {
+func chunkBody(text string) []byte {
 	return fmt.Appendf(nil, `{"id":"x","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,"delta":{"content":%q}}]}`, text)
 }
 
-var local = &fakeDirectory{owner: Owner{Local: true}}
+var localDirectory = &fakeDirectory{owner: Owner{Local: true}}
 
 // Each refusal is a documented error that says whether the step ran.
-func TestRefusals(t *testing.T) {
-	ran := fakePrograms{do: func(context.Context, step.Call, step.Sink) step.Result {
-		return step.Result{Outcome: step.Done, Status: 200, ContentType: "application/json", Body: completion("hi")}
+func TestRefusalErrors(t *testing.T) {
+	programs := fakePrograms{do: func(context.Context, step.Call, step.Sink) step.Result {
+		return step.Result{Outcome: step.Done, Status: 200, ContentType: "application/json", Body: completionBody("hi")}
 	}}
-	url, _ := testInstance(t, ran, local)
+	url, _ := testInstance(t, programs, localDirectory)
 	good := `{"model":"m","messages":[{"role":"user","content":"x"}]}`
 	for _, test := range []struct {
 		name, key, body, header, value string
@@ -149,15 +149,15 @@
 	programs := fakePrograms{do: func(_ context.Context, call step.Call, sink step.Sink) step.Result {
 		r := step.Result{Outcome: step.Done, Status: 200, ContentType: "application/json", Upstream: "e1"}
 		if sink == nil {
-			r.Body = completion("hello")
+			r.Body = completionBody("hello")
 			return r
 		}
 		_ = sink.Begin(r)
-		_ = sink.Chunk(chunk("hel"))
-		_ = sink.Chunk(chunk("lo"))
+		_ = sink.Chunk(chunkBody("hel"))
+		_ = sink.Chunk(chunkBody("lo"))
 		return r
 	}}
-	ownerURL, ownerPeer := testInstance(t, programs, local)
+	ownerURL, ownerPeer := testInstance(t, programs, localDirectory)
 	remote := &fakeDirectory{owner: Owner{Instance: "other", Address: ownerPeer}}
 	relayURL, _ := testInstance(t, fakePrograms{}, remote)
 	id := program.NewID(program.NewCohort("dc", "other"))
@@ -166,9 +166,9 @@
 		client := openai.NewClient(option.WithBaseURL(url+"/v1"), option.WithAPIKey(testKey),
 			option.WithHeader(HeaderProgram, string(id)), option.WithMaxRetries(0))
 		params := openai.ChatCompletionNewParams{Model: "m", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hi")}}
-		answer, err := client.Chat.Completions.New(context.Background(), params)
+		response, err := client.Chat.Completions.New(context.Background(), params)
 		is.NoErr(err)
-		is.Equal(answer.Choices[0].Message.Content, "hello")
+		is.Equal(response.Choices[0].Message.Content, "hello")
 		stream := client.Chat.Completions.NewStreaming(context.Background(), params)
 		text := ""
 		for stream.Next() {
@@ -181,17 +181,17 @@
 
 // A caller goes away in the middle of a relayed stream. The owner's context
 // ends, by which the engine's slot is freed.
-func TestCallerGoneCancelsAtTheOwner(t *testing.T) {
+func TestCallerDisconnectCancelsAtOwner(t *testing.T) {
 	is := is.New(t)
 	cancelled := make(chan struct{})
 	programs := fakePrograms{do: func(ctx context.Context, _ step.Call, sink step.Sink) step.Result {
 		_ = sink.Begin(step.Result{})
-		_ = sink.Chunk(chunk("a"))
+		_ = sink.Chunk(chunkBody("a"))
 		<-ctx.Done()
 		close(cancelled)
 		return step.Refuse(499, step.CodeCancelled, "cancelled")
 	}}
-	_, ownerPeer := testInstance(t, programs, local)
+	_, ownerPeer := testInstance(t, programs, localDirectory)
 	relayURL, _ := testInstance(t, fakePrograms{}, &fakeDirectory{owner: Owner{Instance: "other", Address: ownerPeer}})
 	ctx, cancel := context.WithCancel(context.Background())
 	body := `{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`
@@ -211,15 +211,15 @@
 // The owner is frozen: it has the connection and never answers. The relaying
 // instance answers soon after the caller's deadline, truthfully as unknown, and
 // the time left, not the time given at first, went to the owner.
-func TestFrozenOwnerEndsAtTheDeadline(t *testing.T) {
+func TestUnresponsiveOwnerTimesOutAtDeadline(t *testing.T) {
 	is := is.New(t)
-	left := make(chan time.Duration, 1)
-	frozen := fakePrograms{do: func(ctx context.Context, call step.Call, _ step.Sink) step.Result {
-		left <- time.Until(call.Deadline)
+	remaining := make(chan time.Duration, 1)
+	unresponsive := fakePrograms{do: func(ctx context.Context, call step.Call, _ step.Sink) step.Result {
+		remaining <- time.Until(call.Deadline)
 		<-ctx.Done()
 		return step.Refuse(499, step.CodeCancelled, "")
 	}}
-	_, ownerPeer := testInstance(t, frozen, local)
+	_, ownerPeer := testInstance(t, unresponsive, localDirectory)
 	url, _ := testInstance(t, fakePrograms{}, &fakeDirectory{owner: Owner{Instance: "o", Address: ownerPeer}})
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/tools/charge/run", strings.NewReader("{}"))
 	is.NoErr(err)
@@ -231,7 +231,7 @@
 	resp.Body.Close()
 	is.Equal(resp.StatusCode, http.StatusGatewayTimeout)
 	is.Equal(resp.Header.Get(HeaderOutcome), string(step.Unknown))
-	is.True(<-left < 100*time.Millisecond)
+	is.True(<-remaining < 100*time.Millisecond)
 }
 
 // Two instances each take the other for the owner. The call is not passed to
@@ -258,10 +258,10 @@
 
 // The owner can't be reached at all: nothing was sent, and the caller is told
 // so. The owner breaks off after taking the call: the outcome is unknown.
-func TestRelayFailureTellsTheTruth(t *testing.T) {
+func TestRelayFailureOutcome(t *testing.T) {
 	is := is.New(t)
-	broken := fakePrograms{do: func(context.Context, step.Call, step.Sink) step.Result { panic(http.ErrAbortHandler) }}
-	_, ownerPeer := testInstance(t, broken, local)
+	aborting := fakePrograms{do: func(context.Context, step.Call, step.Sink) step.Result { panic(http.ErrAbortHandler) }}
+	_, ownerPeer := testInstance(t, aborting, localDirectory)
 	for _, test := range []struct {
 		address string
 		want    step.Outcome
@@ -279,5 +279,5 @@
 }
 
 func TestRetryAfterRoundsUp(t *testing.T) {
-	is.New(t).Equal(wholeSeconds(1500*time.Millisecond), 2)
+	is.New(t).Equal(ceilSeconds(1500*time.Millisecond), 2)
 }
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -20,7 +20,7 @@
 // handleChat serves POST /v1/chat/completions.
 func (s *Server) handleChat(relayed bool) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		return s.serve(c, relayed, func(call *step.Call, body []byte) error {
+		return s.serveStep(c, relayed, func(call *step.Call, body []byte) error {
 			call.Model = &chat.Request{}
 			return json.Unmarshal(body, call.Model)
 		})
@@ -30,7 +30,7 @@
 // handleTool serves any method on /v1/tools/{service}/{path}.
 func (s *Server) handleTool(relayed bool) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		return s.serve(c, relayed, func(call *step.Call, body []byte) error {
+		return s.serveStep(c, relayed, func(call *step.Call, body []byte) error {
 			path := "/" + c.Param("*")
 			if query := c.Request().URL.RawQuery; query != "" {
 				path += "?" + query
@@ -48,42 +48,42 @@
 }
 
 // serve reads one call, runs it here or relays it to the owner, and answers.
-func (s *Server) serve(c echo.Context, relayed bool, parse func(*step.Call, []byte) error) error {
+func (s *Server) serveStep(c echo.Context, relayed bool, parse func(*step.Call, []byte) error) error {
 	started := time.Now()
-	defer s.steps.UpdateSince(started)
+	defer s.stepTimer.UpdateSince(started)
 	body, refusal := s.readBody(c)
 	if refusal != nil {
-		return s.answer(c, *refusal)
+		return s.respond(c, *refusal)
 	}
 	call, err := parseHeaders(c.Request().Header, started, s.opt.Limits.DefaultDeadline.Std())
 	if err == nil {
 		err = parse(&call, body)
 	}
 	if err != nil {
-		return s.answer(c, step.Refuse(http.StatusBadRequest, step.CodeBadRequest, err.Error()))
+		return s.respond(c, step.Refuse(http.StatusBadRequest, step.CodeBadRequest, err.Error()))
 	}
 	call.Plan = planOf(c)
 	if !call.Deadline.After(started) {
-		return s.answer(c, step.Refuse(http.StatusGatewayTimeout, step.CodeDeadline, "the deadline had passed on arrival"))
+		return s.respond(c, step.Refuse(http.StatusGatewayTimeout, step.CodeDeadline, "the deadline had passed on arrival"))
 	}
-	if routed, err := s.route(c, routeID(call), call.Deadline, body, relayed); routed {
+	if handled, err := s.relayIfRemote(c, routingProgram(call), call.Deadline, body, relayed); handled {
 		return err
 	}
-	return s.run(c, call, body, relayed)
+	return s.runStep(c, call, body, relayed)
 }
 
 // routeID names the program whose owner runs the call: a new sub-agent is born
 // where its parent lives, so that both are counted together.
-func routeID(call step.Call) program.ID {
+func routingProgram(call step.Call) program.ID {
 	if call.Program == "" {
 		return call.Parent
 	}
 	return call.Program
 }
 
-func (s *Server) run(c echo.Context, call step.Call, body []byte, relayed bool) error {
+func (s *Server) runStep(c echo.Context, call step.Call, body []byte, relayed bool) error {
 	ctx := c.Request().Context()
-	stream := newStream(c)
+	stream := newEventStream(c)
 	var sink step.Sink
 	if call.Model != nil && call.Model.Stream {
 		sink = stream
@@ -93,34 +93,34 @@
 	case stream.begun:
 		return stream.finish(result)
 	case result.Code == step.CodeMoved && (result.Outcome == step.NotRun || call.Model != nil):
-		return s.runMoved(c, call, body, relayed, result)
+		return s.relayMoved(c, call, body, relayed, result)
 	case sink != nil:
-		return s.answerStreamed(c, stream, result)
+		return s.respondStreamed(c, stream, result)
 	}
-	return s.answer(c, result)
+	return s.respond(c, result)
 }
 
 // runMoved relays a step that the program's former owner did not run, or a
 // model call whose turn it could not record, to the present owner, so that a
 // hand-over refuses no caller. A turn that was not recorded is part of no
 // history, and a model call has no effect elsewhere.
-func (s *Server) runMoved(c echo.Context, call step.Call, body []byte, relayed bool, moved step.Result) error {
-	if routed, err := s.route(c, routeID(call), call.Deadline, body, relayed); routed {
+func (s *Server) relayMoved(c echo.Context, call step.Call, body []byte, relayed bool, moved step.Result) error {
+	if handled, err := s.relayIfRemote(c, routingProgram(call), call.Deadline, body, relayed); handled {
 		return err
 	}
-	moved.Status, moved.RetryAfter = http.StatusServiceUnavailable, movedRetry
-	return s.answer(c, moved)
+	moved.Status, moved.RetryAfter = http.StatusServiceUnavailable, movedRetryAfter
+	return s.respond(c, moved)
 }
 
 // answerStreamed answers a streaming call whose result came without a stream:
 // a refusal, or a recorded answer, which is sent as a stream of one chunk.
-func (s *Server) answerStreamed(c echo.Context, stream *stream, r step.Result) error {
+func (s *Server) respondStreamed(c echo.Context, stream *eventStream, r step.Result) error {
 	if r.Code != "" || len(r.Body) == 0 {
-		return s.answer(c, r)
+		return s.respond(c, r)
 	}
 	chunk, err := chat.ChunkOf(r.Body)
 	if err != nil {
-		return s.answer(c, r)
+		return s.respond(c, r)
 	}
 	if err := stream.Begin(r); err != nil {
 		return nil
@@ -180,14 +180,14 @@
 	return func(c echo.Context) error {
 		call, err := parseHeaders(c.Request().Header, time.Now(), s.opt.Limits.DefaultDeadline.Std())
 		if err != nil {
-			return s.answer(c, step.Refuse(http.StatusBadRequest, step.CodeBadRequest, err.Error()))
+			return s.respond(c, step.Refuse(http.StatusBadRequest, step.CodeBadRequest, err.Error()))
 		}
-		if routed, err := s.route(c, call.Parent, call.Deadline, nil, relayed); routed {
+		if handled, err := s.relayIfRemote(c, call.Parent, call.Deadline, nil, relayed); handled {
 			return err
 		}
 		r := s.opt.Programs.Open(c.Request().Context(), planOf(c), call.Parent)
 		if r.Code != "" {
-			return s.answer(c, r)
+			return s.respond(c, r)
 		}
 		writeHeaders(c.Response().Header(), r)
 		return c.JSON(statusOf(r), map[string]string{"program": string(r.Program)})
@@ -199,15 +199,15 @@
 	return func(c echo.Context) error {
 		id, err := program.ParseID(c.Param("id"))
 		if err != nil {
-			return s.answer(c, step.Refuse(http.StatusBadRequest, step.CodeBadRequest, err.Error()))
+			return s.respond(c, step.Refuse(http.StatusBadRequest, step.CodeBadRequest, err.Error()))
 		}
 		deadline := time.Now().Add(s.opt.Limits.DefaultDeadline.Std())
-		if routed, err := s.route(c, id, deadline, nil, relayed); routed {
+		if handled, err := s.relayIfRemote(c, id, deadline, nil, relayed); handled {
 			return err
 		}
 		r := s.opt.Programs.End(c.Request().Context(), planOf(c), id)
 		if r.Code != "" {
-			return s.answer(c, r)
+			return s.respond(c, r)
 		}
 		writeHeaders(c.Response().Header(), r)
 		return c.NoContent(http.StatusNoContent)
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -33,14 +33,14 @@
 const NewProgram = "new"
 
 // maxKeyLength bounds an idempotency key, in bytes.
-const maxKeyLength = 200
+const maxKeyBytes = 200
 
 // parseHeaders fills the parts of a call that stand in headers. A call that
 // names no program is a program of one step.
 func parseHeaders(h http.Header, now time.Time, defaultDeadline time.Duration) (step.Call, error) {
 	call := step.Call{IdempotencyKey: h.Get(HeaderIdempotencyKey), After: h.Get(HeaderAfter)}
-	if len(call.IdempotencyKey) > maxKeyLength {
-		return call, errors.Errorf("%s: expected at most %d bytes", HeaderIdempotencyKey, maxKeyLength)
+	if len(call.IdempotencyKey) > maxKeyBytes {
+		return call, errors.Errorf("%s: expected at most %d bytes", HeaderIdempotencyKey, maxKeyBytes)
 	}
 	var err error
 	if call.Program, call.EndsProgram, err = parseProgram(h); err != nil {
@@ -87,10 +87,10 @@
 }
 
 // parseDeadline reads how long the caller will wait, as a duration such as "30s".
-func parseDeadline(h http.Header, now time.Time, byDefault time.Duration) (time.Time, error) {
+func parseDeadline(h http.Header, now time.Time, defaultDeadline time.Duration) (time.Time, error) {
 	text := h.Get(HeaderDeadline)
 	if text == "" {
-		return now.Add(byDefault), nil
+		return now.Add(defaultDeadline), nil
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -101,14 +101,14 @@
 
 // writeHeaders tells the caller what became of its step.
 func writeHeaders(h http.Header, r step.Result) {
-	setIf(h, HeaderProgram, string(r.Program))
+	setNonEmpty(h, HeaderProgram, string(r.Program))
 	if r.Number > 0 {
 		h.Set(HeaderStep, strconv.Itoa(r.Number))
 	}
-	setIf(h, HeaderOutcome, string(r.Outcome))
-	setIf(h, HeaderUpstream, r.Upstream)
-	setIf(h, HeaderTurn, r.Turn)
-	setIf(h, HeaderCode, string(r.Code))
+	setNonEmpty(h, HeaderOutcome, string(r.Outcome))
+	setNonEmpty(h, HeaderUpstream, r.Upstream)
+	setNonEmpty(h, HeaderTurn, r.Turn)
+	setNonEmpty(h, HeaderCode, string(r.Code))
 	if r.Replayed {
 		h.Set(HeaderReplayed, "true")
 	}
@@ -116,17 +116,17 @@
 		h.Set(HeaderMissingStep, strconv.Itoa(r.MissingStep))
 	}
 	if r.RetryAfter > 0 {
-		h.Set(HeaderRetryAfter, strconv.Itoa(wholeSeconds(r.RetryAfter)))
+		h.Set(HeaderRetryAfter, strconv.Itoa(ceilSeconds(r.RetryAfter)))
 	}
 }
 
-func setIf(h http.Header, name, value string) {
+func setNonEmpty(h http.Header, name, value string) {
 	if value != "" {
 		h.Set(name, value)
 	}
 }
 
 // wholeSeconds rounds up, since Retry-After has no fractions (RFC 9110, 10.2.3).
-func wholeSeconds(d time.Duration) int {
+func ceilSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -32,14 +32,14 @@
 const relayDialTimeout = 2 * time.Second
 
 // relayBuffer is the size of the copies from owner to caller, in bytes.
-const relayBuffer = 16 << 10
+const relayBufferSize = 16 << 10
 
 // relayMargin is how much longer than its deadline a relayed call is waited
 // for, so that the owner's own answer about the deadline comes first.
 const relayMargin = time.Second
 
 // movedRetry is when a caller should come back while a program changes owner.
-const movedRetry = time.Second
+const movedRetryAfter = time.Second
 
 func newRelayClient(dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Client {
 	if dial == nil {
@@ -58,15 +58,15 @@
 
 // route relays the call if another instance owns the program. It reports
 // whether the caller has been answered.
-func (s *Server) route(c echo.Context, id program.ID, deadline time.Time, body []byte, relayed bool) (bool, error) {
+func (s *Server) relayIfRemote(c echo.Context, id program.ID, deadline time.Time, body []byte, relayed bool) (bool, error) {
 	if id == "" {
 		return false, nil
 	}
 	owner, err := s.opt.Directory.Locate(c.Request().Context(), id)
 	if err != nil {
 		r := step.Refuse(http.StatusServiceUnavailable, step.CodeOwnerUnreachable, "the owner of the program is not known at present")
-		r.Program, r.RetryAfter = id, movedRetry
-		return true, s.answer(c, r)
+		r.Program, r.RetryAfter = id, movedRetryAfter
+		return true, s.respond(c, r)
 	}
 	if owner.Local {
 		return false, nil
@@ -75,14 +75,14 @@
 	log.WithFields(log.Fields{"program": id, "owner": owner.Instance, "address": owner.Address, "hops": hops}).Info("step routed to the owner")
 	if relayed && hops >= maxHops || owner.Address == "" {
 		r := step.Refuse(http.StatusServiceUnavailable, step.CodeMoved, "the program is changing its owner")
-		r.Program, r.Owner, r.RetryAfter = id, owner.Instance, movedRetry
-		return true, s.answer(c, r)
+		r.Program, r.Owner, r.RetryAfter = id, owner.Instance, movedRetryAfter
+		return true, s.respond(c, r)
 	}
-	return true, s.forward(c, relay{id: id, owner: owner, deadline: deadline, body: body, hops: hops + 1})
+	return true, s.relayCall(c, relayedCall{id: id, owner: owner, deadline: deadline, body: body, hops: hops + 1})
 }
 
 // relay is one call on its way to the owner.
-type relay struct {
+type relayedCall struct {
 	id    program.ID
 	owner Owner
 	// deadline is when the caller gives up.
@@ -95,45 +95,45 @@
 // The request's context ends when the caller goes, which cancels the call
 // at the owner too. It ends soon after the deadline as well: an owner that is
 // frozen keeps its connections, and callers would wait for it for ever.
-func (s *Server) forward(c echo.Context, r relay) error {
+func (s *Server) relayCall(c echo.Context, r relayedCall) error {
 	s.relayed.Inc(1)
 	ctx, cancel := context.WithDeadline(c.Request().Context(), r.deadline.Add(relayMargin))
 	defer cancel()
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	out, err := s.ownerRequest(httptrace.WithClientTrace(ctx, trace), c.Request(), r)
+	outgoing, err := s.ownerRequest(httptrace.WithClientTrace(ctx, trace), c.Request(), r)
 	if err != nil {
-		return s.answer(c, step.Refuse(http.StatusBadRequest, step.CodeBadRequest, "the path can't be relayed"))
+		return s.respond(c, step.Refuse(http.StatusBadRequest, step.CodeBadRequest, "the path can't be relayed"))
 	}
-	resp, err := s.relay.Do(out)
+	resp, err := s.relayClient.Do(outgoing)
 	if err != nil {
-		return s.answer(c, relayFailure(ctx, r.id, connected.Load()))
+		return s.respond(c, relayFailure(ctx, r.id, connected.Load()))
 	}
 	defer resp.Body.Close()
-	return copyAnswer(c, resp)
+	return copyResponse(c, resp)
 }
 
 // ownerRequest returns the request that carries a call to its owner. The time
 // that the caller still waits goes on with it, not the time it gave at first:
 // that would begin anew at each hop.
-func (s *Server) ownerRequest(ctx context.Context, in *http.Request, r relay) (*http.Request, error) {
-	target := "http://" + r.owner.Address + in.URL.RequestURI()
-	if !strings.HasPrefix(in.URL.Path, RelayPrefix+"/") {
-		target = "http://" + r.owner.Address + RelayPrefix + in.URL.RequestURI()
+func (s *Server) ownerRequest(ctx context.Context, incoming *http.Request, r relayedCall) (*http.Request, error) {
+	target := "http://" + r.owner.Address + incoming.URL.RequestURI()
+	if !strings.HasPrefix(incoming.URL.Path, RelayPrefix+"/") {
+		target = "http://" + r.owner.Address + RelayPrefix + incoming.URL.RequestURI()
 	}
-	out, err := http.NewRequestWithContext(ctx, in.Method, target, bytes.NewReader(r.body))
+	outgoing, err := http.NewRequestWithContext(ctx, incoming.Method, target, bytes.NewReader(r.body))
 	if err != nil {
 		return nil, err
 	}
 	// Without GetBody net/http does not resend a call's body when a reused
 	// connection breaks. A call without a body it may resend; the owner tells
 	// it from a new one by its number or key.
-	out.GetBody = nil
-	copyHeaders(out.Header, in.Header)
-	out.Header.Set(peer.HeaderSecret, s.opt.PeerSecret)
-	out.Header.Set(HeaderHops, strconv.Itoa(r.hops))
-	out.Header.Set(HeaderDeadline, time.Until(r.deadline).String())
-	return out, nil
+	outgoing.GetBody = nil
+	copyHeaders(outgoing.Header, incoming.Header)
+	outgoing.Header.Set(peer.HeaderSecret, s.opt.PeerSecret)
+	outgoing.Header.Set(HeaderHops, strconv.Itoa(r.hops))
+	outgoing.Header.Set(HeaderDeadline, time.Until(r.deadline).String())
+	return outgoing, nil
 }
 
 // relayFailure tells a caller truthfully what a broken relay means: before a
@@ -147,25 +147,25 @@
 		r.Outcome = step.Unknown
 		r.Message = "the owner of the program broke off; ask again with the same step number to learn the outcome"
 	}
-	r.Program, r.RetryAfter = id, movedRetry
+	r.Program, r.RetryAfter = id, movedRetryAfter
 	return r
 }
 
 // hopByHop are the headers that belong to one connection (RFC 9110, 7.6.1).
-var hopByHop = map[string]bool{
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Te": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Proxy-Authorization": true, "Proxy-Authenticate": true, "Content-Length": true, "Trailer": true,
 }
 
 func copyHeaders(to, from http.Header) {
 	for name, values := range from {
-		if !hopByHop[name] {
+		if !hopByHopHeaders[name] {
 			to[name] = values
 		}
 	}
 }
 
-func copyAnswer(c echo.Context, resp *http.Response) error {
+func copyResponse(c echo.Context, resp *http.Response) error {
 	out := c.Response()
 	copyHeaders(out.Header(), resp.Header)
 	for name := range resp.Trailer {
@@ -173,11 +173,11 @@
 	}
 	out.WriteHeader(resp.StatusCode)
 	control := http.NewResponseController(out)
-	buffer := make([]byte, relayBuffer)
+	buffer := make([]byte, relayBufferSize)
 	for {
 		n, err := resp.Body.Read(buffer)
 		if n > 0 {
-			if _, werr := out.Write(buffer[:n]); werr != nil {
+			if _, writeErr := out.Write(buffer[:n]); writeErr != nil {
 				return nil
 			}
 			_ = control.Flush()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -65,28 +65,28 @@
 
 // Server serves callers and, on the peers' listener, relayed calls.
 type Server struct {
-	opt      Options
-	requests *semaphore.Weighted
-	relay    *http.Client
-	refused  metrics.Counter
-	relayed  metrics.Counter
-	steps    metrics.Timer
+	opt         Options
+	requests    *semaphore.Weighted
+	relayClient *http.Client
+	refused     metrics.Counter
+	relayed     metrics.Counter
+	stepTimer   metrics.Timer
 }
 
 // New returns a server; nothing is listening yet.
 func New(opt Options) *Server {
 	return &Server{
-		opt:      opt,
-		requests: semaphore.NewWeighted(int64(opt.Limits.MaxRequests)),
-		relay:    newRelayClient(opt.Dial),
-		refused:  metrics.GetOrRegisterCounter("entry.refused", opt.Metrics),
-		relayed:  metrics.GetOrRegisterCounter("entry.relayed", opt.Metrics),
-		steps:    metrics.GetOrRegisterTimer("entry.steps", opt.Metrics),
+		opt:         opt,
+		requests:    semaphore.NewWeighted(int64(opt.Limits.MaxRequests)),
+		relayClient: newRelayClient(opt.Dial),
+		refused:     metrics.GetOrRegisterCounter("entry.refused", opt.Metrics),
+		relayed:     metrics.GetOrRegisterCounter("entry.relayed", opt.Metrics),
+		stepTimer:   metrics.GetOrRegisterTimer("entry.steps", opt.Metrics),
 	}
 }
 
 // Close closes the idle connections to owners.
-func (s *Server) Close() { s.relay.CloseIdleConnections() }
+func (s *Server) Close() { s.relayClient.CloseIdleConnections() }
 
 // Callers returns the handler of the callers' listener. Operators' endpoints
 // are added to the returned group.
@@ -96,7 +96,7 @@
 	e.GET("/healthz", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	e.GET("/readyz", s.handleReady)
 	e.GET("/metrics", s.handleMetrics)
-	s.routes(e.Group("/v1", s.authenticate, s.bound), false)
+	s.addRoutes(e.Group("/v1", s.authenticate, s.limitRequests), false)
 	return e, e.Group("/operator/v1", s.authenticateOperator)
 }
 
@@ -105,10 +105,10 @@
 
 // RegisterRelay adds the routes of relayed calls to the peers' listener.
 func (s *Server) RegisterRelay(e *echo.Echo) {
-	s.routes(e.Group(RelayPrefix+"/v1", s.authenticatePeer, s.authenticate), true)
+	s.addRoutes(e.Group(RelayPrefix+"/v1", s.authenticatePeer, s.authenticate), true)
 }
 
-func (s *Server) routes(g *echo.Group, relayed bool) {
+func (s *Server) addRoutes(g *echo.Group, relayed bool) {
 	g.POST("/chat/completions", s.handleChat(relayed))
 	g.GET("/models", s.handleModels)
 	g.Any("/tools/:service/*", s.handleTool(relayed))
@@ -117,12 +117,12 @@
 }
 
 // bound refuses requests over the limit on those under way at once.
-func (s *Server) bound(next echo.HandlerFunc) echo.HandlerFunc {
+func (s *Server) limitRequests(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if !s.requests.TryAcquire(1) {
 			r := step.Refuse(http.StatusServiceUnavailable, step.CodeOverloaded, "too many requests under way on this instance")
 			r.RetryAfter = time.Second
-			return s.answer(c, r)
+			return s.respond(c, r)
 		}
 		defer s.requests.Release(1)
 		return next(c)
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -17,16 +17,16 @@
 )
 
 // stream sends an answer to a caller as server-sent events. It implements step.Sink.
-type stream struct {
+type eventStream struct {
 	c     echo.Context
 	begun bool
 	frame []byte
 }
 
-func newStream(c echo.Context) *stream { return &stream{c: c} }
+func newEventStream(c echo.Context) *eventStream { return &eventStream{c: c} }
 
 // Begin implements step.Sink.
-func (s *stream) Begin(r step.Result) error {
+func (s *eventStream) Begin(r step.Result) error {
 	h := s.c.Response().Header()
 	r.Outcome = ""
 	writeHeaders(h, r)
@@ -40,14 +40,14 @@
 }
 
 // Chunk implements step.Sink.
-func (s *stream) Chunk(data []byte) error {
+func (s *eventStream) Chunk(data []byte) error {
 	s.frame = append(s.frame[:0], ssePrefix...)
 	s.frame = append(s.frame, data...)
 	s.frame = append(s.frame, sseSuffix...)
 	return s.write(s.frame)
 }
 
-func (s *stream) write(frame []byte) error {
+func (s *eventStream) write(frame []byte) error {
 	if _, err := s.c.Response().Write(frame); err != nil {
 		return err
 	}
@@ -56,9 +56,9 @@
 
 // finish ends the stream: with the done mark, or with an error object and
 // without the mark, so that a broken answer is never taken for a whole one.
-func (s *stream) finish(r step.Result) error {
+func (s *eventStream) finish(r step.Result) error {
 	s.c.Response().Header().Set(HeaderOutcome, string(r.Outcome))
-	setIf(s.c.Response().Header(), HeaderTurn, r.Turn)
+	setNonEmpty(s.c.Response().Header(), HeaderTurn, r.Turn)
 	if r.Code == "" {
 		_ = s.write(sseDone)
 		return nil
