--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -9,12 +9,13 @@
 	"foxhall/internal/step"
 )
 
-// ErrorBody is the API's error object, with what foxhall knows of the step.
+// ErrorBody is the body of an error response: the OpenAI API's error object with fields about the
+// step added.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail is the inner part of the error object.
+// ErrorDetail is the content of the error object.
 type ErrorDetail struct {
 	Message string       `json:"message"`
 	Type    string       `json:"type"`
@@ -22,13 +23,13 @@
 	Outcome step.Outcome `json:"outcome"`
 	Program string       `json:"program,omitempty"`
 	Step    int          `json:"step,omitempty"`
-	// RetryAfter is in seconds; absent where asking again is of no use.
+	// RetryAfter is in seconds; absent if a retry is of no use.
 	RetryAfter float64 `json:"retry_after,omitempty"`
-	// MissingStep is the number that an out-of-order step waited for.
+	// MissingStep is the number of the earlier step for which an out-of-order step waited.
 	MissingStep int `json:"missing_step,omitempty"`
 }
 
-// answer writes the result of a step that was not streamed.
+// respond writes the result of a step that was not streamed.
 func (s *Server) respond(c echo.Context, r step.Result) error {
 	writeHeaders(c.Response().Header(), r)
 	if r.Code == "" {
@@ -61,7 +62,7 @@
 	}}
 }
 
-// errorType gives the class of an error as the OpenAI API names it.
+// errorType returns the OpenAI API's error type for an HTTP status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
@@ -75,7 +76,7 @@
 	}
 }
 
-// handleEchoError turns an error of the router, such as an unknown path, into the error object.
+// handleEchoError responds with the error object to an error of the router, such as an unknown path.
 func (s *Server) handleEchoError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -87,8 +88,8 @@
 		status = he.Code
 		message = http.StatusText(he.Code)
 	}
-	// A router error means that no handler was entered, so nothing ran; any
-	// other may come after a step was begun.
+	// After a router error no handler was called, so nothing ran. Any other error may have occurred
+	// after a step was started.
 	outcome := step.Unknown
 	if he != nil {
 		outcome = step.NotRun
--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -15,9 +15,11 @@
 	"foxhall/internal/step"
 )
 
+// planContextKey is the key of the caller's plan in the echo.Context.
 const planContextKey = "plan"
 
-// authenticate finds the caller's plan by its bearer key.
+// authenticate is a middleware that looks up the caller's plan by its bearer key and refuses
+// unknown keys.
 func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		plans, _ := s.opt.Config.Lists()
@@ -37,6 +39,7 @@
 
 func planOf(c echo.Context) *plan.Plan { return c.Get(planContextKey).(*plan.Plan) }
 
+// authenticateOperator is a middleware that refuses requests without the operators' bearer key.
 func (s *Server) authenticateOperator(next echo.HandlerFunc) echo.HandlerFunc {
 	wantHash, err := hex.DecodeString(s.opt.Operators.KeyHash)
 	return func(c echo.Context) error {
@@ -48,6 +51,7 @@
 	}
 }
 
+// authenticatePeer is a middleware that refuses requests without the peers' secret.
 func (s *Server) authenticatePeer(next echo.HandlerFunc) echo.HandlerFunc {
 	wantHash := sha256.Sum256([]byte(s.opt.PeerSecret))
 	return func(c echo.Context) error {
@@ -59,6 +63,7 @@
 	}
 }
 
+// bearerKey returns the key in the Authorization header.
 func bearerKey(r *http.Request) string {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return key
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -69,7 +69,7 @@
 	return fakeConfig{plans: plans, usage: lists}
 }
 
-// testInstance serves an entry over loopback and returns its callers' URL and peer address.
+// testInstance starts an entry on loopback and returns the URL for callers and its peer address.
 func testInstance(t *testing.T, programs Programs, directory Directory) (string, string) {
 	t.Helper()
 	limits := settings.Default().Callers
@@ -97,7 +97,8 @@
 
 var localDirectory = &fakeDirectory{owner: Owner{Local: true}}
 
-// Each refusal is a documented error that says whether the step ran.
+// Each refusal has an error code of the API and the outcome "not run"; a call that ran has the
+// outcome "done".
 func TestRefusalErrors(t *testing.T) {
 	programs := fakePrograms{do: func(context.Context, step.Call, step.Sink) step.Result {
 		return step.Result{Outcome: step.Done, Status: 200, ContentType: "application/json", Body: completionBody("hi")}
@@ -143,8 +144,8 @@
 	}
 }
 
-// A stock client of the API works unchanged, plain and streaming, through the
-// instance that owns the program and through one that relays to it.
+// An unmodified OpenAI client works, streaming or not, through the instance that owns the program
+// and through one that relays to it.
 func TestStockClientThroughOwnerAndRelay(t *testing.T) {
 	programs := fakePrograms{do: func(_ context.Context, call step.Call, sink step.Sink) step.Result {
 		r := step.Result{Outcome: step.Done, Status: 200, ContentType: "application/json", Upstream: "e1"}
@@ -179,8 +180,8 @@
 	}
 }
 
-// A caller goes away in the middle of a relayed stream. The owner's context
-// ends, by which the engine's slot is freed.
+// A caller disconnects during a relayed stream. The call's context at the owner must end, which
+// frees the engine's slot.
 func TestCallerDisconnectCancelsAtOwner(t *testing.T) {
 	is := is.New(t)
 	cancelled := make(chan struct{})
@@ -208,9 +209,9 @@
 	resp.Body.Close()
 }
 
-// The owner is frozen: it has the connection and never answers. The relaying
-// instance answers soon after the caller's deadline, truthfully as unknown, and
-// the time left, not the time given at first, went to the owner.
+// The owner accepts the connection and never responds. The relaying instance must respond soon after
+// the caller's deadline with the outcome "unknown", and must send the owner the remaining time, not
+// the original deadline.
 func TestUnresponsiveOwnerTimesOutAtDeadline(t *testing.T) {
 	is := is.New(t)
 	remaining := make(chan time.Duration, 1)
@@ -234,9 +235,8 @@
 	is.True(<-remaining < 100*time.Millisecond)
 }
 
-// Two instances each take the other for the owner. The call is not passed to
-// and fro: after the hop bound the caller is told that the program is moving,
-// that nothing ran, and when to come back.
+// Two instances each take the other for the owner. After maxHops the call is refused: the program is
+// moving, the step was not run, and the caller gets a retry time.
 func TestRelayLoopIsBounded(t *testing.T) {
 	is := is.New(t)
 	first, second := &fakeDirectory{}, &fakeDirectory{}
@@ -256,8 +256,8 @@
 	is.Equal(resp.Header.Get(HeaderRetryAfter), "1")
 }
 
-// The owner can't be reached at all: nothing was sent, and the caller is told
-// so. The owner breaks off after taking the call: the outcome is unknown.
+// If the owner can't be reached, nothing was sent and the outcome is "not run". If the connection
+// breaks after the owner received the call, the outcome is "unknown".
 func TestRelayFailureOutcome(t *testing.T) {
 	is := is.New(t)
 	aborting := fakePrograms{do: func(context.Context, step.Call, step.Sink) step.Result { panic(http.ErrAbortHandler) }}
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// serve reads one call, runs it here or relays it to the owner, and answers.
+// serveStep reads one call, runs it here or relays it to the owner, and responds.
 func (s *Server) serveStep(c echo.Context, relayed bool, parse func(*step.Call, []byte) error) error {
 	started := time.Now()
 	defer s.stepTimer.UpdateSince(started)
@@ -72,8 +72,8 @@
 	return s.runStep(c, call, body, relayed)
 }
 
-// routeID names the program whose owner runs the call: a new sub-agent is born
-// where its parent lives, so that both are counted together.
+// routingProgram returns the program whose owner runs the call. A new sub-agent is created on its
+// parent's owner, so that both are counted together.
 func routingProgram(call step.Call) program.ID {
 	if call.Program == "" {
 		return call.Parent
@@ -81,6 +81,8 @@
 	return call.Program
 }
 
+// runStep runs a call on this instance and responds. If the program has moved meanwhile, it relays
+// the call to the new owner where that is safe.
 func (s *Server) runStep(c echo.Context, call step.Call, body []byte, relayed bool) error {
 	ctx := c.Request().Context()
 	stream := newEventStream(c)
@@ -100,10 +102,9 @@
 	return s.respond(c, result)
 }
 
-// runMoved relays a step that the program's former owner did not run, or a
-// model call whose turn it could not record, to the present owner, so that a
-// hand-over refuses no caller. A turn that was not recorded is part of no
-// history, and a model call has no effect elsewhere.
+// relayMoved relays a step to the program's new owner, so that no caller is refused because of a
+// handoff. The step was not run here, or is a model call whose turn could not be recorded here. Such
+// a turn is not part of the history, and a model call has no other effect.
 func (s *Server) relayMoved(c echo.Context, call step.Call, body []byte, relayed bool, moved step.Result) error {
 	if handled, err := s.relayIfRemote(c, routingProgram(call), call.Deadline, body, relayed); handled {
 		return err
@@ -112,8 +113,8 @@
 	return s.respond(c, moved)
 }
 
-// answerStreamed answers a streaming call whose result came without a stream:
-// a refusal, or a recorded answer, which is sent as a stream of one chunk.
+// respondStreamed responds to a streaming call whose result was not streamed: a refusal, or a
+// recorded response, which is sent as a stream of one chunk.
 func (s *Server) respondStreamed(c echo.Context, stream *eventStream, r step.Result) error {
 	if r.Code != "" || len(r.Body) == 0 {
 		return s.respond(c, r)
@@ -131,12 +132,11 @@
 	return stream.finish(r)
 }
 
-// readBody reads the whole body within the limits of size and time.
+// readBody reads the complete body within the limits of size and time.
 func (s *Server) readBody(c echo.Context) ([]byte, *step.Result) {
 	control := http.NewResponseController(c.Response())
-	// The read deadline covers the body alone. Left in place it would end the
-	// background read by which net/http notices a caller that goes away, and
-	// so cancel a long answer for no reason.
+	// The read deadline is reset after the body. Otherwise it would end the background read by
+	// which net/http detects that a caller disconnects, and so cancel long-running calls.
 	_ = control.SetReadDeadline(time.Now().Add(s.opt.Limits.ReadTimeout.Std()))
 	limited := http.MaxBytesReader(c.Response(), c.Request().Body, s.opt.Limits.MaxBodyBytes)
 	body, err := io.ReadAll(limited)
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -11,7 +11,7 @@
 	"foxhall/internal/step"
 )
 
-// The headers that callers send and receive.
+// Headers that callers send and receive.
 const (
 	HeaderProgram        = "Foxhall-Program"
 	HeaderParent         = "Foxhall-Parent"
@@ -29,14 +29,15 @@
 	HeaderRetryAfter     = "Retry-After"
 )
 
-// NewProgram in HeaderProgram starts a program that lasts beyond its first step.
+// NewProgram is the value of HeaderProgram that starts a program which stays open after its first
+// step.
 const NewProgram = "new"
 
-// maxKeyLength bounds an idempotency key, in bytes.
+// maxKeyBytes is the maximum length of an idempotency key.
 const maxKeyBytes = 200
 
-// parseHeaders fills the parts of a call that stand in headers. A call that
-// names no program is a program of one step.
+// parseHeaders returns a call with the fields that are sent in headers. A call that names no
+// program is a program of one step.
 func parseHeaders(h http.Header, now time.Time, defaultDeadline time.Duration) (step.Call, error) {
 	call := step.Call{IdempotencyKey: h.Get(HeaderIdempotencyKey), After: h.Get(HeaderAfter)}
 	if len(call.IdempotencyKey) > maxKeyBytes {
@@ -58,6 +59,8 @@
 	return call, err
 }
 
+// parseProgram returns the program's ID, empty for a new program, and whether the step ends the
+// program.
 func parseProgram(h http.Header) (program.ID, bool, error) {
 	ends := h.Get(HeaderEnd) == "true"
 	text := h.Get(HeaderProgram)
@@ -74,6 +77,7 @@
 	return id, ends, nil
 }
 
+// parseNumber returns the step number, or 0 if the caller sends none.
 func parseNumber(h http.Header) (int, error) {
 	text := h.Get(HeaderStep)
 	if text == "" {
@@ -86,7 +90,8 @@
 	return n, nil
 }
 
-// parseDeadline reads how long the caller will wait, as a duration such as "30s".
+// parseDeadline returns the time until which the caller waits. The header holds a duration such as
+// "30s".
 func parseDeadline(h http.Header, now time.Time, defaultDeadline time.Duration) (time.Time, error) {
 	text := h.Get(HeaderDeadline)
 	if text == "" {
@@ -99,7 +104,7 @@
 	return now.Add(d), nil
 }
 
-// writeHeaders tells the caller what became of its step.
+// writeHeaders sets the headers that describe a step's result.
 func writeHeaders(h http.Header, r step.Result) {
 	setNonEmpty(h, HeaderProgram, string(r.Program))
 	if r.Number > 0 {
@@ -126,7 +131,8 @@
 	}
 }
 
-// wholeSeconds rounds up, since Retry-After has no fractions (RFC 9110, 10.2.3).
+// ceilSeconds returns d in seconds, rounded up, since Retry-After has no fractions (RFC 9110,
+// 10.2.3).
 func ceilSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -9,10 +9,10 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// quantiles are those reported of each timer and histogram.
+// quantiles are the quantiles that are reported for each timer and histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// writeMetrics writes the registry in the Prometheus text format, one family a metric.
+// writeMetrics writes the registry in the Prometheus text format, one metric family for each metric.
 func writeMetrics(w io.Writer, registry metrics.Registry) {
 	all := map[string]any{}
 	registry.Each(func(name string, metric any) { all[name] = metric })
@@ -45,6 +45,7 @@
 	}
 }
 
+// writeSummary writes the quantiles' values, multiplied by scale, and the count.
 func writeSummary(w io.Writer, name string, values []float64, scale float64, count int64) {
 	fmt.Fprintf(w, "# TYPE %s summary\n", name)
 	for i, q := range quantiles {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -23,24 +23,26 @@
 // HeaderHops counts how often a call has been relayed.
 const HeaderHops = "Foxhall-Hops"
 
-// maxHops bounds relaying: one hop reaches the owner, a second one an owner
-// that has just changed. A call that would need more is told to come back, so
-// two instances that each take the other for the owner can't loop.
+// maxHops limits how often a call is relayed: one hop reaches the owner, a second one the new owner
+// if the program has just moved. A call that would need more is refused with a retry time, so that
+// it can't loop between two instances that each take the other for the owner.
 const maxHops = 2
 
-// relayDialTimeout bounds how long an unreachable owner is waited for.
+// relayDialTimeout is the timeout for connecting to an owner.
 const relayDialTimeout = 2 * time.Second
 
-// relayBuffer is the size of the copies from owner to caller, in bytes.
+// relayBufferSize is the size, in bytes, of the buffer for copying a response to the caller.
 const relayBufferSize = 16 << 10
 
-// relayMargin is how much longer than its deadline a relayed call is waited
-// for, so that the owner's own answer about the deadline comes first.
+// relayMargin is the time that a relayed call is waited for beyond its deadline, so that the owner's
+// own response to the passed deadline arrives first.
 const relayMargin = time.Second
 
-// movedRetry is when a caller should come back while a program changes owner.
+// movedRetryAfter is the time after which a caller should retry while a program changes its owner.
 const movedRetryAfter = time.Second
 
+// newRelayClient returns the HTTP client for relayed calls. It does not follow redirects. If dial is
+// nil, it connects by TCP.
 func newRelayClient(dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: relayDialTimeout}).DialContext
@@ -56,8 +58,8 @@
 	}
 }
 
-// route relays the call if another instance owns the program. It reports
-// whether the caller has been answered.
+// relayIfRemote relays the call if another instance owns the program. It reports whether it has
+// responded to the caller, by the owner's response or by a refusal.
 func (s *Server) relayIfRemote(c echo.Context, id program.ID, deadline time.Time, body []byte, relayed bool) (bool, error) {
 	if id == "" {
 		return false, nil
@@ -81,20 +83,21 @@
 	return true, s.relayCall(c, relayedCall{id: id, owner: owner, deadline: deadline, body: body, hops: hops + 1})
 }
 
-// relay is one call on its way to the owner.
+// relayedCall is a call that is relayed to the owner of its program.
 type relayedCall struct {
 	id    program.ID
 	owner Owner
-	// deadline is when the caller gives up.
+	// deadline is the time until which the caller waits.
 	deadline time.Time
 	body     []byte
-	hops     int
+	// hops counts how often the call has been relayed, this time included.
+	hops int
 }
 
-// forward sends the call to the owner and copies its answer back as it comes.
-// The request's context ends when the caller goes, which cancels the call
-// at the owner too. It ends soon after the deadline as well: an owner that is
-// frozen keeps its connections, and callers would wait for it for ever.
+// relayCall sends the call to the owner and copies the response to the caller as it arrives. The
+// request's context ends when the caller disconnects, which cancels the call at the owner too, or
+// relayMargin after the deadline: an owner whose process is paused keeps its connections open, and
+// callers would otherwise wait without limit.
 func (s *Server) relayCall(c echo.Context, r relayedCall) error {
 	s.relayed.Inc(1)
 	ctx, cancel := context.WithDeadline(c.Request().Context(), r.deadline.Add(relayMargin))
@@ -113,9 +116,8 @@
 	return copyResponse(c, resp)
 }
 
-// ownerRequest returns the request that carries a call to its owner. The time
-// that the caller still waits goes on with it, not the time it gave at first:
-// that would begin anew at each hop.
+// ownerRequest returns the request by which a call is relayed to the owner. Its deadline header is
+// the time that remains, not the original value, which would start again at each hop.
 func (s *Server) ownerRequest(ctx context.Context, incoming *http.Request, r relayedCall) (*http.Request, error) {
 	target := "http://" + r.owner.Address + incoming.URL.RequestURI()
 	if !strings.HasPrefix(incoming.URL.Path, RelayPrefix+"/") {
@@ -125,9 +127,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody net/http does not resend a call's body when a reused
-	// connection breaks. A call without a body it may resend; the owner tells
-	// it from a new one by its number or key.
+	// Without GetBody, net/http does not resend a call's body if a reused connection breaks. It may
+	// resend a call without a body; the owner recognises the repeat by its number or key.
 	outgoing.GetBody = nil
 	copyHeaders(outgoing.Header, incoming.Header)
 	outgoing.Header.Set(peer.HeaderSecret, s.opt.PeerSecret)
@@ -136,8 +137,9 @@
 	return outgoing, nil
 }
 
-// relayFailure tells a caller truthfully what a broken relay means: before a
-// connection stood nothing was sent; after it the owner may have the call.
+// relayFailure returns the result of a call that could not be relayed. Without a connection nothing
+// was sent, so the call was not run. Otherwise the owner may have received it, and the outcome is
+// unknown.
 func relayFailure(ctx context.Context, id program.ID, connected bool) step.Result {
 	r := step.Refuse(http.StatusServiceUnavailable, step.CodeOwnerUnreachable, "the owner of the program can't be reached")
 	if ctx.Err() == context.DeadlineExceeded {
@@ -151,12 +153,13 @@
 	return r
 }
 
-// hopByHop are the headers that belong to one connection (RFC 9110, 7.6.1).
+// hopByHopHeaders are the headers that apply to one connection only (RFC 9110, 7.6.1).
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Te": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Proxy-Authorization": true, "Proxy-Authenticate": true, "Content-Length": true, "Trailer": true,
 }
 
+// copyHeaders copies all headers but hopByHopHeaders.
 func copyHeaders(to, from http.Header) {
 	for name, values := range from {
 		if !hopByHopHeaders[name] {
@@ -165,19 +168,20 @@
 	}
 }
 
+// copyResponse copies the owner's response to the caller and flushes after each read.
 func copyResponse(c echo.Context, resp *http.Response) error {
-	out := c.Response()
-	copyHeaders(out.Header(), resp.Header)
+	w := c.Response()
+	copyHeaders(w.Header(), resp.Header)
 	for name := range resp.Trailer {
-		out.Header().Add("Trailer", name)
+		w.Header().Add("Trailer", name)
 	}
-	out.WriteHeader(resp.StatusCode)
-	control := http.NewResponseController(out)
+	w.WriteHeader(resp.StatusCode)
+	control := http.NewResponseController(w)
 	buffer := make([]byte, relayBufferSize)
 	for {
 		n, err := resp.Body.Read(buffer)
 		if n > 0 {
-			if _, writeErr := out.Write(buffer[:n]); writeErr != nil {
+			if _, writeErr := w.Write(buffer[:n]); writeErr != nil {
 				return nil
 			}
 			_ = control.Flush()
@@ -186,13 +190,13 @@
 			break
 		}
 		if err != nil {
-			// The connection is broken off, so that the caller sees an answer
-			// that ends early and not one that looks whole.
+			// Abort the connection, so that the caller can tell a truncated response from a
+			// complete one.
 			panic(http.ErrAbortHandler)
 		}
 	}
 	for name, values := range resp.Trailer {
-		out.Header()[name] = values
+		w.Header()[name] = values
 	}
 	return nil
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,6 +1,5 @@
-// Package entry is the callers' side of foxhall: the OpenAI-compatible HTTP
-// API, the path to tool services, and the relay of a step to the instance that
-// owns its program.
+// Package entry serves callers: the OpenAI-compatible HTTP API, calls of tool services, and the
+// relay of a step to the instance that owns its program.
 package entry
 
 import (
@@ -22,10 +21,11 @@
 
 // Programs runs the steps of the programs that this instance owns.
 type Programs interface {
+	// Do runs a step. It streams the response to the sink unless that is nil.
 	Do(ctx context.Context, call step.Call, sink step.Sink) step.Result
 	// Open starts a program without a step; parent is empty for a root program.
 	Open(ctx context.Context, p *plan.Plan, parent program.ID) step.Result
-	// End says that the plan's customer needs a program no longer.
+	// End ends a program at the request of the plan's customer.
 	End(ctx context.Context, p *plan.Plan, id program.ID) step.Result
 }
 
@@ -34,32 +34,33 @@
 	Instance string
 	// Address is the owner's peer address, host:port.
 	Address string
-	Local   bool
+	// Local reports whether the owner is this instance.
+	Local bool
 }
 
-// Directory finds the owner of a program.
+// Directory looks up the owner of a program.
 type Directory interface {
 	Locate(ctx context.Context, id program.ID) (Owner, error)
 }
 
-// Config gives the lists in force; both are nil before the first were read.
+// Config returns the lists in force; both are nil until the first ones are read.
 type Config interface {
 	Lists() (*plan.List, *usage.List)
 }
 
-// Options are what a Server works with.
+// Options are the settings and dependencies of a Server.
 type Options struct {
 	Limits    settings.Callers
 	Programs  Programs
 	Directory Directory
 	Config    Config
-	// Ready tells why this instance should get no calls, or is empty.
+	// Ready returns the reason why this instance should get no calls, or an empty string.
 	Ready func() string
 	// PeerSecret authenticates relayed calls.
 	PeerSecret string
 	Operators  settings.Operators
 	Metrics    metrics.Registry
-	// Dial replaces the way connections to owners are made; nil for TCP.
+	// Dial connects to owners; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -73,7 +74,7 @@
 	stepTimer   metrics.Timer
 }
 
-// New returns a server; nothing is listening yet.
+// New returns a server. It opens no listener.
 func New(opt Options) *Server {
 	return &Server{
 		opt:         opt,
@@ -88,8 +89,8 @@
 // Close closes the idle connections to owners.
 func (s *Server) Close() { s.relayClient.CloseIdleConnections() }
 
-// Callers returns the handler of the callers' listener. Operators' endpoints
-// are added to the returned group.
+// Callers returns the handler of the callers' listener and the group to which the endpoints for
+// operators are added.
 func (s *Server) Callers() (*echo.Echo, *echo.Group) {
 	e := echo.New()
 	e.HTTPErrorHandler = s.handleEchoError
@@ -116,7 +117,7 @@
 	g.DELETE("/programs/:id", s.handleEnd(relayed))
 }
 
-// bound refuses requests over the limit on those under way at once.
+// limitRequests is a middleware that refuses requests above the limit of requests in flight.
 func (s *Server) limitRequests(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if !s.requests.TryAcquire(1) {
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -9,14 +9,14 @@
 	"foxhall/internal/step"
 )
 
-// The frame of a server-sent event (WHATWG HTML, 9.2).
+// Framing of server-sent events (WHATWG HTML, 9.2).
 var (
 	ssePrefix = []byte("data: ")
 	sseSuffix = []byte("\n\n")
 	sseDone   = []byte("data: [DONE]\n\n")
 )
 
-// stream sends an answer to a caller as server-sent events. It implements step.Sink.
+// eventStream sends a response to a caller as server-sent events. It implements step.Sink.
 type eventStream struct {
 	c     echo.Context
 	begun bool
@@ -32,7 +32,7 @@
 	writeHeaders(h, r)
 	h.Set(echo.HeaderContentType, "text/event-stream")
 	h.Set(echo.HeaderCacheControl, "no-cache")
-	// The outcome is known only at the end, so it goes into a trailer.
+	// The outcome is known only at the end, so it is sent in a trailer.
 	h.Set("Trailer", HeaderOutcome+", "+HeaderTurn)
 	s.c.Response().WriteHeader(http.StatusOK)
 	s.begun = true
@@ -54,8 +54,8 @@
 	return http.NewResponseController(s.c.Response()).Flush()
 }
 
-// finish ends the stream: with the done mark, or with an error object and
-// without the mark, so that a broken answer is never taken for a whole one.
+// finish ends the stream with the "[DONE]" event, or after an error with an error object and without
+// that event, so that a truncated response is never taken for a complete one.
 func (s *eventStream) finish(r step.Result) error {
 	s.c.Response().Header().Set(HeaderOutcome, string(r.Outcome))
 	setNonEmpty(s.c.Response().Header(), HeaderTurn, r.Turn)
