--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -14,9 +14,10 @@
 // admission holds the resources of a step from Admit until the step ends: its admission by the
 // gate, its reservation and its current grant.
 type admission struct {
-	executor    *Executor
-	work        *owner.Work
-	grantList   *usage.Grant
+	executor *Executor
+	work     *owner.Work
+	// usageGrant is the plan's grant in the usage list.
+	usageGrant  *usage.Grant
 	price       price
 	leaveGate   func()
 	reservation Reservation
@@ -37,11 +38,12 @@
 	return nil
 }
 
+// request returns the scheduler's request for the step.
 func (a *admission) request() scheduler.Request {
 	w := a.work
 	r := scheduler.Request{
 		Plan:       w.Call.Plan.Name,
-		Grant:      a.grantList,
+		Grant:      a.usageGrant,
 		Program:    string(w.Program),
 		Root:       string(w.Root),
 		Critical:   w.Depth > 0,
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -113,7 +113,7 @@
 		leaveGate()
 		return nil, refusal
 	}
-	a := &admission{executor: e, work: w, grantList: grant, price: price, leaveGate: leaveGate, reservation: reservation}
+	a := &admission{executor: e, work: w, usageGrant: grant, price: price, leaveGate: leaveGate, reservation: reservation}
 	if refusal := a.acquireUpstream(ctx); refusal != nil {
 		reservation.Release()
 		leaveGate()
@@ -148,6 +148,7 @@
 	return p, checkContext(w, model)
 }
 
+// checkContext refuses a model call if its history and the requested output exceed the model's context.
 func checkContext(w *owner.Work, model *usage.Model) *step.Result {
 	need := chat.EstimateTokens(w.History) + w.Call.Model.MaxTokens
 	if model.ContextTokens == 0 || need <= model.ContextTokens {
--- a/internal/dispatch/tool.go
+++ b/internal/dispatch/tool.go
@@ -136,6 +136,7 @@
 	results <- attempt{grant: grant, response: response, err: err, mayHaveRun: mayHaveRun(err)}
 }
 
+// mayHaveRun reports whether a call that failed with err may have run.
 func mayHaveRun(err error) bool {
 	return err != nil && !errors.Is(err, tool.ErrNotSent) && !errors.Is(err, tool.ErrRefused)
 }
--- a/internal/program/earning.go
+++ b/internal/program/earning.go
@@ -96,6 +96,7 @@
 	return -1
 }
 
+// mergeBuckets adds the buckets of a snapshot, or of an absorbed program, to the state's.
 func (s *State) mergeBuckets(list []*programpb.Bucket) {
 	for _, b := range list {
 		s.addBucket(bucketFrom(b))
--- a/internal/program/event.go
+++ b/internal/program/event.go
@@ -41,6 +41,7 @@
 	return Event{Seq: pb.Seq, Raw: raw, chain: chainOf(raw), pb: pb}, nil
 }
 
+// chainOf returns the chain value of an encoded event.
 func chainOf(raw []byte) Chain {
 	full := sha256.Sum256(raw)
 	return Chain(full[:chainSize])
--- a/internal/program/history.go
+++ b/internal/program/history.go
@@ -13,11 +13,17 @@
 
 // Reasons of a refusal.
 const (
+	// ReasonEnded means that the program has ended or was asked to end.
 	ReasonEnded Reason = iota + 1
+	// ReasonBounds means that the request exceeds a limit of the program.
 	ReasonBounds
+	// ReasonHistoryConflict means that the caller's history differs from the program's.
 	ReasonHistoryConflict
+	// ReasonHistoryUncertain means that a part of the history is lost or may be lost.
 	ReasonHistoryUncertain
+	// ReasonResolved means that the step to be resolved has a known outcome.
 	ReasonResolved
+	// ReasonNoStep means that the program has no such tool step.
 	ReasonNoStep
 )
 
@@ -58,7 +64,7 @@
 // Kind distinguishes model calls and tool calls, and whether a tool call may be repeated.
 type Kind int8
 
-// The kinds of step.
+// Kinds of steps.
 const (
 	// ModelKind is a model call.
 	ModelKind Kind = iota
--- a/internal/program/place.go
+++ b/internal/program/place.go
@@ -8,8 +8,8 @@
 	Hash [chainSize]byte
 	// After is the token of the last turn that the caller has seen; may be empty.
 	After string
-	// FullConversation reports whether the body holds the full conversation. The same body is
-	// then always a repeat and never a new step.
+	// FullConversation reports whether the body holds the full conversation. A second call with
+	// the same body is then a repeat and not a new step.
 	FullConversation bool
 }
 
