--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -11,35 +11,39 @@
 	"foxhall/internal/usage"
 )
 
-// admission is what a step holds from Admit until it has ended: its entry past
-// the gate, its reservation and its present grant.
+// admission holds the resources of a step from Admit until the step ends: its admission by the
+// gate, its reservation and its current grant.
 type admission struct {
-	executor  *Executor
-	work      *owner.Work
-	grantList *usage.Grant
-	price     price
-	leave     func()
-	reserved  Reservation
-	grant     *scheduler.Grant
-	tried     []string
-	end       sync.Once
+	executor *Executor
+	work     *owner.Work
+	// usageGrant is the plan's grant in the usage list.
+	usageGrant  *usage.Grant
+	price       price
+	leaveGate   func()
+	reservation Reservation
+	grant       *scheduler.Grant
+	// tried are the upstreams of earlier attempts.
+	tried []string
+	// end makes sure that the resources are released once.
+	end sync.Once
 }
 
-// acquire takes a place on an upstream that the step has not tried yet.
-func (a *admission) acquire(ctx context.Context) *step.Result {
-	grant, refusal := a.executor.o.Scheduler.Acquire(ctx, a.request())
+// acquireUpstream acquires a grant for an upstream that the step has not tried yet.
+func (a *admission) acquireUpstream(ctx context.Context) *step.Result {
+	grant, refusal := a.executor.opt.Scheduler.Acquire(ctx, a.request())
 	if refusal != nil {
-		return resultOf(refusal)
+		return refusalResult(refusal)
 	}
 	a.grant = grant
 	return nil
 }
 
+// request returns the scheduler's request for the step.
 func (a *admission) request() scheduler.Request {
 	w := a.work
 	r := scheduler.Request{
 		Plan:       w.Call.Plan.Name,
-		Grant:      a.grantList,
+		Grant:      a.usageGrant,
 		Program:    string(w.Program),
 		Root:       string(w.Root),
 		Critical:   w.Depth > 0,
@@ -58,36 +62,36 @@
 	return r
 }
 
-func resultOf(refusal *scheduler.Refusal) *step.Result {
-	r := refuse(refusal.Status, refusal.Code, refusal.Message)
-	r.RetryAfter = refusal.RetryAfter
-	return r
+func refusalResult(refusal *scheduler.Refusal) *step.Result {
+	result := refuse(refusal.Status, refusal.Code, refusal.Message)
+	result.RetryAfter = refusal.RetryAfter
+	return result
 }
 
 // Cancel implements owner.Placed.
 func (a *admission) Cancel() {
 	a.end.Do(func() {
 		a.grant.Done(scheduler.Feedback{Cancelled: true})
-		a.reserved.Release()
-		a.leave()
+		a.reservation.Release()
+		a.leaveGate()
 	})
 }
 
-// finish settles what the step cost and gives its entry back.
+// finish settles the step's cost and releases its admission by the gate.
 func (a *admission) finish(cost Cost) {
 	a.end.Do(func() {
-		a.reserved.Settle(cost)
-		a.leave()
+		a.reservation.Settle(cost)
+		a.leaveGate()
 	})
 }
 
-// next moves the step to another upstream after a failure that allows it. It
-// reports whether there is one. The owner is asked last, since a place may take
-// long: a process that was paused must not send a step that its successor has
-// run on without.
-func (a *admission) next(ctx context.Context) bool {
+// acquireNext moves the step to another upstream after a failed attempt that may be repeated, and
+// reports whether it got one. The owner's MaySend is checked after the grant, which may take long:
+// if the process was paused, a successor may have continued the program, and the step must not be
+// sent any more.
+func (a *admission) acquireNext(ctx context.Context) bool {
 	a.tried = append(a.tried, a.grant.Upstream)
-	if ctx.Err() != nil || a.acquire(ctx) != nil {
+	if ctx.Err() != nil || a.acquireUpstream(ctx) != nil {
 		return false
 	}
 	if a.work.MaySend != nil && !a.work.MaySend() {
@@ -98,9 +102,9 @@
 	return true
 }
 
-// failure describes a step that got no answer. mayHaveRun decides between
-// "unknown" and "not run"; it covers all attempts.
-func (a *admission) failure(ctx context.Context, mayHaveRun bool, upstream string, err error) step.Result {
+// failedResult returns the result of a step that got no response. Its outcome is unknown if any of
+// the attempts may have run (mayHaveRun), else not run.
+func (a *admission) failedResult(ctx context.Context, mayHaveRun bool, upstream string, err error) step.Result {
 	r := step.Result{
 		Outcome:  step.NotRun,
 		Upstream: upstream,
@@ -112,13 +116,13 @@
 		r.Outcome = step.Unknown
 	}
 	if a.work.Repeatable || !mayHaveRun {
-		r.RetryAfter = failureRetry
+		r.RetryAfter = failureRetryAfter
 	}
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
 		r.Status, r.Code, r.RetryAfter = http.StatusGatewayTimeout, step.CodeDeadline, 0
 	case context.Canceled:
-		r.Status, r.Code, r.RetryAfter = statusClientClosed, step.CodeCancelled, 0
+		r.Status, r.Code, r.RetryAfter = statusClientClosedRequest, step.CodeCancelled, 0
 	}
 	return r
 }
--- a/internal/dispatch/model.go
+++ b/internal/dispatch/model.go
@@ -16,71 +16,71 @@
 )
 
 const (
-	// statusClientClosed is what proxies log for a caller that went away.
-	statusClientClosed = 499
-	// failureRetry is when a repeatable step that failed is worth another try.
-	failureRetry = time.Second
+	// statusClientClosedRequest is the status that proxies log if the caller disconnects.
+	statusClientClosedRequest = 499
+	// failureRetryAfter is the time after which a caller should retry a failed step.
+	failureRetryAfter = time.Second
 )
 
-// errPatience ends an attempt whose engine gave no token for too long.
-var errPatience = errors.New("dispatch: the engine gave no token in time")
+// errProgressTimeout cancels an attempt whose engine sent no token within the progress timeout.
+var errProgressTimeout = errors.New("dispatch: the engine gave no token in time")
 
 // modelStep is an admitted model call. It implements owner.Placed.
 type modelStep struct {
 	*admission
-	// streamed says that a part of the answer has gone to the caller, after
-	// which another engine's answer could only contradict it.
+	// streamed reports whether a part of the response was passed to the caller. Another engine's
+	// response could then only contradict it.
 	streamed bool
-	// begun says that an attempt has given a part of an answer, passed on or not.
-	begun bool
-	// unsettled says that an attempt may have run.
-	unsettled bool
-	// callerGone says that nobody takes the answer any longer.
+	// responseBegun reports whether an attempt returned a part of a response, passed on or not.
+	responseBegun bool
+	// mayHaveRun reports whether any attempt may have run.
+	mayHaveRun bool
+	// callerGone reports whether the caller has disconnected.
 	callerGone bool
 }
 
-// Run implements owner.Placed. A model call has no effect outside the engine,
-// so an attempt that failed before the first chunk is made again elsewhere.
+// Run implements owner.Placed. A model call has no effect outside the engine, so an attempt that
+// fails before anything was passed to the caller is repeated on another engine.
 func (m *modelStep) Run(ctx context.Context, sink step.Sink) step.Result {
 	for {
 		upstream := m.grant.Upstream
-		answer, err := m.attempt(ctx, sink)
+		response, err := m.attempt(ctx, sink)
 		if err == nil {
-			return m.done(upstream, answer)
+			return m.complete(upstream, response)
 		}
-		m.unsettled = m.unsettled || engine.MayHaveRun(err)
+		m.mayHaveRun = m.mayHaveRun || engine.MayHaveRun(err)
 		if errors.Is(err, engine.ErrRejected) {
-			return m.rejected(upstream, err)
+			return m.finishRejected(upstream, err)
 		}
-		if m.streamed || !m.next(ctx) {
-			r := m.failure(ctx, m.unsettled, upstream, err)
-			r.Price = m.finishFailed()
+		if m.streamed || !m.acquireNext(ctx) {
+			r := m.failedResult(ctx, m.mayHaveRun, upstream, err)
+			r.Price = m.settleFailed()
 			return r
 		}
 	}
 }
 
-// attempt sends the call to the granted engine. The answer is always streamed
-// from it, also for callers that want it whole: only so a hanging engine shows.
+// attempt sends the call to the granted engine. The engine always streams its response, also for a
+// non-streaming request, since an unresponsive engine can only be detected that way.
 func (m *modelStep) attempt(ctx context.Context, sink step.Sink) (*engine.Response, error) {
 	grant := m.grant
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	grant.MarkSent()
-	patience := time.AfterFunc(grant.ProgressTimeout, func() { cancel(errPatience) })
-	defer patience.Stop()
-	answer, err := m.executor.o.Engines.Complete(attemptCtx, grant.Address, m.engineRequest(), func(c engine.Chunk) error {
-		patience.Reset(grant.ProgressTimeout)
+	progressTimer := time.AfterFunc(grant.ProgressTimeout, func() { cancel(errProgressTimeout) })
+	defer progressTimer.Stop()
+	response, err := m.executor.opt.Engines.Complete(attemptCtx, grant.Address, m.engineRequest(), func(c engine.Chunk) error {
+		progressTimer.Reset(grant.ProgressTimeout)
 		grant.RecordFirstToken()
-		m.begun = true
-		return m.pass(sink, c)
+		m.responseBegun = true
+		return m.forwardChunk(sink, c)
 	})
-	feedback := scheduler.FeedbackOf(answer, err)
+	feedback := scheduler.FeedbackOf(response, err)
 	if err != nil && (ctx.Err() != nil || m.callerGone) {
 		feedback = scheduler.Feedback{Cancelled: true}
 	}
 	grant.Done(feedback)
-	return answer, err
+	return response, err
 }
 
 func (m *modelStep) engineRequest() *engine.Request {
@@ -95,9 +95,9 @@
 	}
 }
 
-// pass hands one chunk to the caller. The closing usage chunk is foxhall's own
-// wish and goes only to callers that asked for it.
-func (m *modelStep) pass(sink step.Sink, c engine.Chunk) error {
+// forwardChunk passes one chunk to a streaming caller. foxhall itself requests the final usage chunk
+// from engines; it is passed only to callers that asked for it.
+func (m *modelStep) forwardChunk(sink step.Sink, c engine.Chunk) error {
 	if sink == nil || c.UsageOnly && !wantsUsage(m.work.Call.Model) {
 		return nil
 	}
@@ -120,43 +120,43 @@
 	return json.Unmarshal(r.Extra["stream_options"], &options) == nil && options.IncludeUsage
 }
 
-func (m *modelStep) done(upstream string, answer *engine.Response) step.Result {
+func (m *modelStep) complete(upstream string, response *engine.Response) step.Result {
 	e := m.executor
-	e.prompt.Inc(int64(answer.Usage.PromptTokens))
-	e.cached.Inc(int64(answer.CachedTokens()))
-	cost := m.price.settled(answer.Usage)
+	e.prompt.Inc(int64(response.Usage.PromptTokens))
+	e.cached.Inc(int64(response.CachedTokens()))
+	cost := m.price.actual(response.Usage)
 	m.finish(cost)
 	return step.Result{
 		Outcome:      step.Done,
 		Status:       http.StatusOK,
 		Upstream:     upstream,
-		Usage:        answer.Usage,
-		Answer:       answer.Message,
+		Usage:        response.Usage,
+		Answer:       response.Message,
 		Model:        m.work.Call.Model.Model,
-		FinishReason: answer.FinishReason,
+		FinishReason: response.FinishReason,
 		Price:        cost.Money,
 	}
 }
 
-// rejected answers a request that no engine would take.
-func (m *modelStep) rejected(upstream string, err error) step.Result {
+// finishRejected ends a step whose request an engine rejected, as every engine would.
+func (m *modelStep) finishRejected(upstream string, err error) step.Result {
 	r := step.Refuse(http.StatusBadRequest, step.CodeBadRequest, err.Error())
 	r.Upstream = upstream
-	r.Price = m.finishFailed()
-	if m.unsettled {
+	r.Price = m.settleFailed()
+	if m.mayHaveRun {
 		r.Outcome = step.Unknown
 	}
 	return r
 }
 
-// finishFailed settles a failed call and returns its price: all that was
-// reserved if an attempt began to answer, since the engine does not say how
-// far it came. It holds for whole answers too: settled at nothing, the tokens
-// of calls that break off would be spent beyond the plan's budget.
-func (m *modelStep) finishFailed() plan.Micros {
+// settleFailed settles a failed call and returns its price. If an attempt began to respond and may
+// have run, the price is the full reservation, since the engine does not report the tokens
+// generated so far. This applies to non-streaming requests too: if they were settled at zero, the
+// tokens of truncated responses would be spent beyond the plan's budget.
+func (m *modelStep) settleFailed() plan.Micros {
 	cost := Cost{}
-	if m.unsettled && m.begun {
-		cost = m.price.worst(m.work)
+	if m.mayHaveRun && m.responseBegun {
+		cost = m.price.worstCase(m.work)
 	}
 	m.finish(cost)
 	return cost.Money
--- a/internal/dispatch/tool.go
+++ b/internal/dispatch/tool.go
@@ -17,56 +17,58 @@
 	*admission
 }
 
-// attempt is what became of one sending of a call.
+// attempt is the result of one attempt to run a call.
 type attempt struct {
-	grant  *scheduler.Grant
-	answer tool.Answer
-	err    error
-	// mayHaveRun says that this sending, or another copy of it, may have run.
+	grant    *scheduler.Grant
+	response tool.Answer
+	err      error
+	// mayHaveRun reports whether this attempt, or the one that it hedges, may have run.
 	mayHaveRun bool
 }
 
-// Run implements owner.Placed. A call that may not be repeated is sent again
-// only where no byte of it left or the service itself said that it did not run it.
+// Run implements owner.Placed. A call that may not be repeated is sent again only if no byte of it
+// was sent or the service itself reported that it did not run the call.
 func (t *toolStep) Run(ctx context.Context, _ step.Sink) step.Result {
 	mayHaveRun := false
 	for {
-		a := t.send(ctx)
+		a := t.attemptWithHedge(ctx)
 		if a.err == nil {
-			return t.done(a)
+			return t.complete(a)
 		}
 		mayHaveRun = mayHaveRun || a.mayHaveRun
-		if a.mayHaveRun && !t.work.Repeatable || !t.next(ctx) {
+		if a.mayHaveRun && !t.work.Repeatable || !t.acquireNext(ctx) {
 			cost := Cost{}
 			if mayHaveRun {
-				cost = t.price.worst(t.work)
+				cost = t.price.worstCase(t.work)
 			}
 			t.finish(cost)
-			r := t.failure(ctx, mayHaveRun, a.grant.Upstream, a.err)
+			r := t.failedResult(ctx, mayHaveRun, a.grant.Upstream, a.err)
 			r.Price = cost.Money
 			return r
 		}
 	}
 }
 
-func (t *toolStep) done(a attempt) step.Result {
+func (t *toolStep) complete(a attempt) step.Result {
 	t.finish(Cost{Money: t.price.call})
 	return step.Result{
 		Outcome:     step.Done,
 		Upstream:    a.grant.Upstream,
-		Status:      a.answer.Status,
-		ContentType: a.answer.ContentType,
-		Body:        a.answer.Body,
+		Status:      a.response.Status,
+		ContentType: a.response.ContentType,
+		Body:        a.response.Body,
 		Price:       t.price.call,
 	}
 }
 
-// errNoHedge stands for a second copy that got no place.
-var errNoHedge = errors.New("dispatch: no place for a second copy")
+// errHedgeNotPlaced indicates that a hedge was not sent: it got no replica, or the owner may not
+// send the step any more.
+var errHedgeNotPlaced = errors.New("dispatch: no upstream for a hedged attempt, or sending not allowed")
 
-// send sends the call to the granted replica and, where the grant allows it
-// and no answer comes, a second copy to another one. The first answer counts.
-func (t *toolStep) send(ctx context.Context) attempt {
+// attemptWithHedge sends the call to the granted replica. If the call may be repeated, the grant
+// allows a hedge and no response arrives within HedgeAfter, it also sends the call to another
+// replica. The first response counts.
+func (t *toolStep) attemptWithHedge(ctx context.Context) attempt {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan attempt, 2)
@@ -87,28 +89,28 @@
 		return first
 	}
 	second := <-results
-	if errors.Is(second.err, errNoHedge) {
+	if errors.Is(second.err, errHedgeNotPlaced) {
 		return first
 	}
-	// The second copy's failure says nothing of the first: told alone, a lost
-	// answer before an unreachable replica would read as "not run".
+	// The failure of the second attempt proves nothing about the first. If the first response was
+	// lost and the second replica is unreachable, the result must not be "not run".
 	second.mayHaveRun = second.mayHaveRun || first.mayHaveRun
 	t.tried = append(t.tried, first.grant.Upstream, second.grant.Upstream)
 	return second
 }
 
-// hedge sends a second copy of the call once it has a place.
+// hedge sends the call to another replica once the scheduler grants one.
 func (t *toolStep) hedge(ctx context.Context, results chan<- attempt) {
 	request := t.request()
 	request.Tried = append(append([]string(nil), t.tried...), t.grant.Upstream)
-	grant, refusal := t.executor.o.Scheduler.Acquire(ctx, request)
+	grant, refusal := t.executor.opt.Scheduler.Acquire(ctx, request)
 	if refusal != nil {
-		results <- attempt{grant: t.grant, err: errNoHedge}
+		results <- attempt{grant: t.grant, err: errHedgeNotPlaced}
 		return
 	}
 	if t.work.MaySend != nil && !t.work.MaySend() {
 		grant.Done(scheduler.Feedback{Cancelled: true})
-		results <- attempt{grant: t.grant, err: errNoHedge}
+		results <- attempt{grant: t.grant, err: errHedgeNotPlaced}
 		return
 	}
 	t.executor.hedges.Inc(1)
@@ -117,28 +119,29 @@
 
 func (t *toolStep) call(ctx context.Context, grant *scheduler.Grant, results chan<- attempt) {
 	grant.MarkSent()
-	begin := time.Now()
-	answer, err := t.executor.o.Tools.Call(ctx, tool.Call{
+	started := time.Now()
+	response, err := t.executor.opt.Tools.Call(ctx, tool.Call{
 		Address:    grant.Address,
 		Request:    t.work.Call.Tool,
 		Key:        t.work.IdempotencyKey,
 		Repeatable: t.work.Repeatable,
 	})
-	took := time.Since(begin)
+	duration := time.Since(started)
 	grant.Done(scheduler.Feedback{
 		Cancelled:  errors.Is(ctx.Err(), context.Canceled),
 		Failure:    failureOf(err),
-		FirstToken: took,
-		Total:      took,
+		FirstToken: duration,
+		Total:      duration,
 	})
-	results <- attempt{grant: grant, answer: answer, err: err, mayHaveRun: mayHaveRun(err)}
+	results <- attempt{grant: grant, response: response, err: err, mayHaveRun: mayHaveRun(err)}
 }
 
+// mayHaveRun reports whether a call that failed with err may have run.
 func mayHaveRun(err error) bool {
 	return err != nil && !errors.Is(err, tool.ErrNotSent) && !errors.Is(err, tool.ErrRefused)
 }
 
-// failureOf gives a service's failure in the terms of the upstream table.
+// failureOf converts a service's failure into one for the upstream table.
 func failureOf(err error) *upstream.Failure {
 	if err == nil {
 		return nil
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -11,7 +11,7 @@
 	"foxhall/internal/step"
 )
 
-// The headers that callers send and receive.
+// Headers that callers send and receive.
 const (
 	HeaderProgram        = "Foxhall-Program"
 	HeaderParent         = "Foxhall-Parent"
@@ -29,18 +29,19 @@
 	HeaderRetryAfter     = "Retry-After"
 )
 
-// NewProgram in HeaderProgram starts a program that lasts beyond its first step.
+// NewProgram is the value of HeaderProgram that starts a program which stays open after its first
+// step.
 const NewProgram = "new"
 
-// maxKeyLength bounds an idempotency key, in bytes.
-const maxKeyLength = 200
+// maxKeyBytes is the maximum length of an idempotency key.
+const maxKeyBytes = 200
 
-// parseHeaders fills the parts of a call that stand in headers. A call that
-// names no program is a program of one step.
+// parseHeaders returns a call with the fields that are sent in headers. A call that names no
+// program is a program of one step.
 func parseHeaders(h http.Header, now time.Time, defaultDeadline time.Duration) (step.Call, error) {
 	call := step.Call{IdempotencyKey: h.Get(HeaderIdempotencyKey), After: h.Get(HeaderAfter)}
-	if len(call.IdempotencyKey) > maxKeyLength {
-		return call, errors.Errorf("%s: expected at most %d bytes", HeaderIdempotencyKey, maxKeyLength)
+	if len(call.IdempotencyKey) > maxKeyBytes {
+		return call, errors.Errorf("%s: expected at most %d bytes", HeaderIdempotencyKey, maxKeyBytes)
 	}
 	var err error
 	if call.Program, call.EndsProgram, err = parseProgram(h); err != nil {
@@ -58,6 +59,8 @@
 	return call, err
 }
 
+// parseProgram returns the program's ID, empty for a new program, and whether the step ends the
+// program.
 func parseProgram(h http.Header) (program.ID, bool, error) {
 	ends := h.Get(HeaderEnd) == "true"
 	text := h.Get(HeaderProgram)
@@ -74,6 +77,7 @@
 	return id, ends, nil
 }
 
+// parseNumber returns the step number, or 0 if the caller sends none.
 func parseNumber(h http.Header) (int, error) {
 	text := h.Get(HeaderStep)
 	if text == "" {
@@ -86,11 +90,12 @@
 	return n, nil
 }
 
-// parseDeadline reads how long the caller will wait, as a duration such as "30s".
-func parseDeadline(h http.Header, now time.Time, byDefault time.Duration) (time.Time, error) {
+// parseDeadline returns the time until which the caller waits. The header holds a duration such as
+// "30s".
+func parseDeadline(h http.Header, now time.Time, defaultDeadline time.Duration) (time.Time, error) {
 	text := h.Get(HeaderDeadline)
 	if text == "" {
-		return now.Add(byDefault), nil
+		return now.Add(defaultDeadline), nil
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -99,16 +104,16 @@
 	return now.Add(d), nil
 }
 
-// writeHeaders tells the caller what became of its step.
+// writeHeaders sets the headers that describe a step's result.
 func writeHeaders(h http.Header, r step.Result) {
-	setIf(h, HeaderProgram, string(r.Program))
+	setNonEmpty(h, HeaderProgram, string(r.Program))
 	if r.Number > 0 {
 		h.Set(HeaderStep, strconv.Itoa(r.Number))
 	}
-	setIf(h, HeaderOutcome, string(r.Outcome))
-	setIf(h, HeaderUpstream, r.Upstream)
-	setIf(h, HeaderTurn, r.Turn)
-	setIf(h, HeaderCode, string(r.Code))
+	setNonEmpty(h, HeaderOutcome, string(r.Outcome))
+	setNonEmpty(h, HeaderUpstream, r.Upstream)
+	setNonEmpty(h, HeaderTurn, r.Turn)
+	setNonEmpty(h, HeaderCode, string(r.Code))
 	if r.Replayed {
 		h.Set(HeaderReplayed, "true")
 	}
@@ -116,17 +121,18 @@
 		h.Set(HeaderMissingStep, strconv.Itoa(r.MissingStep))
 	}
 	if r.RetryAfter > 0 {
-		h.Set(HeaderRetryAfter, strconv.Itoa(wholeSeconds(r.RetryAfter)))
+		h.Set(HeaderRetryAfter, strconv.Itoa(ceilSeconds(r.RetryAfter)))
 	}
 }
 
-func setIf(h http.Header, name, value string) {
+func setNonEmpty(h http.Header, name, value string) {
 	if value != "" {
 		h.Set(name, value)
 	}
 }
 
-// wholeSeconds rounds up, since Retry-After has no fractions (RFC 9110, 10.2.3).
-func wholeSeconds(d time.Duration) int {
+// ceilSeconds returns d in seconds, rounded up, since Retry-After has no fractions (RFC 9110,
+// 10.2.3).
+func ceilSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,6 +1,5 @@
-// Package entry is the callers' side of foxhall: the OpenAI-compatible HTTP
-// API, the path to tool services, and the relay of a step to the instance that
-// owns its program.
+// Package entry serves callers: the OpenAI-compatible HTTP API, calls of tool services, and the
+// relay of a step to the instance that owns its program.
 package entry
 
 import (
@@ -22,10 +21,11 @@
 
 // Programs runs the steps of the programs that this instance owns.
 type Programs interface {
+	// Do runs a step. It streams the response to the sink unless that is nil.
 	Do(ctx context.Context, call step.Call, sink step.Sink) step.Result
 	// Open starts a program without a step; parent is empty for a root program.
 	Open(ctx context.Context, p *plan.Plan, parent program.ID) step.Result
-	// End says that the plan's customer needs a program no longer.
+	// End ends a program at the request of the plan's customer.
 	End(ctx context.Context, p *plan.Plan, id program.ID) step.Result
 }
 
@@ -34,69 +34,70 @@
 	Instance string
 	// Address is the owner's peer address, host:port.
 	Address string
-	Local   bool
+	// Local reports whether the owner is this instance.
+	Local bool
 }
 
-// Directory finds the owner of a program.
+// Directory looks up the owner of a program.
 type Directory interface {
 	Locate(ctx context.Context, id program.ID) (Owner, error)
 }
 
-// Config gives the lists in force; both are nil before the first were read.
+// Config returns the lists in force; both are nil until the first ones are read.
 type Config interface {
 	Lists() (*plan.List, *usage.List)
 }
 
-// Options are what a Server works with.
+// Options are the settings and dependencies of a Server.
 type Options struct {
 	Limits    settings.Callers
 	Programs  Programs
 	Directory Directory
 	Config    Config
-	// Ready tells why this instance should get no calls, or is empty.
+	// Ready returns the reason why this instance should get no calls, or an empty string.
 	Ready func() string
 	// PeerSecret authenticates relayed calls.
 	PeerSecret string
 	Operators  settings.Operators
 	Metrics    metrics.Registry
-	// Dial replaces the way connections to owners are made; nil for TCP.
+	// Dial connects to owners; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // Server serves callers and, on the peers' listener, relayed calls.
 type Server struct {
-	opt      Options
-	requests *semaphore.Weighted
-	relay    *http.Client
-	refused  metrics.Counter
-	relayed  metrics.Counter
-	steps    metrics.Timer
+	opt         Options
+	requests    *semaphore.Weighted
+	relayClient *http.Client
+	refused     metrics.Counter
+	relayed     metrics.Counter
+	stepTimer   metrics.Timer
 }
 
-// New returns a server; nothing is listening yet.
+// New returns a server. It opens no listener.
 func New(opt Options) *Server {
 	return &Server{
-		opt:      opt,
-		requests: semaphore.NewWeighted(int64(opt.Limits.MaxRequests)),
-		relay:    newRelayClient(opt.Dial),
-		refused:  metrics.GetOrRegisterCounter("entry.refused", opt.Metrics),
-		relayed:  metrics.GetOrRegisterCounter("entry.relayed", opt.Metrics),
-		steps:    metrics.GetOrRegisterTimer("entry.steps", opt.Metrics),
+		opt:         opt,
+		requests:    semaphore.NewWeighted(int64(opt.Limits.MaxRequests)),
+		relayClient: newRelayClient(opt.Dial),
+		refused:     metrics.GetOrRegisterCounter("entry.refused", opt.Metrics),
+		relayed:     metrics.GetOrRegisterCounter("entry.relayed", opt.Metrics),
+		stepTimer:   metrics.GetOrRegisterTimer("entry.steps", opt.Metrics),
 	}
 }
 
 // Close closes the idle connections to owners.
-func (s *Server) Close() { s.relay.CloseIdleConnections() }
+func (s *Server) Close() { s.relayClient.CloseIdleConnections() }
 
-// Callers returns the handler of the callers' listener. Operators' endpoints
-// are added to the returned group.
+// Callers returns the handler of the callers' listener and the group to which the endpoints for
+// operators are added.
 func (s *Server) Callers() (*echo.Echo, *echo.Group) {
 	e := echo.New()
 	e.HTTPErrorHandler = s.handleEchoError
 	e.GET("/healthz", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	e.GET("/readyz", s.handleReady)
 	e.GET("/metrics", s.handleMetrics)
-	s.routes(e.Group("/v1", s.authenticate, s.bound), false)
+	s.addRoutes(e.Group("/v1", s.authenticate, s.limitRequests), false)
 	return e, e.Group("/operator/v1", s.authenticateOperator)
 }
 
@@ -105,10 +106,10 @@
 
 // RegisterRelay adds the routes of relayed calls to the peers' listener.
 func (s *Server) RegisterRelay(e *echo.Echo) {
-	s.routes(e.Group(RelayPrefix+"/v1", s.authenticatePeer, s.authenticate), true)
+	s.addRoutes(e.Group(RelayPrefix+"/v1", s.authenticatePeer, s.authenticate), true)
 }
 
-func (s *Server) routes(g *echo.Group, relayed bool) {
+func (s *Server) addRoutes(g *echo.Group, relayed bool) {
 	g.POST("/chat/completions", s.handleChat(relayed))
 	g.GET("/models", s.handleModels)
 	g.Any("/tools/:service/*", s.handleTool(relayed))
@@ -116,13 +117,13 @@
 	g.DELETE("/programs/:id", s.handleEnd(relayed))
 }
 
-// bound refuses requests over the limit on those under way at once.
-func (s *Server) bound(next echo.HandlerFunc) echo.HandlerFunc {
+// limitRequests is a middleware that refuses requests above the limit of requests in flight.
+func (s *Server) limitRequests(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if !s.requests.TryAcquire(1) {
 			r := step.Refuse(http.StatusServiceUnavailable, step.CodeOverloaded, "too many requests under way on this instance")
 			r.RetryAfter = time.Second
-			return s.answer(c, r)
+			return s.respond(c, r)
 		}
 		defer s.requests.Release(1)
 		return next(c)
--- a/internal/program/history.go
+++ b/internal/program/history.go
@@ -8,20 +8,26 @@
 	"foxhall/internal/chat"
 )
 
-// Reason names why a program's rules refuse a step.
+// Reason is the rule by which a program refuses a step.
 type Reason int8
 
-// The reasons of a refusal.
+// Reasons of a refusal.
 const (
+	// ReasonEnded means that the program has ended or was asked to end.
 	ReasonEnded Reason = iota + 1
+	// ReasonBounds means that the request exceeds a limit of the program.
 	ReasonBounds
+	// ReasonHistoryConflict means that the caller's history differs from the program's.
 	ReasonHistoryConflict
+	// ReasonHistoryUncertain means that a part of the history is lost or may be lost.
 	ReasonHistoryUncertain
+	// ReasonResolved means that the step to be resolved has a known outcome.
 	ReasonResolved
+	// ReasonNoStep means that the program has no such tool step.
 	ReasonNoStep
 )
 
-// Refusal says that a program's rules do not allow what was asked.
+// Refusal is the error for a request that a program's rules don't allow.
 type Refusal struct {
 	Reason  Reason
 	Message string
@@ -34,13 +40,13 @@
 	return &Refusal{Reason: reason, Message: fmt.Sprintf(format, args...)}
 }
 
-// bytesPerToken estimates the tokens of messages that no engine has counted yet.
+// bytesPerToken is used to estimate the tokens of messages that no engine has counted yet.
 const bytesPerToken = 4
 
-// Merge returns the whole list of messages for the next turn and those of them
-// that are new. The caller may send only the new ones, or the whole list,
-// which must then start with the history exactly.
-func (s *State) Merge(sent []chat.Message) (whole, added []chat.Message, refusal *Refusal) {
+// Merge returns the full list of messages for the next turn and those of them that are new. The
+// caller may send only the new messages, or the full list, which must then start with exactly the
+// program's history.
+func (s *State) Merge(sent []chat.Message) (full, added []chat.Message, refusal *Refusal) {
 	if len(s.History) == 0 {
 		return sent, sent, nil
 	}
@@ -55,26 +61,26 @@
 	return slices.Concat(s.History, added), added, nil
 }
 
-// Kind tells how a step may be treated.
+// Kind distinguishes model calls and tool calls, and whether a tool call may be repeated.
 type Kind int8
 
-// The kinds of step.
+// Kinds of steps.
 const (
 	// ModelKind is a model call.
 	ModelKind Kind = iota
 	// RepeatableKind is a tool call that may be repeated.
 	RepeatableKind
-	// OnceKind is a tool call that may not.
+	// OnceKind is a tool call that may not be repeated.
 	OnceKind
 )
 
-// CheckWhole refuses a step where the history here is not the one that the
-// caller has seen, or may not be. In a program whose latest turns may be lost
-// a step must prove that none is: by the token of the last turn, or by a whole
-// list that ends in no answer that is missing here. A step number proves less,
-// since a late repeat of a lost turn carries it too, so it is enough only for a
-// tool call that may be repeated. One that may not is refused while there is
-// any doubt: its own intent may have been in an entry that is corrupt.
+// CheckHistory refuses a step if the history here differs, or may differ, from the one that the
+// caller has seen. If the latest turns may be lost (Uncertain), a step must prove that none is:
+// by the token of the last turn, or by a full list of messages that starts with the history here
+// and continues without a response that is missing here. A step number is weaker proof, since a
+// late repeat of a lost turn has the same number, so it suffices only for a tool call that may be
+// repeated. A tool call that may not be repeated is refused while the state is Uncertain, since
+// its own intent may have been in a corrupt entry of the log.
 func (s *State) CheckHistory(a Attempt, sent []chat.Message, k Kind) *Refusal {
 	if s.Broken {
 		return refuse(ReasonHistoryUncertain, "a part of the program's history is missing; it is not served")
@@ -82,14 +88,16 @@
 	if a.After != "" && a.After != s.TurnToken() && !s.Uncertain {
 		return refuse(ReasonHistoryConflict, "the step follows another turn than the program's last")
 	}
-	if !s.Uncertain || s.proves(a, sent, k) {
+	if !s.Uncertain || s.provesHistory(a, sent, k) {
 		return nil
 	}
 	return refuse(ReasonHistoryUncertain,
 		"the latest turns may not have been recovered; the next step known here is %d", s.Next())
 }
 
-func (s *State) proves(a Attempt, sent []chat.Message, k Kind) bool {
+// provesHistory reports whether the step proves that no turn of an Uncertain program is lost; see
+// CheckHistory.
+func (s *State) provesHistory(a Attempt, sent []chat.Message, k Kind) bool {
 	switch {
 	case k == OnceKind:
 		return false
@@ -103,7 +111,8 @@
 	return chat.IsContinuation(sent[len(s.History):])
 }
 
-// CheckBounds refuses a step beyond what the program may grow to.
+// CheckBounds refuses a step that would exceed the program's bounds, and any step of a program
+// that has ended.
 func (s *State) CheckBounds(now time.Time, added []chat.Message) *Refusal {
 	b := s.Bounds
 	switch {
@@ -113,16 +122,16 @@
 		return refuse(ReasonBounds, "the plan allows %d steps", b.Steps)
 	case b.Lifetime > 0 && now.Sub(s.OpenedAt) > b.Lifetime:
 		return refuse(ReasonBounds, "the plan allows a lifetime of %s", b.Lifetime)
-	case b.HistoryTokens > 0 && s.HistoryTokens+estimate(added) > b.HistoryTokens:
+	case b.HistoryTokens > 0 && s.HistoryTokens+estimateTokens(added) > b.HistoryTokens:
 		return refuse(ReasonBounds, "the plan allows a history of %d tokens", b.HistoryTokens)
-	case s.historyBytes+s.stepBytes()+size(added) > MaxHistory:
+	case s.historyBytes+s.stepBytes()+messageBytes(added) > MaxHistory:
 		return refuse(ReasonBounds, "a history and its steps hold %d bytes", MaxHistory)
 	}
 	return nil
 }
 
-// CheckChild refuses one more sub-agent of the program beyond its bounds;
-// unrecorded is the number of those that no event counts yet.
+// CheckChild refuses another sub-agent that would exceed the program's bounds; unrecorded is the
+// number of sub-agents that no event counts yet.
 func (s *State) CheckChild(now time.Time, unrecorded int) *Refusal {
 	switch {
 	case s.Ended || !s.EndRequestedAt.IsZero():
@@ -137,9 +146,11 @@
 	return nil
 }
 
-func estimate(messages []chat.Message) int { return size(messages) / bytesPerToken }
+// estimateTokens estimates the tokens of the messages from their size.
+func estimateTokens(messages []chat.Message) int { return messageBytes(messages) / bytesPerToken }
 
-func size(messages []chat.Message) int {
+// messageBytes returns the size of the messages' encodings in bytes.
+func messageBytes(messages []chat.Message) int {
 	n := 0
 	for _, m := range messages {
 		n += len(m.Raw)
