--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -18,11 +18,11 @@
 	// meets two ring successors and random members in turn, so keeping one
 	// connection to each of several hundred members would cost megabytes for
 	// connections used once in minutes.
-	maxIdle = 64
+	maxIdleConnections = 64
 	// idleTimeout closes a connection that nothing used.
 	idleTimeout = 90 * time.Second
 	// stubs bounds the generated clients kept, one for each address.
-	stubs = 1024
+	maxStubs = 1024
 )
 
 // Client calls other instances.
@@ -41,12 +41,12 @@
 func NewClient(secret string, timeout time.Duration, registry metrics.Registry) *Client {
 	transport := &http.Transport{
 		DialContext:         countedDialer(&net.Dialer{Timeout: timeout}, newTraffic("peer.client", registry)),
-		MaxIdleConns:        maxIdle,
+		MaxIdleConns:        maxIdleConnections,
 		MaxIdleConnsPerHost: 2,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
-	cache, err := lru.New[string, peerpb.Peer](stubs)
+	cache, err := lru.New[string, peerpb.Peer](maxStubs)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
@@ -86,19 +86,19 @@
 }
 
 // call performs one bounded call of method at address.
-func call[Q, A any](ctx context.Context, c *Client, address, method string, request Q, do func(peerpb.Peer, context.Context, Q) (A, error)) (A, error) {
+func call[Q, A any](ctx context.Context, c *Client, address, method string, request Q, invoke func(peerpb.Peer, context.Context, Q) (A, error)) (A, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, c.timeout)
 		defer cancel()
 	}
 	metrics.GetOrRegisterCounter("peer.client.calls."+method, c.registry).Inc(1)
-	answer, err := do(c.stub(address), ctx, request)
+	response, err := invoke(c.stub(address), ctx, request)
 	if err != nil {
 		c.failures.Inc(1)
-		return answer, errors.WithMessagef(classify(ctx, err), "%s at %s", method, address)
+		return response, errors.WithMessagef(classify(ctx, err), "%s at %s", method, address)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // Ping sends a heartbeat to the instance at address.
--- a/internal/peer/error.go
+++ b/internal/peer/error.go
@@ -40,21 +40,21 @@
 	if err == nil {
 		return nil
 	}
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
 	if ctx.Err() != nil {
 		return errors.Wrap(ErrTimeout, err.Error())
 	}
-	var failure twirp.Error
-	if !errors.As(err, &failure) {
+	var twirpErr twirp.Error
+	if !errors.As(err, &twirpErr) {
 		return errors.Wrap(ErrUnknown, err.Error())
 	}
-	return errors.Wrap(kindOf(failure.Code()), failure.Msg())
+	return errors.Wrap(errorForCode(twirpErr.Code()), twirpErr.Msg())
 }
 
-func kindOf(code twirp.ErrorCode) error {
+func errorForCode(code twirp.ErrorCode) error {
 	switch code {
 	case twirp.Unauthenticated, twirp.PermissionDenied:
 		return ErrUnauthenticated
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -73,7 +73,7 @@
 // A caller that sees ErrUnreachable, ErrRefused, ErrInvalid or
 // ErrUnauthenticated knows that the peer did not act; after ErrTimeout and
 // ErrUnknown it may have. Each failure has to arrive as its own kind.
-func TestCallsFailByKind(t *testing.T) {
+func TestFailuresAreClassified(t *testing.T) {
 	is := is.New(t)
 	registry := metrics.NewRegistry()
 	address, _ := serve(t, Handlers{Copies: &copies{}}, registry)
@@ -92,21 +92,21 @@
 	_, err := client.Ping(ctx, address, &peerpb.PingRequest{})
 	is.True(errors.Is(err, ErrUnimplemented)) // this server has no heartbeats
 
-	ended, cancel := context.WithTimeout(ctx, time.Millisecond)
+	expiring, cancel := context.WithTimeout(ctx, time.Millisecond)
 	defer cancel()
-	_, err = client.Hold(ended, address, &peerpb.HoldRequest{Cohort: "hang"})
+	_, err = client.Hold(expiring, address, &peerpb.HoldRequest{Cohort: "hang"})
 	is.True(errors.Is(err, ErrTimeout))
 
-	closed, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	is.NoErr(closed.Close())
-	_, err = client.Held(ctx, closed.Addr().String(), &peerpb.HeldRequest{})
+	is.NoErr(listener.Close())
+	_, err = client.Held(ctx, listener.Addr().String(), &peerpb.HeldRequest{})
 	is.True(errors.Is(err, ErrUnreachable))
 }
 
 // An address that answers something else than the peer protocol (another
 // process took it) is an unknown outcome and not a success.
-func TestForeignAnswerIsUnknown(t *testing.T) {
+func TestForeignResponseIsUnknown(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusTeapot)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -18,23 +18,23 @@
 
 // maxRequest bounds a request in bytes. The largest are copies of a log entry
 // and configuration chunks, both at most a store value of 1 MB.
-const maxRequest = 4 << 20
+const maxRequestBytes = 4 << 20
 
 // Server answers the calls of other instances.
 type Server struct {
-	handlers Handlers
-	secret   [sha256.Size]byte
-	twirp    http.Handler
-	refused  metrics.Counter
+	handlers        Handlers
+	secret          [sha256.Size]byte
+	twirp           http.Handler
+	unauthenticated metrics.Counter
 }
 
 // NewServer returns a server that hands calls bearing the secret to handlers.
 // Counters of calls by method are registered in registry.
 func NewServer(handlers Handlers, secret string, registry metrics.Registry) *Server {
 	s := &Server{
-		handlers: handlers,
-		secret:   sha256.Sum256([]byte(secret)),
-		refused:  metrics.GetOrRegisterCounter("peer.server.unauthenticated", registry),
+		handlers:        handlers,
+		secret:          sha256.Sum256([]byte(secret)),
+		unauthenticated: metrics.GetOrRegisterCounter("peer.server.unauthenticated", registry),
 	}
 	s.twirp = peerpb.NewPeerServer(s, twirp.WithServerHooks(countCalls(registry)))
 	return s
@@ -62,18 +62,18 @@
 // constant time: a comparison that stops at the first differing byte lets a
 // caller guess the secret byte by byte from the time an answer takes.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	given := sha256.Sum256([]byte(r.Header.Get(HeaderSecret)))
-	if subtle.ConstantTimeCompare(given[:], s.secret[:]) != 1 {
-		s.refused.Inc(1)
+	digest := sha256.Sum256([]byte(r.Header.Get(HeaderSecret)))
+	if subtle.ConstantTimeCompare(digest[:], s.secret[:]) != 1 {
+		s.unauthenticated.Inc(1)
 		_ = twirp.WriteError(w, twirp.NewError(twirp.Unauthenticated, "wrong peer secret"))
 		return
 	}
-	r.Body = http.MaxBytesReader(w, r.Body, maxRequest)
+	r.Body = http.MaxBytesReader(w, r.Body, maxRequestBytes)
 	s.twirp.ServeHTTP(w, r)
 }
 
-func unimplemented(part string) error {
-	return twirp.NewError(twirp.Unimplemented, part+" is not served by this instance")
+func unimplemented(service string) error {
+	return twirp.NewError(twirp.Unimplemented, service+" is not served by this instance")
 }
 
 // Ping implements peerpb.Peer.
