--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,14 +14,13 @@
 )
 
 const (
-	// maxIdle bounds the connections that a client keeps open. A heartbeat
-	// meets two ring successors and random members in turn, so keeping one
-	// connection to each of several hundred members would cost megabytes for
-	// connections used once in minutes.
+	// maxIdleConnections bounds the idle connections that a client keeps open. Heartbeats go to two
+	// ring successors and to random members in turn, so one connection to each of several hundred
+	// members would cost megabytes for connections used once in minutes.
 	maxIdleConnections = 64
-	// idleTimeout closes a connection that nothing used.
+	// idleTimeout is how long an unused connection stays open.
 	idleTimeout = 90 * time.Second
-	// stubs bounds the generated clients kept, one for each address.
+	// maxStubs bounds the cached generated clients, one for each address.
 	maxStubs = 1024
 )
 
@@ -35,9 +34,9 @@
 	failures metrics.Counter
 }
 
-// NewClient returns a client that presents the secret. A call whose context
-// has no deadline is bounded by timeout. Calls by method, failures, and bytes
-// in both directions are counted in registry.
+// NewClient returns a client that authenticates with the secret. timeout applies to calls whose
+// context has no deadline. Calls by method, failures, and bytes in both directions are counted in
+// registry.
 func NewClient(secret string, timeout time.Duration, registry metrics.Registry) *Client {
 	transport := &http.Transport{
 		DialContext:         countedDialer(&net.Dialer{Timeout: timeout}, newTraffic("peer.client", registry)),
@@ -60,8 +59,8 @@
 	}
 }
 
-// DialThrough replaces the way connections are made, before the first call. It
-// is how tests put a network of their own, with its faults, under the client.
+// DialThrough replaces the function that opens connections. It must be called before the first
+// call. Tests use it to run the client on a network with injected faults.
 func (c *Client) DialThrough(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.http.Transport.(*http.Transport).DialContext = dial
 }
@@ -69,7 +68,7 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do implements the generated code's HTTPClient: it adds the secret.
+// Do implements peerpb.HTTPClient. It adds the secret to the request.
 func (c *Client) Do(r *http.Request) (*http.Response, error) {
 	r.Header.Set(HeaderSecret, c.secret)
 	r.Header.Set("User-Agent", "foxhall")
@@ -85,7 +84,8 @@
 	return stub
 }
 
-// call performs one bounded call of method at address.
+// call performs one call of method at address, and applies the client's timeout if ctx has no
+// deadline.
 func call[Q, A any](ctx context.Context, c *Client, address, method string, request Q, invoke func(peerpb.Peer, context.Context, Q) (A, error)) (A, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -106,77 +106,77 @@
 	return call(ctx, c, address, "Ping", r, peerpb.Peer.Ping)
 }
 
-// PingVia asks the instance at address to ping a third one.
+// PingVia asks the instance at address to ping a third instance.
 func (c *Client) PingVia(ctx context.Context, address string, r *peerpb.PingViaRequest) (*peerpb.PingViaResponse, error) {
 	return call(ctx, c, address, "PingVia", r, peerpb.Peer.PingVia)
 }
 
-// Join asks the instance at address for all its records.
+// Join requests all membership records of the instance at address.
 func (c *Client) Join(ctx context.Context, address string, r *peerpb.JoinRequest) (*peerpb.JoinResponse, error) {
 	return call(ctx, c, address, "Join", r, peerpb.Peer.Join)
 }
 
-// ConfigVersion asks for the version of the configuration in force there.
+// ConfigVersion requests the version of the configuration in force at address.
 func (c *Client) ConfigVersion(ctx context.Context, address string, r *peerpb.ConfigVersionRequest) (*peerpb.ConfigVersionResponse, error) {
 	return call(ctx, c, address, "ConfigVersion", r, peerpb.Peer.ConfigVersion)
 }
 
-// ConfigFetch asks for a newer manifest and the chunks not held yet.
+// ConfigFetch requests a newer manifest and the chunks that the sender lacks.
 func (c *Client) ConfigFetch(ctx context.Context, address string, r *peerpb.ConfigFetchRequest) (*peerpb.ConfigFetchResponse, error) {
 	return call(ctx, c, address, "ConfigFetch", r, peerpb.Peer.ConfigFetch)
 }
 
-// ConfigOffer hands on a newer manifest and chunks.
+// ConfigOffer sends a newer manifest and chunks to the instance at address.
 func (c *Client) ConfigOffer(ctx context.Context, address string, r *peerpb.ConfigOfferRequest) (*peerpb.ConfigOfferResponse, error) {
 	return call(ctx, c, address, "ConfigOffer", r, peerpb.Peer.ConfigOffer)
 }
 
-// Hold asks the instance at address to keep copies of records.
+// Hold asks the instance at address to hold copies of records.
 func (c *Client) Hold(ctx context.Context, address string, r *peerpb.HoldRequest) (*peerpb.HoldResponse, error) {
 	return call(ctx, c, address, "Hold", r, peerpb.Peer.Hold)
 }
 
-// Held asks for the copies held for a cohort.
+// Held requests the copies that the instance at address holds for a cohort.
 func (c *Client) Held(ctx context.Context, address string, r *peerpb.HeldRequest) (*peerpb.HeldResponse, error) {
 	return call(ctx, c, address, "Held", r, peerpb.Peer.Held)
 }
 
-// Release lets the instance at address drop copies.
+// Release asks the instance at address to drop copies.
 func (c *Client) Release(ctx context.Context, address string, r *peerpb.ReleaseRequest) (*peerpb.ReleaseResponse, error) {
 	return call(ctx, c, address, "Release", r, peerpb.Peer.Release)
 }
 
-// Offer hands records of a sealed cohort to the successor at address.
+// Offer sends records of a sealed cohort to the successor at address.
 func (c *Client) Offer(ctx context.Context, address string, r *peerpb.OfferRequest) (*peerpb.OfferResponse, error) {
 	return call(ctx, c, address, "Offer", r, peerpb.Peer.Offer)
 }
 
-// AdoptNotice tells the instance at address of adopted slices.
+// AdoptNotice notifies the instance at address of adopted shards.
 func (c *Client) AdoptNotice(ctx context.Context, address string, r *peerpb.AdoptNoticeRequest) (*peerpb.AdoptNoticeResponse, error) {
 	return call(ctx, c, address, "AdoptNotice", r, peerpb.Peer.AdoptNotice)
 }
 
-// ReportOutcome hands a step's outcome to the successor at address.
+// ReportOutcome sends a step's outcome to the successor at address.
 func (c *Client) ReportOutcome(ctx context.Context, address string, r *peerpb.ReportOutcomeRequest) (*peerpb.ReportOutcomeResponse, error) {
 	return call(ctx, c, address, "ReportOutcome", r, peerpb.Peer.ReportOutcome)
 }
 
-// UpstreamSignals exchanges observations of upstreams.
+// UpstreamSignals exchanges observations of upstreams with the instance at address.
 func (c *Client) UpstreamSignals(ctx context.Context, address string, r *peerpb.UpstreamSignalsRequest) (*peerpb.UpstreamSignalsResponse, error) {
 	return call(ctx, c, address, "UpstreamSignals", r, peerpb.Peer.UpstreamSignals)
 }
 
-// Gone asks the instance at address which of the programs that it owns are gone.
+// Gone asks the instance at address which of the given programs that it owns have ended.
 func (c *Client) Gone(ctx context.Context, address string, r *peerpb.GoneRequest) (*peerpb.GoneResponse, error) {
 	return call(ctx, c, address, "Gone", r, peerpb.Peer.Gone)
 }
 
-// Divide asks the arbiter at address for this instance's part of plans' limits.
+// Divide asks the arbiter at address for this instance's share of the plans' limits.
 func (c *Client) Divide(ctx context.Context, address string, r *peerpb.DivideRequest) (*peerpb.DivideResponse, error) {
 	return call(ctx, c, address, "Divide", r, peerpb.Peer.Divide)
 }
 
-// Loads asks for the load of the data centre of the instance at address.
+// Loads requests the load of the data centre of the instance at address.
 func (c *Client) Loads(ctx context.Context, address string, r *peerpb.LoadsRequest) (*peerpb.LoadsResponse, error) {
 	return call(ctx, c, address, "Loads", r, peerpb.Peer.Loads)
 }
--- a/internal/peer/error.go
+++ b/internal/peer/error.go
@@ -10,32 +10,32 @@
 
 // The errors that a Client returns, to be tested with errors.Is.
 var (
-	// ErrUnreachable says that no connection could be made: the peer has not
-	// seen the call.
+	// ErrUnreachable indicates that no connection could be made: the peer has not received the
+	// call.
 	ErrUnreachable = errors.New("peer: unreachable")
-	// ErrTimeout says that the call's time ended: the peer may have acted on it.
+	// ErrTimeout indicates that the call timed out: the peer may have acted on it.
 	ErrTimeout = errors.New("peer: timeout")
-	// ErrUnknown says that the answer was lost: the peer may have acted on it.
+	// ErrUnknown indicates that the outcome is unknown, for example because the response was lost:
+	// the peer may have acted on the call.
 	ErrUnknown = errors.New("peer: outcome unknown")
-	// ErrUnauthenticated says that the shared secrets differ.
+	// ErrUnauthenticated indicates that the shared secrets differ.
 	ErrUnauthenticated = errors.New("peer: unauthenticated")
-	// ErrUnimplemented says that the peer does not serve this call.
+	// ErrUnimplemented indicates that the peer does not serve this method.
 	ErrUnimplemented = errors.New("peer: unimplemented")
-	// ErrRefused says that the peer's handler understood the call and refused it.
+	// ErrRefused indicates that the peer's handler understood the call and refused it.
 	ErrRefused = errors.New("peer: refused")
-	// ErrInvalid says that the peer could not decode the call or found it malformed.
+	// ErrInvalid indicates that the peer could not decode the call or found it malformed.
 	ErrInvalid = errors.New("peer: invalid message")
 )
 
-// Refuse returns the error by which a handler refuses a call, so that the
-// caller sees ErrRefused.
+// Refuse returns the error for a handler that refuses a call. The caller gets ErrRefused.
 func Refuse(reason string) error { return twirp.NewError(twirp.FailedPrecondition, reason) }
 
-// Invalid returns the error by which a handler rejects a malformed message, so
-// that the caller sees ErrInvalid.
+// Invalid returns the error for a handler that rejects a malformed message. The caller gets
+// ErrInvalid.
 func Invalid(reason string) error { return twirp.NewError(twirp.InvalidArgument, reason) }
 
-// classify maps the failure of a call to the package's errors.
+// classify wraps the error of a failed call in one of the package's errors.
 func classify(ctx context.Context, err error) error {
 	if err == nil {
 		return nil
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,8 +21,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// copies keeps what it is given; a cohort named "hang" waits for its caller to
-// give up and one named "refuse" is refused.
+// copies implements Copies and stores all records. A call of Hold for the cohort "hang" blocks
+// until its caller gives up; one for "refuse" is refused, and one for "malformed" is rejected as
+// invalid.
 type copies struct{ held []*peerpb.HeldRecord }
 
 func (c *copies) Hold(ctx context.Context, r *peerpb.HoldRequest) (*peerpb.HoldResponse, error) {
@@ -48,7 +49,8 @@
 	return &peerpb.ReleaseResponse{}, nil
 }
 
-// serve starts a server with the handlers and counts accepted connections.
+// serve starts a server with the handlers, and returns its address and the number of accepted
+// connections.
 func serve(t *testing.T, h Handlers, registry metrics.Registry) (string, *atomic.Int64) {
 	t.Helper()
 	var accepted atomic.Int64
@@ -70,9 +72,9 @@
 	return c
 }
 
-// A caller that sees ErrUnreachable, ErrRefused, ErrInvalid or
-// ErrUnauthenticated knows that the peer did not act; after ErrTimeout and
-// ErrUnknown it may have. Each failure has to arrive as its own kind.
+// After ErrUnreachable, ErrRefused, ErrInvalid or ErrUnauthenticated the peer did not act on the
+// call; after ErrTimeout and ErrUnknown it may have. A wrongly classified failure would mislead
+// callers.
 func TestFailuresAreClassified(t *testing.T) {
 	is := is.New(t)
 	registry := metrics.NewRegistry()
@@ -104,8 +106,8 @@
 	is.True(errors.Is(err, ErrUnreachable))
 }
 
-// An address that answers something else than the peer protocol (another
-// process took it) is an unknown outcome and not a success.
+// A response that does not follow the peer protocol, because another process now listens on the
+// address, is an unknown outcome and not a success.
 func TestForeignResponseIsUnknown(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -132,16 +134,16 @@
 	is.Equal(count("peer.client.calls.Hold"), int64(20))
 	is.Equal(count("peer.server.calls.Hold"), int64(20))
 	is.True(count("peer.client.bytes_out") > 0)
-	// A write is counted after it, so the reader may be ahead for an instant;
-	// counts that never become equal end in the test's timeout.
+	// A write is counted after it completes, so the reader's count may be ahead briefly. If the
+	// counts never become equal, the test times out.
 	for count("peer.client.bytes_out") != count("peer.server.bytes_in") ||
 		count("peer.client.bytes_in") != count("peer.server.bytes_out") {
 		runtime.Gosched()
 	}
 }
 
-// FuzzServer sends arbitrary bodies to every method. Whatever they hold, the
-// server answers with a status and does not panic.
+// FuzzServer sends arbitrary bodies to several methods and to an unknown one. The server must
+// respond with a valid status and must not panic.
 func FuzzServer(f *testing.F) {
 	server := NewServer(Handlers{Copies: &copies{}}, "secret", metrics.NewRegistry())
 	methods := []string{"Ping", "Join", "Hold", "Held", "Release", "Offer", "ConfigFetch", "ConfigOffer", "UpstreamSignals", "None"}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,14 +13,14 @@
 	"foxhall/internal/peer/peerpb"
 )
 
-// HeaderSecret carries the shared secret of the fleet's instances.
+// HeaderSecret is the request header with the secret shared by all instances.
 const HeaderSecret = "Foxhall-Peer-Secret"
 
 // maxRequest bounds a request in bytes. The largest are copies of a log entry
 // and configuration chunks, both at most a store value of 1 MB.
 const maxRequestBytes = 4 << 20
 
-// Server answers the calls of other instances.
+// Server serves the calls of other instances.
 type Server struct {
 	handlers        Handlers
 	secret          [sha256.Size]byte
@@ -28,8 +28,8 @@
 	unauthenticated metrics.Counter
 }
 
-// NewServer returns a server that hands calls bearing the secret to handlers.
-// Counters of calls by method are registered in registry.
+// NewServer returns a server that passes calls with the right secret to handlers. Counters of calls
+// by method and of unauthenticated calls are registered in registry.
 func NewServer(handlers Handlers, secret string, registry metrics.Registry) *Server {
 	s := &Server{
 		handlers:        handlers,
@@ -50,17 +50,17 @@
 	}
 }
 
-// Register puts the service on a mux.
+// Register registers the service on mux.
 func (s *Server) Register(mux *http.ServeMux) { mux.Handle(peerpb.PeerPathPrefix, s) }
 
-// RegisterEcho puts the service on an echo router.
+// RegisterEcho registers the service on an echo router.
 func (s *Server) RegisterEcho(e *echo.Echo) {
 	e.POST(peerpb.PeerPathPrefix+"*", echo.WrapHandler(s))
 }
 
-// ServeHTTP implements http.Handler. The secrets are compared by digest in
-// constant time: a comparison that stops at the first differing byte lets a
-// caller guess the secret byte by byte from the time an answer takes.
+// ServeHTTP implements http.Handler. The secrets are compared by digest in constant time: a
+// comparison that stops at the first differing byte would let a caller guess the secret byte by
+// byte from response times.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	digest := sha256.Sum256([]byte(r.Header.Get(HeaderSecret)))
 	if subtle.ConstantTimeCompare(digest[:], s.secret[:]) != 1 {
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -7,7 +7,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Traffic counts bytes of TCP payload, headers included, in both directions.
+// Traffic counts the bytes of TCP payload, HTTP headers included, in both directions.
 type Traffic struct {
 	In, Out metrics.Counter
 }
