--- a/internal/instance/copies.go
+++ b/internal/instance/copies.go
@@ -17,9 +17,9 @@
 	"foxhall/internal/store"
 )
 
-// copies manages the copies of log records that peers hold while the object API is down: those that
-// peers hold for this instance, and those held here for others. It implements ledger.Holders and
-// ownership.Copies; copyService serves the copies held here to peers.
+// copies manages the copies of log records that instances hold for each other while the object API
+// is down: those that peers hold for this instance, and those held here for peers. It implements
+// ledger.Holders and ownership.Copies; copyService serves the copies held here to peers.
 type copies struct {
 	instance *Instance
 	held     *ledger.HeldCopies
@@ -161,10 +161,10 @@
 	return count
 }
 
-// replicateHeld replicates the records that peers hold for this cohort again after an instance
-// died. It retries until an attempt succeeds, nothing is held, or the log is closed. The dead
-// instance may have been a holder, and a second death would lose turns that were reported to
-// callers as durable. A further death during an attempt starts another one.
+// replicateHeld runs after the death of an instance, which may have held copies for this cohort. It
+// calls replicate to copy the held records to peers again, and retries until an attempt succeeds,
+// nothing is held, or the log is closed. Without it, a second death would lose turns that were
+// reported to callers as durable. A further death during an attempt starts another one.
 func (c *copies) replicateHeld(replicate func(context.Context) error) {
 	if c.deaths.Add(1) > 1 {
 		return
@@ -210,7 +210,7 @@
 	c.Release(ctx, cohort, ^uint64(0))
 }
 
-// forgetInterval is the interval between checks for held copies that are not needed.
+// forgetInterval is the interval between checks for held copies that can be dropped.
 const forgetInterval = time.Hour
 
 // run drops copies of moved cohorts until ctx ends. Without it, an instance that was unreachable
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -213,7 +213,7 @@
 // sizeUnit is the value of membership.Report.Size for an instance of size 1.
 const sizeUnit = 100
 
-// report returns the state of this instance that heartbeats carry.
+// report returns this instance's state to be sent in heartbeats.
 func (i *Instance) report() membership.Report {
 	r := membership.Report{Size: uint32(i.settings.Size * sizeUnit)}
 	if i.config != nil {
--- a/internal/instance/run.go
+++ b/internal/instance/run.go
@@ -146,7 +146,8 @@
 	group.Go(func() error { i.followEndpoints(ctx); return nil })
 }
 
-// ignoreAfterCancel returns nil in place of err if ctx has ended: the task was told to stop.
+// ignoreAfterCancel returns nil if ctx has ended, because the task was stopped on purpose, and err
+// otherwise.
 func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
--- a/internal/instance/stream_bench_test.go
+++ b/internal/instance/stream_bench_test.go
@@ -76,11 +76,11 @@
 	return cost
 }
 
-// BenchmarkStreamedToken reports the cost of a streamed token to an instance: the cost of long
-// responses less that of short ones, through an instance less that directly from the engine. The
-// engine sends one token in a chunk. Caller, engine and instance share the process, and the second
-// difference excludes the first two. The figure includes what is retained of the turn for its log
-// entry.
+// BenchmarkStreamedToken reports what a streamed token costs an instance. The cost of a token is
+// the difference between long and short responses. The cost to the instance is the difference
+// between responses through an instance and directly from the engine: caller, engine and instance
+// share the process, and this difference excludes the first two. The engine sends one token in a
+// chunk. The figure includes what is retained of the turn for its log entry.
 func BenchmarkStreamedToken(b *testing.B) {
 	setup := startBench(b, streamTokensPerSecond)
 	defer setup.stop()
--- a/internal/instance/upstreams.go
+++ b/internal/instance/upstreams.go
@@ -20,7 +20,7 @@
 	// informed within two rounds, with a hundred within six.
 	signalInterval = 500 * time.Millisecond
 	signalFanout   = 3
-	// stateDraining is the only state that instances pass on to peers.
+	// stateDraining is the only upstream state that instances pass on to peers.
 	stateDraining = "leaving"
 )
 
