--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -14,10 +14,10 @@
 )
 
 // sizes are the numbers of plans over which slopes are taken; 5,000 is letter 1's.
-var sizes = []int{100, 1000, 5000}
+var planCounts = []int{100, 1000, 5000}
 
 // benchPair has as many plans and grants, 16 models and two upstreams for five plans.
-func benchPair(plans int) Pair {
+func newBenchPair(plans int) Pair {
 	list := make([]plan.Plan, plans)
 	for i := range list {
 		list[i] = testPlan(fmt.Sprintf("plan-%05d", i), 1_000_000)
@@ -38,7 +38,7 @@
 }
 
 // accept makes the pair the first accepted version.
-func accept(b *testing.B, client store.Client, pair Pair) {
+func acceptFirst(b *testing.B, client store.Client, pair Pair) {
 	b.Helper()
 	if _, err := NewEditor(client).Apply(context.Background(), Proposal{Operator: "bench", Plans: pair.Plans, Usage: pair.Usage}); err != nil {
 		b.Fatal(err)
@@ -66,11 +66,11 @@
 // BenchmarkInstall takes an edit of one plan in: the processor time of an
 // instance, and the bytes that the edit moves to it.
 func BenchmarkInstall(b *testing.B) {
-	for _, plans := range sizes {
+	for _, plans := range planCounts {
 		b.Run(fmt.Sprintf("plans=%d", plans), func(b *testing.B) {
 			s := standin.NewStore()
-			pair := benchPair(plans)
-			accept(b, s, pair)
+			pair := newBenchPair(plans)
+			acceptFirst(b, s, pair)
 			source := NewSource(s, Options{})
 			if _, err := source.read(context.Background()); err != nil {
 				b.Fatal(err)
@@ -94,17 +94,17 @@
 // BenchmarkEdit is an operator's edit of one plan, from reading to acceptance,
 // with and without a cache of chunks.
 func BenchmarkEdit(b *testing.B) {
-	for _, plans := range sizes {
+	for _, plans := range planCounts {
 		for _, cached := range []bool{false, true} {
-			b.Run(fmt.Sprintf("plans=%d/cached=%t", plans, cached), func(b *testing.B) { edit(b, plans, cached) })
+			b.Run(fmt.Sprintf("plans=%d/cached=%t", plans, cached), func(b *testing.B) { benchmarkEdits(b, plans, cached) })
 		}
 	}
 }
 
-func edit(b *testing.B, plans int, cached bool) {
+func benchmarkEdits(b *testing.B, plans int, cached bool) {
 	s := standin.NewStore()
-	pair := benchPair(plans)
-	accept(b, s, pair)
+	pair := newBenchPair(plans)
+	acceptFirst(b, s, pair)
 	cache := ""
 	if cached {
 		cache = b.TempDir()
@@ -124,17 +124,17 @@
 // BenchmarkFollow has sources follow edits of one plan and counts what each
 // costs the store and the wire.
 func BenchmarkFollow(b *testing.B) {
-	for _, plans := range sizes {
+	for _, plans := range planCounts {
 		for _, sources := range []int{1, 10} {
-			b.Run(fmt.Sprintf("plans=%d/instances=%d", plans, sources), func(b *testing.B) { follow(b, plans, sources) })
+			b.Run(fmt.Sprintf("plans=%d/instances=%d", plans, sources), func(b *testing.B) { benchmarkFollow(b, plans, sources) })
 		}
 	}
 }
 
-func follow(b *testing.B, plans, count int) {
+func benchmarkFollow(b *testing.B, plans, count int) {
 	s := standin.NewStore()
-	pair := benchPair(plans)
-	accept(b, s, pair)
+	pair := newBenchPair(plans)
+	acceptFirst(b, s, pair)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var sources []*Source
@@ -145,27 +145,27 @@
 	}
 	awaitVersion(sources, 1)
 	time.Sleep(100 * time.Millisecond) // until all watch
-	first := make([]int64, count)
-	calls := int64(0)
+	bytesBefore := make([]int64, count)
+	callsBefore := int64(0)
 	for i, source := range sources {
-		first[i] = source.client.Bytes()
-		calls += source.client.Calls()
+		bytesBefore[i] = source.client.Bytes()
+		callsBefore += source.client.Calls()
 	}
-	start := float64(calls) / float64(count)
+	startCalls := float64(callsBefore) / float64(count)
 	tokens, cache := int64(1), b.TempDir()
 	for b.Loop() {
 		tokens++
 		awaitVersion(sources, editOne(b, s, cache, pair, tokens).Version)
 	}
-	var after, moved int64
+	var callsAfter, bytesMoved int64
 	for i, source := range sources {
-		after += source.client.Calls()
-		moved += source.client.Bytes() - first[i]
+		callsAfter += source.client.Calls()
+		bytesMoved += source.client.Bytes() - bytesBefore[i]
 	}
 	edits := float64(b.N) * float64(count)
-	b.ReportMetric(start, "start-calls/instance")
-	b.ReportMetric(float64(after-calls)/edits, "calls/edit/instance")
-	b.ReportMetric(float64(moved)/edits, "bytes/edit/instance")
+	b.ReportMetric(startCalls, "start-calls/instance")
+	b.ReportMetric(float64(callsAfter-callsBefore)/edits, "calls/edit/instance")
+	b.ReportMetric(float64(bytesMoved)/edits, "bytes/edit/instance")
 }
 
 func awaitVersion(sources []*Source, version uint64) {
@@ -181,10 +181,10 @@
 
 // BenchmarkMemory holds a configuration and counts its heap.
 func BenchmarkMemory(b *testing.B) {
-	for _, plans := range sizes {
+	for _, plans := range planCounts {
 		b.Run(fmt.Sprintf("plans=%d", plans), func(b *testing.B) {
 			s := standin.NewStore()
-			accept(b, s, benchPair(plans))
+			acceptFirst(b, s, newBenchPair(plans))
 			var heap float64
 			for b.Loop() {
 				before := heapBytes()
--- a/internal/config/cache.go
+++ b/internal/config/cache.go
@@ -17,7 +17,7 @@
 func (c chunkCache) path(d Digest) string { return filepath.Join(c.folder, d.String()) }
 
 // load returns the chunks that are cached, and the digests of the others.
-func (c chunkCache) load(digests []Digest) (cached Chunks, absent []Digest) {
+func (c chunkCache) load(digests []Digest) (cached Chunks, missing []Digest) {
 	cached = Chunks{}
 	if c.folder == "" {
 		return cached, digests
@@ -25,18 +25,18 @@
 	for _, d := range digests {
 		packed, err := os.ReadFile(c.path(d))
 		if err != nil {
-			absent = append(absent, d)
+			missing = append(missing, d)
 			continue
 		}
 		raw, err := decompress(packed)
 		if err != nil || digestOf(raw) != d {
 			_ = os.Remove(c.path(d))
-			absent = append(absent, d)
+			missing = append(missing, d)
 			continue
 		}
 		cached[d] = packed
 	}
-	return cached, absent
+	return cached, missing
 }
 
 // save keeps chunks for later. A failure costs calls and nothing else.
--- a/internal/config/chunk.go
+++ b/internal/config/chunk.go
@@ -25,7 +25,7 @@
 
 // maxUnpacked bounds what a packed value may grow to, in bytes. A full value
 // of the store holds text that packs about five to one.
-const maxUnpacked = 16 * store.MaxValue
+const maxUnpackedBytes = 16 * store.MaxValue
 
 // ErrCorrupt says that a value is not what its name or form promises.
 var ErrCorrupt = errors.New("config: corrupt value")
@@ -71,7 +71,7 @@
 }
 
 // unpackChunk checks a packed chunk against its digest and decodes it.
-func unpackChunk(digest Digest, packed []byte, into any) error {
+func unpackChunk(digest Digest, packed []byte, target any) error {
 	raw, err := decompress(packed)
 	if err != nil {
 		return err
@@ -79,7 +79,7 @@
 	if digestOf(raw) != digest {
 		return errors.Wrapf(ErrCorrupt, "chunk %s has other contents", digest)
 	}
-	if err := json.Unmarshal(raw, into); err != nil {
+	if err := json.Unmarshal(raw, target); err != nil {
 		return errors.Wrapf(ErrCorrupt, "chunk %s: %v", digest, err)
 	}
 	return nil
@@ -92,13 +92,13 @@
 }
 
 func compress(raw []byte) ([]byte, error) {
-	var out bytes.Buffer
-	w := gzip.NewWriter(&out)
+	var compressed bytes.Buffer
+	w := gzip.NewWriter(&compressed)
 	if _, err := w.Write(raw); err != nil {
 		return nil, errors.Wrap(err, "config: compress")
 	}
 	err := w.Close()
-	return out.Bytes(), errors.Wrap(err, "config: compress")
+	return compressed.Bytes(), errors.Wrap(err, "config: compress")
 }
 
 func decompress(packed []byte) ([]byte, error) {
@@ -106,11 +106,11 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrCorrupt, err.Error())
 	}
-	raw, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
+	raw, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(ErrCorrupt, err.Error())
 	}
-	if len(raw) > maxUnpacked {
+	if len(raw) > maxUnpackedBytes {
 		return nil, errors.Wrap(ErrCorrupt, "value too large when unpacked")
 	}
 	return raw, nil
--- a/internal/config/collect.go
+++ b/internal/config/collect.go
@@ -17,7 +17,7 @@
 	// Kept and Removed count chunks.
 	Kept, Removed int
 	// Spared are chunks that an edit had written again meanwhile.
-	Spared int
+	Rewritten int
 }
 
 // Collect removes the chunks that neither the manifest nor its last keep
@@ -33,72 +33,72 @@
 // even if it is there: for one that begins after, the chunk's version has moved
 // since it was listed, and the conditional deletion fails.
 func (e *Editor) Collect(ctx context.Context, keep int) (Collection, error) {
-	var done Collection
+	var result Collection
 	h, err := e.head(ctx)
 	if err != nil || h.version == 0 {
-		return done, err
+		return result, err
 	}
 	listed, err := e.client.List(ctx, KindChunk, "")
 	if err != nil {
-		return done, err
+		return result, err
 	}
-	marked, err := h.mark(ctx, listed, keep)
+	referenced, err := h.referencedChunks(ctx, listed, keep)
 	if err != nil {
-		return done, err
+		return result, err
 	}
-	garbage := unmarked(listed, marked)
-	done.Kept = len(listed) - len(garbage)
-	if len(garbage) == 0 {
-		return done, nil
+	unreferenced := unreferencedChunks(listed, referenced)
+	result.Kept = len(listed) - len(unreferenced)
+	if len(unreferenced) == 0 {
+		return result, nil
 	}
-	if err := e.barrier(ctx, h); err != nil {
-		return done, err
+	if err := e.rewriteManifest(ctx, h); err != nil {
+		return result, err
 	}
-	for _, object := range garbage {
+	for _, object := range unreferenced {
 		err := e.client.Delete(ctx, object.Key, object.Version)
 		switch {
 		case errors.Is(err, store.ErrConflict):
-			done.Spared++
+			result.Rewritten++
 		case err == nil, errors.Is(err, store.ErrNotFound):
-			done.Removed++
+			result.Removed++
 		default:
-			return done, err
+			return result, err
 		}
 	}
-	return done, nil
+	return result, nil
 }
 
 // mark returns the names of the chunks that the manifest and its records name.
-func (h *head) mark(ctx context.Context, listed []store.Object, keep int) (map[string]bool, error) {
+func (h *head) referencedChunks(ctx context.Context, listed []store.Object, keep int) (map[string]bool, error) {
 	for _, object := range listed {
 		var digest Digest
 		if digest.UnmarshalText([]byte(object.Key.Name)) == nil {
 			h.chunks[digest] = object.Value
 		}
 	}
-	marked := map[string]bool{}
-	mark := func(d Digest) { marked[d.String()] = true }
+	referenced := map[string]bool{}
+	add := func(d Digest) { referenced[d.String()] = true }
 	record := h.manifest.record(h.version)
 	for range keep {
-		record.Sections.digests(mark)
+		record.Sections.digests(add)
 		parent, err := h.parent(ctx, record)
 		if errors.Is(err, ErrNoVersion) {
-			return marked, nil
+			return referenced, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		mark(record.Parent)
+		add(record.Parent)
 		record = parent
 	}
-	record.Sections.digests(mark)
-	return marked, nil
+	record.Sections.digests(add)
+	return referenced, nil
 }
 
 // barrier writes the manifest again with the same contents.
-func (e *Editor) barrier(ctx context.Context, h *head) error {
+func (e *Editor) rewriteManifest(ctx context.Context, h *head) error {
 	next := *h.manifest
-	next.EditVersion = h.editVersion()
+	next.EditVersion = h.acceptedVersion()
 	value, err := next.encode()
 	if err != nil {
 		return err
@@ -107,10 +107,10 @@
 	return err
 }
 
-func unmarked(listed []store.Object, marked map[string]bool) []store.Object {
+func unreferencedChunks(listed []store.Object, referenced map[string]bool) []store.Object {
 	var rest []store.Object
 	for _, object := range listed {
-		if !marked[object.Key.Name] {
+		if !referenced[object.Key.Name] {
 			rest = append(rest, object)
 		}
 	}
--- a/internal/config/config_fuzz_test.go
+++ b/internal/config/config_fuzz_test.go
@@ -17,10 +17,10 @@
 
 // forceBound is the time after healing within which all instances must have
 // the last accepted version (letter 1).
-const forceBound = 10 * time.Second
+const propagationLimit = 10 * time.Second
 
 // attempt is one edit as its operator saw it: one plan's tokens.
-type attempt struct {
+type editAttempt struct {
 	plan    string
 	tokens  int64
 	version uint64
@@ -28,11 +28,11 @@
 }
 
 // run is one run of the state machine with what it has observed.
-type run struct {
-	*world
-	attempts []attempt
-	seen     map[uint64]Sections
-	next     int64
+type modelRun struct {
+	*cluster
+	attempts          []editAttempt
+	sectionsByVersion map[uint64]Sections
+	lastTokens        int64
 }
 
 // Operators race each other and instances follow, while the store goes down,
@@ -49,7 +49,7 @@
 		folder := filepath.Join(t.TempDir(), fmt.Sprint(checks))
 		makeFolder(t, folder)
 		inBubble(t, func() {
-			r := &run{world: newWorld(folder, "", "", "", ""), seen: map[uint64]Sections{}}
+			r := &modelRun{cluster: newCluster(folder, "", "", "", ""), sectionsByVersion: map[uint64]Sections{}}
 			defer r.close()
 			rt.Repeat(map[string]func(*rapid.T){
 				"edit":    r.edit,
@@ -58,13 +58,13 @@
 				"store":   r.storeFaults,
 				"link":    r.linkFaults,
 				"restart": r.restart,
-				"time":    r.pass,
-				"":        r.check,
+				"time":    r.advanceTime,
+				"":        r.checkInstances,
 			})
 			r.heal()
-			time.Sleep(forceBound)
-			r.check(rt)
-			r.judge(rt)
+			time.Sleep(propagationLimit)
+			r.checkInstances(rt)
+			r.checkHistory(rt)
 		})
 	})
 }
@@ -82,21 +82,21 @@
 	}
 }
 
-func (r *run) pass(rt *rapid.T) {
+func (r *modelRun) advanceTime(rt *rapid.T) {
 	time.Sleep(time.Duration(rapid.IntRange(1, 5000).Draw(rt, "ms")) * time.Millisecond)
 }
 
-func (r *run) edit(rt *rapid.T) {
+func (r *modelRun) edit(rt *rapid.T) {
 	operator := rapid.IntRange(0, len(r.operators)-1).Draw(rt, "operator")
-	r.propose(operator, rapid.SampledFrom([]string{"p1", "p2", "p3"}).Draw(rt, "plan"), r.tokens(), nil)
+	r.propose(operator, rapid.SampledFrom([]string{"p1", "p2", "p3"}).Draw(rt, "plan"), r.nextTokens(), nil)
 }
 
 // race lets two operators start from one base and propose at once.
-func (r *run) race(rt *rapid.T) {
+func (r *modelRun) race(rt *rapid.T) {
 	var ready, group sync.WaitGroup
 	ready.Add(2)
 	for i := range 2 {
-		name, tokens := rapid.SampledFrom([]string{"p1", "p2"}).Draw(rt, "plan"), r.tokens()
+		name, tokens := rapid.SampledFrom([]string{"p1", "p2"}).Draw(rt, "plan"), r.nextTokens()
 		group.Go(func() {
 			r.propose(i, name, tokens, func() { ready.Done(); ready.Wait() })
 		})
@@ -104,20 +104,20 @@
 	group.Wait()
 }
 
-func (r *run) tokens() int64 {
-	r.next++
-	return r.next
+func (r *modelRun) nextTokens() int64 {
+	r.lastTokens++
+	return r.lastTokens
 }
 
 var attemptsLock sync.Mutex
 
-func (r *run) propose(operator int, name string, tokens int64, read func()) {
+func (r *modelRun) propose(operator int, name string, tokens int64, afterRead func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 	defer cancel()
 	editor := NewEditor(r.operators[operator])
 	pair, base, err := editor.Get(ctx, 0)
-	if read != nil {
-		read()
+	if afterRead != nil {
+		afterRead()
 	}
 	if err != nil {
 		return
@@ -127,16 +127,16 @@
 	})
 	attemptsLock.Lock()
 	defer attemptsLock.Unlock()
-	r.attempts = append(r.attempts, attempt{plan: name, tokens: tokens, version: accepted.Version, err: err})
+	r.attempts = append(r.attempts, editAttempt{plan: name, tokens: tokens, version: accepted.Version, err: err})
 }
 
-func (r *run) collect(*rapid.T) {
+func (r *modelRun) collect(*rapid.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_, _ = NewEditor(r.operators[2]).Collect(ctx, DefaultKeep)
 }
 
-func (r *run) storeFaults(rt *rapid.T) {
+func (r *modelRun) storeFaults(rt *rapid.T) {
 	r.store.SetFaults(standin.StoreFaults{
 		Down:         rapid.IntRange(0, 3).Draw(rt, "down") == 0,
 		Delay:        time.Duration(rapid.SampledFrom([]int{0, 0, 5, 800}).Draw(rt, "delay")) * time.Millisecond,
@@ -146,61 +146,61 @@
 	})
 }
 
-func (r *run) linkFaults(rt *rapid.T) {
-	links := append([]*link{}, r.operators...)
+func (r *modelRun) linkFaults(rt *rapid.T) {
+	links := append([]*faultyClient{}, r.operators...)
 	for _, n := range r.nodes {
-		links = append(links, n.link)
+		links = append(links, n.client)
 	}
 	l := rapid.SampledFrom(links).Draw(rt, "link")
-	l.set(rapid.Bool().Draw(rt, "cut"), rapid.Bool().Draw(rt, "regressed"))
+	l.setFaults(rapid.Bool().Draw(rt, "cut"), rapid.Bool().Draw(rt, "regressed"))
 	n := rapid.SampledFrom(r.nodes).Draw(rt, "node")
-	n.alone.Store(rapid.Bool().Draw(rt, "alone"))
+	n.isolated.Store(rapid.Bool().Draw(rt, "alone"))
 }
 
-func (r *run) restart(rt *rapid.T) {
+func (r *modelRun) restart(rt *rapid.T) {
 	n := rapid.SampledFrom(r.nodes).Draw(rt, "node")
 	n.stop()
-	if n.folder == "" {
-		n.floor = 0
+	if n.dataFolder == "" {
+		n.highestVersion = 0
 	}
 	n.start()
 }
 
-func (r *run) heal() {
+func (r *modelRun) heal() {
 	r.store.SetFaults(standin.StoreFaults{})
 	for _, n := range r.nodes {
-		n.link.set(false, false)
-		n.alone.Store(false)
+		n.client.setFaults(false, false)
+		n.isolated.Store(false)
 	}
 	for _, l := range r.operators {
-		l.set(false, false)
+		l.setFaults(false, false)
 	}
 }
 
 // check holds at all times.
-func (r *run) check(rt *rapid.T) {
+func (r *modelRun) checkInstances(rt *rapid.T) {
 	for _, n := range r.nodes {
 		current := n.Current()
 		if current == nil {
-			if n.floor > 0 {
-				rt.Fatalf("instance %d forgot version %d", n.index, n.floor)
+			if n.highestVersion > 0 {
+				rt.Fatalf("instance %d forgot version %d", n.index, n.highestVersion)
 			}
 			continue
 		}
-		if current.Version < n.floor {
-			rt.Fatalf("instance %d went back from version %d to %d", n.index, n.floor, current.Version)
+		if current.Version < n.highestVersion {
+			rt.Fatalf("instance %d went back from version %d to %d", n.index, n.highestVersion, current.Version)
 		}
-		n.floor = current.Version
-		if seen, ok := r.seen[current.Version]; ok && fmt.Sprint(seen) != fmt.Sprint(current.sections) {
+		n.highestVersion = current.Version
+		if seen, ok := r.sectionsByVersion[current.Version]; ok && fmt.Sprint(seen) != fmt.Sprint(current.sections) {
 			rt.Fatalf("version %d differs between instances", current.Version)
 		}
-		r.seen[current.Version] = current.sections
+		r.sectionsByVersion[current.Version] = current.sections
 	}
 }
 
 // judge compares what operators were told with the history, and the instances
 // with its end.
-func (r *run) judge(rt *rapid.T) {
+func (r *modelRun) checkHistory(rt *rapid.T) {
 	ctx := context.Background()
 	editor := NewEditor(r.store)
 	h, err := editor.head(ctx)
@@ -216,7 +216,7 @@
 	if err != nil {
 		rt.Fatal(err)
 	}
-	values := r.history(rt, h, records)
+	values := r.tokenVersions(rt, h, records)
 	for _, a := range r.attempts {
 		versions := values[a.tokens]
 		var conflict *ConflictError
@@ -233,7 +233,7 @@
 
 // history returns the versions at which each value was set. Each edit of the
 // test sets one plan, so an edit that changes more has undone another's.
-func (r *run) history(rt *rapid.T, h *head, records []Record) map[int64][]uint64 {
+func (r *modelRun) tokenVersions(rt *rapid.T, h *head, records []Record) map[int64][]uint64 {
 	values := map[int64][]uint64{}
 	before := emptyPair()
 	for i := len(records) - 1; i >= 0; i-- {
--- a/internal/config/current.go
+++ b/internal/config/current.go
@@ -16,10 +16,10 @@
 	EditVersion uint64
 	Edit        Edit
 
-	manifest []byte
-	sections Sections
-	chunks   Chunks
-	decoded  *decoded
+	manifest      []byte
+	sections      Sections
+	chunks        Chunks
+	decodedShards *decodedShards
 	// superseded is closed when a newer version is in force.
 	superseded chan struct{}
 }
@@ -39,32 +39,32 @@
 }
 
 // noConfiguration is what is in force before anything is.
-func noConfiguration() *Current {
-	return &Current{decoded: &decoded{}, chunks: Chunks{}, superseded: make(chan struct{})}
+func emptyConfiguration() *Current {
+	return &Current{decodedShards: &decodedShards{}, chunks: Chunks{}, superseded: make(chan struct{})}
 }
 
 // assemble builds the configuration that an update describes, with the chunks
 // that the one before holds. If chunks are lacking it returns them and no
 // configuration.
-func assemble(before *Current, update Update) (*Current, []Digest, error) {
+func assemble(previous *Current, update Update) (*Current, []Digest, error) {
 	manifest, err := decodeManifest(update.Manifest)
 	if err != nil {
 		return nil, nil, err
 	}
 	next := &Current{
-		Version: update.Version, Edit: manifest.Edit, EditVersion: manifest.editVersion(update.Version),
+		Version: update.Version, Edit: manifest.Edit, EditVersion: manifest.acceptedVersion(update.Version),
 		manifest: update.Manifest, sections: manifest.Sections, superseded: make(chan struct{}),
 	}
-	next.chunks = gather(&manifest.Sections, before.chunks, manifest.Inline, update.Chunks)
-	if lacking := next.chunks.missing(&manifest.Sections); len(lacking) > 0 {
-		return nil, lacking, nil
+	next.chunks = selectChunks(&manifest.Sections, previous.chunks, manifest.Inline, update.Chunks)
+	if missing := next.chunks.missing(&manifest.Sections); len(missing) > 0 {
+		return nil, missing, nil
 	}
-	next.Plans, next.Usage, next.decoded, err = unpack(&manifest.Sections, next.chunks, before.decoded)
+	next.Plans, next.Usage, next.decodedShards, err = unpack(&manifest.Sections, next.chunks, previous.decodedShards)
 	return next, nil, err
 }
 
 // gather returns the chunks that the sections name, from the first source that has each.
-func gather(sections *Sections, sources ...Chunks) Chunks {
+func selectChunks(sections *Sections, sources ...Chunks) Chunks {
 	chunks := Chunks{}
 	sections.digests(func(d Digest) {
 		for _, source := range sources {
@@ -80,12 +80,12 @@
 // export returns what a peer lacks.
 func (c *Current) export(have Have) Update {
 	update := Update{Version: c.Version, Manifest: c.manifest, Chunks: Chunks{}}
-	held := make(map[Digest]struct{}, len(have.Chunks))
+	known := make(map[Digest]struct{}, len(have.Chunks))
 	for _, digest := range have.Chunks {
-		held[digest] = struct{}{}
+		known[digest] = struct{}{}
 	}
 	for digest, packed := range c.chunks {
-		if _, ok := held[digest]; !ok {
+		if _, ok := known[digest]; !ok {
 			update.Chunks[digest] = packed
 		}
 	}
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -14,7 +14,7 @@
 
 // maxListed is the number of changes that an edit's record names. The rest
 // are counted.
-const maxListed = 10
+const maxListedChanges = 10
 
 // Action is what an edit did to an entry.
 type Action string
@@ -119,19 +119,19 @@
 
 // flatten writes the keys of an entry as TOML names them. A list that is
 // absent and one that is empty read the same.
-func flatten(prefix string, value reflect.Value, into map[string]string) {
+func flatten(prefix string, value reflect.Value, values map[string]string) {
 	for i := range value.NumField() {
 		key := prefix + value.Type().Field(i).Tag.Get("toml")
 		field := value.Field(i)
 		switch v := field.Interface().(type) {
 		case plan.Duration:
-			into[key] = time.Duration(v).String()
+			values[key] = time.Duration(v).String()
 		default:
 			if field.Kind() == reflect.Struct {
-				flatten(key+".", field, into)
+				flatten(key+".", field, values)
 				continue
 			}
-			into[key] = fmt.Sprint(v)
+			values[key] = fmt.Sprint(v)
 		}
 	}
 }
@@ -145,44 +145,44 @@
 
 // merge applies to theirs what leads from base to mine. Entries that both
 // changed, and differently, are returned as what they did to them.
-func merge[T named](list, table string, base, mine, theirs []T) (merged []T, conflicts []Change) {
-	b, m, t := byName(base), byName(mine), byName(theirs)
-	for _, name := range unionOfNames(m, t) {
-		keep := t[name]
+func merge[T named](list, table string, base, ours, theirs []T) (merged []T, conflicts []Change) {
+	baseEntries, ourEntries, theirEntries := byName(base), byName(ours), byName(theirs)
+	for _, name := range unionOfNames(ourEntries, theirEntries) {
+		result := theirEntries[name]
 		switch {
-		case sameEntry(m[name], b[name]) || sameEntry(m[name], t[name]):
-		case sameEntry(t[name], b[name]):
-			keep = m[name]
+		case sameEntry(ourEntries[name], baseEntries[name]) || sameEntry(ourEntries[name], theirEntries[name]):
+		case sameEntry(theirEntries[name], baseEntries[name]):
+			result = ourEntries[name]
 		default:
-			conflicts = append(conflicts, diffTable(list, table, only(b[name]), only(t[name]))...)
+			conflicts = append(conflicts, diffTable(list, table, asSlice(baseEntries[name]), asSlice(theirEntries[name]))...)
 		}
-		if keep != nil {
-			merged = append(merged, *keep)
+		if result != nil {
+			merged = append(merged, *result)
 		}
 	}
 	return merged, conflicts
 }
 
 // mergePairs merges table by table.
-func mergePairs(base, mine, theirs Pair) (Pair, []Change) {
+func mergePairs(base, ours, theirs Pair) (Pair, []Change) {
 	var conflicts []Change
-	note := func(found []Change) { conflicts = append(conflicts, found...) }
-	plans, found := merge(plan.ListName, "plan", base.Plans.Plans, mine.Plans.Plans, theirs.Plans.Plans)
-	note(found)
+	addConflicts := func(found []Change) { conflicts = append(conflicts, found...) }
+	plans, found := merge(plan.ListName, "plan", base.Plans.Plans, ours.Plans.Plans, theirs.Plans.Plans)
+	addConflicts(found)
 	list := &usage.List{}
-	list.Models, found = merge(usage.ListName, "model", base.Usage.Models, mine.Usage.Models, theirs.Usage.Models)
-	note(found)
-	list.Services, found = merge(usage.ListName, "service", base.Usage.Services, mine.Usage.Services, theirs.Usage.Services)
-	note(found)
-	list.Upstreams, found = merge(usage.ListName, "upstream", base.Usage.Upstreams, mine.Usage.Upstreams, theirs.Usage.Upstreams)
-	note(found)
-	list.Grants, found = merge(usage.ListName, "grant", base.Usage.Grants, mine.Usage.Grants, theirs.Usage.Grants)
-	note(found)
+	list.Models, found = merge(usage.ListName, "model", base.Usage.Models, ours.Usage.Models, theirs.Usage.Models)
+	addConflicts(found)
+	list.Services, found = merge(usage.ListName, "service", base.Usage.Services, ours.Usage.Services, theirs.Usage.Services)
+	addConflicts(found)
+	list.Upstreams, found = merge(usage.ListName, "upstream", base.Usage.Upstreams, ours.Usage.Upstreams, theirs.Usage.Upstreams)
+	addConflicts(found)
+	list.Grants, found = merge(usage.ListName, "grant", base.Usage.Grants, ours.Usage.Grants, theirs.Usage.Grants)
+	addConflicts(found)
 	list.Index()
 	return Pair{Plans: plan.Restore(plans), Usage: list}, conflicts
 }
 
-func only[T named](entry *T) []T {
+func asSlice[T named](entry *T) []T {
 	if entry == nil {
 		return nil
 	}
--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -17,8 +17,8 @@
 
 // Pauses between the tries of an edit that met an outage or another edit.
 const (
-	editRetryFirst = 50 * time.Millisecond
-	editRetryMax   = 2 * time.Second
+	editRetryMin = 50 * time.Millisecond
+	editRetryMax = 2 * time.Second
 )
 
 // Proposal is an edit that an operator asks for.
@@ -78,7 +78,7 @@
 	}
 	uncertain := false
 	accepted, err := backoff.Retry(ctx, func() (Accepted, error) {
-		accepted, err := e.try(ctx, &p, id)
+		accepted, err := e.applyOnce(ctx, &p, id)
 		if err == nil {
 			return accepted, nil
 		}
@@ -102,7 +102,7 @@
 
 func editBackOff() *backoff.ExponentialBackOff {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = editRetryFirst
+	pause.InitialInterval = editRetryMin
 	pause.MaxInterval = editRetryMax
 	return pause
 }
@@ -117,69 +117,69 @@
 
 // try reads what is in force and attempts the edit once. An edit whose answer
 // was lost is found in the history that it reads first.
-func (e *Editor) try(ctx context.Context, p *Proposal, id string) (Accepted, error) {
-	head, err := e.head(ctx)
+func (e *Editor) applyOnce(ctx context.Context, p *Proposal, id string) (Accepted, error) {
+	current, err := e.head(ctx)
 	if err != nil {
 		return Accepted{}, err
 	}
-	past, err := head.since(ctx, p.Base)
+	history, err := current.editsSince(ctx, p.Base)
 	if err != nil {
 		return Accepted{}, err
 	}
-	for _, record := range past.after {
+	for _, record := range history.edits {
 		if record.Edit.ID == id {
 			return Accepted{Version: record.Version, Changes: record.Edit.Changes, Repeated: true}, nil
 		}
 	}
-	if err := head.seed(p); err != nil {
+	if err := current.addProposalChunks(p); err != nil {
 		return Accepted{}, err
 	}
-	now, err := head.pair(ctx, &head.manifest.Sections)
+	accepted, err := current.pair(ctx, &current.manifest.Sections)
 	if err != nil {
 		return Accepted{}, err
 	}
-	base, err := head.pair(ctx, &past.base.Sections)
+	base, err := current.pair(ctx, &history.base.Sections)
 	if err != nil {
 		return Accepted{}, err
 	}
-	merged, conflicts := mergePairs(base, p.pair(base), now)
+	merged, conflicts := mergePairs(base, p.pair(base), accepted)
 	if len(conflicts) > 0 {
-		return Accepted{}, &ConflictError{Base: p.Base, Version: head.editVersion(), Entries: conflicts, Edits: past.after}
+		return Accepted{}, &ConflictError{Base: p.Base, Version: current.acceptedVersion(), Entries: conflicts, Edits: history.edits}
 	}
-	changes := Diff(now, merged)
+	changes := Diff(accepted, merged)
 	if len(changes) == 0 {
-		return Accepted{Version: head.editVersion(), Unchanged: true}, nil
+		return Accepted{Version: current.acceptedVersion(), Unchanged: true}, nil
 	}
 	if err := Validate(merged.Plans, merged.Usage); err != nil {
 		return Accepted{}, withLines(err, p)
 	}
-	return e.accept(ctx, head, merged, p.edit(id, changes))
+	return e.accept(ctx, current, merged, p.edit(id, changes))
 }
 
 // accept writes the chunks and then the manifest.
-func (e *Editor) accept(ctx context.Context, head *head, merged Pair, edit Edit) (Accepted, error) {
-	sections, chunks, err := pack(merged.Plans, merged.Usage, &head.manifest.Sections)
+func (e *Editor) accept(ctx context.Context, current *head, merged Pair, edit Edit) (Accepted, error) {
+	sections, chunks, err := pack(merged.Plans, merged.Usage, &current.manifest.Sections)
 	if err != nil {
 		return Accepted{}, err
 	}
-	fresh := chunks.without(&head.manifest.Sections)
-	next := Manifest{Edit: edit, Sections: sections, Inline: fresh.inline()}
-	if head.version > 0 {
-		digest, packed, err := packChunk(head.manifest.record(head.version))
+	newChunks := chunks.without(&current.manifest.Sections)
+	next := Manifest{Edit: edit, Sections: sections, Inline: newChunks.inline()}
+	if current.version > 0 {
+		digest, packed, err := packChunk(current.manifest.record(current.version))
 		if err != nil {
 			return Accepted{}, err
 		}
 		next.Parent = digest
-		fresh[digest] = packed
+		newChunks[digest] = packed
 	}
 	value, err := next.encode()
 	if err != nil {
 		return Accepted{}, err
 	}
-	if err := e.writeChunks(ctx, fresh); err != nil {
+	if err := e.writeChunks(ctx, newChunks); err != nil {
 		return Accepted{}, err
 	}
-	version, err := e.client.Put(ctx, ManifestKey, value, store.Version(head.version))
+	version, err := e.client.Put(ctx, ManifestKey, value, store.Version(current.version))
 	if errors.Is(err, store.ErrUnknown) {
 		return Accepted{}, errors.Wrap(errManifestUnknown, err.Error())
 	}
@@ -220,6 +220,6 @@
 func (p *Proposal) edit(id string, changes []Change) Edit {
 	return Edit{
 		ID: id, Operator: p.Operator, Note: p.Note, Time: time.Now().UTC().Truncate(time.Second),
-		Changes: changes[:min(len(changes), maxListed)], Changed: len(changes),
+		Changes: changes[:min(len(changes), maxListedChanges)], Changed: len(changes),
 	}
 }
--- a/internal/config/exchange.go
+++ b/internal/config/exchange.go
@@ -30,16 +30,16 @@
 // now and then, so that what was missed is made good.
 func (s *Source) followPeers(ctx context.Context) error {
 	if s.options.Peers == nil {
-		s.peersAsked.Store(true)
+		s.peersQueried.Store(true)
 		return nil
 	}
 	// The channel is kept until it is closed, so that a version that arrives
 	// during an exchange is passed on as well.
 	changed := s.Changed()
 	s.exchangeWith(ctx, s.options.Peers.Sample(Fanout))
-	s.peersAsked.Store(true)
+	s.peersQueried.Store(true)
 	for ctx.Err() == nil {
-		if wait(ctx, changed, jitter(s.options.PeerInterval)) {
+		if waitForChange(ctx, changed, jitter(s.options.PeerInterval)) {
 			changed = s.Changed()
 			s.exchangeWith(ctx, s.options.Peers.Sample(Fanout))
 			continue
@@ -56,7 +56,7 @@
 	for _, peer := range peers {
 		group.Go(func() {
 			if err := s.exchange(ctx, peer); err != nil && s.Version() == 0 {
-				s.setFault("peer %s: %v", peer.Name(), err)
+				s.setLastError("peer %s: %v", peer.Name(), err)
 			}
 		})
 	}
@@ -65,15 +65,15 @@
 
 // exchange brings both sides to the higher of their versions.
 func (s *Source) exchange(ctx context.Context, peer Peer) error {
-	theirs, err := peer.Version(ctx)
+	peerVersion, err := peer.Version(ctx)
 	if err != nil {
 		return err
 	}
 	current := s.current.Load()
 	switch {
-	case theirs > current.Version:
+	case peerVersion > current.Version:
 		return s.pull(ctx, peer, current)
-	case theirs < current.Version:
+	case peerVersion < current.Version:
 		return s.push(ctx, peer, current)
 	default:
 		return nil
@@ -93,19 +93,19 @@
 func (s *Source) push(ctx context.Context, peer Peer, current *Current) error {
 	update := Update{Version: current.Version, Manifest: current.manifest}
 	s.offered.Inc(1)
-	lacking, err := peer.Offer(ctx, update)
-	if err != nil || len(lacking) == 0 {
+	missing, err := peer.Offer(ctx, update)
+	if err != nil || len(missing) == 0 {
 		return err
 	}
 	update.Chunks = Chunks{}
-	for _, digest := range lacking {
+	for _, digest := range missing {
 		if packed := current.chunks[digest]; packed != nil {
 			update.Chunks[digest] = packed
 		}
 	}
-	lacking, err = peer.Offer(ctx, update)
-	if err == nil && len(lacking) > 0 {
-		return errors.Errorf("config: peer lacks %d chunks after an offer", len(lacking))
+	missing, err = peer.Offer(ctx, update)
+	if err == nil && len(missing) > 0 {
+		return errors.Errorf("config: peer lacks %d chunks after an offer", len(missing))
 	}
 	return err
 }
--- a/internal/config/failure_test.go
+++ b/internal/config/failure_test.go
@@ -19,7 +19,7 @@
 )
 
 // set makes an edit that sets one plan's tokens, from what is accepted now.
-func set(is *is.I, client store.Client, name string, tokens int64) Accepted {
+func setTokens(is *is.I, client store.Client, name string, tokens int64) Accepted {
 	editor := NewEditor(client)
 	pair, base, err := editor.Get(context.Background(), 0)
 	is.NoErr(err)
@@ -29,29 +29,29 @@
 }
 
 // hook calls before once, ahead of the first Put or Delete of a kind.
-type hook struct {
+type hookedClient struct {
 	store.Client
-	kind   string
-	delete bool
-	before func()
+	kind       string
+	onDelete   bool
+	beforeCall func()
 }
 
-func (h *hook) fire(kind string, deleting bool) {
-	if h.before == nil || kind != h.kind || deleting != h.delete {
+func (h *hookedClient) runHook(kind string, deleting bool) {
+	if h.beforeCall == nil || kind != h.kind || deleting != h.onDelete {
 		return
 	}
-	before := h.before
-	h.before = nil
+	before := h.beforeCall
+	h.beforeCall = nil
 	before()
 }
 
-func (h *hook) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
-	h.fire(key.Kind, false)
+func (h *hookedClient) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
+	h.runHook(key.Kind, false)
 	return h.Client.Put(ctx, key, value, base)
 }
 
-func (h *hook) Delete(ctx context.Context, key store.Key, base store.Version) error {
-	h.fire(key.Kind, true)
+func (h *hookedClient) Delete(ctx context.Context, key store.Key, base store.Version) error {
+	h.runHook(key.Kind, true)
 	return h.Client.Delete(ctx, key, base)
 }
 
@@ -64,12 +64,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := standin.NewStore()
-		set(is, s, "p1", 1)
+		setTokens(is, s, "p1", 1)
 		pair, base, err := NewEditor(s).Get(context.Background(), 0)
 		is.NoErr(err)
 		proposal := Proposal{Operator: "rui", Base: base, Plans: withTokens(pair.Plans, "p2", 7)}
 
-		client := &hook{Client: s, kind: KindManifest, before: func() { s.SetFaults(standin.StoreFaults{LoseAnswers: 1}) }}
+		client := &hookedClient{Client: s, kind: KindManifest, beforeCall: func() { s.SetFaults(standin.StoreFaults{LoseAnswers: 1}) }}
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		go func() { time.Sleep(time.Millisecond); s.SetFaults(standin.StoreFaults{Down: true}) }()
@@ -77,7 +77,7 @@
 		is.True(errors.Is(err, ErrOutcomeUnknown))
 
 		s.SetFaults(standin.StoreFaults{})
-		set(is, s, "p3", 3)
+		setTokens(is, s, "p3", 3)
 		accepted, err := NewEditor(s).Apply(context.Background(), proposal)
 		is.NoErr(err)
 		is.True(accepted.Repeated)
@@ -92,28 +92,28 @@
 // during three edits. Its callers are judged by the last version it had. When
 // only the way to the other data centre heals, the peers bring all three edits,
 // well within the bound and without a store call.
-func TestDataCentreCutOffDuringThreeEdits(t *testing.T) {
+func TestDataCentreIsolatedDuringThreeEdits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("", "", "", "")
+		w := newCluster("", "", "", "")
 		defer w.close()
-		first := set(is, w.store, "p1", 1)
-		time.Sleep(forceBound)
+		first := setTokens(is, w.store, "p1", 1)
+		time.Sleep(propagationLimit)
 		for _, n := range w.nodes[2:] {
-			n.link.set(true, false)
-			n.alone.Store(true)
+			n.client.setFaults(true, false)
+			n.isolated.Store(true)
 		}
-		set(is, w.store, "p1", 2)
-		set(is, w.store, "p2", 3)
-		last := set(is, w.store, "p1", 4)
+		setTokens(is, w.store, "p1", 2)
+		setTokens(is, w.store, "p2", 3)
+		last := setTokens(is, w.store, "p1", 4)
 		time.Sleep(time.Minute)
 		for _, n := range w.nodes[2:] {
 			is.Equal(n.Current().Version, first.Version)
 			ready, _ := n.source.Load().Ready()
 			is.True(ready) // it goes on serving
-			n.alone.Store(false)
+			n.isolated.Store(false)
 		}
-		time.Sleep(forceBound / 2)
+		time.Sleep(propagationLimit / 2)
 		for _, n := range w.nodes {
 			is.Equal(n.Current().Version, last.Version)
 			is.Equal(n.Current().Plans.Lookup("p1").Budget.Tokens, int64(4))
@@ -128,36 +128,36 @@
 func TestRestartedWithStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t.TempDir(), "", "")
+		w := newCluster(t.TempDir(), "", "")
 		defer w.close()
-		set(is, w.store, "p1", 1)
-		time.Sleep(forceBound) // so that old reads have something to show
-		last := set(is, w.store, "p1", 2)
-		time.Sleep(forceBound)
+		setTokens(is, w.store, "p1", 1)
+		time.Sleep(propagationLimit) // so that old reads have something to show
+		last := setTokens(is, w.store, "p1", 2)
+		time.Sleep(propagationLimit)
 		w.store.SetFaults(standin.StoreFaults{Down: true})
 
-		disk, bare := w.nodes[0], w.nodes[1]
-		disk.stop()
-		disk.alone.Store(true)
-		disk.start()
-		is.Equal(disk.Current().Version, last.Version) // before anything is asked
-		bare.stop()
-		bare.start()
-		time.Sleep(startTime)
-		is.Equal(bare.Current().Version, last.Version)
-		bare.stop()
-		bare.alone.Store(true)
-		bare.start()
-		time.Sleep(forceBound)
-		ready, reason := bare.source.Load().Ready()
+		durable, diskless := w.nodes[0], w.nodes[1]
+		durable.stop()
+		durable.isolated.Store(true)
+		durable.start()
+		is.Equal(durable.Current().Version, last.Version) // before anything is asked
+		diskless.stop()
+		diskless.start()
+		time.Sleep(startupTimeout)
+		is.Equal(diskless.Current().Version, last.Version)
+		diskless.stop()
+		diskless.isolated.Store(true)
+		diskless.start()
+		time.Sleep(propagationLimit)
+		ready, reason := diskless.source.Load().Ready()
 		is.True(!ready)
 		is.True(strings.HasPrefix(reason, "no configuration: "))
 
-		disk.link.set(false, true)
+		durable.client.setFaults(false, true)
 		w.store.SetFaults(standin.StoreFaults{})
 		time.Sleep(2 * time.Minute)
-		is.Equal(disk.Current().Version, last.Version)
-		is.Equal(bare.Current().Version, last.Version)
+		is.Equal(durable.Current().Version, last.Version)
+		is.Equal(diskless.Current().Version, last.Version)
 	})
 }
 
@@ -167,14 +167,14 @@
 func TestCollectionRacesPausedEdit(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
-	set(is, s, "p1", 1)
+	setTokens(is, s, "p1", 1)
 	removed := 0
-	client := &hook{Client: s, kind: KindManifest, before: func() {
+	client := &hookedClient{Client: s, kind: KindManifest, beforeCall: func() {
 		done, err := NewEditor(s).Collect(context.Background(), 1)
 		is.NoErr(err)
 		removed = done.Removed
 	}}
-	set(is, client, "p1", 2)
+	setTokens(is, client, "p1", 2)
 	is.True(removed > 0)
 	pair, _, err := NewEditor(s).Get(context.Background(), 0)
 	is.NoErr(err)
@@ -184,16 +184,16 @@
 // A collection has listed a chunk as unreferenced and is paused before it
 // removes it. An edit goes back to those very contents and finds the chunk
 // there. The removal must then fail.
-func TestCollectionRacesReturningContents(t *testing.T) {
+func TestCollectionRacesEditRestoringContents(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
-	set(is, s, "p1", 1)
-	set(is, s, "p1", 2)
-	set(is, s, "p1", 3)
-	client := &hook{Client: s, kind: KindChunk, delete: true, before: func() { set(is, s, "p1", 1) }}
+	setTokens(is, s, "p1", 1)
+	setTokens(is, s, "p1", 2)
+	setTokens(is, s, "p1", 3)
+	client := &hookedClient{Client: s, kind: KindChunk, onDelete: true, beforeCall: func() { setTokens(is, s, "p1", 1) }}
 	done, err := NewEditor(client).Collect(context.Background(), 0)
 	is.NoErr(err)
-	is.Equal(done.Spared, 1)
+	is.Equal(done.Rewritten, 1)
 	pair, _, err := NewEditor(s).Get(context.Background(), 0)
 	is.NoErr(err)
 	is.Equal(pair.Plans.Lookup("p1").Budget.Tokens, int64(1))
@@ -201,12 +201,12 @@
 
 // An operator's base is older than the kept history: nothing can be said about
 // what changed, so the edit is refused instead of undoing it.
-func TestBaseOlderThanHistory(t *testing.T) {
+func TestBaseOlderThanHistoryRefused(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
-	first := set(is, s, "p1", 1)
-	set(is, s, "p1", 2)
-	set(is, s, "p1", 3)
+	first := setTokens(is, s, "p1", 1)
+	setTokens(is, s, "p1", 2)
+	setTokens(is, s, "p1", 3)
 	_, err := NewEditor(s).Collect(context.Background(), 1)
 	is.NoErr(err)
 	_, err = NewEditor(s).Apply(context.Background(), Proposal{
@@ -214,7 +214,7 @@
 	})
 	var conflict *ConflictError
 	is.True(errors.As(err, &conflict))
-	is.True(conflict.Forgotten)
+	is.True(conflict.BaseExpired)
 }
 
 // An edit moves the plan's chunk and the manifest, not the list; the usage
@@ -230,7 +230,7 @@
 	is.NoErr(err)
 	before, err := NewEditor(s).head(context.Background())
 	is.NoErr(err)
-	set(is, s, "p1", 2)
+	setTokens(is, s, "p1", 2)
 	after, err := NewEditor(s).head(context.Background())
 	is.NoErr(err)
 	is.Equal(after.manifest.Sections.Grants, before.manifest.Sections.Grants)
@@ -239,16 +239,16 @@
 
 // A chunk in an operator's cache is damaged: it is read from the store again
 // instead of failing every edit from that machine.
-func TestDamagedCache(t *testing.T) {
+func TestDamagedCacheReadsStore(t *testing.T) {
 	is := is.New(t)
 	s, folder := standin.NewStore(), t.TempDir()
-	set(is, s, "p1", 1)
+	setTokens(is, s, "p1", 1)
 	h, err := NewEditor(s).head(context.Background())
 	is.NoErr(err)
 	h.manifest.Sections.digests(func(d Digest) {
 		is.NoErr(os.WriteFile(chunkCache{folder}.path(d), []byte("damaged"), 0o600))
 	})
-	set(is, s, "p2", 2) // the first chunk is now no longer in the manifest itself
+	setTokens(is, s, "p2", 2) // the first chunk is now no longer in the manifest itself
 	pair, _, err := NewCachedEditor(s, folder).Get(context.Background(), 0)
 	is.NoErr(err)
 	is.Equal(len(pair.Plans.Plans), 2)
@@ -264,10 +264,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const instances, outage = 20, 10 * time.Minute
-		w := newWorld(make([]string, instances)...)
+		w := newCluster(make([]string, instances)...)
 		defer w.close()
-		set(is, w.store, "p1", 1)
-		time.Sleep(forceBound)
+		setTokens(is, w.store, "p1", 1)
+		time.Sleep(propagationLimit)
 		calls := func() (total int64) {
 			for _, n := range w.nodes {
 				total += n.source.Load().client.Calls()
@@ -291,7 +291,7 @@
 // The store is so slow that a newcomer without peers can't read all chunks
 // within the time of one try. Each try keeps what it got, so that it is ready
 // after some, and not never.
-func TestNewcomerWithSlowStore(t *testing.T) {
+func TestFirstStartWithSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := standin.NewStore()
@@ -317,16 +317,16 @@
 func TestEditSpreadsByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(make([]string, 100)...)
+		w := newCluster(make([]string, 100)...)
 		defer w.close()
-		set(is, w.store, "p1", 1)
-		time.Sleep(forceBound)
+		setTokens(is, w.store, "p1", 1)
+		time.Sleep(propagationLimit)
 		for _, n := range w.nodes[1:] {
-			n.link.set(true, false)
+			n.client.setFaults(true, false)
 		}
 		start := time.Now()
-		accepted := set(is, w.store, "p1", 2)
-		behind := func() (count int) {
+		accepted := setTokens(is, w.store, "p1", 2)
+		outdated := func() (count int) {
 			for _, n := range w.nodes {
 				if n.Current().Version < accepted.Version {
 					count++
@@ -334,7 +334,7 @@
 			}
 			return count
 		}
-		for behind() > 0 && time.Since(start) < time.Minute {
+		for outdated() > 0 && time.Since(start) < time.Minute {
 			time.Sleep(time.Millisecond)
 		}
 		var offers int64
@@ -342,7 +342,7 @@
 			offers += n.source.Load().offered.Count()
 		}
 		t.Logf("in force on 100 instances after %v, %d manifests offered", time.Since(start), offers)
-		is.True(time.Since(start) < forceBound)
+		is.True(time.Since(start) < propagationLimit)
 	})
 }
 
@@ -359,7 +359,7 @@
 	done := make(chan error)
 	go func() { done <- source.Run(ctx) }()
 	for tokens := int64(1); tokens <= 4; tokens++ {
-		accepted := set(is, client, "p1", tokens)
+		accepted := setTokens(is, client, "p1", tokens)
 		awaitVersion([]*Source{source}, accepted.Version)
 		is.Equal(source.Current().Plans.Lookup("p1").Budget.Tokens, tokens)
 		if tokens == 2 {
--- a/internal/config/floor.go
+++ b/internal/config/floor.go
@@ -9,14 +9,14 @@
 )
 
 // floorFile holds the configuration last in force, within the data folder.
-const floorFile = "config.json"
+const savedFile = "config.json"
 
 // loadFloor puts in force what an earlier life of the instance left on disk.
-func (s *Source) loadFloor() {
+func (s *Source) loadSaved() {
 	if s.options.Folder == "" {
 		return
 	}
-	update, err := readFloor(filepath.Join(s.options.Folder, floorFile))
+	update, err := readSaved(filepath.Join(s.options.Folder, savedFile))
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
@@ -30,17 +30,17 @@
 
 // saveFloor writes the configuration about to be in force. A disk that fails
 // is no reason to act by an older version, so the error is only logged.
-func (s *Source) saveFloor(c *Current) {
+func (s *Source) saveToDisk(c *Current) {
 	if s.options.Folder == "" {
 		return
 	}
 	update := Update{Version: c.Version, Manifest: c.manifest, Chunks: c.chunks}
-	if err := writeFloor(filepath.Join(s.options.Folder, floorFile), update); err != nil {
+	if err := writeSaved(filepath.Join(s.options.Folder, savedFile), update); err != nil {
 		s.options.Log.WithError(err).Warn("configuration not saved")
 	}
 }
 
-func readFloor(path string) (Update, error) {
+func readSaved(path string) (Update, error) {
 	var update Update
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -53,12 +53,12 @@
 }
 
 // writeFloor replaces the file whole, so that a crash leaves the old or the new one.
-func writeFloor(path string, update Update) error {
+func writeSaved(path string, update Update) error {
 	raw, err := json.Marshal(update)
 	if err != nil {
 		return errors.Wrap(err, "config: floor")
 	}
-	file, err := os.CreateTemp(filepath.Dir(path), floorFile+".*")
+	file, err := os.CreateTemp(filepath.Dir(path), savedFile+".*")
 	if err != nil {
 		return errors.Wrap(err, "config: floor")
 	}
--- a/internal/config/head.go
+++ b/internal/config/head.go
@@ -10,7 +10,7 @@
 )
 
 // chunkCalls is the number of chunk reads or writes under way at once.
-const chunkCalls = 8
+const maxChunkCalls = 8
 
 // errNotYetReadable says that a chunk that a manifest names could not be
 // found: the read of the manifest or of the chunk was stale, or a collection
@@ -50,18 +50,18 @@
 	return h, nil
 }
 
-func (h *head) editVersion() uint64 { return h.manifest.editVersion(h.version) }
+func (h *head) acceptedVersion() uint64 { return h.manifest.acceptedVersion(h.version) }
 
 // fetch reads the chunks that are not there yet.
 func (h *head) fetch(ctx context.Context, digests []Digest) error {
-	cached, absent := h.cache.load(digests)
+	cached, missing := h.cache.load(digests)
 	for digest, packed := range cached {
 		h.chunks[digest] = packed
 	}
-	if len(absent) == 0 {
+	if len(missing) == 0 {
 		return nil
 	}
-	fetched, err := fetchChunks(ctx, h.client, absent)
+	fetched, err := fetchChunks(ctx, h.client, missing)
 	h.cache.save(fetched)
 	for digest, packed := range fetched {
 		h.chunks[digest] = packed
@@ -71,7 +71,7 @@
 
 // seed adds the chunks of the proposal itself: most of them are those in the
 // store, and need not be read.
-func (h *head) seed(p *Proposal) error {
+func (h *head) addProposalChunks(p *Proposal) error {
 	_, chunks, err := pack(p.pair(emptyPair()).Plans, p.pair(emptyPair()).Usage, &h.manifest.Sections)
 	for digest, packed := range chunks {
 		h.chunks[digest] = packed
@@ -83,7 +83,7 @@
 func fetchChunks(ctx context.Context, client store.Client, digests []Digest) (Chunks, error) {
 	packed := make([][]byte, len(digests))
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(chunkCalls)
+	group.SetLimit(maxChunkCalls)
 	for i, digest := range digests {
 		group.Go(func() error {
 			object, err := client.Get(ctx, digest.key())
@@ -109,55 +109,55 @@
 	if err := h.fetch(ctx, h.chunks.missing(sections)); err != nil {
 		return Pair{}, err
 	}
-	plans, list, _, err := unpack(sections, h.chunks, &decoded{})
+	plans, list, _, err := unpack(sections, h.chunks, &decodedShards{})
 	return Pair{Plans: plans, Usage: list}, err
 }
 
 // past is the history back to a base.
-type past struct {
+type editHistory struct {
 	// after are the records of the edits after the base, newest first.
-	after []Record
+	edits []Record
 	base  Record
 }
 
 // since walks the history back to the version that an edit began from.
-func (h *head) since(ctx context.Context, base uint64) (past, error) {
-	var found past
+func (h *head) editsSince(ctx context.Context, base uint64) (editHistory, error) {
+	var history editHistory
 	if base == 0 && h.version == 0 {
-		return found, nil
+		return history, nil
 	}
 	if base > h.version {
-		return found, errors.Wrapf(errNotYetReadable, "version %d, the store shows %d", base, h.version)
+		return history, errors.Wrapf(errNotYetReadable, "version %d, the store shows %d", base, h.version)
 	}
 	record := h.manifest.record(h.version)
 	for record.Version > base {
-		found.after = append(found.after, record)
+		history.edits = append(history.edits, record)
 		if record.Parent == emptyDigest && base == 0 {
-			return found, nil
+			return history, nil
 		}
 		parent, err := h.parent(ctx, record)
 		if errors.Is(err, ErrNoVersion) {
-			return found, &ConflictError{Base: base, Version: h.editVersion(), Forgotten: true}
+			return history, &ConflictError{Base: base, Version: h.acceptedVersion(), BaseExpired: true}
 		}
 		if err != nil {
-			return found, err
+			return history, err
 		}
 		record = parent
 	}
 	// A base between two edits is a version that a collection wrote: its lists
 	// are those of the edit before it.
-	found.base = record
-	return found, nil
+	history.base = record
+	return history, nil
 }
 
 // parent reads the record before another. ErrNoVersion says that there is none.
-func (h *head) parent(ctx context.Context, of Record) (Record, error) {
-	if of.Parent == emptyDigest {
+func (h *head) parent(ctx context.Context, child Record) (Record, error) {
+	if child.Parent == emptyDigest {
 		return Record{}, ErrNoVersion
 	}
 	var err error
-	if h.chunks[of.Parent] == nil {
-		err = h.fetch(ctx, []Digest{of.Parent})
+	if h.chunks[child.Parent] == nil {
+		err = h.fetch(ctx, []Digest{child.Parent})
 	}
 	if errors.Is(err, errNotYetReadable) {
 		return Record{}, ErrNoVersion
@@ -166,7 +166,7 @@
 		return Record{}, err
 	}
 	var record Record
-	err = unpackChunk(of.Parent, h.chunks[of.Parent], &record)
+	err = unpackChunk(child.Parent, h.chunks[child.Parent], &record)
 	return record, err
 }
 
@@ -219,7 +219,7 @@
 // collection that judged it unreferenced finds its condition broken (collect.go).
 func (e *Editor) writeChunks(ctx context.Context, chunks Chunks) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(chunkCalls)
+	group.SetLimit(maxChunkCalls)
 	for digest, packed := range chunks {
 		group.Go(func() error { return e.writeChunk(ctx, digest, packed) })
 	}
@@ -266,7 +266,7 @@
 		total += len(packed)
 		inline[digest] = packed
 	}
-	if total > maxInline {
+	if total > maxInlineBytes {
 		return nil
 	}
 	return inline
--- a/internal/config/manifest.go
+++ b/internal/config/manifest.go
@@ -10,7 +10,7 @@
 // maxInline bounds the packed chunks that a manifest carries itself, in bytes.
 // With them an ordinary edit reaches a watching instance as one event and
 // costs it no further call; a large edit's chunks are fetched.
-const maxInline = 48 << 10
+const maxInlineBytes = 48 << 10
 
 // Edit tells who accepted a version, when and what it changed.
 type Edit struct {
@@ -102,7 +102,7 @@
 
 // editVersion returns the version at which the manifest's edit was accepted,
 // given the version at which the manifest was read.
-func (m *Manifest) editVersion(read uint64) uint64 {
+func (m *Manifest) acceptedVersion(read uint64) uint64 {
 	if m.EditVersion > 0 {
 		return m.EditVersion
 	}
@@ -111,7 +111,7 @@
 
 // record returns the manifest as a record of the past.
 func (m *Manifest) record(read uint64) Record {
-	return Record{Version: m.editVersion(read), Edit: m.Edit, Parent: m.Parent, Sections: m.Sections}
+	return Record{Version: m.acceptedVersion(read), Edit: m.Edit, Parent: m.Parent, Sections: m.Sections}
 }
 
 func (m *Manifest) encode() ([]byte, error) {
--- a/internal/config/shard.go
+++ b/internal/config/shard.go
@@ -17,9 +17,9 @@
 // The number is kept while shards hold between 8 and 64 entries, so that the
 // size of a list may waver without every chunk moving.
 const (
-	shardEntries    = 32
-	minShardEntries = 8
-	maxShardEntries = 64
+	targetShardEntries = 32
+	minShardEntries    = 8
+	maxShardEntries    = 64
 )
 
 // named is one entry of a section.
@@ -45,24 +45,24 @@
 }
 
 // shardCount returns the number of shards for entries, given the number so far.
-func shardCount(entries, before int) int {
-	if before > 0 && entries >= before*minShardEntries && entries <= before*maxShardEntries {
-		return before
+func shardCount(entries, previous int) int {
+	if previous > 0 && entries >= previous*minShardEntries && entries <= previous*maxShardEntries {
+		return previous
 	}
 	count := 1
-	for count*shardEntries < entries {
+	for count*targetShardEntries < entries {
 		count *= 2
 	}
 	return count
 }
 
 // divide packs a section's entries into shards and adds their chunks.
-func divide[T named](entries []T, before Shards, chunks Chunks) (Shards, error) {
-	count := shardCount(len(entries), len(before))
+func splitIntoShards[T named](entries []T, previous Shards, chunks Chunks) (Shards, error) {
+	count := shardCount(len(entries), len(previous))
 	parts := make([][]T, count)
 	for _, entry := range sorted(entries) {
-		at := xxhash.Sum64String(nameOf(&entry)) % uint64(count)
-		parts[at] = append(parts[at], entry)
+		shard := xxhash.Sum64String(nameOf(&entry)) % uint64(count)
+		parts[shard] = append(parts[shard], entry)
 	}
 	shards := make(Shards, count)
 	for i, part := range parts {
@@ -84,27 +84,27 @@
 }
 
 // pack divides both lists into shards and returns all their chunks.
-func pack(plans *plan.List, list *usage.List, before *Sections) (sections Sections, chunks Chunks, err error) {
+func pack(plans *plan.List, list *usage.List, previous *Sections) (sections Sections, chunks Chunks, err error) {
 	chunks = Chunks{}
-	if sections.Plans, err = divide(plans.Plans, before.Plans, chunks); err != nil {
+	if sections.Plans, err = splitIntoShards(plans.Plans, previous.Plans, chunks); err != nil {
 		return
 	}
-	if sections.Models, err = divide(list.Models, before.Models, chunks); err != nil {
+	if sections.Models, err = splitIntoShards(list.Models, previous.Models, chunks); err != nil {
 		return
 	}
-	if sections.Services, err = divide(list.Services, before.Services, chunks); err != nil {
+	if sections.Services, err = splitIntoShards(list.Services, previous.Services, chunks); err != nil {
 		return
 	}
-	if sections.Upstreams, err = divide(list.Upstreams, before.Upstreams, chunks); err != nil {
+	if sections.Upstreams, err = splitIntoShards(list.Upstreams, previous.Upstreams, chunks); err != nil {
 		return
 	}
-	sections.Grants, err = divide(list.Grants, before.Grants, chunks)
+	sections.Grants, err = splitIntoShards(list.Grants, previous.Grants, chunks)
 	return
 }
 
 // decoded keeps the entries of unpacked shards, so that an edit costs the
 // unpacking of the chunks that it changed.
-type decoded struct {
+type decodedShards struct {
 	plans     map[Digest][]plan.Plan
 	models    map[Digest][]usage.Model
 	services  map[Digest][]usage.Service
@@ -113,60 +113,60 @@
 }
 
 // join gathers a section's entries, from the shards decoded before where it can.
-func join[T named](shards Shards, chunks Chunks, before map[Digest][]T) ([]T, map[Digest][]T, error) {
-	kept := make(map[Digest][]T, len(shards))
+func decodeShards[T named](shards Shards, chunks Chunks, previous map[Digest][]T) ([]T, map[Digest][]T, error) {
+	byDigest := make(map[Digest][]T, len(shards))
 	total := 0
 	for _, digest := range shards {
 		if digest == emptyDigest {
 			continue
 		}
-		part, ok := before[digest]
+		part, ok := previous[digest]
 		if !ok {
 			if err := unpackChunk(digest, chunks[digest], &part); err != nil {
 				return nil, nil, err
 			}
 		}
-		kept[digest] = part
+		byDigest[digest] = part
 		total += len(part)
 	}
 	entries := make([]T, 0, total)
 	for _, digest := range shards {
-		entries = append(entries, kept[digest]...)
+		entries = append(entries, byDigest[digest]...)
 	}
-	return entries, kept, nil
+	return entries, byDigest, nil
 }
 
 // unpack returns the lists that the sections name. All chunks must be there.
-func unpack(sections *Sections, chunks Chunks, before *decoded) (*plan.List, *usage.List, *decoded, error) {
-	now, list := &decoded{}, &usage.List{}
-	plans, kept, err := join(sections.Plans, chunks, before.plans)
+func unpack(sections *Sections, chunks Chunks, previous *decodedShards) (*plan.List, *usage.List, *decodedShards, error) {
+	decoded, list := &decodedShards{}, &usage.List{}
+	plans, planShards, err := decodeShards(sections.Plans, chunks, previous.plans)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	now.plans = kept
-	if list.Models, now.models, err = join(sections.Models, chunks, before.models); err != nil {
+	decoded.plans = planShards
+	if list.Models, decoded.models, err = decodeShards(sections.Models, chunks, previous.models); err != nil {
 		return nil, nil, nil, err
 	}
-	if list.Services, now.services, err = join(sections.Services, chunks, before.services); err != nil {
+	if list.Services, decoded.services, err = decodeShards(sections.Services, chunks, previous.services); err != nil {
 		return nil, nil, nil, err
 	}
-	if list.Upstreams, now.upstreams, err = join(sections.Upstreams, chunks, before.upstreams); err != nil {
+	if list.Upstreams, decoded.upstreams, err = decodeShards(sections.Upstreams, chunks, previous.upstreams); err != nil {
 		return nil, nil, nil, err
 	}
-	if list.Grants, now.grants, err = join(sections.Grants, chunks, before.grants); err != nil {
+	if list.Grants, decoded.grants, err = decodeShards(sections.Grants, chunks, previous.grants); err != nil {
 		return nil, nil, nil, err
 	}
 	list.Index()
-	return plan.Restore(plans), list, now, nil
+	return plan.Restore(plans), list, decoded, nil
 }
 
 // missing returns the chunks that the sections name and chunks lacks.
 func (c Chunks) missing(sections *Sections) []Digest {
-	lacking := map[Digest]struct{}{}
+	missing := map[Digest]struct{}{}
 	sections.digests(func(d Digest) {
 		if c[d] == nil {
-			lacking[d] = struct{}{}
+			missing[d] = struct{}{}
 		}
 	})
-	return slices.Collect(maps.Keys(lacking))
+	return slices.Collect(maps.Keys(missing))
 }
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -35,11 +35,11 @@
 
 	peerCallTimeout  = 2 * time.Second
 	storeCallTimeout = 5 * time.Second
-	watchRetryFirst  = 250 * time.Millisecond
+	watchRetryMin    = 250 * time.Millisecond
 	watchRetryMax    = 4 * time.Second
 	// startTime bounds how long a newcomer asks store and peers before it
 	// takes the highest version that it has heard of.
-	startTime = 3 * time.Second
+	startupTimeout = 3 * time.Second
 )
 
 // Options are a source's surroundings. Zero values have defaults.
@@ -68,11 +68,11 @@
 	fetched     Chunks
 	fetchedLock sync.Mutex
 
-	storeAsked atomic.Bool
-	peersAsked atomic.Bool
+	storeQueried atomic.Bool
+	peersQueried atomic.Bool
 	// settled says that the start is over and the newest version heard of has been taken.
-	settled atomic.Bool
-	fault   atomic.Pointer[string]
+	startFinished atomic.Bool
+	lastError     atomic.Pointer[string]
 
 	stale    metrics.Counter
 	refused  metrics.Counter
@@ -95,8 +95,8 @@
 		offered: counter("peers.offered"),
 		version: metrics.GetOrRegisterGauge("config.version", options.Registry),
 	}
-	s.current.Store(noConfiguration())
-	s.loadFloor()
+	s.current.Store(emptyConfiguration())
+	s.loadSaved()
 	return s
 }
 
@@ -124,7 +124,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.followStore(ctx) })
 	group.Go(func() error { return s.followPeers(ctx) })
-	group.Go(func() error { return s.settle(ctx) })
+	group.Go(func() error { return s.finishStart(ctx) })
 	group.Go(func() error { return s.poll(ctx) })
 	return group.Wait()
 }
@@ -132,22 +132,22 @@
 // settle ends the start once store and peers have each been asked, or when its
 // time is up. Until then an instance that heard first from a stale replica of
 // the store would go back to before what it had in force in an earlier life.
-func (s *Source) settle(ctx context.Context) error {
-	deadline := time.NewTimer(startTime)
+func (s *Source) finishStart(ctx context.Context) error {
+	deadline := time.NewTimer(startupTimeout)
 	defer deadline.Stop()
-	tick := time.NewTicker(startTime / 60)
+	tick := time.NewTicker(startupTimeout / 60)
 	defer tick.Stop()
-	for !s.storeAsked.Load() || !s.peersAsked.Load() {
+	for !s.storeQueried.Load() || !s.peersQueried.Load() {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-deadline.C:
-			s.settled.Store(true)
+			s.startFinished.Store(true)
 			return nil
 		case <-tick.C:
 		}
 	}
-	s.settled.Store(true)
+	s.startFinished.Store(true)
 	return nil
 }
 
@@ -176,33 +176,33 @@
 // Ready reports whether calls may be judged by this configuration, and if not, why.
 func (s *Source) Ready() (bool, string) {
 	if s.Version() == 0 {
-		return false, "no configuration: " + s.lastFault()
+		return false, "no configuration: " + s.lastErrorText()
 	}
-	if !s.settled.Load() {
+	if !s.startFinished.Load() {
 		return false, fmt.Sprintf("starting: version %d, still asking the object API and the peers", s.Version())
 	}
 	return true, ""
 }
 
-func (s *Source) lastFault() string {
-	if fault := s.fault.Load(); fault != nil {
+func (s *Source) lastErrorText() string {
+	if fault := s.lastError.Load(); fault != nil {
 		return *fault
 	}
 	return "not asked yet"
 }
 
-func (s *Source) setFault(format string, args ...any) {
+func (s *Source) setLastError(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	s.fault.Store(&text)
+	s.lastError.Store(&text)
 }
 
 // errLacking says that chunks of an update are neither here nor in it.
-type errLacking struct {
+type missingChunksError struct {
 	digests []Digest
 }
 
 // Error implements error.
-func (e *errLacking) Error() string {
+func (e *missingChunksError) Error() string {
 	return fmt.Sprintf("config: %d chunks are lacking", len(e.digests))
 }
 
@@ -210,32 +210,32 @@
 func (s *Source) install(update Update, from string) error {
 	s.installing.Lock()
 	defer s.installing.Unlock()
-	before := s.current.Load()
-	if update.Version <= before.Version {
+	previous := s.current.Load()
+	if update.Version <= previous.Version {
 		// A regressed read or a stale peer: taking it would revert an edit.
-		if update.Version < before.Version {
+		if update.Version < previous.Version {
 			s.stale.Inc(1)
 		}
 		return nil
 	}
-	next, lacking, err := assemble(before, update)
+	next, missing, err := assemble(previous, update)
 	if err != nil {
 		s.refused.Inc(1)
 		return err
 	}
-	if len(lacking) > 0 {
-		return &errLacking{digests: lacking}
+	if len(missing) > 0 {
+		return &missingChunksError{digests: missing}
 	}
 	// The floor is on disk before anyone acts by the version: a crash between
 	// the two must not let the next life act by an older one.
-	s.saveFloor(next)
+	s.saveToDisk(next)
 	s.current.Store(next)
-	s.keep(nil)
-	close(before.superseded)
+	s.addFetched(nil)
+	close(previous.superseded)
 	s.installs.Inc(1)
 	s.version.Update(int64(next.Version))
 	s.options.Log.WithFields(log.Fields{
-		"version": next.Version, "before": before.Version, "operator": next.Edit.Operator,
+		"version": next.Version, "before": previous.Version, "operator": next.Edit.Operator,
 		"plans": len(next.Plans.Plans), "from": from,
 	}).Info("configuration in force")
 	return nil
@@ -245,9 +245,9 @@
 // for it; nil says that this version or a newer one is in force.
 func (s *Source) Offer(update Update) ([]Digest, error) {
 	err := s.install(update, "peer")
-	var lacking *errLacking
-	if errors.As(err, &lacking) {
-		return lacking.digests, nil
+	var missing *missingChunksError
+	if errors.As(err, &missing) {
+		return missing.digests, nil
 	}
 	return nil, err
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -10,8 +10,8 @@
 // by the plan it refers to. The error, if any, is listfile.Problems.
 func Validate(plans *plan.List, list *usage.List) error {
 	var problems listfile.Problems
-	problems = collect(problems, plans.Check())
-	problems = collect(problems, list.Check())
+	problems = appendProblems(problems, plans.Check())
+	problems = appendProblems(problems, list.Check())
 	checker := list.Checker()
 	for i := range list.Grants {
 		name := list.Grants[i].Plan
@@ -23,7 +23,7 @@
 	return append(problems, checker.Problems...).Err()
 }
 
-func collect(problems listfile.Problems, err error) listfile.Problems {
+func appendProblems(problems listfile.Problems, err error) listfile.Problems {
 	if found, ok := err.(listfile.Problems); ok {
 		return append(problems, found...)
 	}
--- a/internal/config/watch.go
+++ b/internal/config/watch.go
@@ -17,20 +17,20 @@
 // outage.
 func (s *Source) followStore(ctx context.Context) error {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = watchRetryFirst
+	pause.InitialInterval = watchRetryMin
 	pause.MaxInterval = watchRetryMax
-	fresh := true
+	readFirst := true
 	for ctx.Err() == nil {
-		progressed, err := s.watch(ctx, fresh)
-		s.storeAsked.Store(true)
+		progressed, err := s.watch(ctx, readFirst)
+		s.storeQueried.Store(true)
 		if progressed {
 			pause.Reset()
 		}
 		// A resumed watch needs no read before it, unless the store has
 		// forgotten the events since.
-		fresh = s.Version() == 0 || errors.Is(err, store.ErrGone)
+		readFirst = s.Version() == 0 || errors.Is(err, store.ErrGone)
 		if err != nil {
-			s.setFault("object API: %v", err)
+			s.setLastError("object API: %v", err)
 		}
 		sleep(ctx, pause.NextBackOff())
 	}
@@ -39,31 +39,31 @@
 
 // watch reads the manifest, if asked, and follows it until the watch breaks. It
 // reports whether it got anything from the store.
-func (s *Source) watch(ctx context.Context, fresh bool) (progressed bool, err error) {
+func (s *Source) watch(ctx context.Context, readFirst bool) (progressed bool, err error) {
 	// Ends the stream also where an event is not taken.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	from := s.Version()
-	if fresh {
-		read, err := s.read(ctx)
+	if readFirst {
+		version, err := s.read(ctx)
 		if err != nil {
 			return false, err
 		}
 		progressed = true
-		from = max(from, read)
+		from = max(from, version)
 	}
 	events, err := s.client.Watch(ctx, KindManifest, store.Version(from))
 	if err != nil {
 		return progressed, err
 	}
-	s.storeAsked.Store(true)
+	s.storeQueried.Store(true)
 	for event := range events {
 		if event.Deleted || event.Object.Key != ManifestKey {
 			continue
 		}
 		// A watch resumed from the version in force brings again the event
 		// that could not be taken.
-		if err := s.take(ctx, event.Object); err != nil {
+		if err := s.installObject(ctx, event.Object); err != nil {
 			return progressed, err
 		}
 		progressed = true
@@ -78,36 +78,36 @@
 	defer cancel()
 	object, err := s.client.Get(callCtx, ManifestKey)
 	if errors.Is(err, store.ErrNotFound) {
-		s.setFault("no lists have been accepted yet")
+		s.setLastError("no lists have been accepted yet")
 		return 0, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	return uint64(object.Version), s.take(ctx, object)
+	return uint64(object.Version), s.installObject(ctx, object)
 }
 
 // take puts a stored manifest in force and fetches the chunks that it needs.
-func (s *Source) take(ctx context.Context, object store.Object) error {
-	update := Update{Version: uint64(object.Version), Manifest: object.Value, Chunks: s.kept()}
+func (s *Source) installObject(ctx context.Context, object store.Object) error {
+	update := Update{Version: uint64(object.Version), Manifest: object.Value, Chunks: s.fetchedChunks()}
 	err := s.install(update, "store")
-	var lacking *errLacking
-	if !errors.As(err, &lacking) {
+	var missing *missingChunksError
+	if !errors.As(err, &missing) {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	fetched, err := fetchChunks(ctx, s.client, lacking.digests)
-	s.keep(fetched)
+	fetched, err := fetchChunks(ctx, s.client, missing.digests)
+	s.addFetched(fetched)
 	if err != nil {
 		return err
 	}
-	update.Chunks = s.kept()
+	update.Chunks = s.fetchedChunks()
 	return s.install(update, "store")
 }
 
 // keep adds chunks to those fetched for the next version; nil drops them all.
-func (s *Source) keep(chunks Chunks) {
+func (s *Source) addFetched(chunks Chunks) {
 	s.fetchedLock.Lock()
 	defer s.fetchedLock.Unlock()
 	if chunks == nil || s.fetched == nil {
@@ -116,7 +116,7 @@
 	maps.Copy(s.fetched, chunks)
 }
 
-func (s *Source) kept() Chunks {
+func (s *Source) fetchedChunks() Chunks {
 	s.fetchedLock.Lock()
 	defer s.fetchedLock.Unlock()
 	return maps.Clone(s.fetched)
@@ -127,7 +127,7 @@
 func (s *Source) poll(ctx context.Context) error {
 	for sleep(ctx, jitter(s.options.PollInterval)) {
 		if _, err := s.read(ctx); err != nil {
-			s.setFault("object API: %v", err)
+			s.setLastError("object API: %v", err)
 		}
 	}
 	return nil
@@ -151,7 +151,7 @@
 }
 
 // wait waits for a change, at most for d, and reports whether there was one.
-func wait(ctx context.Context, changed <-chan struct{}, d time.Duration) bool {
+func waitForChange(ctx context.Context, changed <-chan struct{}, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/config/world_test.go
+++ b/internal/config/world_test.go
@@ -28,39 +28,39 @@
 }
 
 // memory keeps the first answer that anybody got for a key, for regressed reads.
-type memory struct {
-	mu    sync.Mutex
-	first map[store.Key]store.Object
+type firstReads struct {
+	mu      sync.Mutex
+	objects map[store.Key]store.Object
 }
 
 // link is one party's way to the store, with faults of its own.
-type link struct {
+type faultyClient struct {
 	store.Client
-	memory *memory
+	firstReads *firstReads
 
-	mu        sync.Mutex
-	cut       bool
-	regressed bool
-	ctxs      []context.CancelFunc
+	mu          sync.Mutex
+	unreachable bool
+	staleReads  bool
+	cancels     []context.CancelFunc
 }
 
-func (l *link) set(cut, regressed bool) {
+func (l *faultyClient) setFaults(cut, regressed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut, l.regressed = cut, regressed
-	for _, cancel := range l.ctxs {
+	l.unreachable, l.staleReads = cut, regressed
+	for _, cancel := range l.cancels {
 		cancel()
 	}
-	l.ctxs = nil
+	l.cancels = nil
 }
 
-func (l *link) faults() (cut, regressed bool) {
+func (l *faultyClient) faults() (cut, regressed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut, l.regressed
+	return l.unreachable, l.staleReads
 }
 
-func (l *link) Get(ctx context.Context, key store.Key) (store.Object, error) {
+func (l *faultyClient) Get(ctx context.Context, key store.Key) (store.Object, error) {
 	cut, regressed := l.faults()
 	if cut {
 		return store.Object{}, store.ErrUnavailable
@@ -69,75 +69,77 @@
 	if err != nil {
 		return object, err
 	}
-	l.memory.mu.Lock()
-	defer l.memory.mu.Unlock()
-	if _, ok := l.memory.first[key]; !ok {
-		l.memory.first[key] = object
+	l.firstReads.mu.Lock()
+	defer l.firstReads.mu.Unlock()
+	if _, ok := l.firstReads.objects[key]; !ok {
+		l.firstReads.objects[key] = object
 	}
 	if regressed {
-		return l.memory.first[key], nil
+		return l.firstReads.objects[key], nil
 	}
 	return object, nil
 }
 
-func (l *link) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
+func (l *faultyClient) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
 	if cut, _ := l.faults(); cut {
 		return 0, store.ErrUnavailable
 	}
 	return l.Client.Put(ctx, key, value, base)
 }
 
-func (l *link) Watch(ctx context.Context, kind string, from store.Version) (<-chan store.Event, error) {
+func (l *faultyClient) Watch(ctx context.Context, kind string, from store.Version) (<-chan store.Event, error) {
 	if cut, _ := l.faults(); cut {
 		return nil, store.ErrUnavailable
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	l.mu.Lock()
-	l.ctxs = append(l.ctxs, cancel)
+	l.cancels = append(l.cancels, cancel)
 	l.mu.Unlock()
 	return l.Client.Watch(ctx, kind, from)
 }
 
 // node is one instance's source through its lives.
 type node struct {
-	source atomic.Pointer[Source]
-	alone  atomic.Bool
-	world  *world
-	index  int
-	link   *link
-	folder string
-	stop   func()
+	source     atomic.Pointer[Source]
+	isolated   atomic.Bool
+	cluster    *cluster
+	index      int
+	client     *faultyClient
+	dataFolder string
+	stop       func()
 	// floor is the highest version seen in force.
-	floor uint64
+	highestVersion uint64
 }
 
 // world is a store, instances and operators, in virtual time.
-type world struct {
-	store     *standin.Store
-	memory    *memory
-	nodes     []*node
-	operators []*link
+type cluster struct {
+	store      *standin.Store
+	firstReads *firstReads
+	nodes      []*node
+	operators  []*faultyClient
 }
 
-func newWorld(folders ...string) *world {
-	w := &world{store: standin.NewStore(), memory: &memory{first: map[store.Key]store.Object{}}}
+func newCluster(folders ...string) *cluster {
+	w := &cluster{store: standin.NewStore(), firstReads: &firstReads{objects: map[store.Key]store.Object{}}}
 	for i, folder := range folders {
-		n := &node{world: w, index: i, folder: folder, link: w.link()}
+		n := &node{cluster: w, index: i, dataFolder: folder, client: w.newClient()}
 		w.nodes = append(w.nodes, n)
-		n.source.Store(n.fresh())
+		n.source.Store(n.newSource())
 	}
 	for _, n := range w.nodes {
 		n.run()
 	}
 	for range 3 {
-		w.operators = append(w.operators, w.link())
+		w.operators = append(w.operators, w.newClient())
 	}
 	return w
 }
 
-func (w *world) link() *link { return &link{Client: w.store, memory: w.memory} }
+func (w *cluster) newClient() *faultyClient {
+	return &faultyClient{Client: w.store, firstReads: w.firstReads}
+}
 
-func (w *world) close() {
+func (w *cluster) close() {
 	for _, n := range w.nodes {
 		n.stop()
 	}
@@ -145,12 +147,12 @@
 
 func (n *node) Current() *Current { return n.source.Load().Current() }
 
-func (n *node) fresh() *Source {
-	return NewSource(n.link, Options{Peers: n, Folder: n.folder, PollInterval: 30 * time.Second})
+func (n *node) newSource() *Source {
+	return NewSource(n.client, Options{Peers: n, Folder: n.dataFolder, PollInterval: 30 * time.Second})
 }
 
 func (n *node) start() {
-	n.source.Store(n.fresh())
+	n.source.Store(n.newSource())
 	n.run()
 }
 
@@ -168,36 +170,38 @@
 // Sample implements Peers.
 func (n *node) Sample(count int) []Peer {
 	var peers []Peer
-	for _, i := range rand.Perm(len(n.world.nodes)) {
+	for _, i := range rand.Perm(len(n.cluster.nodes)) {
 		if i != n.index && len(peers) < count {
-			peers = append(peers, wire{from: n, to: n.world.nodes[i]})
+			peers = append(peers, peerLink{from: n, to: n.cluster.nodes[i]})
 		}
 	}
 	return peers
 }
 
 // wire is a peer across a network that can be partitioned.
-type wire struct{ from, to *node }
+type peerLink struct{ from, to *node }
 
-var errPartition = errors.New("partition")
+var errPartitioned = errors.New("partition")
 
-func (w wire) Name() string { return fmt.Sprint(w.to.index) }
+func (w peerLink) Name() string { return fmt.Sprint(w.to.index) }
 
-func (w wire) open() error {
-	if w.from.alone.Load() || w.to.alone.Load() {
-		return errPartition
+func (w peerLink) checkReachable() error {
+	if w.from.isolated.Load() || w.to.isolated.Load() {
+		return errPartitioned
 	}
 	return nil
 }
 
-func (w wire) Version(context.Context) (uint64, error) { return w.to.source.Load().Version(), w.open() }
+func (w peerLink) Version(context.Context) (uint64, error) {
+	return w.to.source.Load().Version(), w.checkReachable()
+}
 
-func (w wire) Export(_ context.Context, have Have) (Update, error) {
-	return w.to.source.Load().Export(have), w.open()
+func (w peerLink) Export(_ context.Context, have Have) (Update, error) {
+	return w.to.source.Load().Export(have), w.checkReachable()
 }
 
-func (w wire) Offer(_ context.Context, update Update) ([]Digest, error) {
-	if err := w.open(); err != nil {
+func (w peerLink) Offer(_ context.Context, update Update) ([]Digest, error) {
+	if err := w.checkReachable(); err != nil {
 		return nil, err
 	}
 	return w.to.source.Load().Offer(update)
