--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -13,10 +13,11 @@
 	"foxhall/internal/usage"
 )
 
-// sizes are the numbers of plans over which slopes are taken; 5,000 is letter 1's.
+// planCounts are the numbers of plans of the benchmarks; 5,000 is the required number.
 var planCounts = []int{100, 1000, 5000}
 
-// benchPair has as many plans and grants, 16 models and two upstreams for five plans.
+// newBenchPair returns lists with the given number of plans, as many grants, 16 models and two
+// upstreams for every five plans.
 func newBenchPair(plans int) Pair {
 	list := make([]plan.Plan, plans)
 	for i := range list {
@@ -37,7 +38,7 @@
 	return pair
 }
 
-// accept makes the pair the first accepted version.
+// acceptFirst makes the pair the first accepted version.
 func acceptFirst(b *testing.B, client store.Client, pair Pair) {
 	b.Helper()
 	if _, err := NewEditor(client).Apply(context.Background(), Proposal{Operator: "bench", Plans: pair.Plans, Usage: pair.Usage}); err != nil {
@@ -45,7 +46,7 @@
 	}
 }
 
-// editOne sets one plan's tokens and returns the stored manifest.
+// editOne sets one plan's token budget and returns the stored manifest as an update.
 func editOne(b *testing.B, client store.Client, cache string, pair Pair, tokens int64) Update {
 	b.Helper()
 	editor := NewCachedEditor(client, cache)
@@ -63,8 +64,8 @@
 	return Update{Version: uint64(object.Version), Manifest: object.Value}
 }
 
-// BenchmarkInstall takes an edit of one plan in: the processor time of an
-// instance, and the bytes that the edit moves to it.
+// BenchmarkInstall installs an edit of one plan. It measures the processor time of an instance and
+// the bytes that the edit transfers to it.
 func BenchmarkInstall(b *testing.B) {
 	for _, plans := range planCounts {
 		b.Run(fmt.Sprintf("plans=%d", plans), func(b *testing.B) {
@@ -91,8 +92,8 @@
 	}
 }
 
-// BenchmarkEdit is an operator's edit of one plan, from reading to acceptance,
-// with and without a cache of chunks.
+// BenchmarkEdit measures an operator's edit of one plan, from reading to acceptance, with and without
+// a cache of chunks.
 func BenchmarkEdit(b *testing.B) {
 	for _, plans := range planCounts {
 		for _, cached := range []bool{false, true} {
@@ -121,8 +122,8 @@
 	b.ReportMetric(float64(after.Reads-before.Reads)/float64(b.N), "reads/edit")
 }
 
-// BenchmarkFollow has sources follow edits of one plan and counts what each
-// costs the store and the wire.
+// BenchmarkFollow measures the store calls and the bytes transferred for each edit of one plan while
+// sources follow the edits.
 func BenchmarkFollow(b *testing.B) {
 	for _, plans := range planCounts {
 		for _, sources := range []int{1, 10} {
@@ -144,7 +145,7 @@
 		sources = append(sources, source)
 	}
 	awaitVersion(sources, 1)
-	time.Sleep(100 * time.Millisecond) // until all watch
+	time.Sleep(100 * time.Millisecond) // until all sources watch the store
 	bytesBefore := make([]int64, count)
 	callsBefore := int64(0)
 	for i, source := range sources {
@@ -168,6 +169,7 @@
 	b.ReportMetric(float64(bytesMoved)/edits, "bytes/edit/instance")
 }
 
+// awaitVersion waits until each source has the version or a newer one in force.
 func awaitVersion(sources []*Source, version uint64) {
 	for _, source := range sources {
 		for source.Version() < version {
@@ -179,7 +181,7 @@
 	}
 }
 
-// BenchmarkMemory holds a configuration and counts its heap.
+// BenchmarkMemory measures the heap memory of a configuration.
 func BenchmarkMemory(b *testing.B) {
 	for _, plans := range planCounts {
 		b.Run(fmt.Sprintf("plans=%d", plans), func(b *testing.B) {
--- a/internal/config/config_fuzz_test.go
+++ b/internal/config/config_fuzz_test.go
@@ -15,11 +15,11 @@
 	"foxhall/internal/standin"
 )
 
-// forceBound is the time after healing within which all instances must have
-// the last accepted version (letter 1).
+// propagationLimit is the time within which all instances must have the last accepted version in
+// force once all faults have ended: 10 s.
 const propagationLimit = 10 * time.Second
 
-// attempt is one edit as its operator saw it: one plan's tokens.
+// editAttempt is an edit of one plan's token budget, with the result that its operator got.
 type editAttempt struct {
 	plan    string
 	tokens  int64
@@ -27,7 +27,7 @@
 	err     error
 }
 
-// run is one run of the state machine with what it has observed.
+// modelRun is one run of the state machine with the results that it has observed.
 type modelRun struct {
 	*cluster
 	attempts          []editAttempt
@@ -35,13 +35,13 @@
 	lastTokens        int64
 }
 
-// Operators race each other and instances follow, while the store goes down,
-// is slow, loses answers or writes, stalls watches and serves old reads, and
-// while instances are cut off from it and from each other and restart. At all
-// times a version never goes back on an instance and one version is the same
-// everywhere; an edit answered as accepted is there exactly once, one answered
-// as refused is not there; no edit undoes another; after healing all have the
-// last version within the bound.
+// Operators edit concurrently and instances follow. Meanwhile the store goes down, is slow, loses
+// responses or writes, stalls watches and serves stale reads; instances lose their connections to the
+// store and to each other, and restart. The test checks that
+//   - the version in force on an instance never decreases, and a version is the same on all instances;
+//   - an accepted edit is in the history exactly once, a rejected edit is not in it;
+//   - no edit reverts another one;
+//   - once all faults have ended, all instances have the last version within propagationLimit.
 func TestConfigurationAgainstOracle(t *testing.T) {
 	checks := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -55,8 +55,8 @@
 				"edit":    r.edit,
 				"race":    r.race,
 				"collect": r.collect,
-				"store":   r.storeFaults,
-				"link":    r.linkFaults,
+				"store":   r.setStoreFaults,
+				"link":    r.setClientFaults,
 				"restart": r.restart,
 				"time":    r.advanceTime,
 				"":        r.checkInstances,
@@ -69,16 +69,16 @@
 	})
 }
 
-// inBubble runs f in virtual time and hands its panic, by which rapid reports
-// a failure, to the caller.
+// inBubble runs f in virtual time and panics in the caller's goroutine if f panics. rapid reports a
+// failure by a panic.
 func inBubble(t *testing.T, f func()) {
-	var caught any
+	var recovered any
 	synctest.Test(t, func(*testing.T) {
-		defer func() { caught = recover() }()
+		defer func() { recovered = recover() }()
 		f()
 	})
-	if caught != nil {
-		panic(caught)
+	if recovered != nil {
+		panic(recovered)
 	}
 }
 
@@ -91,7 +91,7 @@
 	r.propose(operator, rapid.SampledFrom([]string{"p1", "p2", "p3"}).Draw(rt, "plan"), r.nextTokens(), nil)
 }
 
-// race lets two operators start from one base and propose at once.
+// race makes two operators read the same base and apply their edits concurrently.
 func (r *modelRun) race(rt *rapid.T) {
 	var ready, group sync.WaitGroup
 	ready.Add(2)
@@ -111,6 +111,8 @@
 
 var attemptsLock sync.Mutex
 
+// propose reads the lists, calls afterRead unless it is nil, sets one plan's tokens and records the
+// result.
 func (r *modelRun) propose(operator int, name string, tokens int64, afterRead func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 	defer cancel()
@@ -136,7 +138,7 @@
 	_, _ = NewEditor(r.operators[2]).Collect(ctx, DefaultKeep)
 }
 
-func (r *modelRun) storeFaults(rt *rapid.T) {
+func (r *modelRun) setStoreFaults(rt *rapid.T) {
 	r.store.SetFaults(standin.StoreFaults{
 		Down:         rapid.IntRange(0, 3).Draw(rt, "down") == 0,
 		Delay:        time.Duration(rapid.SampledFrom([]int{0, 0, 5, 800}).Draw(rt, "delay")) * time.Millisecond,
@@ -146,13 +148,13 @@
 	})
 }
 
-func (r *modelRun) linkFaults(rt *rapid.T) {
-	links := append([]*faultyClient{}, r.operators...)
+func (r *modelRun) setClientFaults(rt *rapid.T) {
+	clients := append([]*faultyClient{}, r.operators...)
 	for _, n := range r.nodes {
-		links = append(links, n.client)
+		clients = append(clients, n.client)
 	}
-	l := rapid.SampledFrom(links).Draw(rt, "link")
-	l.setFaults(rapid.Bool().Draw(rt, "cut"), rapid.Bool().Draw(rt, "regressed"))
+	client := rapid.SampledFrom(clients).Draw(rt, "link")
+	client.setFaults(rapid.Bool().Draw(rt, "cut"), rapid.Bool().Draw(rt, "regressed"))
 	n := rapid.SampledFrom(r.nodes).Draw(rt, "node")
 	n.isolated.Store(rapid.Bool().Draw(rt, "alone"))
 }
@@ -177,18 +179,19 @@
 	}
 }
 
-// check holds at all times.
+// checkInstances checks that no instance has returned to an older version and that a version is the
+// same on all instances. It is called after each step of the state machine.
 func (r *modelRun) checkInstances(rt *rapid.T) {
 	for _, n := range r.nodes {
 		current := n.Current()
 		if current == nil {
 			if n.highestVersion > 0 {
-				rt.Fatalf("instance %d forgot version %d", n.index, n.highestVersion)
+				rt.Fatalf("instance %d has no configuration after version %d", n.index, n.highestVersion)
 			}
 			continue
 		}
 		if current.Version < n.highestVersion {
-			rt.Fatalf("instance %d went back from version %d to %d", n.index, n.highestVersion, current.Version)
+			rt.Fatalf("instance %d returned from version %d to version %d", n.index, n.highestVersion, current.Version)
 		}
 		n.highestVersion = current.Version
 		if seen, ok := r.sectionsByVersion[current.Version]; ok && fmt.Sprint(seen) != fmt.Sprint(current.sections) {
@@ -198,8 +201,8 @@
 	}
 }
 
-// judge compares what operators were told with the history, and the instances
-// with its end.
+// checkHistory compares the results that operators got with the history, and the versions on the
+// instances with the last version in it.
 func (r *modelRun) checkHistory(rt *rapid.T) {
 	ctx := context.Background()
 	editor := NewEditor(r.store)
@@ -209,7 +212,7 @@
 	}
 	for _, n := range r.nodes {
 		if n.source.Load().Version() != h.version {
-			rt.Fatalf("instance %d has version %d, accepted is %d", n.index, n.source.Load().Version(), h.version)
+			rt.Fatalf("instance %d has version %d in force, want the last accepted version %d", n.index, n.source.Load().Version(), h.version)
 		}
 	}
 	records, err := editor.History(ctx, 1<<20)
@@ -222,17 +225,17 @@
 		var conflict *ConflictError
 		switch {
 		case a.err == nil && (len(versions) != 1 || versions[0] != a.version):
-			rt.Fatalf("edit %d accepted as %d is in the history as %v", a.tokens, a.version, versions)
+			rt.Fatalf("edit %d was accepted as version %d, but is in the history as %v", a.tokens, a.version, versions)
 		case (errors.Is(a.err, ErrNotAccepted) || errors.As(a.err, &conflict)) && len(versions) > 0:
-			rt.Fatalf("edit %d answered %v but is in the history as %v", a.tokens, a.err, versions)
+			rt.Fatalf("edit %d failed with %v, but is in the history as %v", a.tokens, a.err, versions)
 		case len(versions) > 1:
-			rt.Fatalf("edit %d is in the history %d times", a.tokens, len(versions))
+			rt.Fatalf("edit %d is in the history %d times, want at most once", a.tokens, len(versions))
 		}
 	}
 }
 
-// history returns the versions at which each value was set. Each edit of the
-// test sets one plan, so an edit that changes more has undone another's.
+// tokenVersions returns the versions at which each token value was set. Each edit of the test changes
+// one plan, so an edit that changes more than one entry has reverted another edit.
 func (r *modelRun) tokenVersions(rt *rapid.T, h *head, records []Record) map[int64][]uint64 {
 	values := map[int64][]uint64{}
 	before := emptyPair()
@@ -244,7 +247,7 @@
 		}
 		changes := Diff(before, after)
 		if len(changes) != 1 {
-			rt.Fatalf("version %d changed %v", record.Version, changes)
+			rt.Fatalf("version %d has changes %v, want one change", record.Version, changes)
 		}
 		tokens := after.Plans.Lookup(changes[0].Name).Budget.Tokens
 		values[tokens] = append(values[tokens], record.Version)
--- a/internal/config/failure_test.go
+++ b/internal/config/failure_test.go
@@ -18,7 +18,7 @@
 	"foxhall/internal/store"
 )
 
-// set makes an edit that sets one plan's tokens, from what is accepted now.
+// setTokens sets one plan's token budget by an edit based on the accepted version.
 func setTokens(is *is.I, client store.Client, name string, tokens int64) Accepted {
 	editor := NewEditor(client)
 	pair, base, err := editor.Get(context.Background(), 0)
@@ -28,7 +28,8 @@
 	return accepted
 }
 
-// hook calls before once, ahead of the first Put or Delete of a kind.
+// hookedClient calls beforeCall once, before the first Put of an object of kind, or before the first
+// Delete if onDelete is set.
 type hookedClient struct {
 	store.Client
 	kind       string
@@ -40,9 +41,9 @@
 	if h.beforeCall == nil || kind != h.kind || deleting != h.onDelete {
 		return
 	}
-	before := h.beforeCall
+	call := h.beforeCall
 	h.beforeCall = nil
-	before()
+	call()
 }
 
 func (h *hookedClient) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
@@ -55,11 +56,10 @@
 	return h.Client.Delete(ctx, key, base)
 }
 
-// The store applies the accepting update, loses the answer and goes down until
-// the operator's time is up: the operator is told that the outcome is unknown.
-// Another operator then edits another plan. The first one runs the same edit
-// again and is told the version at which it had been accepted; nothing is
-// written, so the edit in between stands.
+// The store applies the update that accepts an edit, loses the response and is down until the
+// operator's deadline: the operator gets ErrOutcomeUnknown. Another operator then edits another plan.
+// When the first operator repeats the same edit, the result is the version at which it had been
+// accepted; nothing is written, so the other operator's edit is kept.
 func TestEditAcceptedButAnswerLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -84,14 +84,14 @@
 		records, err := NewEditor(s).History(context.Background(), 10)
 		is.NoErr(err)
 		is.Equal(len(records), 3)
-		is.Equal(records[1].Version, accepted.Version) // the middle one, accepted once
+		is.Equal(records[1].Version, accepted.Version) // the second of three edits, accepted once
 	})
 }
 
-// A data centre of two instances is cut off from the store and from the others
-// during three edits. Its callers are judged by the last version it had. When
-// only the way to the other data centre heals, the peers bring all three edits,
-// well within the bound and without a store call.
+// A data centre of two instances is isolated from the store and from the other data centre during
+// three edits. Its instances stay ready with their last version. When only the connection to the other
+// data centre is restored, the peers deliver all three edits within half of propagationLimit and
+// without the store.
 func TestDataCentreIsolatedDuringThreeEdits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -110,7 +110,7 @@
 		for _, n := range w.nodes[2:] {
 			is.Equal(n.Current().Version, first.Version)
 			ready, _ := n.source.Load().Ready()
-			is.True(ready) // it goes on serving
+			is.True(ready) // it continues to serve
 			n.isolated.Store(false)
 		}
 		time.Sleep(propagationLimit / 2)
@@ -121,17 +121,17 @@
 	})
 }
 
-// Instances are restarted while the store is down. One with a disk has its
-// configuration at once; one without takes the highest version of its peers;
-// one that reaches nobody says why it is not ready. None goes back, also not
-// where the store, when it returns, first serves an old read.
+// Instances restart while the store is down. An instance with a disk has its configuration at once;
+// one without a disk gets the highest version of its peers; one that reaches neither store nor peers
+// reports why it is not ready. No instance returns to an older version, even if the store serves a
+// stale read first when it is available again.
 func TestRestartedWithStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newCluster(t.TempDir(), "", "")
 		defer w.close()
 		setTokens(is, w.store, "p1", 1)
-		time.Sleep(propagationLimit) // so that old reads have something to show
+		time.Sleep(propagationLimit) // so that version 1 is read and can be returned by stale reads
 		last := setTokens(is, w.store, "p1", 2)
 		time.Sleep(propagationLimit)
 		w.store.SetFaults(standin.StoreFaults{Down: true})
@@ -140,7 +140,7 @@
 		durable.stop()
 		durable.isolated.Store(true)
 		durable.start()
-		is.Equal(durable.Current().Version, last.Version) // before anything is asked
+		is.Equal(durable.Current().Version, last.Version) // before the store and the peers are queried
 		diskless.stop()
 		diskless.start()
 		time.Sleep(startupTimeout)
@@ -161,9 +161,9 @@
 	})
 }
 
-// An editor is paused after it wrote its chunks and before it names them. A
-// collection meanwhile finds them unreferenced and removes them. The paused
-// editor's update must then fail, or an accepted edit would be unreadable.
+// An editor is paused after it wrote its chunks and before it updates the manifest. Meanwhile a
+// collection finds the chunks unreferenced and removes them. The editor's update must then fail and be
+// repeated, or an accepted edit would be unreadable.
 func TestCollectionRacesPausedEdit(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
@@ -181,9 +181,8 @@
 	is.Equal(pair.Plans.Lookup("p1").Budget.Tokens, int64(2))
 }
 
-// A collection has listed a chunk as unreferenced and is paused before it
-// removes it. An edit goes back to those very contents and finds the chunk
-// there. The removal must then fail.
+// A collection has listed a chunk as unreferenced and is paused before it deletes it. An edit restores
+// the same contents and finds the chunk in the store. The deletion must then fail.
 func TestCollectionRacesEditRestoringContents(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
@@ -199,8 +198,8 @@
 	is.Equal(pair.Plans.Lookup("p1").Budget.Tokens, int64(1))
 }
 
-// An operator's base is older than the kept history: nothing can be said about
-// what changed, so the edit is refused instead of undoing it.
+// An operator's base is older than the kept history. The changes since the base are unknown, so the
+// edit is rejected instead of possibly reverting them.
 func TestBaseOlderThanHistoryRefused(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
@@ -217,8 +216,9 @@
 	is.True(conflict.BaseExpired)
 }
 
-// An edit moves the plan's chunk and the manifest, not the list; the usage
-// list's chunks are not touched, and a watching source reads nothing more.
+// An edit of one plan transfers the plan's chunk and the manifest, not the whole list. The chunks of
+// the usage list do not change, and the manifest includes the new chunk, so that a watching source
+// need not read it.
 func TestEditMovesOneChunk(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
@@ -237,8 +237,8 @@
 	is.Equal(len(after.manifest.Inline), 1)
 }
 
-// A chunk in an operator's cache is damaged: it is read from the store again
-// instead of failing every edit from that machine.
+// A chunk in an operator's cache is damaged. It must be read from the store again, or every edit from
+// that machine would fail.
 func TestDamagedCacheReadsStore(t *testing.T) {
 	is := is.New(t)
 	s, folder := standin.NewStore(), t.TempDir()
@@ -248,7 +248,7 @@
 	h.manifest.Sections.digests(func(d Digest) {
 		is.NoErr(os.WriteFile(chunkCache{folder}.path(d), []byte("damaged"), 0o600))
 	})
-	setTokens(is, s, "p2", 2) // the first chunk is now no longer in the manifest itself
+	setTokens(is, s, "p2", 2) // the manifest no longer includes the first chunk
 	pair, _, err := NewCachedEditor(s, folder).Get(context.Background(), 0)
 	is.NoErr(err)
 	is.Equal(len(pair.Plans.Plans), 2)
@@ -257,9 +257,9 @@
 	is.Equal(len(pair.Plans.Plans), 1)
 }
 
-// The store is down for ten minutes. Each source goes on trying with backoff
-// and jitter, a call every few seconds and no more, and when the store returns
-// their calls are spread over the backoff's range and not made at once.
+// The store is down for ten minutes. Each source retries with backoff and jitter, at most one call
+// every few seconds. When the store is available again, the calls are spread over the backoff interval
+// and not made at once.
 func TestOutageCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -283,14 +283,13 @@
 		w.store.SetFaults(standin.StoreFaults{})
 		before = calls()
 		time.Sleep(100 * time.Millisecond)
-		t.Logf("%d of %d instances call in the first 100 ms after it", calls()-before, instances)
+		t.Logf("%d of %d instances call in the first 100 ms after the outage", calls()-before, instances)
 		is.True(calls()-before < instances/2)
 	})
 }
 
-// The store is so slow that a newcomer without peers can't read all chunks
-// within the time of one try. Each try keeps what it got, so that it is ready
-// after some, and not never.
+// The store is so slow that a starting instance without peers can't read all chunks within the timeout
+// of one attempt. Each attempt must keep the chunks that it read, or the instance would never be ready.
 func TestFirstStartWithSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -312,8 +311,8 @@
 	})
 }
 
-// Of a hundred instances only one still has a way to the store. An edit
-// reaches the others through it, from peer to peer, within the bound.
+// Only one of a hundred instances can reach the store. An edit spreads from it to the others, from
+// peer to peer, within propagationLimit.
 func TestEditSpreadsByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -346,8 +345,8 @@
 	})
 }
 
-// A source follows the object API over HTTP: it reads, watches, resumes after
-// the store was down, and goes on.
+// A source follows the object API over HTTP: it reads, watches, and resumes its watch after the store
+// was down.
 func TestSourceOverHTTP(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
--- a/internal/config/world_test.go
+++ b/internal/config/world_test.go
@@ -27,13 +27,13 @@
 	os.Exit(m.Run())
 }
 
-// memory keeps the first answer that anybody got for a key, for regressed reads.
+// firstReads stores the first object that any client read for each key, to be returned by stale reads.
 type firstReads struct {
 	mu      sync.Mutex
 	objects map[store.Key]store.Object
 }
 
-// link is one party's way to the store, with faults of its own.
+// faultyClient is the store client of one instance or operator, with its own faults.
 type faultyClient struct {
 	store.Client
 	firstReads *firstReads
@@ -98,7 +98,7 @@
 	return l.Client.Watch(ctx, kind, from)
 }
 
-// node is one instance's source through its lives.
+// node is an instance with its present source, which a restart replaces.
 type node struct {
 	source     atomic.Pointer[Source]
 	isolated   atomic.Bool
@@ -107,11 +107,11 @@
 	client     *faultyClient
 	dataFolder string
 	stop       func()
-	// floor is the highest version seen in force.
+	// highestVersion is the highest version seen in force on the instance.
 	highestVersion uint64
 }
 
-// world is a store, instances and operators, in virtual time.
+// cluster is a store with instances and operators.
 type cluster struct {
 	store      *standin.Store
 	firstReads *firstReads
@@ -119,6 +119,7 @@
 	operators  []*faultyClient
 }
 
+// newCluster starts an instance for each data folder; an empty folder stands for no disk.
 func newCluster(folders ...string) *cluster {
 	w := &cluster{store: standin.NewStore(), firstReads: &firstReads{objects: map[store.Key]store.Object{}}}
 	for i, folder := range folders {
@@ -178,7 +179,7 @@
 	return peers
 }
 
-// wire is a peer across a network that can be partitioned.
+// peerLink is a peer reached over a network that can be partitioned.
 type peerLink struct{ from, to *node }
 
 var errPartitioned = errors.New("partition")
@@ -232,7 +233,7 @@
 	}
 }
 
-// testUsage grants each of count plans one of a few models.
+// testUsage returns a usage list that grants each plan one model.
 func testUsage(plans *plan.List) *usage.List {
 	list := &usage.List{
 		Models:   []usage.Model{{Name: "oak"}, {Name: "elm"}},
