--- a/internal/plan/parse.go
+++ b/internal/plan/parse.go
@@ -52,9 +52,9 @@
 
 // Format writes the list as TOML that Parse reads back.
 func (l *List) Format() ([]byte, error) {
-	var out bytes.Buffer
-	err := toml.NewEncoder(&out).Encode(l)
-	return out.Bytes(), errors.Wrap(err, ListName)
+	var buf bytes.Buffer
+	err := toml.NewEncoder(&buf).Encode(l)
+	return buf.Bytes(), errors.Wrap(err, ListName)
 }
 
 // Line returns the line of a plan's key in the file that the list was read
@@ -71,12 +71,12 @@
 // check validates the list and builds its lookups.
 func (l *List) check() error {
 	checker := listfile.NewChecker(ListName, l.positions)
-	names, customers := map[string]bool{}, map[string]bool{}
+	seenNames, seenCustomers := map[string]bool{}, map[string]bool{}
 	for i := range l.Plans {
 		p := &l.Plans[i]
 		checker.Enter("plan", i, p.Name)
-		checker.Unique("name", names, p.Name)
-		checker.Unique("customer", customers, p.Customer)
+		checker.Unique("name", seenNames, p.Name)
+		checker.Unique("customer", seenCustomers, p.Customer)
 		p.check(checker)
 		p.checkKeys(checker)
 	}
--- a/internal/plan/rule.go
+++ b/internal/plan/rule.go
@@ -22,11 +22,11 @@
 	// MaxPriority is the highest priority.
 	MaxPriority = 9
 	// FullCut is the whole price in basis points.
-	FullCut = 10000
+	FullCutBasisPoints = 10000
 
-	maxCount    = 1e6
-	maxHistory  = 1e8
-	maxLifetime = 366 * 24 * time.Hour
+	maxCount         = 1e6
+	maxHistoryTokens = 1e8
+	maxLifetime      = 366 * 24 * time.Hour
 )
 
 // Unlimited reports whether the budget bounds nothing.
@@ -36,7 +36,7 @@
 	c.Name("name", p.Name)
 	c.Name("customer", p.Customer)
 	c.Range("priority", int64(p.Priority), 0, MaxPriority)
-	c.Range("cut_basis_points", int64(p.CutBasisPoints), 0, FullCut)
+	c.Range("cut_basis_points", int64(p.CutBasisPoints), 0, FullCutBasisPoints)
 	p.Budget.check(c)
 	p.Limits.check(c)
 	p.Bounds.check(c)
@@ -67,7 +67,7 @@
 	c.Range("bounds.steps", int64(b.Steps), 0, maxCount)
 	c.Range("bounds.depth", int64(b.Depth), 0, maxCount)
 	c.Range("bounds.children", int64(b.Children), 0, maxCount)
-	c.Range("bounds.history_tokens", int64(b.HistoryTokens), 0, maxHistory)
+	c.Range("bounds.history_tokens", int64(b.HistoryTokens), 0, maxHistoryTokens)
 	b.checkTime(c, "bounds.lifetime", b.Lifetime)
 	b.checkTime(c, "bounds.step_time", b.StepTime)
 }
