--- a/internal/plan/parse.go
+++ b/internal/plan/parse.go
@@ -15,7 +15,7 @@
 const ListName = "plans"
 
 // Parse reads a plans list from TOML and validates it. The error, if any, is
-// listfile.Problems and names every problem with its line.
+// listfile.Problems, which lists every problem with its line.
 func Parse(text []byte) (*List, error) {
 	list := &List{}
 	positions, err := listfile.Decode(ListName, text, list)
@@ -29,7 +29,8 @@
 	return list, nil
 }
 
-// NewList returns a list of plans that did not come from a file. It keeps the slice.
+// NewList validates plans that were not read from a file and returns them as a list. The list keeps
+// the slice.
 func NewList(plans []Plan) (*List, error) {
 	list := &List{Plans: plans}
 	if err := list.check(); err != nil {
@@ -38,12 +39,12 @@
 	return list, nil
 }
 
-// Check applies the rules to the list.
+// Check validates the list.
 func (l *List) Check() error { return l.check() }
 
-// Restore returns a list of plans that were validated when they were accepted.
-// The rules are not applied again: an instance of another release must not
-// refuse what is in force elsewhere. It keeps the slice.
+// Restore returns a list of plans that were validated when they were accepted. They are not validated
+// again, because an instance of another release must not reject a list that is in force on other
+// instances. The list keeps the slice.
 func Restore(plans []Plan) *List {
 	list := &List{Plans: plans}
 	list.index(nil)
@@ -57,8 +58,7 @@
 	return buf.Bytes(), errors.Wrap(err, ListName)
 }
 
-// Line returns the line of a plan's key in the file that the list was read
-// from, or 0.
+// Line returns the line of a plan's key in the file from which the list was read, or 0 if unknown.
 func (l *List) Line(name, key string) int {
 	for i := range l.Plans {
 		if l.Plans[i].Name == name {
@@ -68,7 +68,7 @@
 	return 0
 }
 
-// check validates the list and builds its lookups.
+// check validates the list and builds its indexes.
 func (l *List) check() error {
 	checker := listfile.NewChecker(ListName, l.positions)
 	seenNames, seenCustomers := map[string]bool{}, map[string]bool{}
@@ -92,8 +92,8 @@
 	}
 }
 
-// index builds the lookups. Of two plans with one key the first has it, and
-// the checker, unless nil, hears of the second.
+// index builds the indexes by name and by key. If two plans list the same key, it belongs to the first
+// one; the second is reported to the checker unless that is nil.
 func (l *List) index(checker *listfile.Checker) {
 	l.byName = make(map[string]*Plan, len(l.Plans))
 	l.byKey = make(map[[sha256.Size]byte]*Plan, len(l.Plans))
@@ -115,6 +115,7 @@
 	}
 }
 
+// parseSum parses a SHA-256 sum in hex.
 func parseSum(text string) (sum [sha256.Size]byte, ok bool) {
 	if len(text) != hex.EncodedLen(len(sum)) {
 		return sum, false
--- a/internal/plan/parse_test.go
+++ b/internal/plan/parse_test.go
@@ -32,30 +32,29 @@
 limits = { rate = 1.0, concurrency = 2 }
 `
 
-// An operator's slip is answered with the list, the line, the entry, the key
-// and what was expected; of several slips each is named.
+// A mistake in a list is reported with the list, the line and what was expected.
 func TestParseNamesEachProblem(t *testing.T) {
 	cases := map[string]struct {
 		from, to string
 		line     int
 		want     string
 	}{
-		"unknown key":      {"priority = 3", "priorty = 3", 6, "a key that foxhall knows"},
-		"wrong type":       {"priority = 3", `priority = "high"`, 6, "string"},
-		"bad syntax":       {"priority = 3", "priority = ", 6, ""},
-		"out of range":     {"priority = 3", "priority = 12", 6, "0 to 9"},
-		"cut":              {"= 250", "= 10001", 7, "0 to 10000"},
-		"no window":        {`window = "24h"`, "", 8, "10s to"},
-		"negative":         {"tokens = 1000000", "tokens = -1", 10, "0 to"},
-		"inline table":     {"concurrency = 2", "concurrency = -2", 20, "0 to"},
-		"name twice":       {`"buyers"`, `"donors"`, 18, "each name once"},
-		"customer twice":   {`"kerlouan"`, `"semente"`, 19, "each name once"},
-		"no name":          {`name = "buyers"`, "", 17, "letters"},
-		"hash":             {"9f86", "zz86", 5, "SHA-256"},
-		"not a number":     {"rate = 2.5", "rate = nan", 13, "0 to"},
-		"burst alone":      {"rate = 2.5", "", 14, "limits.rate beside it"},
-		"bad duration":     {`"24h"`, `"a day"`, 11, ""},
-		"duration too low": {`"24h"`, `"1s"`, 11, "10s to"},
+		"unknown key":        {"priority = 3", "priorty = 3", 6, "a key that foxhall knows"},
+		"wrong type":         {"priority = 3", `priority = "high"`, 6, "string"},
+		"bad syntax":         {"priority = 3", "priority = ", 6, ""},
+		"out of range":       {"priority = 3", "priority = 12", 6, "0 to 9"},
+		"cut":                {"= 250", "= 10001", 7, "0 to 10000"},
+		"no window":          {`window = "24h"`, "", 8, "10s to"},
+		"negative":           {"tokens = 1000000", "tokens = -1", 10, "0 to"},
+		"inline table":       {"concurrency = 2", "concurrency = -2", 20, "0 to"},
+		"name twice":         {`"buyers"`, `"donors"`, 18, "each name once"},
+		"customer twice":     {`"kerlouan"`, `"semente"`, 19, "each name once"},
+		"no name":            {`name = "buyers"`, "", 17, "letters"},
+		"invalid key hash":   {"9f86", "zz86", 5, "SHA-256"},
+		"not a number":       {"rate = 2.5", "rate = nan", 13, "0 to"},
+		"burst without rate": {"rate = 2.5", "", 14, "limits.rate beside it"},
+		"bad duration":       {`"24h"`, `"a day"`, 11, ""},
+		"duration too low":   {`"24h"`, `"1s"`, 11, "10s to"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +82,7 @@
 	is.Equal(again.Plans[0], list.Plans[0])
 }
 
-// Whatever is read without an error can be written and read back, and breaks no rule.
+// A list that is parsed without an error can be formatted and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(goodPlans))
 	f.Add([]byte("[[plan]]\nname=\"a\"\ncustomer=\"b\"\nbudget.tokens=1\n"))
@@ -93,7 +92,7 @@
 		if err != nil {
 			var problems listfile.Problems
 			if !errors.As(err, &problems) || len(problems) == 0 {
-				t.Fatalf("an error that is not Problems: %v", err)
+				t.Fatalf("error %v, want listfile.Problems", err)
 			}
 			return
 		}
@@ -102,7 +101,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Parse(formatted); err != nil {
-			t.Fatalf("written list is not read back: %v\n%s", err, formatted)
+			t.Fatalf("formatted list can't be parsed: %v\n%s", err, formatted)
 		}
 	})
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan holds the aggregate of customers' plans: who may call, at what
-// rate and cost, and how large a program may grow. Its rules do no I/O.
+// Package plan defines the customers' plans: who may call, at what rate and cost, and how large a
+// program may grow. It does no I/O.
 package plan
 
 import (
@@ -13,40 +13,40 @@
 // Micros is an amount of money in millionths of the operators' currency unit.
 type Micros int64
 
-// Plan is what one customer has bought.
+// Plan is the plan of one customer.
 type Plan struct {
 	// Name identifies the plan; usage grants refer to it.
 	Name string `toml:"name"`
-	// Customer identifies who pays; one customer has one plan.
+	// Customer identifies the customer who pays; each customer has one plan.
 	Customer string `toml:"customer"`
 	// KeyHashes are the SHA-256 sums, in hex, of the bearer keys that authenticate the customer.
 	KeyHashes []string `toml:"key_hashes"`
 	Budget    Budget   `toml:"budget"`
 	Limits    Limits   `toml:"limits"`
 	Bounds    Bounds   `toml:"bounds"`
-	// Priority orders customers under contention; higher goes first. 0 to 9.
+	// Priority orders customers under contention, from 0 to 9; a higher priority goes first.
 	Priority int `toml:"priority"`
-	// CutBasisPoints is foxhall's share of each settled price, in 1/10,000.
+	// CutBasisPoints is foxhall's share of each settled price, in basis points (1/10,000).
 	CutBasisPoints int `toml:"cut_basis_points"`
 }
 
-// Budget bounds what a plan may spend in each window. Zero means no bound of that kind.
+// Budget limits the money and the tokens that a plan may spend in each window. Zero means no limit.
 type Budget struct {
 	Money  Micros   `toml:"money_micros"`
 	Tokens int64    `toml:"tokens"`
 	Window Duration `toml:"window"`
 }
 
-// Limits bound how fast a plan's calls are admitted.
+// Limits limit the rate and the concurrency at which a plan's calls are admitted.
 type Limits struct {
-	// Rate is in steps per second over the whole data centre.
+	// Rate is the number of steps per second in the whole data centre.
 	Rate  float64 `toml:"rate"`
 	Burst int     `toml:"burst"`
-	// Concurrency is the number of steps under way at once in a data centre.
+	// Concurrency is the number of steps in flight at once in the data centre.
 	Concurrency int `toml:"concurrency"`
 }
 
-// Bounds limit the shape of one program, as the guard against endless loops.
+// Bounds limit the size of one program, as a protection against endless loops.
 type Bounds struct {
 	Steps         int      `toml:"steps"`
 	Depth         int      `toml:"depth"`
@@ -56,7 +56,7 @@
 	HistoryTokens int      `toml:"history_tokens"`
 }
 
-// Duration is a time.Duration that TOML writes as a string such as "30s".
+// Duration is a time.Duration that is written as a string such as "30s" in TOML.
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -80,17 +80,16 @@
 	positions *listfile.Positions
 }
 
-// Lookup returns the plan of that name, or nil.
+// Lookup returns the plan with the given name, or nil.
 func (l *List) Lookup(name string) *Plan { return l.byName[name] }
 
-// Authenticate returns the plan whose customer holds the bearer key, or nil.
-// The lookup is by the key's SHA-256 sum, so its timing tells nothing about
-// how much of a guessed key is right.
+// Authenticate returns the plan that lists the bearer key, or nil. It looks up the key's SHA-256 sum,
+// so that its timing does not reveal how much of a guessed key is right.
 func (l *List) Authenticate(key string) *Plan {
 	return l.byKey[sha256.Sum256([]byte(key))]
 }
 
-// HashKey returns the form in which a plan lists a bearer key.
+// HashKey returns a bearer key's SHA-256 sum in hex, the form in which plans list keys.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/internal/plan/rule.go
+++ b/internal/plan/rule.go
@@ -6,22 +6,23 @@
 	"foxhall/internal/listfile"
 )
 
-// Bounds of sane values. They catch slips of the unit, such as a price in
-// whole units where micros are meant, before the pair is accepted.
+// Limits of plausible values. They catch values in the wrong unit, such as a price in whole currency
+// units instead of micros, before the lists are accepted.
 const (
-	// MaxMoney keeps sums of a plan's reservations far from overflow.
+	// MaxMoney is the largest money budget; it keeps sums of a plan's reservations far from overflow.
 	MaxMoney Micros = 1e15
-	// MaxTokens does the same for tokens.
+	// MaxTokens is the largest token budget; it keeps sums of reservations far from overflow, too.
 	MaxTokens int64 = 1e15
-	// MinWindow is far above the bound on clocks that differ (package budget).
+	// MinWindow is the shortest budget window. It is far above the permitted difference between the
+	// instances' clocks (see package budget).
 	MinWindow = 10 * time.Second
 	// MaxWindow is the longest budget window.
 	MaxWindow = 366 * 24 * time.Hour
-	// MaxRate is in steps per second.
+	// MaxRate is the highest rate limit, in steps per second.
 	MaxRate = 1e6
 	// MaxPriority is the highest priority.
 	MaxPriority = 9
-	// FullCut is the whole price in basis points.
+	// FullCutBasisPoints is the full price in basis points.
 	FullCutBasisPoints = 10000
 
 	maxCount         = 1e6
@@ -29,7 +30,7 @@
 	maxLifetime      = 366 * 24 * time.Hour
 )
 
-// Unlimited reports whether the budget bounds nothing.
+// Unlimited reports whether the budget limits neither money nor tokens.
 func (b Budget) Unlimited() bool { return b.Money == 0 && b.Tokens == 0 }
 
 func (p *Plan) check(c *listfile.Checker) {
