--- a/internal/usage/parse.go
+++ b/internal/usage/parse.go
@@ -53,9 +53,9 @@
 
 // Format writes the list as TOML that Parse reads back.
 func (l *List) Format() ([]byte, error) {
-	var out bytes.Buffer
-	err := toml.NewEncoder(&out).Encode(l)
-	return out.Bytes(), errors.Wrap(err, ListName)
+	var buf bytes.Buffer
+	err := toml.NewEncoder(&buf).Encode(l)
+	return buf.Bytes(), errors.Wrap(err, ListName)
 }
 
 // Line returns the line of an entry's key in the file that the list was read
@@ -83,11 +83,11 @@
 }
 
 func names[T any](entries []T, name func(*T) string) []string {
-	found := make([]string, len(entries))
+	result := make([]string, len(entries))
 	for i := range entries {
-		found[i] = name(&entries[i])
+		result[i] = name(&entries[i])
 	}
-	return found
+	return result
 }
 
 // Checker returns a checker whose problems name the lines of this list.
--- a/internal/usage/parse_test.go
+++ b/internal/usage/parse_test.go
@@ -88,12 +88,12 @@
 			}
 			return
 		}
-		out, err := list.Format()
+		formatted, err := list.Format()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Parse(out); err != nil {
-			t.Fatalf("written list is not read back: %v\n%s", err, out)
+		if _, err := Parse(formatted); err != nil {
+			t.Fatalf("written list is not read back: %v\n%s", err, formatted)
 		}
 	})
 }
--- a/internal/usage/rule.go
+++ b/internal/usage/rule.go
@@ -11,10 +11,10 @@
 
 const (
 	// maxPrice, in micros, catches a price given in the wrong unit.
-	maxPrice  = plan.Micros(1e12)
-	maxTokens = 1e10
-	maxSlots  = 1e5
-	maxWeight = 1e6
+	maxPriceMicros = plan.Micros(1e12)
+	maxTokens      = 1e10
+	maxSlots       = 1e5
+	maxWeight      = 1e6
 )
 
 var repeatablePattern = regexp.MustCompile(`^[A-Z]+ /[^*\s]*\*?$`)
@@ -35,8 +35,8 @@
 		c.Enter("model", i, m.Name)
 		c.Name("name", m.Name)
 		c.Unique("name", seen, m.Name)
-		c.Range("prompt_price_micros", int64(m.PromptPrice), 0, int64(maxPrice))
-		c.Range("output_price_micros", int64(m.OutputPrice), 0, int64(maxPrice))
+		c.Range("prompt_price_micros", int64(m.PromptPrice), 0, int64(maxPriceMicros))
+		c.Range("output_price_micros", int64(m.OutputPrice), 0, int64(maxPriceMicros))
 		c.Range("context_tokens", int64(m.ContextTokens), 0, maxTokens)
 	}
 }
@@ -48,7 +48,7 @@
 		c.Enter("service", i, s.Name)
 		c.Name("name", s.Name)
 		c.Unique("name", seen, s.Name)
-		c.Range("call_price_micros", int64(s.CallPrice), 0, int64(maxPrice))
+		c.Range("call_price_micros", int64(s.CallPrice), 0, int64(maxPriceMicros))
 		s.checkCalls(c)
 	}
 }
@@ -77,12 +77,12 @@
 		if _, err := netip.ParseAddrPort(u.Address); err != nil {
 			c.Add("address", "host:port by IP number", "%q", u.Address)
 		}
-		l.checkServed(c, u)
+		l.checkOffer(c, u)
 	}
 }
 
 // checkServed checks what an upstream serves against the models and services.
-func (l *List) checkServed(c *listfile.Checker, u *Upstream) {
+func (l *List) checkOffer(c *listfile.Checker, u *Upstream) {
 	switch u.Kind {
 	case KindEngine:
 		if u.Service != "" {
@@ -102,7 +102,7 @@
 }
 
 func (l *List) checkGrants(c *listfile.Checker) {
-	seen, centres := map[string]bool{}, l.dataCentres()
+	seen, dataCentres := map[string]bool{}, l.dataCentres()
 	for i := range l.Grants {
 		g := &l.Grants[i]
 		c.Enter("grant", i, g.Plan)
@@ -117,7 +117,7 @@
 			}
 		}
 		for _, name := range g.DataCentres {
-			if !centres[name] {
+			if !dataCentres[name] {
 				c.Add("data_centres", "a data centre in which an upstream stands", "%q", name)
 			}
 		}
