--- a/internal/usage/parse.go
+++ b/internal/usage/parse.go
@@ -15,7 +15,7 @@
 const ListName = "usage"
 
 // Parse reads a usage list from TOML and validates it. The error, if any, is
-// listfile.Problems and names every problem with its line.
+// listfile.Problems, which lists every problem with its line.
 func Parse(text []byte) (*List, error) {
 	list := &List{}
 	positions, err := listfile.Decode(ListName, text, list)
@@ -30,12 +30,12 @@
 	return list, nil
 }
 
-// Check validates a list that did not come from a file, after Index.
+// Check validates a list that was not read by Parse. Index must be called before.
 func (l *List) Check() error { return l.check() }
 
-// Index builds the lookups. A list that was filled in by code instead of Parse
-// needs it once, before its first use. No rules are applied: an instance of
-// another release must not refuse what was accepted and is in force elsewhere.
+// Index builds the indexes by name. It must be called once before the first use of a list that was not
+// read by Parse. It does not validate the list, because an instance of another release must not reject
+// a list that was accepted and is in force on other instances.
 func (l *List) Index() {
 	l.models = make(map[string]*Model, len(l.Models))
 	l.services = make(map[string]*Service, len(l.Services))
@@ -58,8 +58,8 @@
 	return buf.Bytes(), errors.Wrap(err, ListName)
 }
 
-// Line returns the line of an entry's key in the file that the list was read
-// from, or 0. The table is "model", "service", "upstream" or "grant".
+// Line returns the line of an entry's key in the file from which the list was read, or 0 if unknown.
+// The table is "model", "service", "upstream" or "grant".
 func (l *List) Line(table, name, key string) int {
 	for i, entry := range l.entryNames(table) {
 		if entry == name {
@@ -90,11 +90,11 @@
 	return result
 }
 
-// Checker returns a checker whose problems name the lines of this list.
+// Checker returns a checker that reports problems with their lines in this list.
 func (l *List) Checker() *listfile.Checker { return listfile.NewChecker(ListName, l.positions) }
 
-// MayRepeat reports whether a call may be sent more than once. What is not
-// declared may not be repeated.
+// MayRepeat reports whether a call may be sent more than once. That requires a match with one of the
+// service's Repeatable patterns.
 func (s *Service) MayRepeat(method, path string) bool {
 	call := method + " " + path
 	return slices.ContainsFunc(s.Repeatable, func(pattern string) bool {
--- a/internal/usage/parse_test.go
+++ b/internal/usage/parse_test.go
@@ -43,7 +43,7 @@
 latency_weight = 2.0
 `
 
-// An operator's slip within the usage list is answered with its line and what was expected.
+// A mistake in a usage list is reported with its line and what was expected.
 func TestParseNamesEachProblem(t *testing.T) {
 	cases := map[string]struct {
 		from, to string
@@ -75,7 +75,7 @@
 	}
 }
 
-// Whatever is read without an error can be written and read back, and breaks no rule.
+// A list that is parsed without an error can be formatted and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(goodUsage))
 	f.Add([]byte("[[grant]]\nplan = \"a\"\n"))
@@ -84,7 +84,7 @@
 		if err != nil {
 			var problems listfile.Problems
 			if !errors.As(err, &problems) || len(problems) == 0 {
-				t.Fatalf("an error that is not Problems: %v", err)
+				t.Fatalf("error %v, want listfile.Problems", err)
 			}
 			return
 		}
@@ -93,7 +93,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Parse(formatted); err != nil {
-			t.Fatalf("written list is not read back: %v\n%s", err, formatted)
+			t.Fatalf("formatted list can't be parsed: %v\n%s", err, formatted)
 		}
 	})
 }
--- a/internal/usage/rule.go
+++ b/internal/usage/rule.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxPrice, in micros, catches a price given in the wrong unit.
+	// maxPriceMicros rejects prices in the wrong unit.
 	maxPriceMicros = plan.Micros(1e12)
 	maxTokens      = 1e10
 	maxSlots       = 1e5
@@ -81,7 +81,7 @@
 	}
 }
 
-// checkServed checks what an upstream serves against the models and services.
+// checkOffer checks that the models or the service of an upstream are in this list and fit its kind.
 func (l *List) checkOffer(c *listfile.Checker, u *Upstream) {
 	switch u.Kind {
 	case KindEngine:
@@ -132,6 +132,7 @@
 	}
 }
 
+// dataCentres returns the data centres that have an upstream.
 func (l *List) dataCentres() map[string]bool {
 	found := map[string]bool{}
 	for i := range l.Upstreams {
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,6 +1,5 @@
-// Package usage holds the aggregate of what each plan may use: models, tool
-// services, the upstreams that serve them and the data centres they stand in.
-// Its rules do no I/O.
+// Package usage defines what each plan may use: models, tool services, the upstreams that serve them
+// and the data centres of the upstreams. It does no I/O.
 package usage
 
 import (
@@ -8,17 +7,17 @@
 	"foxhall/internal/plan"
 )
 
-// Model is a model as customers name it.
+// Model is a model under the name that customers use for it.
 type Model struct {
 	Name string `toml:"name"`
-	// Version is the weights' version; a change of it drains, then switches.
+	// Version is the version of the weights. After a change the engines drain before they switch.
 	Version string `toml:"version"`
 	// Adapter is an optional adapter on top of the base weights.
 	Adapter string `toml:"adapter"`
-	// PromptPrice and OutputPrice are in micros for a million tokens.
+	// PromptPrice and OutputPrice are in micros per million tokens.
 	PromptPrice plan.Micros `toml:"prompt_price_micros"`
 	OutputPrice plan.Micros `toml:"output_price_micros"`
-	// ContextTokens is the largest prompt plus answer, in tokens.
+	// ContextTokens is the maximum of prompt and output together, in tokens.
 	ContextTokens int `toml:"context_tokens"`
 }
 
@@ -26,16 +25,16 @@
 type Service struct {
 	Name string `toml:"name"`
 	// Repeatable lists "METHOD /path" patterns of calls that may be repeated;
-	// a trailing * matches any rest. A call not listed may not be repeated.
+	// a trailing * matches any suffix. Other calls may not be repeated.
 	Repeatable []string `toml:"repeatable"`
-	// Lookup is the path at which the service tells what became of a call,
-	// by idempotency key; empty if it has none.
+	// Lookup is the path at which the service returns the outcome of a call by its idempotency key;
+	// empty if the service has no such path.
 	Lookup string `toml:"lookup"`
-	// CallPrice is in micros for each call.
+	// CallPrice is the price of a call, in micros.
 	CallPrice plan.Micros `toml:"call_price_micros"`
 }
 
-// The kinds of upstream.
+// Kinds of upstreams.
 const (
 	KindEngine  = "engine"
 	KindService = "service"
@@ -46,28 +45,29 @@
 	Name string `toml:"name"`
 	// Kind is KindEngine or KindService.
 	Kind string `toml:"kind"`
-	// Address is host:port, by IP number.
+	// Address is host:port, with an IP address as the host.
 	Address    string `toml:"address"`
 	DataCentre string `toml:"data_centre"`
-	// Models are those that an engine has or may load; Service names what a service replica serves.
+	// Models are the models that an engine has loaded or may load. Service is the name of the service
+	// of a service replica.
 	Models  []string `toml:"models"`
 	Service string   `toml:"service"`
-	// Slots is the number of calls that it runs at once.
+	// Slots is the number of calls that the upstream runs concurrently.
 	Slots int `toml:"slots"`
 	// CacheTokens is the size of an engine's prefix cache in tokens.
 	CacheTokens int `toml:"cache_tokens"`
-	// Fenced says that it refuses orders with an old fencing token.
+	// Fenced indicates that the upstream rejects orders with an outdated fencing token.
 	Fenced bool `toml:"fenced"`
 }
 
-// Grant is what one plan may use.
+// Grant lists what one plan may use.
 type Grant struct {
 	Plan        string   `toml:"plan"`
 	Models      []string `toml:"models"`
 	Services    []string `toml:"services"`
 	DataCentres []string `toml:"data_centres"`
-	// LatencyWeight and CacheWeight say how much a second of the program's
-	// wait and a second of repeated prefill count against each other.
+	// LatencyWeight and CacheWeight are the relative costs of a second of the program's waiting time
+	// and of a second of repeated prefill.
 	LatencyWeight float64 `toml:"latency_weight"`
 	CacheWeight   float64 `toml:"cache_weight"`
 }
@@ -86,11 +86,11 @@
 	positions *listfile.Positions
 }
 
-// Model returns the model of that name, or nil.
+// Model returns the model with the given name, or nil.
 func (l *List) Model(name string) *Model { return l.models[name] }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (l *List) Service(name string) *Service { return l.services[name] }
 
-// Grant returns what the plan of that name may use, or nil.
+// Grant returns the grant of the plan with the given name, or nil.
 func (l *List) Grant(planName string) *Grant { return l.grants[planName] }
