--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -196,8 +196,8 @@
 // transportError tells a failed dial, after which nothing can have been
 // written, from a lost answer.
 func transportError(err error) error {
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opError *net.OpError
+	if errors.As(err, &opError) && opError.Op == "dial" {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	return errors.Wrap(ErrUnknown, err.Error())
--- a/internal/store/limited.go
+++ b/internal/store/limited.go
@@ -20,16 +20,16 @@
 const burstSeconds = 1
 
 // waitSample is the number of recent waits that the metric keeps.
-const waitSample = 1028
+const waitSampleSize = 1028
 
 // Limited is a Client that keeps an instance, or a part of one, within its
 // share of the object API's rate and counts its calls. The API counts each
 // call, a waiting watch as one, and refuses all callers beyond its rate, so
 // that one that loops on a failing call would refuse the others' appends.
 type Limited struct {
-	client Client
-	reads  *rate.Limiter
-	writes *rate.Limiter
+	client       Client
+	readLimiter  *rate.Limiter
+	writeLimiter *rate.Limiter
 
 	readMeter    metrics.Counter
 	writeMeter   metrics.Counter
@@ -37,22 +37,22 @@
 	failureMeter metrics.Counter
 	byteMeter    metrics.Counter
 	// waits is in microseconds.
-	waits metrics.Histogram
+	waitTimes metrics.Histogram
 }
 
 // Limit returns a Limited over client for a whole instance, whose metrics
 // begin with "store". The registry may be nil.
 func Limit(client Client, rates Rates, registry metrics.Registry) *Limited {
-	return limited(client, limiter(rates.Reads), limiter(rates.Writes), registry, "store")
+	return newLimited(client, newLimiter(rates.Reads), newLimiter(rates.Writes), registry, "store")
 }
 
 // LimitPart returns a Limited over client for a part of an instance, with one
 // limiter for all its calls and metrics that begin with prefix.
-func LimitShared(client Client, all *rate.Limiter, registry metrics.Registry, prefix string) *Limited {
-	return limited(client, all, all, registry, prefix)
+func LimitShared(client Client, limiter *rate.Limiter, registry metrics.Registry, prefix string) *Limited {
+	return newLimited(client, limiter, limiter, registry, prefix)
 }
 
-func limited(client Client, reads, writes *rate.Limiter, registry metrics.Registry, prefix string) *Limited {
+func newLimited(client Client, reads, writes *rate.Limiter, registry metrics.Registry, prefix string) *Limited {
 	if registry == nil {
 		registry = metrics.NewRegistry()
 	}
@@ -61,18 +61,18 @@
 	}
 	return &Limited{
 		client:       client,
-		reads:        reads,
-		writes:       writes,
+		readLimiter:  reads,
+		writeLimiter: writes,
 		readMeter:    counter("reads"),
 		writeMeter:   counter("writes"),
 		watchMeter:   counter("watches"),
 		failureMeter: counter("failures"),
 		byteMeter:    counter("bytes"),
-		waits:        metrics.GetOrRegisterHistogram(prefix+".wait.us", registry, metrics.NewUniformSample(waitSample)),
+		waitTimes:    metrics.GetOrRegisterHistogram(prefix+".wait.us", registry, metrics.NewUniformSample(waitSampleSize)),
 	}
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
@@ -89,10 +89,10 @@
 
 // begin takes a place in the rate. A caller whose deadline comes first gets
 // ErrRateLimited at once: nothing was sent.
-func (l *Limited) begin(ctx context.Context, limiter *rate.Limiter, count metrics.Counter) error {
+func (l *Limited) acquire(ctx context.Context, limiter *rate.Limiter, count metrics.Counter) error {
 	started := time.Now()
 	err := limiter.Wait(ctx)
-	l.waits.Update(time.Since(started).Microseconds())
+	l.waitTimes.Update(time.Since(started).Microseconds())
 	if err != nil {
 		l.failureMeter.Inc(1)
 		return ErrRateLimited
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (l *Limited) end(err error) error {
+func (l *Limited) recordFailure(err error) error {
 	if errors.Is(err, ErrUnavailable) || errors.Is(err, ErrUnknown) {
 		l.failureMeter.Inc(1)
 	}
@@ -110,64 +110,64 @@
 
 // Get implements Client.
 func (l *Limited) Get(ctx context.Context, key Key) (Object, error) {
-	if err := l.begin(ctx, l.reads, l.readMeter); err != nil {
+	if err := l.acquire(ctx, l.readLimiter, l.readMeter); err != nil {
 		return Object{}, err
 	}
 	object, err := l.client.Get(ctx, key)
 	l.byteMeter.Inc(int64(len(object.Value)))
-	return object, l.end(err)
+	return object, l.recordFailure(err)
 }
 
 // Put implements Client.
 func (l *Limited) Put(ctx context.Context, key Key, value []byte, base Version) (Version, error) {
-	if err := l.begin(ctx, l.writes, l.writeMeter); err != nil {
+	if err := l.acquire(ctx, l.writeLimiter, l.writeMeter); err != nil {
 		return 0, err
 	}
 	l.byteMeter.Inc(int64(len(value)))
 	version, err := l.client.Put(ctx, key, value, base)
-	return version, l.end(err)
+	return version, l.recordFailure(err)
 }
 
 // Delete implements Client.
 func (l *Limited) Delete(ctx context.Context, key Key, base Version) error {
-	if err := l.begin(ctx, l.writes, l.writeMeter); err != nil {
+	if err := l.acquire(ctx, l.writeLimiter, l.writeMeter); err != nil {
 		return err
 	}
-	return l.end(l.client.Delete(ctx, key, base))
+	return l.recordFailure(l.client.Delete(ctx, key, base))
 }
 
 // List implements Client.
 func (l *Limited) List(ctx context.Context, kind, prefix string) ([]Object, error) {
-	if err := l.begin(ctx, l.reads, l.readMeter); err != nil {
+	if err := l.acquire(ctx, l.readLimiter, l.readMeter); err != nil {
 		return nil, err
 	}
 	objects, err := l.client.List(ctx, kind, prefix)
 	for i := range objects {
 		l.byteMeter.Inc(int64(len(objects[i].Value)))
 	}
-	return objects, l.end(err)
+	return objects, l.recordFailure(err)
 }
 
 // Watch implements Client. Its events are not paced, but their bytes count.
 func (l *Limited) Watch(ctx context.Context, kind string, from Version) (<-chan Event, error) {
-	if err := l.begin(ctx, l.reads, l.watchMeter); err != nil {
+	if err := l.acquire(ctx, l.readLimiter, l.watchMeter); err != nil {
 		return nil, err
 	}
 	events, err := l.client.Watch(ctx, kind, from)
 	if err != nil {
-		return nil, l.end(err)
+		return nil, l.recordFailure(err)
 	}
 	counted := make(chan Event)
 	go l.forward(ctx, events, counted)
 	return counted, nil
 }
 
-func (l *Limited) forward(ctx context.Context, from <-chan Event, to chan<- Event) {
-	defer close(to)
-	for event := range from {
+func (l *Limited) forward(ctx context.Context, events <-chan Event, counted chan<- Event) {
+	defer close(counted)
+	for event := range events {
 		l.byteMeter.Inc(int64(len(event.Object.Value)))
 		select {
-		case to <- event:
+		case counted <- event:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/store/retry.go
+++ b/internal/store/retry.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	retryFirst = 20 * time.Millisecond
-	retryMost  = 2 * time.Second
+	retryMin = 20 * time.Millisecond
+	retryMax = 2 * time.Second
 )
 
 // Retry calls op again with growing, randomised waits while it fails with an
@@ -18,8 +18,8 @@
 // op must be idempotent: a lost answer may have taken effect.
 func Retry(ctx context.Context, op func() error) error {
 	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval = retryFirst
-	waits.MaxInterval = retryMost
+	waits.InitialInterval = retryMin
+	waits.MaxInterval = retryMax
 	for {
 		err := op()
 		if !errors.Is(err, ErrUnavailable) && !errors.Is(err, ErrUnknown) {
@@ -38,8 +38,8 @@
 // return false on a value that already holds its effect.
 func Update(ctx context.Context, client Client, key Key, change func(Object) ([]byte, bool, error)) error {
 	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval = retryFirst
-	waits.MaxInterval = retryMost
+	waits.InitialInterval = retryMin
+	waits.MaxInterval = retryMax
 	for {
 		err := updateOnce(ctx, client, key, change)
 		if !errors.Is(err, ErrConflict) && !errors.Is(err, ErrUnknown) {
--- a/internal/store/tracked.go
+++ b/internal/store/tracked.go
@@ -14,14 +14,14 @@
 	// lostAnswersUntilDown is the number of lost answers in a row after which
 	// a store counts as down. One lost answer is a fault of one call; a store
 	// that hangs loses them all.
-	lostAnswersUntilDown = 2
+	lostResponsesUntilDown = 2
 	// keptOutages is the number of past outages remembered.
-	keptOutages = 32
+	maxOutages = 32
 	// probeTimeout bounds one probe of a store that is down.
 	probeTimeout = 2 * time.Second
 	// probeFirst and probeMost are the shortest and longest wait between probes.
-	probeFirst = 100 * time.Millisecond
-	probeMost  = 3 * time.Second
+	probeMin = 100 * time.Millisecond
+	probeMax = 3 * time.Second
 )
 
 // probeKey names an object that is never written: its absence is an answer.
@@ -41,13 +41,13 @@
 	cancel context.CancelFunc
 	probes sync.WaitGroup
 
-	mu      sync.Mutex
-	down    bool
-	lost    int
-	outages []outage
+	mu             sync.Mutex
+	down           bool
+	lostInSequence int
+	outages        []outage
 
-	downGauge metrics.Gauge
-	outageCnt metrics.Counter
+	downGauge   metrics.Gauge
+	outageCount metrics.Counter
 }
 
 // Track returns a Tracked over client. Close ends its probes. The registry may be nil.
@@ -56,9 +56,9 @@
 		registry = metrics.NewRegistry()
 	}
 	t := &Tracked{
-		Client:    client,
-		downGauge: metrics.GetOrRegisterGauge("store.down", registry),
-		outageCnt: metrics.GetOrRegisterCounter("store.outages", registry),
+		Client:      client,
+		downGauge:   metrics.GetOrRegisterGauge("store.down", registry),
+		outageCount: metrics.GetOrRegisterCounter("store.outages", registry),
 	}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	return t
@@ -136,14 +136,14 @@
 	lost := errors.Is(err, ErrUnknown) || ctx.Err() != nil && err != nil
 	switch {
 	case lost:
-		t.lost++
-		if t.lost >= lostAnswersUntilDown {
+		t.lostInSequence++
+		if t.lostInSequence >= lostResponsesUntilDown {
 			t.markDown()
 		}
 	case errors.Is(err, ErrUnavailable):
 		t.markDown()
 	default:
-		t.lost = 0
+		t.lostInSequence = 0
 		t.markUp()
 	}
 }
@@ -154,11 +154,11 @@
 	}
 	t.down = true
 	t.outages = append(t.outages, outage{from: time.Now()})
-	if len(t.outages) > keptOutages {
+	if len(t.outages) > maxOutages {
 		t.outages = t.outages[1:]
 	}
 	t.downGauge.Update(1)
-	t.outageCnt.Inc(1)
+	t.outageCount.Inc(1)
 	t.probes.Go(t.probe)
 }
 
@@ -174,8 +174,8 @@
 // probe asks the store until it answers or the client is closed.
 func (t *Tracked) probe() {
 	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval = probeFirst
-	waits.MaxInterval = probeMost
+	waits.InitialInterval = probeMin
+	waits.MaxInterval = probeMax
 	for t.Down() {
 		if !sleep(t.ctx, waits.NextBackOff()) {
 			return
