--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Wire names of the object API.
+// Headers and paths of the object API.
 const (
 	HeaderVersion = "Object-Version"
 	HeaderBase    = "Object-Base"
@@ -23,7 +23,7 @@
 	PathWatch     = "/v1/watch/"
 )
 
-// WireObject is an object as the object API writes it in JSON.
+// WireObject is the JSON representation of an object in the object API.
 type WireObject struct {
 	Kind    string  `json:"kind"`
 	Name    string  `json:"name"`
@@ -32,15 +32,15 @@
 	Deleted bool    `json:"deleted,omitempty"`
 }
 
-// HTTP is a Client that speaks to the object API at one address.
+// HTTP is a Client that calls the object API at one address over HTTP.
 type HTTP struct {
 	base    string
 	client  *http.Client
 	timeout time.Duration
 }
 
-// NewHTTP returns a client of the object API at base, a URL without a path.
-// Each call but Watch is bounded by timeout.
+// NewHTTP returns a client of the object API at base, which is a URL without a path. The timeout
+// applies to each call except Watch.
 func NewHTTP(base string, timeout time.Duration) *HTTP {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: timeout}).DialContext,
@@ -50,8 +50,8 @@
 	return &HTTP{base: base, client: &http.Client{Transport: transport}, timeout: timeout}
 }
 
-// DialThrough replaces the way connections are made, before the first call. It
-// is how tests put a network of their own, with its faults, under the client.
+// DialThrough replaces the function that dials connections. It must be called before the first call.
+// Tests use it to run the client over a simulated network with faults.
 func (h *HTTP) DialThrough(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	h.client.Transport.(*http.Transport).DialContext = dial
 }
@@ -125,6 +125,7 @@
 	return events, nil
 }
 
+// readEvents decodes events from the body of a watch and sends them until the stream breaks or ctx ends.
 func (h *HTTP) readEvents(ctx context.Context, body io.ReadCloser, events chan<- Event) {
 	defer close(events)
 	defer body.Close()
@@ -154,7 +155,7 @@
 func (r response) version() (Version, error) {
 	v, err := strconv.ParseUint(r.header.Get(HeaderVersion), 10, 64)
 	if err != nil {
-		return 0, errors.Wrap(ErrUnknown, "no version in answer")
+		return 0, errors.Wrap(ErrUnknown, "no valid version in the response")
 	}
 	return Version(v), nil
 }
@@ -164,7 +165,7 @@
 	return r.body, v, err
 }
 
-// call performs one bounded request and maps its failure to the package's errors.
+// call sends one request with the client's timeout and maps failures to the package's errors.
 func (h *HTTP) call(ctx context.Context, method, path string, body []byte, base Version) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
@@ -172,8 +173,8 @@
 	if err != nil {
 		return response{}, errors.Wrap(err, "store: request")
 	}
-	// A request that net/http may silently send twice would turn a success
-	// into a conflict with itself; without GetBody it never replays a body.
+	// If net/http sent a successful update again, the second attempt would report a conflict. Without
+	// GetBody, net/http never sends a request body again.
 	req.GetBody = nil
 	if method != http.MethodGet {
 		req.Header.Set(HeaderBase, strconv.FormatUint(uint64(base), 10))
@@ -193,8 +194,8 @@
 	return response{header: resp.Header, body: data}, nil
 }
 
-// transportError tells a failed dial, after which nothing can have been
-// written, from a lost answer.
+// transportError returns ErrUnavailable for a failed dial, after which nothing can have been written,
+// and ErrUnknown for other errors, after which the response may be lost.
 func transportError(err error) error {
 	var opError *net.OpError
 	if errors.As(err, &opError) && opError.Op == "dial" {
@@ -203,6 +204,7 @@
 	return errors.Wrap(ErrUnknown, err.Error())
 }
 
+// statusError maps the status of a response to the package's errors.
 func statusError(status int) error {
 	switch {
 	case status < 300:
--- a/internal/store/limited.go
+++ b/internal/store/limited.go
@@ -9,23 +9,24 @@
 	"golang.org/x/time/rate"
 )
 
-// Rates are an instance's shares of the calls that the object API takes, in
-// calls a second. Zero means no bound.
+// Rates are an instance's shares of the object API's rate limit, in calls per second. Zero means no
+// limit.
 type Rates struct {
 	Reads  float64
 	Writes float64
 }
 
-// burstSeconds is how much of a share may be used at once after a quiet time.
+// burstSeconds is the part of a share that may be used at once after an idle time, in seconds of
+// the rate.
 const burstSeconds = 1
 
-// waitSample is the number of recent waits that the metric keeps.
+// waitSampleSize is the number of wait times in the metric's sample.
 const waitSampleSize = 1028
 
-// Limited is a Client that keeps an instance, or a part of one, within its
-// share of the object API's rate and counts its calls. The API counts each
-// call, a waiting watch as one, and refuses all callers beyond its rate, so
-// that one that loops on a failing call would refuse the others' appends.
+// Limited is a Client that keeps an instance, or a part of one, within its share of the object API's
+// rate limit, and counts its calls. The API counts each call, and a waiting watch as one call. Beyond
+// the limit it rejects the calls of all callers, so that an instance that repeats a failing call in a
+// loop would cause the appends of others to be rejected.
 type Limited struct {
 	client       Client
 	readLimiter  *rate.Limiter
@@ -36,18 +37,18 @@
 	watchMeter   metrics.Counter
 	failureMeter metrics.Counter
 	byteMeter    metrics.Counter
-	// waits is in microseconds.
+	// waitTimes holds the times that calls waited for the limiter, in microseconds.
 	waitTimes metrics.Histogram
 }
 
-// Limit returns a Limited over client for a whole instance, whose metrics
-// begin with "store". The registry may be nil.
+// Limit returns a Limited over client for an instance, with metrics whose names begin with "store". The
+// registry may be nil.
 func Limit(client Client, rates Rates, registry metrics.Registry) *Limited {
 	return newLimited(client, newLimiter(rates.Reads), newLimiter(rates.Writes), registry, "store")
 }
 
-// LimitPart returns a Limited over client for a part of an instance, with one
-// limiter for all its calls and metrics that begin with prefix.
+// LimitShared returns a Limited over client for a part of an instance, with one limiter shared by reads
+// and writes and with metrics whose names begin with prefix. The registry may be nil.
 func LimitShared(client Client, limiter *rate.Limiter, registry metrics.Registry, prefix string) *Limited {
 	return newLimited(client, limiter, limiter, registry, prefix)
 }
@@ -72,6 +73,7 @@
 	}
 }
 
+// newLimiter returns a limiter for a rate in calls per second; zero or less means no limit.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -84,11 +86,11 @@
 	return l.readMeter.Count() + l.writeMeter.Count() + l.watchMeter.Count()
 }
 
-// Bytes returns the bytes of values read and written so far.
+// Bytes returns the total size of the values read and written so far, in bytes.
 func (l *Limited) Bytes() int64 { return l.byteMeter.Count() }
 
-// begin takes a place in the rate. A caller whose deadline comes first gets
-// ErrRateLimited at once: nothing was sent.
+// acquire waits until the limiter permits a call, and counts the call. If the caller's deadline is
+// earlier, it returns ErrRateLimited at once; nothing has been sent then.
 func (l *Limited) acquire(ctx context.Context, limiter *rate.Limiter, count metrics.Counter) error {
 	started := time.Now()
 	err := limiter.Wait(ctx)
@@ -101,6 +103,7 @@
 	return nil
 }
 
+// recordFailure counts err if it is an outage or a lost response, and returns it.
 func (l *Limited) recordFailure(err error) error {
 	if errors.Is(err, ErrUnavailable) || errors.Is(err, ErrUnknown) {
 		l.failureMeter.Inc(1)
@@ -148,7 +151,7 @@
 	return objects, l.recordFailure(err)
 }
 
-// Watch implements Client. Its events are not paced, but their bytes count.
+// Watch implements Client. The limiter does not apply to its events, but their sizes are counted.
 func (l *Limited) Watch(ctx context.Context, kind string, from Version) (<-chan Event, error) {
 	if err := l.acquire(ctx, l.readLimiter, l.watchMeter); err != nil {
 		return nil, err
--- a/internal/store/poll.go
+++ b/internal/store/poll.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Listing is all objects of a kind at one version of the store.
+// Listing holds all objects of a kind at one version of the store.
 type Listing struct {
 	Objects []Object
 	AsOf    Version
 }
 
-// Changes are the writes to a kind after one version and up to AsOf.
+// Changes holds the writes to a kind after a given version, up to and including AsOf.
 type Changes struct {
 	Events []Event
 	AsOf   Version
 }
 
-// Poller reads whole kinds and what changed in them.
+// Poller reads all objects of a kind and the changes to them.
 //
-// Poll waits up to wait for a first event. ErrGone says that the history since
-// from is no longer kept; the kind must be listed again.
+// Poll returns the changes after version from; it waits up to wait for the first one. ErrGone
+// indicates that the store no longer has the changes since from; the caller must take a new snapshot
+// of the kind.
 type Poller interface {
 	Get(ctx context.Context, key Key) (Object, error)
 	Snapshot(ctx context.Context, kind string) (Listing, error)
 	Poll(ctx context.Context, kind string, from Version, wait time.Duration) (Changes, error)
 }
 
-// StatusWriter writes what the system says of an object that operators own.
+// StatusWriter writes the status of an object whose value operators own.
 type StatusWriter interface {
 	PutStatus(ctx context.Context, key Key, status []byte) error
 }
--- a/internal/store/retry.go
+++ b/internal/store/retry.go
@@ -13,9 +13,9 @@
 	retryMax = 2 * time.Second
 )
 
-// Retry calls op again with growing, randomised waits while it fails with an
-// outage or a lost answer, until ctx ends; then it returns op's last error.
-// op must be idempotent: a lost answer may have taken effect.
+// Retry calls op with randomised exponential backoff until it returns something other than an outage
+// (ErrUnavailable) or a lost response (ErrUnknown), or until ctx ends. It returns op's last error. op
+// must be idempotent, because a call whose response was lost may have taken effect.
 func Retry(ctx context.Context, op func() error) error {
 	waits := backoff.NewExponentialBackOff()
 	waits.InitialInterval = retryMin
@@ -31,11 +31,10 @@
 	}
 }
 
-// Update changes an object by conditional update. change gets the current
-// object, with version zero if it is absent, and returns the new value, or
-// false if there is nothing to change. It is called again after a conflict and
-// after a lost answer, when it sees whether its effect is there, so it must
-// return false on a value that already holds its effect.
+// Update changes an object by a conditional update. change gets the current object, with version zero
+// if the object is absent, and returns the new value, or false if there is nothing to change. It is
+// called again after a conflict and after a lost response. As the lost update may have taken effect,
+// change must return false for a value that already contains its change.
 func Update(ctx context.Context, client Client, key Key, change func(Object) ([]byte, bool, error)) error {
 	waits := backoff.NewExponentialBackOff()
 	waits.InitialInterval = retryMin
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,10 +1,9 @@
-// Package store is the client's view of the platform's object API: small
-// versioned objects with conditional updates and watches.
+// Package store contains clients of the platform's object API, which stores small versioned objects
+// and offers conditional updates and watches.
 //
-// The API is the only place where instances agree on anything and the only
-// place that outlives them (brief, "Where it will run"). Each call and each
-// waiting watch is counted against a rate shared by the fleet, so callers
-// batch and prefer watches to polling.
+// The object API is the only means by which instances reach agreement, and the only storage that
+// outlives them. Each call and each waiting watch counts against a rate limit that all instances share,
+// so callers should batch their calls and prefer watches to polling.
 package store
 
 import (
@@ -13,13 +12,13 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValue is the largest value in bytes that the object API accepts (brief).
+// MaxValue is the size of the largest value that the object API accepts, in bytes.
 const MaxValue = 1 << 20
 
-// Version orders all writes to the store. Zero stands for "no such object".
+// Version orders all writes to the store. Zero means that the object does not exist.
 type Version uint64
 
-// Key names an object within its kind.
+// Key identifies an object by its kind and its name within the kind.
 type Key struct {
 	Kind string
 	Name string
@@ -35,50 +34,51 @@
 	Value   []byte
 }
 
-// Event reports a write seen by a watch. A deletion has a nil Value and Deleted set.
+// Event is a write to an object, as delivered by a watch. A deletion has a nil Value and Deleted set.
 type Event struct {
 	Object  Object
 	Deleted bool
 }
 
-// The errors that a Client returns, to be tested with errors.Is.
+// Errors of a Client, to be tested with errors.Is.
 var (
-	// ErrNotFound says that the object does not exist.
+	// ErrNotFound indicates that the object does not exist.
 	ErrNotFound = errors.New("store: not found")
-	// ErrConflict says that the condition on the version did not hold; nothing was written.
+	// ErrConflict indicates that the object has another version than the condition requires; nothing
+	// was written.
 	ErrConflict = errors.New("store: version conflict")
-	// ErrUnavailable says that the store refused or could not be reached before
-	// the request was sent; nothing was written.
+	// ErrUnavailable indicates that the store rejected the request or could not be reached before the
+	// request was sent; nothing was written.
 	ErrUnavailable = errors.New("store: unavailable")
-	// ErrRateLimited is an ErrUnavailable that says nothing about the store's
-	// health: the call exceeded the rate and is worth repeating soon.
+	// ErrRateLimited is an ErrUnavailable that does not indicate a fault of the store: the call exceeded
+	// the rate limit and can be repeated soon.
 	ErrRateLimited = errors.Wrap(ErrUnavailable, "store: rate limited")
-	// ErrUnknown says that the answer was lost: a write may or may not have
-	// taken effect and must be settled by reading back.
+	// ErrUnknown indicates that the response was lost: a write may or may not have taken effect, and
+	// the caller must read the object to find out.
 	ErrUnknown = errors.New("store: outcome unknown")
-	// ErrTooLarge says that the value exceeds MaxValue; nothing was written.
+	// ErrTooLarge indicates that the value exceeds MaxValue; nothing was written.
 	ErrTooLarge = errors.New("store: value too large")
-	// ErrGone says that a watch cannot resume from the asked version; list again.
+	// ErrGone indicates that a watch can't resume from the requested version; the caller must list the
+	// kind again.
 	ErrGone = errors.New("store: watch version gone")
 )
 
-// Conflict is an ErrConflict that tells the object as it is.
+// Conflict is an ErrConflict with the present object.
 type Conflict struct{ Present Object }
 
 // Error implements error.
 func (c *Conflict) Error() string { return ErrConflict.Error() }
 
-// Is reports that it is an ErrConflict.
+// Is reports whether target is ErrConflict.
 func (c *Conflict) Is(target error) bool { return target == ErrConflict }
 
-// Client is what the packages of foxhall use of the object API.
+// Client is the part of the object API that the packages of foxhall use.
 //
-// Put writes the value on the condition that the object's version is still
-// base; base 0 means "create only if absent". Delete carries the same
-// condition. List returns the objects of a kind whose names start with prefix,
-// in name order. Watch sends each write to the kind after version from, in
-// order, until ctx ends or the stream breaks; then the channel is closed and
-// the caller resumes from the last version that it saw.
+// Put writes the value on the condition that the object's version is still base; base 0 means that the
+// object must not exist. Delete has the same condition. List returns the objects of a kind whose names
+// start with prefix, ordered by name. Watch sends each write to the kind after version from, in order,
+// until ctx ends or the stream breaks. Then it closes the channel, and the caller can resume from the
+// last version received.
 type Client interface {
 	Get(ctx context.Context, key Key) (Object, error)
 	Put(ctx context.Context, key Key, value []byte, base Version) (Version, error)
--- a/internal/store/tracked.go
+++ b/internal/store/tracked.go
@@ -11,29 +11,28 @@
 )
 
 const (
-	// lostAnswersUntilDown is the number of lost answers in a row after which
-	// a store counts as down. One lost answer is a fault of one call; a store
-	// that hangs loses them all.
+	// lostResponsesUntilDown is the number of consecutive lost responses after which the store is
+	// considered down. A single lost response may be the fault of one call; a store that hangs loses
+	// all responses.
 	lostResponsesUntilDown = 2
-	// keptOutages is the number of past outages remembered.
+	// maxOutages is the number of recorded outages; older ones are dropped.
 	maxOutages = 32
-	// probeTimeout bounds one probe of a store that is down.
+	// probeTimeout is the timeout of one probe of a store that is down.
 	probeTimeout = 2 * time.Second
-	// probeFirst and probeMost are the shortest and longest wait between probes.
+	// probeMin and probeMax are the initial and the maximum backoff between probes.
 	probeMin = 100 * time.Millisecond
 	probeMax = 3 * time.Second
 )
 
-// probeKey names an object that is never written: its absence is an answer.
+// probeKey is the key of an object that is never written. ErrNotFound shows that the store is available.
 var probeKey = Key{Kind: "probe", Name: "probe"}
 
-// outage is a time for which the store was known to be down. A zero to means
-// that it lasts.
+// outage is a period in which the store was known to be down; to is zero while it lasts.
 type outage struct{ from, to time.Time }
 
-// Tracked is a Client that knows from the outcomes of its calls whether the
-// store is down, so that what can't work is refused at once and not after a
-// timeout. While it is down, one probe at a time finds out when it is back.
+// Tracked is a Client that derives from the results of its calls whether the store is down, so that
+// callers can reject work that needs the store at once instead of after a timeout. While the store is
+// down, Tracked probes it until it is available again.
 type Tracked struct {
 	Client
 
@@ -50,7 +49,7 @@
 	outageCount metrics.Counter
 }
 
-// Track returns a Tracked over client. Close ends its probes. The registry may be nil.
+// Track returns a Tracked over client. The registry may be nil. Close must be called to end its probes.
 func Track(client Client, registry metrics.Registry) *Tracked {
 	if registry == nil {
 		registry = metrics.NewRegistry()
@@ -77,8 +76,7 @@
 	return t.down
 }
 
-// DownBetween reports whether the store was known to be down at some moment
-// between from and to.
+// DownBetween reports whether the store was known to be down at any time between from and to.
 func (t *Tracked) DownBetween(from, to time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,8 +123,8 @@
 	return events, err
 }
 
-// observe learns from one outcome. A caller that gave up says nothing about
-// the store; a caller's deadline that passed counts as a lost answer.
+// observe updates the state of the store from the result of one call. Calls that the caller cancelled
+// and rate-limited calls are ignored; a call that failed after its deadline counts as a lost response.
 func (t *Tracked) observe(ctx context.Context, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, ErrRateLimited) {
 		return
@@ -171,7 +169,7 @@
 	t.downGauge.Update(0)
 }
 
-// probe asks the store until it answers or the client is closed.
+// probe queries the store, one probe at a time, until the store is up again or the client is closed.
 func (t *Tracked) probe() {
 	waits := backoff.NewExponentialBackOff()
 	waits.InitialInterval = probeMin
@@ -189,7 +187,7 @@
 	}
 }
 
-// sleep waits for d and reports whether ctx still lives.
+// sleep waits for d and reports whether d passed before ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
