--- a/internal/config/config_fuzz_test.go
+++ b/internal/config/config_fuzz_test.go
@@ -104,6 +104,7 @@
 	group.Wait()
 }
 
+// nextTokens returns a token budget that no other edit of the run uses, which identifies the edit.
 func (r *modelRun) nextTokens() int64 {
 	r.lastTokens++
 	return r.lastTokens
@@ -174,8 +175,8 @@
 		n.client.setFaults(false, false)
 		n.isolated.Store(false)
 	}
-	for _, l := range r.operators {
-		l.setFaults(false, false)
+	for _, operator := range r.operators {
+		operator.setFaults(false, false)
 	}
 }
 
--- a/internal/config/failure_test.go
+++ b/internal/config/failure_test.go
@@ -95,26 +95,26 @@
 func TestDataCentreIsolatedDuringThreeEdits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newCluster("", "", "", "")
-		defer w.close()
-		first := setTokens(is, w.store, "p1", 1)
+		c := newCluster("", "", "", "")
+		defer c.close()
+		first := setTokens(is, c.store, "p1", 1)
 		time.Sleep(propagationLimit)
-		for _, n := range w.nodes[2:] {
+		for _, n := range c.nodes[2:] {
 			n.client.setFaults(true, false)
 			n.isolated.Store(true)
 		}
-		setTokens(is, w.store, "p1", 2)
-		setTokens(is, w.store, "p2", 3)
-		last := setTokens(is, w.store, "p1", 4)
+		setTokens(is, c.store, "p1", 2)
+		setTokens(is, c.store, "p2", 3)
+		last := setTokens(is, c.store, "p1", 4)
 		time.Sleep(time.Minute)
-		for _, n := range w.nodes[2:] {
+		for _, n := range c.nodes[2:] {
 			is.Equal(n.Current().Version, first.Version)
 			ready, _ := n.source.Load().Ready()
 			is.True(ready) // it continues to serve
 			n.isolated.Store(false)
 		}
 		time.Sleep(propagationLimit / 2)
-		for _, n := range w.nodes {
+		for _, n := range c.nodes {
 			is.Equal(n.Current().Version, last.Version)
 			is.Equal(n.Current().Plans.Lookup("p1").Budget.Tokens, int64(4))
 		}
@@ -128,15 +128,15 @@
 func TestRestartedWithStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newCluster(t.TempDir(), "", "")
-		defer w.close()
-		setTokens(is, w.store, "p1", 1)
+		c := newCluster(t.TempDir(), "", "")
+		defer c.close()
+		setTokens(is, c.store, "p1", 1)
 		time.Sleep(propagationLimit) // so that version 1 is read and can be returned by stale reads
-		last := setTokens(is, w.store, "p1", 2)
+		last := setTokens(is, c.store, "p1", 2)
 		time.Sleep(propagationLimit)
-		w.store.SetFaults(standin.StoreFaults{Down: true})
+		c.store.SetFaults(standin.StoreFaults{Down: true})
 
-		durable, diskless := w.nodes[0], w.nodes[1]
+		durable, diskless := c.nodes[0], c.nodes[1]
 		durable.stop()
 		durable.isolated.Store(true)
 		durable.start()
@@ -154,7 +154,7 @@
 		is.True(strings.HasPrefix(reason, "no configuration: "))
 
 		durable.client.setFaults(false, true)
-		w.store.SetFaults(standin.StoreFaults{})
+		c.store.SetFaults(standin.StoreFaults{})
 		time.Sleep(2 * time.Minute)
 		is.Equal(durable.Current().Version, last.Version)
 		is.Equal(diskless.Current().Version, last.Version)
@@ -264,23 +264,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const instances, outage = 20, 10 * time.Minute
-		w := newCluster(make([]string, instances)...)
-		defer w.close()
-		setTokens(is, w.store, "p1", 1)
+		c := newCluster(make([]string, instances)...)
+		defer c.close()
+		setTokens(is, c.store, "p1", 1)
 		time.Sleep(propagationLimit)
 		calls := func() (total int64) {
-			for _, n := range w.nodes {
+			for _, n := range c.nodes {
 				total += n.source.Load().client.Calls()
 			}
 			return total
 		}
 		before := calls()
-		w.store.SetFaults(standin.StoreFaults{Down: true})
+		c.store.SetFaults(standin.StoreFaults{Down: true})
 		time.Sleep(outage)
 		during := float64(calls()-before) / instances / outage.Minutes()
 		t.Logf("%.1f calls a minute for each instance during the outage", during)
 		is.True(during < 30)
-		w.store.SetFaults(standin.StoreFaults{})
+		c.store.SetFaults(standin.StoreFaults{})
 		before = calls()
 		time.Sleep(100 * time.Millisecond)
 		t.Logf("%d of %d instances call in the first 100 ms after the outage", calls()-before, instances)
@@ -316,17 +316,17 @@
 func TestEditSpreadsByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newCluster(make([]string, 100)...)
-		defer w.close()
-		setTokens(is, w.store, "p1", 1)
+		c := newCluster(make([]string, 100)...)
+		defer c.close()
+		setTokens(is, c.store, "p1", 1)
 		time.Sleep(propagationLimit)
-		for _, n := range w.nodes[1:] {
+		for _, n := range c.nodes[1:] {
 			n.client.setFaults(true, false)
 		}
 		start := time.Now()
-		accepted := setTokens(is, w.store, "p1", 2)
+		accepted := setTokens(is, c.store, "p1", 2)
 		outdated := func() (count int) {
-			for _, n := range w.nodes {
+			for _, n := range c.nodes {
 				if n.Current().Version < accepted.Version {
 					count++
 				}
@@ -337,7 +337,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		var offers int64
-		for _, n := range w.nodes {
+		for _, n := range c.nodes {
 			offers += n.source.Load().offered.Count()
 		}
 		t.Logf("in force on 100 instances after %v, %d manifests offered", time.Since(start), offers)
--- a/internal/config/world_test.go
+++ b/internal/config/world_test.go
@@ -44,58 +44,60 @@
 	cancels     []context.CancelFunc
 }
 
-func (l *faultyClient) setFaults(cut, regressed bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.unreachable, l.staleReads = cut, regressed
-	for _, cancel := range l.cancels {
+// setFaults replaces the client's faults and ends its watches. While unreachable, all calls fail except
+// Delete and List; with staleReads, reads return the first object read.
+func (c *faultyClient) setFaults(unreachable, staleReads bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.unreachable, c.staleReads = unreachable, staleReads
+	for _, cancel := range c.cancels {
 		cancel()
 	}
-	l.cancels = nil
+	c.cancels = nil
 }
 
-func (l *faultyClient) faults() (cut, regressed bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.unreachable, l.staleReads
+func (c *faultyClient) faults() (unreachable, staleReads bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.unreachable, c.staleReads
 }
 
-func (l *faultyClient) Get(ctx context.Context, key store.Key) (store.Object, error) {
-	cut, regressed := l.faults()
-	if cut {
+func (c *faultyClient) Get(ctx context.Context, key store.Key) (store.Object, error) {
+	unreachable, staleReads := c.faults()
+	if unreachable {
 		return store.Object{}, store.ErrUnavailable
 	}
-	object, err := l.Client.Get(ctx, key)
+	object, err := c.Client.Get(ctx, key)
 	if err != nil {
 		return object, err
 	}
-	l.firstReads.mu.Lock()
-	defer l.firstReads.mu.Unlock()
-	if _, ok := l.firstReads.objects[key]; !ok {
-		l.firstReads.objects[key] = object
+	c.firstReads.mu.Lock()
+	defer c.firstReads.mu.Unlock()
+	if _, ok := c.firstReads.objects[key]; !ok {
+		c.firstReads.objects[key] = object
 	}
-	if regressed {
-		return l.firstReads.objects[key], nil
+	if staleReads {
+		return c.firstReads.objects[key], nil
 	}
 	return object, nil
 }
 
-func (l *faultyClient) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
-	if cut, _ := l.faults(); cut {
+func (c *faultyClient) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
+	if unreachable, _ := c.faults(); unreachable {
 		return 0, store.ErrUnavailable
 	}
-	return l.Client.Put(ctx, key, value, base)
+	return c.Client.Put(ctx, key, value, base)
 }
 
-func (l *faultyClient) Watch(ctx context.Context, kind string, from store.Version) (<-chan store.Event, error) {
-	if cut, _ := l.faults(); cut {
+func (c *faultyClient) Watch(ctx context.Context, kind string, from store.Version) (<-chan store.Event, error) {
+	if unreachable, _ := c.faults(); unreachable {
 		return nil, store.ErrUnavailable
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	l.mu.Lock()
-	l.cancels = append(l.cancels, cancel)
-	l.mu.Unlock()
-	return l.Client.Watch(ctx, kind, from)
+	c.mu.Lock()
+	c.cancels = append(c.cancels, cancel)
+	c.mu.Unlock()
+	return c.Client.Watch(ctx, kind, from)
 }
 
 // node is an instance with its present source, which a restart replaces.
@@ -121,33 +123,34 @@
 
 // newCluster starts an instance for each data folder; an empty folder stands for no disk.
 func newCluster(folders ...string) *cluster {
-	w := &cluster{store: standin.NewStore(), firstReads: &firstReads{objects: map[store.Key]store.Object{}}}
+	c := &cluster{store: standin.NewStore(), firstReads: &firstReads{objects: map[store.Key]store.Object{}}}
 	for i, folder := range folders {
-		n := &node{cluster: w, index: i, dataFolder: folder, client: w.newClient()}
-		w.nodes = append(w.nodes, n)
+		n := &node{cluster: c, index: i, dataFolder: folder, client: c.newClient()}
+		c.nodes = append(c.nodes, n)
 		n.source.Store(n.newSource())
 	}
-	for _, n := range w.nodes {
+	for _, n := range c.nodes {
 		n.run()
 	}
 	for range 3 {
-		w.operators = append(w.operators, w.newClient())
+		c.operators = append(c.operators, c.newClient())
 	}
-	return w
+	return c
 }
 
-func (w *cluster) newClient() *faultyClient {
-	return &faultyClient{Client: w.store, firstReads: w.firstReads}
+func (c *cluster) newClient() *faultyClient {
+	return &faultyClient{Client: c.store, firstReads: c.firstReads}
 }
 
-func (w *cluster) close() {
-	for _, n := range w.nodes {
+func (c *cluster) close() {
+	for _, n := range c.nodes {
 		n.stop()
 	}
 }
 
 func (n *node) Current() *Current { return n.source.Load().Current() }
 
+// newSource returns a source for the next run of the instance.
 func (n *node) newSource() *Source {
 	return NewSource(n.client, Options{Peers: n, Folder: n.dataFolder, PollInterval: 30 * time.Second})
 }
@@ -157,6 +160,7 @@
 	n.run()
 }
 
+// run runs the present source until stop is called.
 func (n *node) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	source := n.source.Load()
@@ -184,28 +188,28 @@
 
 var errPartitioned = errors.New("partition")
 
-func (w peerLink) Name() string { return fmt.Sprint(w.to.index) }
+func (p peerLink) Name() string { return fmt.Sprint(p.to.index) }
 
-func (w peerLink) checkReachable() error {
-	if w.from.isolated.Load() || w.to.isolated.Load() {
+func (p peerLink) checkReachable() error {
+	if p.from.isolated.Load() || p.to.isolated.Load() {
 		return errPartitioned
 	}
 	return nil
 }
 
-func (w peerLink) Version(context.Context) (uint64, error) {
-	return w.to.source.Load().Version(), w.checkReachable()
+func (p peerLink) Version(context.Context) (uint64, error) {
+	return p.to.source.Load().Version(), p.checkReachable()
 }
 
-func (w peerLink) Export(_ context.Context, have Have) (Update, error) {
-	return w.to.source.Load().Export(have), w.checkReachable()
+func (p peerLink) Export(_ context.Context, have Have) (Update, error) {
+	return p.to.source.Load().Export(have), p.checkReachable()
 }
 
-func (w peerLink) Offer(_ context.Context, update Update) ([]Digest, error) {
-	if err := w.checkReachable(); err != nil {
+func (p peerLink) Offer(_ context.Context, update Update) ([]Digest, error) {
+	if err := p.checkReachable(); err != nil {
 		return nil, err
 	}
-	return w.to.source.Load().Offer(update)
+	return p.to.source.Load().Offer(update)
 }
 
 // withTokens returns the plans with one plan's token budget set, or without the plan.
