--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -143,8 +143,9 @@
 	return len(diffKeys(a, b)) == 0
 }
 
-// merge performs a three-way merge of one table: it applies the changes from base to ours to theirs.
-// For entries that both sides changed in different ways, it returns their changes as conflicts.
+// merge performs a three-way merge of one table: it returns theirs with the changes that lead from base
+// to ours. An entry that both sides changed in different ways is a conflict; conflicts lists the
+// changes that lead from base to theirs for such entries.
 func merge[T named](list, table string, base, ours, theirs []T) (merged []T, conflicts []Change) {
 	baseEntries, ourEntries, theirEntries := byName(base), byName(ours), byName(theirs)
 	for _, name := range unionOfNames(ourEntries, theirEntries) {
--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -101,10 +101,10 @@
 }
 
 func editBackOff() *backoff.ExponentialBackOff {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = editRetryMin
-	pause.MaxInterval = editRetryMax
-	return pause
+	policy := backoff.NewExponentialBackOff()
+	policy.InitialInterval = editRetryMin
+	policy.MaxInterval = editRetryMax
+	return policy
 }
 
 // errManifestUnknown indicates that the response to the manifest's update was lost.
--- a/internal/config/exchange.go
+++ b/internal/config/exchange.go
@@ -49,6 +49,8 @@
 	return nil
 }
 
+// exchangeWith exchanges versions with several peers concurrently. The timeout peerCallTimeout applies
+// to all of them together. Errors are recorded only while there is no configuration.
 func (s *Source) exchangeWith(ctx context.Context, peers []Peer) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -63,7 +65,8 @@
 	group.Wait()
 }
 
-// exchange pulls the peer's version if it is newer, and pushes the own version if the peer's is older.
+// exchange pulls the peer's version if it is newer, and pushes this instance's version if the peer's
+// is older.
 func (s *Source) exchange(ctx context.Context, peer Peer) error {
 	peerVersion, err := peer.Version(ctx)
 	if err != nil {
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -69,11 +69,14 @@
 	fetched     Chunks
 	fetchedLock sync.Mutex
 
+	// storeQueried and peersQueried indicate that the first query of the store and of the peers has
+	// ended, successfully or not.
 	storeQueried atomic.Bool
 	peersQueried atomic.Bool
 	// startFinished indicates that the store and the peers have been queried or startupTimeout passed.
 	startFinished atomic.Bool
-	lastError     atomic.Pointer[string]
+	// lastError is the reason for which the last attempt to get a version failed.
+	lastError atomic.Pointer[string]
 
 	stale    metrics.Counter
 	refused  metrics.Counter
@@ -185,6 +188,7 @@
 	return true, ""
 }
 
+// lastErrorText returns the reason that Ready reports while there is no configuration.
 func (s *Source) lastErrorText() string {
 	if text := s.lastError.Load(); text != nil {
 		return *text
@@ -208,8 +212,8 @@
 	return fmt.Sprintf("config: %d chunks of the update are missing", len(e.digests))
 }
 
-// install puts an update in force if it is newer than the present configuration. The argument from
-// names the update's origin for the log.
+// install puts an update in force if it is newer than the present configuration. from names the origin
+// of the update in the log: the store, the disk or a peer.
 func (s *Source) install(update Update, from string) error {
 	s.installing.Lock()
 	defer s.installing.Unlock()
--- a/internal/config/watch.go
+++ b/internal/config/watch.go
@@ -15,15 +15,15 @@
 // followStore watches the manifest until ctx ends and resumes the watch each time it breaks. It backs
 // off with jitter, so that the instances do not all reconnect at once after an outage.
 func (s *Source) followStore(ctx context.Context) error {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = watchRetryMin
-	pause.MaxInterval = watchRetryMax
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval = watchRetryMin
+	retryDelay.MaxInterval = watchRetryMax
 	readFirst := true
 	for ctx.Err() == nil {
 		progressed, err := s.watch(ctx, readFirst)
 		s.storeQueried.Store(true)
 		if progressed {
-			pause.Reset()
+			retryDelay.Reset()
 		}
 		// The manifest need not be read before a resumed watch, unless the store no longer has the
 		// events since the version in force.
@@ -31,13 +31,13 @@
 		if err != nil {
 			s.setLastError("object API: %v", err)
 		}
-		sleep(ctx, pause.NextBackOff())
+		sleep(ctx, retryDelay.NextBackOff())
 	}
 	return nil
 }
 
-// watch watches the manifest until the watch breaks or an event can't be installed. If readFirst is
-// set, it reads the manifest before. It reports whether a read or an event succeeded.
+// watch follows the manifest until the watch breaks or an event can't be installed. If readFirst is
+// set, it reads the manifest first. It reports whether the read or any event succeeded.
 func (s *Source) watch(ctx context.Context, readFirst bool) (progressed bool, err error) {
 	// The cancellation ends the stream when watch returns because of a failed event.
 	ctx, cancel := context.WithCancel(ctx)
