--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -13,11 +13,12 @@
 	"foxhall/internal/usage"
 )
 
-// sizes are the numbers of plans over which slopes are taken; 5,000 is letter 1's.
-var sizes = []int{100, 1000, 5000}
+// planCounts are the numbers of plans of the benchmarks; 5,000 is the required number.
+var planCounts = []int{100, 1000, 5000}
 
-// benchPair has as many plans and grants, 16 models and two upstreams for five plans.
-func benchPair(plans int) Pair {
+// newBenchPair returns lists with the given number of plans, as many grants, 16 models and two
+// upstreams for every five plans.
+func newBenchPair(plans int) Pair {
 	list := make([]plan.Plan, plans)
 	for i := range list {
 		list[i] = testPlan(fmt.Sprintf("plan-%05d", i), 1_000_000)
@@ -37,15 +38,15 @@
 	return pair
 }
 
-// accept makes the pair the first accepted version.
-func accept(b *testing.B, client store.Client, pair Pair) {
+// acceptFirst makes the pair the first accepted version.
+func acceptFirst(b *testing.B, client store.Client, pair Pair) {
 	b.Helper()
 	if _, err := NewEditor(client).Apply(context.Background(), Proposal{Operator: "bench", Plans: pair.Plans, Usage: pair.Usage}); err != nil {
 		b.Fatal(err)
 	}
 }
 
-// editOne sets one plan's tokens and returns the stored manifest.
+// editOne sets one plan's token budget and returns the stored manifest as an update.
 func editOne(b *testing.B, client store.Client, cache string, pair Pair, tokens int64) Update {
 	b.Helper()
 	editor := NewCachedEditor(client, cache)
@@ -63,14 +64,14 @@
 	return Update{Version: uint64(object.Version), Manifest: object.Value}
 }
 
-// BenchmarkInstall takes an edit of one plan in: the processor time of an
-// instance, and the bytes that the edit moves to it.
+// BenchmarkInstall installs an edit of one plan. It measures the processor time of an instance and
+// the bytes that the edit transfers to it.
 func BenchmarkInstall(b *testing.B) {
-	for _, plans := range sizes {
+	for _, plans := range planCounts {
 		b.Run(fmt.Sprintf("plans=%d", plans), func(b *testing.B) {
 			s := standin.NewStore()
-			pair := benchPair(plans)
-			accept(b, s, pair)
+			pair := newBenchPair(plans)
+			acceptFirst(b, s, pair)
 			source := NewSource(s, Options{})
 			if _, err := source.read(context.Background()); err != nil {
 				b.Fatal(err)
@@ -91,20 +92,20 @@
 	}
 }
 
-// BenchmarkEdit is an operator's edit of one plan, from reading to acceptance,
-// with and without a cache of chunks.
+// BenchmarkEdit measures an operator's edit of one plan, from reading to acceptance, with and without
+// a cache of chunks.
 func BenchmarkEdit(b *testing.B) {
-	for _, plans := range sizes {
+	for _, plans := range planCounts {
 		for _, cached := range []bool{false, true} {
-			b.Run(fmt.Sprintf("plans=%d/cached=%t", plans, cached), func(b *testing.B) { edit(b, plans, cached) })
+			b.Run(fmt.Sprintf("plans=%d/cached=%t", plans, cached), func(b *testing.B) { benchmarkEdits(b, plans, cached) })
 		}
 	}
 }
 
-func edit(b *testing.B, plans int, cached bool) {
+func benchmarkEdits(b *testing.B, plans int, cached bool) {
 	s := standin.NewStore()
-	pair := benchPair(plans)
-	accept(b, s, pair)
+	pair := newBenchPair(plans)
+	acceptFirst(b, s, pair)
 	cache := ""
 	if cached {
 		cache = b.TempDir()
@@ -121,20 +122,20 @@
 	b.ReportMetric(float64(after.Reads-before.Reads)/float64(b.N), "reads/edit")
 }
 
-// BenchmarkFollow has sources follow edits of one plan and counts what each
-// costs the store and the wire.
+// BenchmarkFollow measures the store calls and the bytes transferred for each edit of one plan while
+// sources follow the edits.
 func BenchmarkFollow(b *testing.B) {
-	for _, plans := range sizes {
+	for _, plans := range planCounts {
 		for _, sources := range []int{1, 10} {
-			b.Run(fmt.Sprintf("plans=%d/instances=%d", plans, sources), func(b *testing.B) { follow(b, plans, sources) })
+			b.Run(fmt.Sprintf("plans=%d/instances=%d", plans, sources), func(b *testing.B) { benchmarkFollow(b, plans, sources) })
 		}
 	}
 }
 
-func follow(b *testing.B, plans, count int) {
+func benchmarkFollow(b *testing.B, plans, count int) {
 	s := standin.NewStore()
-	pair := benchPair(plans)
-	accept(b, s, pair)
+	pair := newBenchPair(plans)
+	acceptFirst(b, s, pair)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var sources []*Source
@@ -144,30 +145,31 @@
 		sources = append(sources, source)
 	}
 	awaitVersion(sources, 1)
-	time.Sleep(100 * time.Millisecond) // until all watch
-	first := make([]int64, count)
-	calls := int64(0)
+	time.Sleep(100 * time.Millisecond) // until all sources watch the store
+	bytesBefore := make([]int64, count)
+	callsBefore := int64(0)
 	for i, source := range sources {
-		first[i] = source.client.Bytes()
-		calls += source.client.Calls()
+		bytesBefore[i] = source.client.Bytes()
+		callsBefore += source.client.Calls()
 	}
-	start := float64(calls) / float64(count)
+	startCalls := float64(callsBefore) / float64(count)
 	tokens, cache := int64(1), b.TempDir()
 	for b.Loop() {
 		tokens++
 		awaitVersion(sources, editOne(b, s, cache, pair, tokens).Version)
 	}
-	var after, moved int64
+	var callsAfter, bytesMoved int64
 	for i, source := range sources {
-		after += source.client.Calls()
-		moved += source.client.Bytes() - first[i]
+		callsAfter += source.client.Calls()
+		bytesMoved += source.client.Bytes() - bytesBefore[i]
 	}
 	edits := float64(b.N) * float64(count)
-	b.ReportMetric(start, "start-calls/instance")
-	b.ReportMetric(float64(after-calls)/edits, "calls/edit/instance")
-	b.ReportMetric(float64(moved)/edits, "bytes/edit/instance")
+	b.ReportMetric(startCalls, "start-calls/instance")
+	b.ReportMetric(float64(callsAfter-callsBefore)/edits, "calls/edit/instance")
+	b.ReportMetric(float64(bytesMoved)/edits, "bytes/edit/instance")
 }
 
+// awaitVersion waits until each source has the version or a newer one in force.
 func awaitVersion(sources []*Source, version uint64) {
 	for _, source := range sources {
 		for source.Version() < version {
@@ -179,12 +181,12 @@
 	}
 }
 
-// BenchmarkMemory holds a configuration and counts its heap.
+// BenchmarkMemory measures the heap memory of a configuration.
 func BenchmarkMemory(b *testing.B) {
-	for _, plans := range sizes {
+	for _, plans := range planCounts {
 		b.Run(fmt.Sprintf("plans=%d", plans), func(b *testing.B) {
 			s := standin.NewStore()
-			accept(b, s, benchPair(plans))
+			acceptFirst(b, s, newBenchPair(plans))
 			var heap float64
 			for b.Loop() {
 				before := heapBytes()
--- a/internal/config/collect.go
+++ b/internal/config/collect.go
@@ -8,97 +8,101 @@
 	"foxhall/internal/store"
 )
 
-// DefaultKeep is the number of past versions that a collection keeps: about
-// three hours of history at the 7,800 edits a day of letter 1, in some 10 MB.
+// DefaultKeep is the number of past versions that Collect keeps: about three hours of history at
+// 7,800 edits a day, in some 10 MB.
 const DefaultKeep = 1000
 
-// Collection is what one collection did.
+// Collection is the result of one garbage collection of chunks.
 type Collection struct {
-	// Kept and Removed count chunks.
+	// Kept and Removed are numbers of chunks.
 	Kept, Removed int
-	// Spared are chunks that an edit had written again meanwhile.
-	Spared int
+	// Rewritten is the number of unreferenced chunks that an edit wrote again during the collection;
+	// they are not removed.
+	Rewritten int
 }
 
-// Collect removes the chunks that neither the manifest nor its last keep
-// records name. One instance at a time runs it now and then; several at once
-// are safe but waste calls.
+// Collect removes the chunks that are referenced neither by the manifest nor by the last keep
+// records. One instance at a time should run it periodically; concurrent collections are safe, but
+// waste calls.
 //
-// An edit writes its chunks before the manifest that names them, so a chunk
-// that nobody names may be about to be named, also by an editor that has been
-// paused for long. Were it removed, an accepted edit would be unreadable. Two
-// conditions rule that out without clocks. The collection first writes the
-// manifest again: an edit that began from an earlier read then fails its
-// condition and starts anew. And an edit writes each chunk that it adds again
-// even if it is there: for one that begins after, the chunk's version has moved
-// since it was listed, and the conditional deletion fails.
+// An edit writes its chunks before the manifest that references them, so an unreferenced chunk may
+// belong to an edit in progress, even to one of an editor that was paused for long. If such a chunk
+// were removed, an accepted edit would be unreadable. Two conditional updates prevent this without
+// relying on clocks:
+//   - Collect writes the manifest again before it removes anything. An edit that read the manifest
+//     before that fails its conditional update and starts again.
+//   - An edit writes each chunk that it adds, even if the chunk exists. If the edit began after Collect
+//     rewrote the manifest, the chunk's version has changed since Collect listed it, and the
+//     conditional deletion fails.
 func (e *Editor) Collect(ctx context.Context, keep int) (Collection, error) {
-	var done Collection
+	var result Collection
 	h, err := e.head(ctx)
 	if err != nil || h.version == 0 {
-		return done, err
+		return result, err
 	}
 	listed, err := e.client.List(ctx, KindChunk, "")
 	if err != nil {
-		return done, err
+		return result, err
 	}
-	marked, err := h.mark(ctx, listed, keep)
+	referenced, err := h.referencedChunks(ctx, listed, keep)
 	if err != nil {
-		return done, err
+		return result, err
 	}
-	garbage := unmarked(listed, marked)
-	done.Kept = len(listed) - len(garbage)
-	if len(garbage) == 0 {
-		return done, nil
+	unreferenced := unreferencedChunks(listed, referenced)
+	result.Kept = len(listed) - len(unreferenced)
+	if len(unreferenced) == 0 {
+		return result, nil
 	}
-	if err := e.barrier(ctx, h); err != nil {
-		return done, err
+	if err := e.rewriteManifest(ctx, h); err != nil {
+		return result, err
 	}
-	for _, object := range garbage {
+	for _, object := range unreferenced {
 		err := e.client.Delete(ctx, object.Key, object.Version)
 		switch {
 		case errors.Is(err, store.ErrConflict):
-			done.Spared++
+			result.Rewritten++
 		case err == nil, errors.Is(err, store.ErrNotFound):
-			done.Removed++
+			result.Removed++
 		default:
-			return done, err
+			return result, err
 		}
 	}
-	return done, nil
+	return result, nil
 }
 
-// mark returns the names of the chunks that the manifest and its records name.
-func (h *head) mark(ctx context.Context, listed []store.Object, keep int) (map[string]bool, error) {
+// referencedChunks returns the names of the chunks that the manifest and the last keep records
+// reference. It adds the listed chunks to those that h has fetched.
+func (h *head) referencedChunks(ctx context.Context, listed []store.Object, keep int) (map[string]bool, error) {
 	for _, object := range listed {
 		var digest Digest
 		if digest.UnmarshalText([]byte(object.Key.Name)) == nil {
 			h.chunks[digest] = object.Value
 		}
 	}
-	marked := map[string]bool{}
-	mark := func(d Digest) { marked[d.String()] = true }
+	referenced := map[string]bool{}
+	add := func(d Digest) { referenced[d.String()] = true }
 	record := h.manifest.record(h.version)
 	for range keep {
-		record.Sections.digests(mark)
+		record.Sections.digests(add)
 		parent, err := h.parent(ctx, record)
 		if errors.Is(err, ErrNoVersion) {
-			return marked, nil
+			return referenced, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		mark(record.Parent)
+		add(record.Parent)
 		record = parent
 	}
-	record.Sections.digests(mark)
-	return marked, nil
+	record.Sections.digests(add)
+	return referenced, nil
 }
 
-// barrier writes the manifest again with the same contents.
-func (e *Editor) barrier(ctx context.Context, h *head) error {
+// rewriteManifest writes the manifest again with the same contents, so that it gets a new version
+// and the edits in progress fail their conditional update.
+func (e *Editor) rewriteManifest(ctx context.Context, h *head) error {
 	next := *h.manifest
-	next.EditVersion = h.editVersion()
+	next.EditVersion = h.acceptedVersion()
 	value, err := next.encode()
 	if err != nil {
 		return err
@@ -107,10 +111,10 @@
 	return err
 }
 
-func unmarked(listed []store.Object, marked map[string]bool) []store.Object {
+func unreferencedChunks(listed []store.Object, referenced map[string]bool) []store.Object {
 	var rest []store.Object
 	for _, object := range listed {
-		if !marked[object.Key.Name] {
+		if !referenced[object.Key.Name] {
 			rest = append(rest, object)
 		}
 	}
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -12,32 +12,32 @@
 	"foxhall/internal/usage"
 )
 
-// maxListed is the number of changes that an edit's record names. The rest
-// are counted.
-const maxListed = 10
+// maxListedChanges is the number of changes that an edit's record lists. Further changes are only
+// counted.
+const maxListedChanges = 10
 
-// Action is what an edit did to an entry.
+// Action is the kind of change that an edit made to an entry.
 type Action string
 
-// The actions of an edit.
+// Actions of an edit.
 const (
 	Added   Action = "added"
 	Changed Action = "changed"
 	Removed Action = "removed"
 )
 
-// Change is what an edit did to one entry of a list.
+// Change is the change that an edit made to one entry of a list.
 type Change struct {
 	// List is plan.ListName or usage.ListName; Table is the entry's TOML table.
 	List   string `json:"list"`
 	Table  string `json:"table"`
 	Name   string `json:"name"`
 	Action Action `json:"action"`
-	// Keys are the keys that differ, of a changed entry.
+	// Keys are the keys that differ; only set for a changed entry.
 	Keys []KeyChange `json:"keys,omitempty"`
 }
 
-// KeyChange is one key of a changed entry. Records keep only its name.
+// KeyChange is the change of one key of an entry. Records store only the key, not its values.
 type KeyChange struct {
 	Key  string `json:"key"`
 	From string `json:"-"`
@@ -57,7 +57,7 @@
 	return text
 }
 
-// Pair is both lists together, the unit that is validated and accepted.
+// Pair holds both lists. They are validated and accepted together.
 type Pair struct {
 	Plans *plan.List
 	Usage *usage.List
@@ -69,7 +69,7 @@
 	return Pair{Plans: plan.Restore(nil), Usage: list}
 }
 
-// Diff returns what leads from one pair to another, in order of list, table and name.
+// Diff returns the changes between two pairs, ordered by list, table and name.
 func Diff(from, to Pair) []Change {
 	var changes []Change
 	changes = append(changes, diffTable(plan.ListName, "plan", from.Plans.Plans, to.Plans.Plans)...)
@@ -117,21 +117,21 @@
 	return changes
 }
 
-// flatten writes the keys of an entry as TOML names them. A list that is
-// absent and one that is empty read the same.
-func flatten(prefix string, value reflect.Value, into map[string]string) {
+// flatten adds the values of an entry as text to values, under their dotted TOML keys. A nil list and
+// an empty one give the same text.
+func flatten(prefix string, value reflect.Value, values map[string]string) {
 	for i := range value.NumField() {
 		key := prefix + value.Type().Field(i).Tag.Get("toml")
 		field := value.Field(i)
 		switch v := field.Interface().(type) {
 		case plan.Duration:
-			into[key] = time.Duration(v).String()
+			values[key] = time.Duration(v).String()
 		default:
 			if field.Kind() == reflect.Struct {
-				flatten(key+".", field, into)
+				flatten(key+".", field, values)
 				continue
 			}
-			into[key] = fmt.Sprint(v)
+			values[key] = fmt.Sprint(v)
 		}
 	}
 }
@@ -143,46 +143,47 @@
 	return len(diffKeys(a, b)) == 0
 }
 
-// merge applies to theirs what leads from base to mine. Entries that both
-// changed, and differently, are returned as what they did to them.
-func merge[T named](list, table string, base, mine, theirs []T) (merged []T, conflicts []Change) {
-	b, m, t := byName(base), byName(mine), byName(theirs)
-	for _, name := range unionOfNames(m, t) {
-		keep := t[name]
+// merge performs a three-way merge of one table: it returns theirs with the changes that lead from base
+// to ours. An entry that both sides changed in different ways is a conflict; conflicts lists the
+// changes that lead from base to theirs for such entries.
+func merge[T named](list, table string, base, ours, theirs []T) (merged []T, conflicts []Change) {
+	baseEntries, ourEntries, theirEntries := byName(base), byName(ours), byName(theirs)
+	for _, name := range unionOfNames(ourEntries, theirEntries) {
+		result := theirEntries[name]
 		switch {
-		case sameEntry(m[name], b[name]) || sameEntry(m[name], t[name]):
-		case sameEntry(t[name], b[name]):
-			keep = m[name]
+		case sameEntry(ourEntries[name], baseEntries[name]) || sameEntry(ourEntries[name], theirEntries[name]):
+		case sameEntry(theirEntries[name], baseEntries[name]):
+			result = ourEntries[name]
 		default:
-			conflicts = append(conflicts, diffTable(list, table, only(b[name]), only(t[name]))...)
+			conflicts = append(conflicts, diffTable(list, table, asSlice(baseEntries[name]), asSlice(theirEntries[name]))...)
 		}
-		if keep != nil {
-			merged = append(merged, *keep)
+		if result != nil {
+			merged = append(merged, *result)
 		}
 	}
 	return merged, conflicts
 }
 
-// mergePairs merges table by table.
-func mergePairs(base, mine, theirs Pair) (Pair, []Change) {
+// mergePairs performs a three-way merge of each table of both lists.
+func mergePairs(base, ours, theirs Pair) (Pair, []Change) {
 	var conflicts []Change
-	note := func(found []Change) { conflicts = append(conflicts, found...) }
-	plans, found := merge(plan.ListName, "plan", base.Plans.Plans, mine.Plans.Plans, theirs.Plans.Plans)
-	note(found)
+	addConflicts := func(found []Change) { conflicts = append(conflicts, found...) }
+	plans, found := merge(plan.ListName, "plan", base.Plans.Plans, ours.Plans.Plans, theirs.Plans.Plans)
+	addConflicts(found)
 	list := &usage.List{}
-	list.Models, found = merge(usage.ListName, "model", base.Usage.Models, mine.Usage.Models, theirs.Usage.Models)
-	note(found)
-	list.Services, found = merge(usage.ListName, "service", base.Usage.Services, mine.Usage.Services, theirs.Usage.Services)
-	note(found)
-	list.Upstreams, found = merge(usage.ListName, "upstream", base.Usage.Upstreams, mine.Usage.Upstreams, theirs.Usage.Upstreams)
-	note(found)
-	list.Grants, found = merge(usage.ListName, "grant", base.Usage.Grants, mine.Usage.Grants, theirs.Usage.Grants)
-	note(found)
+	list.Models, found = merge(usage.ListName, "model", base.Usage.Models, ours.Usage.Models, theirs.Usage.Models)
+	addConflicts(found)
+	list.Services, found = merge(usage.ListName, "service", base.Usage.Services, ours.Usage.Services, theirs.Usage.Services)
+	addConflicts(found)
+	list.Upstreams, found = merge(usage.ListName, "upstream", base.Usage.Upstreams, ours.Usage.Upstreams, theirs.Usage.Upstreams)
+	addConflicts(found)
+	list.Grants, found = merge(usage.ListName, "grant", base.Usage.Grants, ours.Usage.Grants, theirs.Usage.Grants)
+	addConflicts(found)
 	list.Index()
 	return Pair{Plans: plan.Restore(plans), Usage: list}, conflicts
 }
 
-func only[T named](entry *T) []T {
+func asSlice[T named](entry *T) []T {
 	if entry == nil {
 		return nil
 	}
--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -15,37 +15,37 @@
 	"foxhall/internal/usage"
 )
 
-// Pauses between the tries of an edit that met an outage or another edit.
+// Backoff between attempts of an edit after an outage or a conflicting update of the manifest.
 const (
-	editRetryFirst = 50 * time.Millisecond
-	editRetryMax   = 2 * time.Second
+	editRetryMin = 50 * time.Millisecond
+	editRetryMax = 2 * time.Second
 )
 
 // Proposal is an edit that an operator asks for.
 type Proposal struct {
 	Operator string
 	Note     string
-	// Base is the version from which the operator began. What others changed
-	// since is kept, unless both changed one entry.
+	// Base is the version that the operator edited. Changes that other edits made since are kept;
+	// if an entry was changed on both sides in different ways, the edit is rejected.
 	Base uint64
-	// Plans and Usage are the lists as they should be; a nil list stays as it is.
+	// Plans and Usage are the proposed lists; a nil list is not changed.
 	Plans *plan.List
 	Usage *usage.List
 }
 
-// Accepted is the answer to an edit.
+// Accepted is the result of an edit.
 type Accepted struct {
 	// Version is the version at which the edit was accepted.
 	Version uint64
 	Changes []Change
-	// Repeated says that this very edit had been accepted before.
+	// Repeated indicates that the same edit had been accepted before.
 	Repeated bool
-	// Unchanged says that the lists already were as proposed.
+	// Unchanged indicates that the lists were already as proposed.
 	Unchanged bool
 }
 
-// Editor edits the lists in the store. It holds nothing between calls but the
-// chunks that its cache folder keeps.
+// Editor edits the lists in the store. It keeps no state between calls except the chunks in its
+// cache folder.
 type Editor struct {
 	client store.Client
 	cache  chunkCache
@@ -54,23 +54,23 @@
 // NewEditor returns an editor on the object API.
 func NewEditor(client store.Client) *Editor { return &Editor{client: client} }
 
-// NewCachedEditor returns an editor that keeps chunks in a folder, which it creates.
+// NewCachedEditor returns an editor that caches chunks in folder. It creates the folder if needed.
 func NewCachedEditor(client store.Client, folder string) *Editor {
 	return &Editor{client: client, cache: chunkCache{folder: folder}}
 }
 
-// ErrOutcomeUnknown says that an edit may or may not have been accepted: the
-// answer of its conditional update was lost and could not be read back before
-// the deadline. The same proposal may be tried again; it is accepted once.
+// ErrOutcomeUnknown indicates that an edit may or may not have been accepted: the response to its
+// conditional update was lost, and the manifest could not be read back before the deadline. The same
+// proposal can be applied again; it is accepted at most once.
 var ErrOutcomeUnknown = errors.New("config: outcome unknown; apply the same edit again to learn it")
 
-// ErrNotAccepted says that an edit met an outage before anything was accepted.
+// ErrNotAccepted indicates that an edit failed because of an outage and was not accepted.
 var ErrNotAccepted = errors.New("config: not accepted")
 
-// Apply makes an edit: it merges the proposal with what others changed since
-// its base, validates the pair and updates the manifest on the condition that
-// nobody was faster. The error is ConflictError, listfile.Problems,
-// ErrNotAccepted or ErrOutcomeUnknown. It goes on trying until ctx ends.
+// Apply makes an edit: it merges the proposal with the edits accepted since its base, validates both
+// lists and updates the manifest on the condition that it has not changed since it was read. The
+// error is ConflictError, listfile.Problems, ErrNotAccepted or ErrOutcomeUnknown. After an outage, a
+// lost response or another edit's update of the manifest, Apply retries until ctx ends.
 func (e *Editor) Apply(ctx context.Context, p Proposal) (Accepted, error) {
 	id, err := p.id()
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	uncertain := false
 	accepted, err := backoff.Retry(ctx, func() (Accepted, error) {
-		accepted, err := e.try(ctx, &p, id)
+		accepted, err := e.applyOnce(ctx, &p, id)
 		if err == nil {
 			return accepted, nil
 		}
@@ -101,13 +101,13 @@
 }
 
 func editBackOff() *backoff.ExponentialBackOff {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = editRetryFirst
-	pause.MaxInterval = editRetryMax
-	return pause
+	policy := backoff.NewExponentialBackOff()
+	policy.InitialInterval = editRetryMin
+	policy.MaxInterval = editRetryMax
+	return policy
 }
 
-// errManifestUnknown says that the answer of the manifest's update was lost.
+// errManifestUnknown indicates that the response to the manifest's update was lost.
 var errManifestUnknown = errors.Wrap(store.ErrUnknown, "config: manifest")
 
 func retryable(err error) bool {
@@ -115,71 +115,71 @@
 		errors.Is(err, errNotYetReadable)
 }
 
-// try reads what is in force and attempts the edit once. An edit whose answer
-// was lost is found in the history that it reads first.
-func (e *Editor) try(ctx context.Context, p *Proposal, id string) (Accepted, error) {
-	head, err := e.head(ctx)
+// applyOnce reads the accepted configuration and attempts the edit once. It searches the history
+// first, so that an edit that was accepted although its response was lost is not made again.
+func (e *Editor) applyOnce(ctx context.Context, p *Proposal, id string) (Accepted, error) {
+	current, err := e.head(ctx)
 	if err != nil {
 		return Accepted{}, err
 	}
-	past, err := head.since(ctx, p.Base)
+	history, err := current.editsSince(ctx, p.Base)
 	if err != nil {
 		return Accepted{}, err
 	}
-	for _, record := range past.after {
+	for _, record := range history.edits {
 		if record.Edit.ID == id {
 			return Accepted{Version: record.Version, Changes: record.Edit.Changes, Repeated: true}, nil
 		}
 	}
-	if err := head.seed(p); err != nil {
+	if err := current.addProposalChunks(p); err != nil {
 		return Accepted{}, err
 	}
-	now, err := head.pair(ctx, &head.manifest.Sections)
+	accepted, err := current.pair(ctx, &current.manifest.Sections)
 	if err != nil {
 		return Accepted{}, err
 	}
-	base, err := head.pair(ctx, &past.base.Sections)
+	base, err := current.pair(ctx, &history.base.Sections)
 	if err != nil {
 		return Accepted{}, err
 	}
-	merged, conflicts := mergePairs(base, p.pair(base), now)
+	merged, conflicts := mergePairs(base, p.pair(base), accepted)
 	if len(conflicts) > 0 {
-		return Accepted{}, &ConflictError{Base: p.Base, Version: head.editVersion(), Entries: conflicts, Edits: past.after}
+		return Accepted{}, &ConflictError{Base: p.Base, Version: current.acceptedVersion(), Entries: conflicts, Edits: history.edits}
 	}
-	changes := Diff(now, merged)
+	changes := Diff(accepted, merged)
 	if len(changes) == 0 {
-		return Accepted{Version: head.editVersion(), Unchanged: true}, nil
+		return Accepted{Version: current.acceptedVersion(), Unchanged: true}, nil
 	}
 	if err := Validate(merged.Plans, merged.Usage); err != nil {
 		return Accepted{}, withLines(err, p)
 	}
-	return e.accept(ctx, head, merged, p.edit(id, changes))
+	return e.accept(ctx, current, merged, p.edit(id, changes))
 }
 
-// accept writes the chunks and then the manifest.
-func (e *Editor) accept(ctx context.Context, head *head, merged Pair, edit Edit) (Accepted, error) {
-	sections, chunks, err := pack(merged.Plans, merged.Usage, &head.manifest.Sections)
+// accept writes the new chunks and then the manifest, on the condition that it is still current.
+func (e *Editor) accept(ctx context.Context, current *head, merged Pair, edit Edit) (Accepted, error) {
+	sections, chunks, err := pack(merged.Plans, merged.Usage, &current.manifest.Sections)
 	if err != nil {
 		return Accepted{}, err
 	}
-	fresh := chunks.without(&head.manifest.Sections)
-	next := Manifest{Edit: edit, Sections: sections, Inline: fresh.inline()}
-	if head.version > 0 {
-		digest, packed, err := packChunk(head.manifest.record(head.version))
+	newChunks := chunks.without(&current.manifest.Sections)
+	next := Manifest{Edit: edit, Sections: sections, Inline: newChunks.inline()}
+	if current.version > 0 {
+		digest, packed, err := packChunk(current.manifest.record(current.version))
 		if err != nil {
 			return Accepted{}, err
 		}
 		next.Parent = digest
-		fresh[digest] = packed
+		newChunks[digest] = packed
 	}
 	value, err := next.encode()
 	if err != nil {
 		return Accepted{}, err
 	}
-	if err := e.writeChunks(ctx, fresh); err != nil {
+	if err := e.writeChunks(ctx, newChunks); err != nil {
 		return Accepted{}, err
 	}
-	version, err := e.client.Put(ctx, ManifestKey, value, store.Version(head.version))
+	version, err := e.client.Put(ctx, ManifestKey, value, store.Version(current.version))
 	if errors.Is(err, store.ErrUnknown) {
 		return Accepted{}, errors.Wrap(errManifestUnknown, err.Error())
 	}
@@ -189,7 +189,7 @@
 	return Accepted{Version: uint64(version), Changes: edit.Changes}, nil
 }
 
-// pair returns the lists as proposed, over those of the base.
+// pair returns the proposed lists; a list that the proposal does not set is taken from base.
 func (p *Proposal) pair(base Pair) Pair {
 	pair := base
 	if p.Plans != nil {
@@ -201,8 +201,8 @@
 	return pair
 }
 
-// id derives the edit's identity from its contents, so that an operator who
-// runs the same command again after a crash asks for the same edit.
+// id derives the edit's ID from its contents, so that an operator who repeats the same command after
+// a crash repeats the same edit.
 func (p *Proposal) id() (string, error) {
 	raw, err := json.Marshal(struct {
 		Operator string
@@ -220,6 +220,6 @@
 func (p *Proposal) edit(id string, changes []Change) Edit {
 	return Edit{
 		ID: id, Operator: p.Operator, Note: p.Note, Time: time.Now().UTC().Truncate(time.Second),
-		Changes: changes[:min(len(changes), maxListed)], Changed: len(changes),
+		Changes: changes[:min(len(changes), maxListedChanges)], Changed: len(changes),
 	}
 }
--- a/internal/config/exchange.go
+++ b/internal/config/exchange.go
@@ -7,39 +7,39 @@
 	"github.com/pkg/errors"
 )
 
-// Peer is another instance's source, across the network.
+// Peer is the source of another instance, reached over the network.
 type Peer interface {
-	// Name is for log lines.
+	// Name returns the peer's name for messages.
 	Name() string
-	// Version returns the version in force there.
+	// Version returns the version in force on the peer.
 	Version(ctx context.Context) (uint64, error)
-	// Export and Offer are those of Source.
+	// Export calls Source.Export on the peer, Offer calls Source.Offer.
 	Export(ctx context.Context, have Have) (Update, error)
 	Offer(ctx context.Context, update Update) ([]Digest, error)
 }
 
-// Peers are the instances that can be asked.
+// Peers selects instances with which versions are exchanged.
 type Peers interface {
-	// Sample returns up to n other instances that are thought to live, picked
-	// at random over all data centres.
+	// Sample returns up to n other instances that are considered alive, chosen at random from all
+	// data centres.
 	Sample(n int) []Peer
 }
 
-// followPeers exchanges versions with peers: with several at the start and
-// after each new version, so that an edit spreads in a few steps; and with one
-// now and then, so that what was missed is made good.
+// followPeers exchanges versions with peers until ctx ends: with Fanout peers at the start and after
+// each new version, so that an edit spreads in a few steps; and with one random peer about every
+// PeerInterval, to recover versions that were missed.
 func (s *Source) followPeers(ctx context.Context) error {
 	if s.options.Peers == nil {
-		s.peersAsked.Store(true)
+		s.peersQueried.Store(true)
 		return nil
 	}
-	// The channel is kept until it is closed, so that a version that arrives
-	// during an exchange is passed on as well.
+	// The channel is replaced only after it is closed, so that a version that arrives during an
+	// exchange is forwarded as well.
 	changed := s.Changed()
 	s.exchangeWith(ctx, s.options.Peers.Sample(Fanout))
-	s.peersAsked.Store(true)
+	s.peersQueried.Store(true)
 	for ctx.Err() == nil {
-		if wait(ctx, changed, jitter(s.options.PeerInterval)) {
+		if waitForChange(ctx, changed, jitter(s.options.PeerInterval)) {
 			changed = s.Changed()
 			s.exchangeWith(ctx, s.options.Peers.Sample(Fanout))
 			continue
@@ -49,6 +49,8 @@
 	return nil
 }
 
+// exchangeWith exchanges versions with several peers concurrently. The timeout peerCallTimeout applies
+// to all of them together. Errors are recorded only while there is no configuration.
 func (s *Source) exchangeWith(ctx context.Context, peers []Peer) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -56,24 +58,25 @@
 	for _, peer := range peers {
 		group.Go(func() {
 			if err := s.exchange(ctx, peer); err != nil && s.Version() == 0 {
-				s.setFault("peer %s: %v", peer.Name(), err)
+				s.setLastError("peer %s: %v", peer.Name(), err)
 			}
 		})
 	}
 	group.Wait()
 }
 
-// exchange brings both sides to the higher of their versions.
+// exchange pulls the peer's version if it is newer, and pushes this instance's version if the peer's
+// is older.
 func (s *Source) exchange(ctx context.Context, peer Peer) error {
-	theirs, err := peer.Version(ctx)
+	peerVersion, err := peer.Version(ctx)
 	if err != nil {
 		return err
 	}
 	current := s.current.Load()
 	switch {
-	case theirs > current.Version:
+	case peerVersion > current.Version:
 		return s.pull(ctx, peer, current)
-	case theirs < current.Version:
+	case peerVersion < current.Version:
 		return s.push(ctx, peer, current)
 	default:
 		return nil
@@ -88,24 +91,24 @@
 	return s.install(update, "peer "+peer.Name())
 }
 
-// push offers the manifest, which carries an ordinary edit's chunks itself,
-// and then only the chunks that the peer says it lacks.
+// push offers the manifest, which includes the chunks of a small edit, and then only the chunks that
+// the peer reports as missing.
 func (s *Source) push(ctx context.Context, peer Peer, current *Current) error {
 	update := Update{Version: current.Version, Manifest: current.manifest}
 	s.offered.Inc(1)
-	lacking, err := peer.Offer(ctx, update)
-	if err != nil || len(lacking) == 0 {
+	missing, err := peer.Offer(ctx, update)
+	if err != nil || len(missing) == 0 {
 		return err
 	}
 	update.Chunks = Chunks{}
-	for _, digest := range lacking {
+	for _, digest := range missing {
 		if packed := current.chunks[digest]; packed != nil {
 			update.Chunks[digest] = packed
 		}
 	}
-	lacking, err = peer.Offer(ctx, update)
-	if err == nil && len(lacking) > 0 {
-		return errors.Errorf("config: peer lacks %d chunks after an offer", len(lacking))
+	missing, err = peer.Offer(ctx, update)
+	if err == nil && len(missing) > 0 {
+		return errors.Errorf("config: peer lacks %d chunks after an offer", len(missing))
 	}
 	return err
 }
--- a/internal/config/failure_test.go
+++ b/internal/config/failure_test.go
@@ -18,8 +18,8 @@
 	"foxhall/internal/store"
 )
 
-// set makes an edit that sets one plan's tokens, from what is accepted now.
-func set(is *is.I, client store.Client, name string, tokens int64) Accepted {
+// setTokens sets one plan's token budget by an edit based on the accepted version.
+func setTokens(is *is.I, client store.Client, name string, tokens int64) Accepted {
 	editor := NewEditor(client)
 	pair, base, err := editor.Get(context.Background(), 0)
 	is.NoErr(err)
@@ -28,48 +28,48 @@
 	return accepted
 }
 
-// hook calls before once, ahead of the first Put or Delete of a kind.
-type hook struct {
+// hookedClient calls beforeCall once, before the first Put of an object of kind, or before the first
+// Delete if onDelete is set.
+type hookedClient struct {
 	store.Client
-	kind   string
-	delete bool
-	before func()
+	kind       string
+	onDelete   bool
+	beforeCall func()
 }
 
-func (h *hook) fire(kind string, deleting bool) {
-	if h.before == nil || kind != h.kind || deleting != h.delete {
+func (h *hookedClient) runHook(kind string, deleting bool) {
+	if h.beforeCall == nil || kind != h.kind || deleting != h.onDelete {
 		return
 	}
-	before := h.before
-	h.before = nil
-	before()
+	call := h.beforeCall
+	h.beforeCall = nil
+	call()
 }
 
-func (h *hook) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
-	h.fire(key.Kind, false)
+func (h *hookedClient) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
+	h.runHook(key.Kind, false)
 	return h.Client.Put(ctx, key, value, base)
 }
 
-func (h *hook) Delete(ctx context.Context, key store.Key, base store.Version) error {
-	h.fire(key.Kind, true)
+func (h *hookedClient) Delete(ctx context.Context, key store.Key, base store.Version) error {
+	h.runHook(key.Kind, true)
 	return h.Client.Delete(ctx, key, base)
 }
 
-// The store applies the accepting update, loses the answer and goes down until
-// the operator's time is up: the operator is told that the outcome is unknown.
-// Another operator then edits another plan. The first one runs the same edit
-// again and is told the version at which it had been accepted; nothing is
-// written, so the edit in between stands.
+// The store applies the update that accepts an edit, loses the response and is down until the
+// operator's deadline: the operator gets ErrOutcomeUnknown. Another operator then edits another plan.
+// When the first operator repeats the same edit, the result is the version at which it had been
+// accepted; nothing is written, so the other operator's edit is kept.
 func TestEditAcceptedButAnswerLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := standin.NewStore()
-		set(is, s, "p1", 1)
+		setTokens(is, s, "p1", 1)
 		pair, base, err := NewEditor(s).Get(context.Background(), 0)
 		is.NoErr(err)
 		proposal := Proposal{Operator: "rui", Base: base, Plans: withTokens(pair.Plans, "p2", 7)}
 
-		client := &hook{Client: s, kind: KindManifest, before: func() { s.SetFaults(standin.StoreFaults{LoseAnswers: 1}) }}
+		client := &hookedClient{Client: s, kind: KindManifest, beforeCall: func() { s.SetFaults(standin.StoreFaults{LoseAnswers: 1}) }}
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		go func() { time.Sleep(time.Millisecond); s.SetFaults(standin.StoreFaults{Down: true}) }()
@@ -77,136 +77,135 @@
 		is.True(errors.Is(err, ErrOutcomeUnknown))
 
 		s.SetFaults(standin.StoreFaults{})
-		set(is, s, "p3", 3)
+		setTokens(is, s, "p3", 3)
 		accepted, err := NewEditor(s).Apply(context.Background(), proposal)
 		is.NoErr(err)
 		is.True(accepted.Repeated)
 		records, err := NewEditor(s).History(context.Background(), 10)
 		is.NoErr(err)
 		is.Equal(len(records), 3)
-		is.Equal(records[1].Version, accepted.Version) // the middle one, accepted once
+		is.Equal(records[1].Version, accepted.Version) // the second of three edits, accepted once
 	})
 }
 
-// A data centre of two instances is cut off from the store and from the others
-// during three edits. Its callers are judged by the last version it had. When
-// only the way to the other data centre heals, the peers bring all three edits,
-// well within the bound and without a store call.
-func TestDataCentreCutOffDuringThreeEdits(t *testing.T) {
+// A data centre of two instances is isolated from the store and from the other data centre during
+// three edits. Its instances stay ready with their last version. When only the connection to the other
+// data centre is restored, the peers deliver all three edits within half of propagationLimit and
+// without the store.
+func TestDataCentreIsolatedDuringThreeEdits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("", "", "", "")
-		defer w.close()
-		first := set(is, w.store, "p1", 1)
-		time.Sleep(forceBound)
-		for _, n := range w.nodes[2:] {
-			n.link.set(true, false)
-			n.alone.Store(true)
+		c := newCluster("", "", "", "")
+		defer c.close()
+		first := setTokens(is, c.store, "p1", 1)
+		time.Sleep(propagationLimit)
+		for _, n := range c.nodes[2:] {
+			n.client.setFaults(true, false)
+			n.isolated.Store(true)
 		}
-		set(is, w.store, "p1", 2)
-		set(is, w.store, "p2", 3)
-		last := set(is, w.store, "p1", 4)
+		setTokens(is, c.store, "p1", 2)
+		setTokens(is, c.store, "p2", 3)
+		last := setTokens(is, c.store, "p1", 4)
 		time.Sleep(time.Minute)
-		for _, n := range w.nodes[2:] {
+		for _, n := range c.nodes[2:] {
 			is.Equal(n.Current().Version, first.Version)
 			ready, _ := n.source.Load().Ready()
-			is.True(ready) // it goes on serving
-			n.alone.Store(false)
+			is.True(ready) // it continues to serve
+			n.isolated.Store(false)
 		}
-		time.Sleep(forceBound / 2)
-		for _, n := range w.nodes {
+		time.Sleep(propagationLimit / 2)
+		for _, n := range c.nodes {
 			is.Equal(n.Current().Version, last.Version)
 			is.Equal(n.Current().Plans.Lookup("p1").Budget.Tokens, int64(4))
 		}
 	})
 }
 
-// Instances are restarted while the store is down. One with a disk has its
-// configuration at once; one without takes the highest version of its peers;
-// one that reaches nobody says why it is not ready. None goes back, also not
-// where the store, when it returns, first serves an old read.
+// Instances restart while the store is down. An instance with a disk has its configuration at once;
+// one without a disk gets the highest version of its peers; one that reaches neither store nor peers
+// reports why it is not ready. No instance returns to an older version, even if the store serves a
+// stale read first when it is available again.
 func TestRestartedWithStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t.TempDir(), "", "")
-		defer w.close()
-		set(is, w.store, "p1", 1)
-		time.Sleep(forceBound) // so that old reads have something to show
-		last := set(is, w.store, "p1", 2)
-		time.Sleep(forceBound)
-		w.store.SetFaults(standin.StoreFaults{Down: true})
+		c := newCluster(t.TempDir(), "", "")
+		defer c.close()
+		setTokens(is, c.store, "p1", 1)
+		time.Sleep(propagationLimit) // so that version 1 is read and can be returned by stale reads
+		last := setTokens(is, c.store, "p1", 2)
+		time.Sleep(propagationLimit)
+		c.store.SetFaults(standin.StoreFaults{Down: true})
 
-		disk, bare := w.nodes[0], w.nodes[1]
-		disk.stop()
-		disk.alone.Store(true)
-		disk.start()
-		is.Equal(disk.Current().Version, last.Version) // before anything is asked
-		bare.stop()
-		bare.start()
-		time.Sleep(startTime)
-		is.Equal(bare.Current().Version, last.Version)
-		bare.stop()
-		bare.alone.Store(true)
-		bare.start()
-		time.Sleep(forceBound)
-		ready, reason := bare.source.Load().Ready()
+		durable, diskless := c.nodes[0], c.nodes[1]
+		durable.stop()
+		durable.isolated.Store(true)
+		durable.start()
+		is.Equal(durable.Current().Version, last.Version) // before the store and the peers are queried
+		diskless.stop()
+		diskless.start()
+		time.Sleep(startupTimeout)
+		is.Equal(diskless.Current().Version, last.Version)
+		diskless.stop()
+		diskless.isolated.Store(true)
+		diskless.start()
+		time.Sleep(propagationLimit)
+		ready, reason := diskless.source.Load().Ready()
 		is.True(!ready)
 		is.True(strings.HasPrefix(reason, "no configuration: "))
 
-		disk.link.set(false, true)
-		w.store.SetFaults(standin.StoreFaults{})
+		durable.client.setFaults(false, true)
+		c.store.SetFaults(standin.StoreFaults{})
 		time.Sleep(2 * time.Minute)
-		is.Equal(disk.Current().Version, last.Version)
-		is.Equal(bare.Current().Version, last.Version)
+		is.Equal(durable.Current().Version, last.Version)
+		is.Equal(diskless.Current().Version, last.Version)
 	})
 }
 
-// An editor is paused after it wrote its chunks and before it names them. A
-// collection meanwhile finds them unreferenced and removes them. The paused
-// editor's update must then fail, or an accepted edit would be unreadable.
+// An editor is paused after it wrote its chunks and before it updates the manifest. Meanwhile a
+// collection finds the chunks unreferenced and removes them. The editor's update must then fail and be
+// repeated, or an accepted edit would be unreadable.
 func TestCollectionRacesPausedEdit(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
-	set(is, s, "p1", 1)
+	setTokens(is, s, "p1", 1)
 	removed := 0
-	client := &hook{Client: s, kind: KindManifest, before: func() {
+	client := &hookedClient{Client: s, kind: KindManifest, beforeCall: func() {
 		done, err := NewEditor(s).Collect(context.Background(), 1)
 		is.NoErr(err)
 		removed = done.Removed
 	}}
-	set(is, client, "p1", 2)
+	setTokens(is, client, "p1", 2)
 	is.True(removed > 0)
 	pair, _, err := NewEditor(s).Get(context.Background(), 0)
 	is.NoErr(err)
 	is.Equal(pair.Plans.Lookup("p1").Budget.Tokens, int64(2))
 }
 
-// A collection has listed a chunk as unreferenced and is paused before it
-// removes it. An edit goes back to those very contents and finds the chunk
-// there. The removal must then fail.
-func TestCollectionRacesReturningContents(t *testing.T) {
+// A collection has listed a chunk as unreferenced and is paused before it deletes it. An edit restores
+// the same contents and finds the chunk in the store. The deletion must then fail.
+func TestCollectionRacesEditRestoringContents(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
-	set(is, s, "p1", 1)
-	set(is, s, "p1", 2)
-	set(is, s, "p1", 3)
-	client := &hook{Client: s, kind: KindChunk, delete: true, before: func() { set(is, s, "p1", 1) }}
+	setTokens(is, s, "p1", 1)
+	setTokens(is, s, "p1", 2)
+	setTokens(is, s, "p1", 3)
+	client := &hookedClient{Client: s, kind: KindChunk, onDelete: true, beforeCall: func() { setTokens(is, s, "p1", 1) }}
 	done, err := NewEditor(client).Collect(context.Background(), 0)
 	is.NoErr(err)
-	is.Equal(done.Spared, 1)
+	is.Equal(done.Rewritten, 1)
 	pair, _, err := NewEditor(s).Get(context.Background(), 0)
 	is.NoErr(err)
 	is.Equal(pair.Plans.Lookup("p1").Budget.Tokens, int64(1))
 }
 
-// An operator's base is older than the kept history: nothing can be said about
-// what changed, so the edit is refused instead of undoing it.
-func TestBaseOlderThanHistory(t *testing.T) {
+// An operator's base is older than the kept history. The changes since the base are unknown, so the
+// edit is rejected instead of possibly reverting them.
+func TestBaseOlderThanHistoryRefused(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
-	first := set(is, s, "p1", 1)
-	set(is, s, "p1", 2)
-	set(is, s, "p1", 3)
+	first := setTokens(is, s, "p1", 1)
+	setTokens(is, s, "p1", 2)
+	setTokens(is, s, "p1", 3)
 	_, err := NewEditor(s).Collect(context.Background(), 1)
 	is.NoErr(err)
 	_, err = NewEditor(s).Apply(context.Background(), Proposal{
@@ -214,11 +213,12 @@
 	})
 	var conflict *ConflictError
 	is.True(errors.As(err, &conflict))
-	is.True(conflict.Forgotten)
+	is.True(conflict.BaseExpired)
 }
 
-// An edit moves the plan's chunk and the manifest, not the list; the usage
-// list's chunks are not touched, and a watching source reads nothing more.
+// An edit of one plan transfers the plan's chunk and the manifest, not the whole list. The chunks of
+// the usage list do not change, and the manifest includes the new chunk, so that a watching source
+// need not read it.
 func TestEditMovesOneChunk(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
@@ -230,25 +230,25 @@
 	is.NoErr(err)
 	before, err := NewEditor(s).head(context.Background())
 	is.NoErr(err)
-	set(is, s, "p1", 2)
+	setTokens(is, s, "p1", 2)
 	after, err := NewEditor(s).head(context.Background())
 	is.NoErr(err)
 	is.Equal(after.manifest.Sections.Grants, before.manifest.Sections.Grants)
 	is.Equal(len(after.manifest.Inline), 1)
 }
 
-// A chunk in an operator's cache is damaged: it is read from the store again
-// instead of failing every edit from that machine.
-func TestDamagedCache(t *testing.T) {
+// A chunk in an operator's cache is damaged. It must be read from the store again, or every edit from
+// that machine would fail.
+func TestDamagedCacheReadsStore(t *testing.T) {
 	is := is.New(t)
 	s, folder := standin.NewStore(), t.TempDir()
-	set(is, s, "p1", 1)
+	setTokens(is, s, "p1", 1)
 	h, err := NewEditor(s).head(context.Background())
 	is.NoErr(err)
 	h.manifest.Sections.digests(func(d Digest) {
 		is.NoErr(os.WriteFile(chunkCache{folder}.path(d), []byte("damaged"), 0o600))
 	})
-	set(is, s, "p2", 2) // the first chunk is now no longer in the manifest itself
+	setTokens(is, s, "p2", 2) // the manifest no longer includes the first chunk
 	pair, _, err := NewCachedEditor(s, folder).Get(context.Background(), 0)
 	is.NoErr(err)
 	is.Equal(len(pair.Plans.Plans), 2)
@@ -257,41 +257,40 @@
 	is.Equal(len(pair.Plans.Plans), 1)
 }
 
-// The store is down for ten minutes. Each source goes on trying with backoff
-// and jitter, a call every few seconds and no more, and when the store returns
-// their calls are spread over the backoff's range and not made at once.
+// The store is down for ten minutes. Each source retries with backoff and jitter, at most one call
+// every few seconds. When the store is available again, the calls are spread over the backoff interval
+// and not made at once.
 func TestOutageCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const instances, outage = 20, 10 * time.Minute
-		w := newWorld(make([]string, instances)...)
-		defer w.close()
-		set(is, w.store, "p1", 1)
-		time.Sleep(forceBound)
+		c := newCluster(make([]string, instances)...)
+		defer c.close()
+		setTokens(is, c.store, "p1", 1)
+		time.Sleep(propagationLimit)
 		calls := func() (total int64) {
-			for _, n := range w.nodes {
+			for _, n := range c.nodes {
 				total += n.source.Load().client.Calls()
 			}
 			return total
 		}
 		before := calls()
-		w.store.SetFaults(standin.StoreFaults{Down: true})
+		c.store.SetFaults(standin.StoreFaults{Down: true})
 		time.Sleep(outage)
 		during := float64(calls()-before) / instances / outage.Minutes()
 		t.Logf("%.1f calls a minute for each instance during the outage", during)
 		is.True(during < 30)
-		w.store.SetFaults(standin.StoreFaults{})
+		c.store.SetFaults(standin.StoreFaults{})
 		before = calls()
 		time.Sleep(100 * time.Millisecond)
-		t.Logf("%d of %d instances call in the first 100 ms after it", calls()-before, instances)
+		t.Logf("%d of %d instances call in the first 100 ms after the outage", calls()-before, instances)
 		is.True(calls()-before < instances/2)
 	})
 }
 
-// The store is so slow that a newcomer without peers can't read all chunks
-// within the time of one try. Each try keeps what it got, so that it is ready
-// after some, and not never.
-func TestNewcomerWithSlowStore(t *testing.T) {
+// The store is so slow that a starting instance without peers can't read all chunks within the timeout
+// of one attempt. Each attempt must keep the chunks that it read, or the instance would never be ready.
+func TestFirstStartWithSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := standin.NewStore()
@@ -312,42 +311,42 @@
 	})
 }
 
-// Of a hundred instances only one still has a way to the store. An edit
-// reaches the others through it, from peer to peer, within the bound.
+// Only one of a hundred instances can reach the store. An edit spreads from it to the others, from
+// peer to peer, within propagationLimit.
 func TestEditSpreadsByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(make([]string, 100)...)
-		defer w.close()
-		set(is, w.store, "p1", 1)
-		time.Sleep(forceBound)
-		for _, n := range w.nodes[1:] {
-			n.link.set(true, false)
+		c := newCluster(make([]string, 100)...)
+		defer c.close()
+		setTokens(is, c.store, "p1", 1)
+		time.Sleep(propagationLimit)
+		for _, n := range c.nodes[1:] {
+			n.client.setFaults(true, false)
 		}
 		start := time.Now()
-		accepted := set(is, w.store, "p1", 2)
-		behind := func() (count int) {
-			for _, n := range w.nodes {
+		accepted := setTokens(is, c.store, "p1", 2)
+		outdated := func() (count int) {
+			for _, n := range c.nodes {
 				if n.Current().Version < accepted.Version {
 					count++
 				}
 			}
 			return count
 		}
-		for behind() > 0 && time.Since(start) < time.Minute {
+		for outdated() > 0 && time.Since(start) < time.Minute {
 			time.Sleep(time.Millisecond)
 		}
 		var offers int64
-		for _, n := range w.nodes {
+		for _, n := range c.nodes {
 			offers += n.source.Load().offered.Count()
 		}
 		t.Logf("in force on 100 instances after %v, %d manifests offered", time.Since(start), offers)
-		is.True(time.Since(start) < forceBound)
+		is.True(time.Since(start) < propagationLimit)
 	})
 }
 
-// A source follows the object API over HTTP: it reads, watches, resumes after
-// the store was down, and goes on.
+// A source follows the object API over HTTP: it reads, watches, and resumes its watch after the store
+// was down.
 func TestSourceOverHTTP(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewStore()
@@ -359,7 +358,7 @@
 	done := make(chan error)
 	go func() { done <- source.Run(ctx) }()
 	for tokens := int64(1); tokens <= 4; tokens++ {
-		accepted := set(is, client, "p1", tokens)
+		accepted := setTokens(is, client, "p1", tokens)
 		awaitVersion([]*Source{source}, accepted.Version)
 		is.Equal(source.Current().Plans.Lookup("p1").Budget.Tokens, tokens)
 		if tokens == 2 {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,12 +6,12 @@
 	"foxhall/internal/usage"
 )
 
-// Validate judges both lists as a pair: each by its own rules, and each grant
-// by the plan it refers to. The error, if any, is listfile.Problems.
+// Validate checks each list against its own rules, and that each grant refers to a plan of the plans
+// list. The error, if any, is listfile.Problems.
 func Validate(plans *plan.List, list *usage.List) error {
 	var problems listfile.Problems
-	problems = collect(problems, plans.Check())
-	problems = collect(problems, list.Check())
+	problems = appendProblems(problems, plans.Check())
+	problems = appendProblems(problems, list.Check())
 	checker := list.Checker()
 	for i := range list.Grants {
 		name := list.Grants[i].Plan
@@ -23,15 +23,15 @@
 	return append(problems, checker.Problems...).Err()
 }
 
-func collect(problems listfile.Problems, err error) listfile.Problems {
+func appendProblems(problems listfile.Problems, err error) listfile.Problems {
 	if found, ok := err.(listfile.Problems); ok {
 		return append(problems, found...)
 	}
 	return problems
 }
 
-// withLines fills in the lines of problems found in a merged pair, as far as
-// the entries stand in the files of the proposal.
+// withLines adds line numbers to problems found in the merged lists, for entries that are in the
+// files of the proposal.
 func withLines(err error, p *Proposal) error {
 	problems, ok := err.(listfile.Problems)
 	if !ok {
--- a/internal/config/world_test.go
+++ b/internal/config/world_test.go
@@ -27,133 +27,140 @@
 	os.Exit(m.Run())
 }
 
-// memory keeps the first answer that anybody got for a key, for regressed reads.
-type memory struct {
-	mu    sync.Mutex
-	first map[store.Key]store.Object
+// firstReads stores the first object that any client read for each key, to be returned by stale reads.
+type firstReads struct {
+	mu      sync.Mutex
+	objects map[store.Key]store.Object
 }
 
-// link is one party's way to the store, with faults of its own.
-type link struct {
+// faultyClient is the store client of one instance or operator, with its own faults.
+type faultyClient struct {
 	store.Client
-	memory *memory
+	firstReads *firstReads
 
-	mu        sync.Mutex
-	cut       bool
-	regressed bool
-	ctxs      []context.CancelFunc
+	mu          sync.Mutex
+	unreachable bool
+	staleReads  bool
+	cancels     []context.CancelFunc
 }
 
-func (l *link) set(cut, regressed bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.cut, l.regressed = cut, regressed
-	for _, cancel := range l.ctxs {
+// setFaults replaces the client's faults and ends its watches. While unreachable, all calls fail except
+// Delete and List; with staleReads, reads return the first object read.
+func (c *faultyClient) setFaults(unreachable, staleReads bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.unreachable, c.staleReads = unreachable, staleReads
+	for _, cancel := range c.cancels {
 		cancel()
 	}
-	l.ctxs = nil
+	c.cancels = nil
 }
 
-func (l *link) faults() (cut, regressed bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.cut, l.regressed
+func (c *faultyClient) faults() (unreachable, staleReads bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.unreachable, c.staleReads
 }
 
-func (l *link) Get(ctx context.Context, key store.Key) (store.Object, error) {
-	cut, regressed := l.faults()
-	if cut {
+func (c *faultyClient) Get(ctx context.Context, key store.Key) (store.Object, error) {
+	unreachable, staleReads := c.faults()
+	if unreachable {
 		return store.Object{}, store.ErrUnavailable
 	}
-	object, err := l.Client.Get(ctx, key)
+	object, err := c.Client.Get(ctx, key)
 	if err != nil {
 		return object, err
 	}
-	l.memory.mu.Lock()
-	defer l.memory.mu.Unlock()
-	if _, ok := l.memory.first[key]; !ok {
-		l.memory.first[key] = object
+	c.firstReads.mu.Lock()
+	defer c.firstReads.mu.Unlock()
+	if _, ok := c.firstReads.objects[key]; !ok {
+		c.firstReads.objects[key] = object
 	}
-	if regressed {
-		return l.memory.first[key], nil
+	if staleReads {
+		return c.firstReads.objects[key], nil
 	}
 	return object, nil
 }
 
-func (l *link) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
-	if cut, _ := l.faults(); cut {
+func (c *faultyClient) Put(ctx context.Context, key store.Key, value []byte, base store.Version) (store.Version, error) {
+	if unreachable, _ := c.faults(); unreachable {
 		return 0, store.ErrUnavailable
 	}
-	return l.Client.Put(ctx, key, value, base)
+	return c.Client.Put(ctx, key, value, base)
 }
 
-func (l *link) Watch(ctx context.Context, kind string, from store.Version) (<-chan store.Event, error) {
-	if cut, _ := l.faults(); cut {
+func (c *faultyClient) Watch(ctx context.Context, kind string, from store.Version) (<-chan store.Event, error) {
+	if unreachable, _ := c.faults(); unreachable {
 		return nil, store.ErrUnavailable
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	l.mu.Lock()
-	l.ctxs = append(l.ctxs, cancel)
-	l.mu.Unlock()
-	return l.Client.Watch(ctx, kind, from)
+	c.mu.Lock()
+	c.cancels = append(c.cancels, cancel)
+	c.mu.Unlock()
+	return c.Client.Watch(ctx, kind, from)
 }
 
-// node is one instance's source through its lives.
+// node is an instance with its present source, which a restart replaces.
 type node struct {
-	source atomic.Pointer[Source]
-	alone  atomic.Bool
-	world  *world
-	index  int
-	link   *link
-	folder string
-	stop   func()
-	// floor is the highest version seen in force.
-	floor uint64
-}
-
-// world is a store, instances and operators, in virtual time.
-type world struct {
-	store     *standin.Store
-	memory    *memory
-	nodes     []*node
-	operators []*link
-}
-
-func newWorld(folders ...string) *world {
-	w := &world{store: standin.NewStore(), memory: &memory{first: map[store.Key]store.Object{}}}
+	source     atomic.Pointer[Source]
+	isolated   atomic.Bool
+	cluster    *cluster
+	index      int
+	client     *faultyClient
+	dataFolder string
+	stop       func()
+	// highestVersion is the highest version seen in force on the instance.
+	highestVersion uint64
+}
+
+// cluster is a store with instances and operators.
+type cluster struct {
+	store      *standin.Store
+	firstReads *firstReads
+	nodes      []*node
+	operators  []*faultyClient
+}
+
+// newCluster starts an instance for each data folder; an empty folder stands for no disk.
+func newCluster(folders ...string) *cluster {
+	c := &cluster{store: standin.NewStore(), firstReads: &firstReads{objects: map[store.Key]store.Object{}}}
 	for i, folder := range folders {
-		n := &node{world: w, index: i, folder: folder, link: w.link()}
-		w.nodes = append(w.nodes, n)
-		n.source.Store(n.fresh())
+		n := &node{cluster: c, index: i, dataFolder: folder, client: c.newClient()}
+		c.nodes = append(c.nodes, n)
+		n.source.Store(n.newSource())
 	}
-	for _, n := range w.nodes {
+	for _, n := range c.nodes {
 		n.run()
 	}
 	for range 3 {
-		w.operators = append(w.operators, w.link())
+		c.operators = append(c.operators, c.newClient())
 	}
-	return w
+	return c
 }
 
-func (w *world) link() *link { return &link{Client: w.store, memory: w.memory} }
+func (c *cluster) newClient() *faultyClient {
+	return &faultyClient{Client: c.store, firstReads: c.firstReads}
+}
 
-func (w *world) close() {
-	for _, n := range w.nodes {
+func (c *cluster) close() {
+	for _, n := range c.nodes {
 		n.stop()
 	}
 }
 
 func (n *node) Current() *Current { return n.source.Load().Current() }
 
-func (n *node) fresh() *Source {
-	return NewSource(n.link, Options{Peers: n, Folder: n.folder, PollInterval: 30 * time.Second})
+// newSource returns a source for the next run of the instance.
+func (n *node) newSource() *Source {
+	return NewSource(n.client, Options{Peers: n, Folder: n.dataFolder, PollInterval: 30 * time.Second})
 }
 
 func (n *node) start() {
-	n.source.Store(n.fresh())
+	n.source.Store(n.newSource())
 	n.run()
 }
 
+// run runs the present source until stop is called.
 func (n *node) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	source := n.source.Load()
@@ -168,39 +175,41 @@
 // Sample implements Peers.
 func (n *node) Sample(count int) []Peer {
 	var peers []Peer
-	for _, i := range rand.Perm(len(n.world.nodes)) {
+	for _, i := range rand.Perm(len(n.cluster.nodes)) {
 		if i != n.index && len(peers) < count {
-			peers = append(peers, wire{from: n, to: n.world.nodes[i]})
+			peers = append(peers, peerLink{from: n, to: n.cluster.nodes[i]})
 		}
 	}
 	return peers
 }
 
-// wire is a peer across a network that can be partitioned.
-type wire struct{ from, to *node }
+// peerLink is a peer reached over a network that can be partitioned.
+type peerLink struct{ from, to *node }
 
-var errPartition = errors.New("partition")
+var errPartitioned = errors.New("partition")
 
-func (w wire) Name() string { return fmt.Sprint(w.to.index) }
+func (p peerLink) Name() string { return fmt.Sprint(p.to.index) }
 
-func (w wire) open() error {
-	if w.from.alone.Load() || w.to.alone.Load() {
-		return errPartition
+func (p peerLink) checkReachable() error {
+	if p.from.isolated.Load() || p.to.isolated.Load() {
+		return errPartitioned
 	}
 	return nil
 }
 
-func (w wire) Version(context.Context) (uint64, error) { return w.to.source.Load().Version(), w.open() }
+func (p peerLink) Version(context.Context) (uint64, error) {
+	return p.to.source.Load().Version(), p.checkReachable()
+}
 
-func (w wire) Export(_ context.Context, have Have) (Update, error) {
-	return w.to.source.Load().Export(have), w.open()
+func (p peerLink) Export(_ context.Context, have Have) (Update, error) {
+	return p.to.source.Load().Export(have), p.checkReachable()
 }
 
-func (w wire) Offer(_ context.Context, update Update) ([]Digest, error) {
-	if err := w.open(); err != nil {
+func (p peerLink) Offer(_ context.Context, update Update) ([]Digest, error) {
+	if err := p.checkReachable(); err != nil {
 		return nil, err
 	}
-	return w.to.source.Load().Offer(update)
+	return p.to.source.Load().Offer(update)
 }
 
 // withTokens returns the plans with one plan's token budget set, or without the plan.
@@ -228,7 +237,7 @@
 	}
 }
 
-// testUsage grants each of count plans one of a few models.
+// testUsage returns a usage list that grants each plan one model.
 func testUsage(plans *plan.List) *usage.List {
 	list := &usage.List{
 		Models:   []usage.Model{{Name: "oak"}, {Name: "elm"}},
--- a/internal/plan/rule.go
+++ b/internal/plan/rule.go
@@ -6,37 +6,38 @@
 	"foxhall/internal/listfile"
 )
 
-// Bounds of sane values. They catch slips of the unit, such as a price in
-// whole units where micros are meant, before the pair is accepted.
+// Limits of plausible values. They catch values in the wrong unit, such as a price in whole currency
+// units instead of micros, before the lists are accepted.
 const (
-	// MaxMoney keeps sums of a plan's reservations far from overflow.
+	// MaxMoney is the largest money budget; it keeps sums of a plan's reservations far from overflow.
 	MaxMoney Micros = 1e15
-	// MaxTokens does the same for tokens.
+	// MaxTokens is the largest token budget; it keeps sums of reservations far from overflow, too.
 	MaxTokens int64 = 1e15
-	// MinWindow is far above the bound on clocks that differ (package budget).
+	// MinWindow is the shortest budget window. It is far above the permitted difference between the
+	// instances' clocks (see package budget).
 	MinWindow = 10 * time.Second
 	// MaxWindow is the longest budget window.
 	MaxWindow = 366 * 24 * time.Hour
-	// MaxRate is in steps per second.
+	// MaxRate is the highest rate limit, in steps per second.
 	MaxRate = 1e6
 	// MaxPriority is the highest priority.
 	MaxPriority = 9
-	// FullCut is the whole price in basis points.
-	FullCut = 10000
+	// FullCutBasisPoints is the full price in basis points.
+	FullCutBasisPoints = 10000
 
-	maxCount    = 1e6
-	maxHistory  = 1e8
-	maxLifetime = 366 * 24 * time.Hour
+	maxCount         = 1e6
+	maxHistoryTokens = 1e8
+	maxLifetime      = 366 * 24 * time.Hour
 )
 
-// Unlimited reports whether the budget bounds nothing.
+// Unlimited reports whether the budget limits neither money nor tokens.
 func (b Budget) Unlimited() bool { return b.Money == 0 && b.Tokens == 0 }
 
 func (p *Plan) check(c *listfile.Checker) {
 	c.Name("name", p.Name)
 	c.Name("customer", p.Customer)
 	c.Range("priority", int64(p.Priority), 0, MaxPriority)
-	c.Range("cut_basis_points", int64(p.CutBasisPoints), 0, FullCut)
+	c.Range("cut_basis_points", int64(p.CutBasisPoints), 0, FullCutBasisPoints)
 	p.Budget.check(c)
 	p.Limits.check(c)
 	p.Bounds.check(c)
@@ -67,7 +68,7 @@
 	c.Range("bounds.steps", int64(b.Steps), 0, maxCount)
 	c.Range("bounds.depth", int64(b.Depth), 0, maxCount)
 	c.Range("bounds.children", int64(b.Children), 0, maxCount)
-	c.Range("bounds.history_tokens", int64(b.HistoryTokens), 0, maxHistory)
+	c.Range("bounds.history_tokens", int64(b.HistoryTokens), 0, maxHistoryTokens)
 	b.checkTime(c, "bounds.lifetime", b.Lifetime)
 	b.checkTime(c, "bounds.step_time", b.StepTime)
 }
