--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,7 +11,7 @@
 )
 
 // minSecret is the least length of the peers' secret, in characters.
-const minSecret = 16
+const minSecretLength = 16
 
 // Policies are the values of placement.policy.
 var Policies = []string{"cost", "round-robin", "least-in-flight", "program-hash", "prefix-only"}
@@ -19,12 +19,12 @@
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,31}$`)
 
 type checker struct {
-	faults []*Error
+	errs []*Error
 }
 
 func (c *checker) require(ok bool, key, expected string) {
 	if !ok {
-		c.faults = append(c.faults, &Error{Key: key, Expected: expected})
+		c.errs = append(c.errs, &Error{Key: key, Expected: expected})
 	}
 }
 
@@ -34,35 +34,35 @@
 
 func (s *Settings) check() []*Error {
 	c := &checker{}
-	name := "1 to 32 of a-z, 0-9 and -, starting with a letter or digit"
-	c.require(namePattern.MatchString(s.Instance), "instance", name)
-	c.require(namePattern.MatchString(s.DataCentre), "data_centre", name)
+	nameFormat := "1 to 32 of a-z, 0-9 and -, starting with a letter or digit"
+	c.require(namePattern.MatchString(s.Instance), "instance", nameFormat)
+	c.require(namePattern.MatchString(s.DataCentre), "data_centre", nameFormat)
 	c.require(s.Size > 0 && s.Size <= 1000, "size", "a number above 0, at most 1000")
 	s.checkAddresses(c)
 	s.checkStore(c)
 	s.checkPeers(c)
 	s.checkCallers(c)
-	c.require(s.Operators.KeyHash == "" || isSum(s.Operators.KeyHash), "operators.key_hash", "a SHA-256 sum in hex (64 digits)")
+	c.require(s.Operators.KeyHash == "" || isSHA256Hex(s.Operators.KeyHash), "operators.key_hash", "a SHA-256 sum in hex (64 digits)")
 	c.positive(s.Programs.GapWait, "programs.gap_wait")
 	c.positive(s.Programs.IdleExpiry, "programs.idle_expiry")
 	c.positive(s.Programs.TakeOverGrace, "programs.take_over_grace")
 	c.require(slices.Contains(Policies, s.Placement.Policy), "placement.policy", "one of "+strings.Join(Policies, ", "))
 	c.require(s.Placement.QueueLimit > 0, "placement.queue_limit", "a whole number above 0")
-	for dc, way := range s.Placement.DataCentreRTT {
-		c.require(namePattern.MatchString(dc) && way >= 0, "placement.ways", "names of data centres with durations, such as sul-b = \"1ms\"")
+	for dc, rtt := range s.Placement.DataCentreRTT {
+		c.require(namePattern.MatchString(dc) && rtt >= 0, "placement.ways", "names of data centres with durations, such as sul-b = \"1ms\"")
 	}
 	c.positive(s.Shutdown.Grace, "shutdown.grace")
 	c.require(slices.Contains([]string{"text", "json"}, s.Log.Format), "log.format", "text or json")
 	c.require(slices.Contains([]string{"debug", "info", "warn", "error"}, s.Log.Level), "log.level", "debug, info, warn or error")
-	return c.faults
+	return c.errs
 }
 
 func (s *Settings) checkAddresses(c *checker) {
-	address := "an IP number and port, such as 10.0.0.1:8080"
-	c.require(isAddress(s.Listen.Callers), "listen.callers", address)
-	c.require(isAddress(s.Listen.Peers), "listen.peers", address)
+	addressFormat := "an IP number and port, such as 10.0.0.1:8080"
+	c.require(isAddrPort(s.Listen.Callers), "listen.callers", addressFormat)
+	c.require(isAddrPort(s.Listen.Peers), "listen.peers", addressFormat)
 	for _, seed := range s.Peers.Seeds {
-		c.require(isAddress(seed), "peers.seeds", "a list of "+address)
+		c.require(isAddrPort(seed), "peers.seeds", "a list of "+addressFormat)
 	}
 }
 
@@ -76,7 +76,7 @@
 }
 
 func (s *Settings) checkPeers(c *checker) {
-	c.require(len(s.Peers.Secret) >= minSecret, "peers.secret", "at least 16 characters, the same on every instance")
+	c.require(len(s.Peers.Secret) >= minSecretLength, "peers.secret", "at least 16 characters, the same on every instance")
 	c.positive(s.Peers.Timeout, "peers.timeout")
 	c.positive(s.Peers.Heartbeat, "peers.heartbeat")
 	c.require(s.Peers.ProbeTimeout > 0 && s.Peers.ProbeTimeout <= s.Peers.Heartbeat, "peers.probe_timeout", "a duration above zero, at most peers.heartbeat")
@@ -93,12 +93,12 @@
 	c.require(s.Callers.DefaultDeadline.Std() >= time.Second, "callers.default_deadline", "at least 1s")
 }
 
-func isAddress(text string) bool {
+func isAddrPort(text string) bool {
 	_, err := netip.ParseAddrPort(text)
 	return err == nil
 }
 
-func isSum(text string) bool {
+func isSHA256Hex(text string) bool {
 	raw, err := hex.DecodeString(text)
 	return err == nil && len(raw) == 32
 }
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -11,7 +11,7 @@
 )
 
 // keysOf walks the settings and returns each dotted key with its default as the page writes it.
-func keysOf(prefix string, v reflect.Value, keys map[string]string) {
+func defaultsByKey(prefix string, v reflect.Value, keys map[string]string) {
 	for i := range v.NumField() {
 		key := prefix + v.Type().Field(i).Tag.Get("toml")
 		field := v.Field(i)
@@ -29,7 +29,7 @@
 			}
 		default:
 			if field.Kind() == reflect.Struct {
-				keysOf(key+".", field, keys)
+				defaultsByKey(key+".", field, keys)
 				continue
 			}
 			keys[key] = fmt.Sprint(value)
@@ -38,12 +38,12 @@
 }
 
 // The page lists exactly the keys that the code reads, with the defaults in force.
-func TestPageListsEveryKey(t *testing.T) {
+func TestDocumentationListsAllKeysWithDefaults(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/CONFIGURATION.md")
 	is.NoErr(err)
 	keys := map[string]string{}
-	keysOf("", reflect.ValueOf(Default()), keys)
+	defaultsByKey("", reflect.ValueOf(Default()), keys)
 	listed := 0
 	for _, line := range strings.Split(string(page), "\n") {
 		cells := strings.Split(line, "|")
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -43,40 +43,40 @@
 	if err != nil {
 		return Settings{}, decodeError(file, err)
 	}
-	faults := s.check()
-	if len(faults) == 0 {
+	errs := s.check()
+	if len(errs) == 0 {
 		return s, nil
 	}
 	lines := keyLines(text)
-	messages := make([]string, 0, len(faults))
-	for _, f := range faults {
-		f.File = file
-		f.Line = lines[f.Key]
-		messages = append(messages, f.Error())
+	messages := make([]string, 0, len(errs))
+	for _, e := range errs {
+		e.File = file
+		e.Line = lines[e.Key]
+		messages = append(messages, e.Error())
 	}
 	return Settings{}, errors.New(strings.Join(messages, "\n"))
 }
 
 func decodeError(file string, err error) error {
-	var unknown *toml.StrictMissingError
-	if errors.As(err, &unknown) {
-		return joinUnknown(file, unknown)
+	var strict *toml.StrictMissingError
+	if errors.As(err, &strict) {
+		return unknownKeysError(file, strict)
 	}
-	var bad *toml.DecodeError
-	if errors.As(err, &bad) {
-		line, _ := bad.Position()
-		key := strings.Join(bad.Key(), ".")
-		return errors.Errorf("%s:%d: %s: %s", file, line, key, bad.Error())
+	var decode *toml.DecodeError
+	if errors.As(err, &decode) {
+		line, _ := decode.Position()
+		key := strings.Join(decode.Key(), ".")
+		return errors.Errorf("%s:%d: %s: %s", file, line, key, decode.Error())
 	}
 	return errors.Wrap(err, file)
 }
 
-func joinUnknown(file string, unknown *toml.StrictMissingError) error {
-	messages := make([]string, 0, len(unknown.Errors))
-	for _, e := range unknown.Errors {
+func unknownKeysError(file string, strict *toml.StrictMissingError) error {
+	messages := make([]string, 0, len(strict.Errors))
+	for _, e := range strict.Errors {
 		line, _ := e.Position()
-		fault := Error{File: file, Line: line, Key: strings.Join(e.Key(), "."), Expected: "a known key (see docs/CONFIGURATION.md)"}
-		messages = append(messages, fault.Error())
+		unknownKey := Error{File: file, Line: line, Key: strings.Join(e.Key(), "."), Expected: "a known key (see docs/CONFIGURATION.md)"}
+		messages = append(messages, unknownKey.Error())
 	}
 	return errors.New(strings.Join(messages, "\n"))
 }
@@ -89,7 +89,7 @@
 	parser.Reset(text)
 	for parser.NextExpression() {
 		node := parser.Expression()
-		name, line := nodeKey(&parser, node)
+		name, line := keyAndLine(&parser, node)
 		switch node.Kind {
 		case unstable.Table, unstable.ArrayTable:
 			table = name + "."
@@ -100,7 +100,7 @@
 	return lines
 }
 
-func nodeKey(parser *unstable.Parser, node *unstable.Node) (string, int) {
+func keyAndLine(parser *unstable.Parser, node *unstable.Node) (string, int) {
 	var parts []string
 	line := 0
 	for it := node.Key(); it.Next(); {
