--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -10,18 +10,20 @@
 	"time"
 )
 
-// minSecret is the least length of the peers' secret, in characters.
+// minSecretLength is the minimum length of peers.secret in bytes.
 const minSecretLength = 16
 
-// Policies are the values of placement.policy.
+// Policies lists the valid values of placement.policy.
 var Policies = []string{"cost", "round-robin", "least-in-flight", "program-hash", "prefix-only"}
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,31}$`)
 
+// checker collects the invalid keys of the settings.
 type checker struct {
 	errs []*Error
 }
 
+// require adds an error for the key unless ok is true.
 func (c *checker) require(ok bool, key, expected string) {
 	if !ok {
 		c.errs = append(c.errs, &Error{Key: key, Expected: expected})
@@ -49,7 +51,7 @@
 	c.require(slices.Contains(Policies, s.Placement.Policy), "placement.policy", "one of "+strings.Join(Policies, ", "))
 	c.require(s.Placement.QueueLimit > 0, "placement.queue_limit", "a whole number above 0")
 	for dc, rtt := range s.Placement.DataCentreRTT {
-		c.require(namePattern.MatchString(dc) && rtt >= 0, "placement.ways", "names of data centres with durations, such as sul-b = \"1ms\"")
+		c.require(namePattern.MatchString(dc) && rtt >= 0, "placement.ways", "names of data centres with round-trip times, such as sul-b = \"1ms\"")
 	}
 	c.positive(s.Shutdown.Grace, "shutdown.grace")
 	c.require(slices.Contains([]string{"text", "json"}, s.Log.Format), "log.format", "text or json")
@@ -58,11 +60,11 @@
 }
 
 func (s *Settings) checkAddresses(c *checker) {
-	addressFormat := "an IP number and port, such as 10.0.0.1:8080"
+	addressFormat := "an IP address and port, such as 10.0.0.1:8080"
 	c.require(isAddrPort(s.Listen.Callers), "listen.callers", addressFormat)
 	c.require(isAddrPort(s.Listen.Peers), "listen.peers", addressFormat)
 	for _, seed := range s.Peers.Seeds {
-		c.require(isAddrPort(seed), "peers.seeds", "a list of "+addressFormat)
+		c.require(isAddrPort(seed), "peers.seeds", "a list, each item "+addressFormat)
 	}
 }
 
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -10,7 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// keysOf walks the settings and returns each dotted key with its default as the page writes it.
+// defaultsByKey adds each dotted key below v to keys, with its default in the notation of
+// docs/CONFIGURATION.md.
 func defaultsByKey(prefix string, v reflect.Value, keys map[string]string) {
 	for i := range v.NumField() {
 		key := prefix + v.Type().Field(i).Tag.Get("toml")
@@ -37,7 +38,7 @@
 	}
 }
 
-// The page lists exactly the keys that the code reads, with the defaults in force.
+// docs/CONFIGURATION.md must list exactly the keys that the code reads, with their defaults.
 func TestDocumentationListsAllKeysWithDefaults(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/CONFIGURATION.md")
@@ -54,12 +55,12 @@
 		key := strings.Trim(cells[1], " `")
 		want, ok := keys[key]
 		if !ok {
-			t.Errorf("the page lists %s, which is no key", key)
+			t.Errorf("the page lists the key %s, which does not exist", key)
 			continue
 		}
 		got := strings.Trim(cells[3], " `")
 		if got != want && !(got == "required" && want == `""`) {
-			t.Errorf("%s: the page gives the default %s, the code %s", key, got, want)
+			t.Errorf("%s: the default is %s on the page and %s in the code", key, got, want)
 		}
 	}
 	is.Equal(listed, len(keys))
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -11,10 +11,12 @@
 	"github.com/pkg/errors"
 )
 
-// Error is one fault in a settings file.
+// Error describes a missing or invalid key of a settings file.
 type Error struct {
-	File     string
-	Line     int
+	File string
+	// Line counts from 1; 0 means that the file does not set the key.
+	Line int
+	// Key is the dotted key.
 	Key      string
 	Expected string
 }
@@ -27,7 +29,7 @@
 	return fmt.Sprintf("%s:%d: %s: expected %s", e.File, e.Line, e.Key, e.Expected)
 }
 
-// Load reads and checks a settings file. All faults found are joined in the error.
+// Load reads and validates a settings file. The error has one line for each invalid key found.
 func Load(file string) (Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -36,7 +38,7 @@
 	return Parse(file, text)
 }
 
-// Parse reads and checks the text of a settings file; file names it in errors.
+// Parse decodes and validates the text of a settings file. The name file appears in errors.
 func Parse(file string, text []byte) (Settings, error) {
 	s := Default()
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&s)
@@ -81,7 +83,7 @@
 	return errors.New(strings.Join(messages, "\n"))
 }
 
-// keyLines maps each dotted key of a well-formed document to its line.
+// keyLines returns the line of each dotted key. The text must be well-formed TOML.
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	table := ""
@@ -100,6 +102,7 @@
 	return lines
 }
 
+// keyAndLine returns the dotted key of a table or key-value expression and its line.
 func keyAndLine(parser *unstable.Parser, node *unstable.Node) (string, int) {
 	var parts []string
 	line := 0
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the static settings of one instance from TOML. What
-// may change while an instance runs stands in the two lists instead.
+// Package settings reads an instance's static settings from TOML. What can change while an instance
+// runs is configured in the lists of plans and usage instead.
 package settings
 
 import (
@@ -8,12 +8,12 @@
 
 // Settings are the static settings of an instance.
 type Settings struct {
-	// Instance names this instance, unique within the data centre.
+	// Instance is the name of this instance, which must be unique within the data centre.
 	Instance   string `toml:"instance"`
 	DataCentre string `toml:"data_centre"`
-	// Size is this machine's capacity relative to the others'; 1 is usual.
+	// Size is this machine's capacity relative to other instances' machines, usually 1.
 	Size float64 `toml:"size"`
-	// DataFolder holds bulk data; empty on an instance without a disk.
+	// DataFolder is the folder for bulk data, or empty on an instance without a disk.
 	DataFolder string    `toml:"data_folder"`
 	Listen     Listen    `toml:"listen"`
 	Store      Store     `toml:"store"`
@@ -26,90 +26,91 @@
 	Log        Log       `toml:"log"`
 }
 
-// Listen gives the addresses, host:port with an IP number, that an instance serves.
+// Listen contains the addresses, IP:PORT, on which an instance listens.
 type Listen struct {
 	Callers string `toml:"callers"`
 	Peers   string `toml:"peers"`
 }
 
-// Store says how to reach the platform's object API.
+// Store configures access to the platform's object API.
 type Store struct {
-	// URL has scheme and host only.
+	// URL consists of scheme and host only.
 	URL     string   `toml:"url"`
 	Timeout Duration `toml:"timeout"`
-	// ReadsPerSecond and WritesPerSecond are this instance's share of the platform's rates.
+	// ReadsPerSecond and WritesPerSecond are this instance's share of the platform's rate limits.
 	ReadsPerSecond  float64 `toml:"reads_per_second"`
 	WritesPerSecond float64 `toml:"writes_per_second"`
 }
 
-// Peers says how instances reach each other.
+// Peers configures the communication between instances.
 type Peers struct {
-	// Seeds are peer addresses to try first; the store's list completes them.
+	// Seeds are the peer addresses to contact first. The others come from the list in the store.
 	Seeds []string `toml:"seeds"`
-	// Secret authenticates instances to each other; at least 16 characters.
+	// Secret authenticates instances to each other. It has at least 16 characters.
 	Secret    string   `toml:"secret"`
 	Timeout   Duration `toml:"timeout"`
 	Heartbeat Duration `toml:"heartbeat"`
-	// ProbeTimeout bounds one heartbeat.
+	// ProbeTimeout is the timeout of one heartbeat.
 	ProbeTimeout Duration `toml:"probe_timeout"`
-	// SuspectTimeout is the least time between suspicion of an instance and
-	// its take-over; LoneTimeout replaces it where no other witness exists.
+	// SuspectTimeout is the minimum time for which an instance is suspected before it is declared
+	// dead and taken over. LoneTimeout applies instead if there is no other instance as a witness.
 	SuspectTimeout Duration `toml:"suspect_timeout"`
 	LoneTimeout    Duration `toml:"lone_timeout"`
 }
 
-// Callers bounds what callers may send.
+// Callers contains the limits for callers' connections and requests.
 type Callers struct {
 	MaxBodyBytes   int64    `toml:"max_body_bytes"`
 	MaxHeaderBytes int      `toml:"max_header_bytes"`
 	ReadTimeout    Duration `toml:"read_timeout"`
 	IdleTimeout    Duration `toml:"idle_timeout"`
 	MaxRequests    int      `toml:"max_requests"`
-	// DefaultDeadline bounds a step whose caller gives no deadline.
+	// DefaultDeadline is the time allowed for a step whose caller sets no deadline.
 	DefaultDeadline Duration `toml:"default_deadline"`
 }
 
-// Operators says who may use the operators' endpoints.
+// Operators configures access to the operators' endpoints.
 type Operators struct {
-	// KeyHash is the SHA-256 sum, in hex, of the operators' bearer key.
-	// Empty closes the operators' endpoints.
+	// KeyHash is the SHA-256 sum, in hex, of the operators' bearer key. If it is empty, the
+	// operators' endpoints are disabled.
 	KeyHash string `toml:"key_hash"`
 }
 
-// Programs bounds what is kept for programs.
+// Programs contains the timeouts of programs and their steps.
 type Programs struct {
-	// GapWait is how long a step waits for an earlier one that is missing.
+	// GapWait is the maximum time that a step waits for an earlier step that has not arrived.
 	GapWait Duration `toml:"gap_wait"`
-	// IdleExpiry ends a program that has had no step for so long.
+	// IdleExpiry is the time without steps after which a program is ended.
 	IdleExpiry Duration `toml:"idle_expiry"`
-	// TakeOverGrace is how long an instance is known to be dead before its
-	// programs are taken over.
+	// TakeOverGrace is the time between the declaration that an instance is dead and the take-over
+	// of its programs.
 	TakeOverGrace Duration `toml:"take_over_grace"`
 }
 
-// Placement says how calls are placed.
+// Placement configures the placement of calls.
 type Placement struct {
-	// Policy is "cost" or one of the baselines kept for comparison.
+	// Policy is "cost" or one of the other Policies, which are baselines for comparison.
 	Policy string `toml:"policy"`
-	// QueueLimit is the number of steps that may wait for one model or service.
+	// QueueLimit is the maximum number of steps that wait for one model or service.
 	QueueLimit int `toml:"queue_limit"`
-	// Ways gives for other data centres the time of the way there and back.
+	// DataCentreRTT maps the names of other data centres to the round-trip times to them.
 	DataCentreRTT map[string]Duration `toml:"ways"`
 }
 
-// Shutdown bounds a planned stop.
+// Shutdown configures a graceful stop.
 type Shutdown struct {
+	// Grace is the maximum time that a stopping instance waits for its steps in flight.
 	Grace Duration `toml:"grace"`
 }
 
-// Log says how to log.
+// Log configures logging.
 type Log struct {
 	// Format is "text" or "json"; Level is "debug", "info", "warn" or "error".
 	Format string `toml:"format"`
 	Level  string `toml:"level"`
 }
 
-// Duration is a time.Duration that TOML writes as a string such as "250ms".
+// Duration is a time.Duration that is written as a string such as "250ms" in TOML.
 type Duration time.Duration
 
 // Std returns the duration as a time.Duration.
@@ -125,7 +126,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.Std().String()), nil }
 
-// Default returns the settings in force where a file says nothing.
+// Default returns the settings for the keys that a file does not set.
 func Default() Settings {
 	return Settings{
 		Size:  1,
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,7 +22,7 @@
 	for _, test := range []struct{ name, text, want string }{
 		{"valid", valid, ""},
 		{"unknown key", valid + "secrets = 1\n", "f.toml:10: peers.secrets: expected a known key"},
-		{"bad address", strings.Replace(valid, "127.0.0.1:8080", "localhost:8080", 1), "f.toml:4: listen.callers: expected an IP number"},
+		{"bad address", strings.Replace(valid, "127.0.0.1:8080", "localhost:8080", 1), "f.toml:4: listen.callers: expected an IP address"},
 		{"bad type", strings.Replace(valid, `"sul-1"`, "7", 1), "f.toml:1: instance"},
 		{"bad duration", valid + "timeout = \"soon\"\n", "f.toml:10"},
 		{"short secret", strings.Replace(valid, "0123456789abcdef", "short", 1), "f.toml:9: peers.secret: expected at least 16"},
