--- a/internal/listfile/problem.go
+++ b/internal/listfile/problem.go
@@ -6,7 +6,7 @@
 )
 
 // maxPrinted bounds the problems that one message prints.
-const maxPrinted = 20
+const maxPrintedProblems = 20
 
 // Problem is one thing wrong with a list.
 type Problem struct {
@@ -48,11 +48,11 @@
 
 // Error implements error.
 func (ps Problems) Error() string {
-	lines := make([]string, 0, maxPrinted+1)
-	for _, p := range ps[:min(len(ps), maxPrinted)] {
+	lines := make([]string, 0, maxPrintedProblems+1)
+	for _, p := range ps[:min(len(ps), maxPrintedProblems)] {
 		lines = append(lines, p.Error())
 	}
-	if more := len(ps) - maxPrinted; more > 0 {
+	if more := len(ps) - maxPrintedProblems; more > 0 {
 		lines = append(lines, fmt.Sprintf("and %d more", more))
 	}
 	return strings.Join(lines, "\n")
--- a/internal/listfile/rule.go
+++ b/internal/listfile/rule.go
@@ -9,8 +9,8 @@
 
 // Name bounds: names become parts of object names and log lines.
 const (
-	maxName      = 100
-	expectedName = "1 to 100 letters, digits, '.', '_', '-', '/', '+' or '@', beginning with a letter or digit"
+	maxNameLength      = 100
+	expectedNameFormat = "1 to 100 letters, digits, '.', '_', '-', '/', '+' or '@', beginning with a letter or digit"
 )
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/+@-]*$`)
@@ -51,8 +51,8 @@
 
 // Name checks a name that must be given.
 func (c *Checker) Name(key, value string) {
-	if len(value) > maxName || !namePattern.MatchString(value) {
-		c.Add(key, expectedName, "%q", value)
+	if len(value) > maxNameLength || !namePattern.MatchString(value) {
+		c.Add(key, expectedNameFormat, "%q", value)
 	}
 }
 
