--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -1,6 +1,5 @@
-// Package listfile decodes the operators' lists from TOML and remembers the
-// line of each entry and key, so that a rule of a list can name the line that
-// breaks it although it runs on the decoded values.
+// Package listfile decodes the operators' lists from TOML and records the line of each entry and key,
+// so that validation, which runs on the decoded values, can report the line of a problem.
 package listfile
 
 import (
@@ -14,13 +13,15 @@
 	"github.com/pkg/errors"
 )
 
-// Positions holds the lines of a decoded list. Its nil value knows none.
+// Positions contains the lines of the entries and keys of a decoded list. A nil *Positions contains
+// none.
 type Positions struct {
+	// lines is keyed by path, such as "plan[0].budget.tokens".
 	lines map[string]int
 }
 
-// Decode reads the TOML text of the named list into the value that into points
-// at. Unknown keys are refused. The error is Problems.
+// Decode decodes the TOML text of the named list into target, which is a pointer. Unknown keys are
+// refused. The error has type Problems.
 func Decode(list string, text []byte, target any) (*Positions, error) {
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(target); err != nil {
@@ -29,9 +30,9 @@
 	return findPositions(text), nil
 }
 
-// Line returns the line, from 1, of a key of the index-th entry (from 0) of an
-// array of tables. A key that is absent or stands within an inline table has
-// the line of what encloses it; 0 says that the line is not known.
+// Line returns the line, counted from 1, of a key in an entry of an array of tables; index counts the
+// entries from 0. For a key that is absent or in an inline table it returns the line of the enclosing
+// key or entry. It returns 0 if the line is unknown.
 func (p *Positions) Line(table string, index int, key string) int {
 	if p == nil {
 		return 0
@@ -47,6 +48,7 @@
 	return p.lines[entry]
 }
 
+// problemsFromError converts an error of the TOML decoder.
 func problemsFromError(list string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -69,7 +71,7 @@
 	return Problem{List: list, Key: strings.Join(err.Key(), "."), Line: line, Found: found, Expected: expected}
 }
 
-// locate finds the line of each entry and key. The text has already been decoded.
+// findPositions finds the line of each entry and key. The text must be well-formed TOML.
 func findPositions(text []byte) *Positions {
 	l := locator{lineStarts: lineStartOffsets(text), entryCounts: map[string]int{}, lines: map[string]int{}}
 	parser := unstable.Parser{}
@@ -80,10 +82,14 @@
 	return &Positions{lines: l.lines}
 }
 
+// locator records the lines of the expressions of a TOML document, in their order.
 type locator struct {
-	lineStarts  []int
+	// lineStarts contains the byte offset of each line.
+	lineStarts []int
+	// entryCounts contains the number of entries so far of each array of tables.
 	entryCounts map[string]int
 	lines       map[string]int
+	// currentPath is the path of the table that the next key belongs to.
 	currentPath string
 }
 
@@ -102,7 +108,8 @@
 	}
 }
 
-// tablePath turns "plan.budget" into the path within the last entry of plan.
+// tablePath returns the path of a table. If key is "plan.budget" and plan is an array of tables, the
+// table belongs to the array's last entry so far.
 func (l *locator) tablePath(key string) string {
 	table, rest, found := strings.Cut(key, ".")
 	if !found || l.entryCounts[table] == 0 {
@@ -111,6 +118,7 @@
 	return entryPath(table, l.entryCounts[table]-1) + "." + rest
 }
 
+// keyAndLine returns the dotted key of a table or key-value expression and its line.
 func (l *locator) keyAndLine(node *unstable.Node) (string, int) {
 	var parts []string
 	line := 0
@@ -133,4 +141,5 @@
 	return starts
 }
 
+// entryPath returns the path of an entry of an array of tables, such as "plan[0]".
 func entryPath(table string, index int) string { return table + "[" + strconv.Itoa(index) + "]" }
--- a/internal/listfile/problem.go
+++ b/internal/listfile/problem.go
@@ -5,22 +5,23 @@
 	"strings"
 )
 
-// maxPrinted bounds the problems that one message prints.
+// maxPrintedProblems is the maximum number of problems in one error message.
 const maxPrintedProblems = 20
 
-// Problem is one thing wrong with a list.
+// Problem describes one violation of a list's rules.
 type Problem struct {
 	// List is "plans" or "usage".
 	List string
-	// Line is the line in the operators' file, from 1; 0 where there is no file.
+	// Line is the line in the operators' file, counted from 1, or 0 if there is no file or the line
+	// is unknown.
 	Line int
-	// Entry names the entry, such as `plan "donors"`; Table and Name are its parts.
+	// Entry identifies the entry, such as `plan "donors"`. Table and Name are its two parts.
 	Entry string
 	Table string
 	Name  string
-	// Key is the dotted key within the entry.
+	// Key is the dotted key relative to the entry.
 	Key string
-	// Found says what is wrong, Expected what would be right.
+	// Found describes what is wrong, Expected what would be valid.
 	Found    string
 	Expected string
 }
@@ -43,7 +44,7 @@
 	return b.String()
 }
 
-// Problems are all the things wrong with a list or a pair of lists.
+// Problems contains all problems of a list or of a pair of lists.
 type Problems []Problem
 
 // Error implements error.
--- a/internal/listfile/rule.go
+++ b/internal/listfile/rule.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Name bounds: names become parts of object names and log lines.
+// Names are limited in length and characters because they become parts of object names and log lines.
 const (
 	maxNameLength      = 100
 	expectedNameFormat = "1 to 100 letters, digits, '.', '_', '-', '/', '+' or '@', beginning with a letter or digit"
@@ -15,7 +15,8 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/+@-]*$`)
 
-// Checker collects the problems of a list, entry by entry.
+// Checker validates the entries of a list and collects their problems. Its methods apply to the
+// current entry, which Enter sets; key is the dotted key of the checked value in that entry.
 type Checker struct {
 	Problems  Problems
 	list      string
@@ -26,12 +27,12 @@
 	positions *Positions
 }
 
-// NewChecker returns a checker of the named list; positions may be nil.
+// NewChecker returns a checker for the named list. Without positions (nil) problems have no line.
 func NewChecker(list string, positions *Positions) *Checker {
 	return &Checker{list: list, positions: positions}
 }
 
-// Enter begins the index-th entry of a table; name may be empty.
+// Enter makes an entry of a table the current one. The index counts from 0; name may be empty.
 func (c *Checker) Enter(table string, index int, name string) {
 	c.table, c.index, c.name = table, index, name
 	c.entry = table + " " + strconv.Quote(name)
@@ -40,7 +41,7 @@
 	}
 }
 
-// Add records a problem of the current entry.
+// Add adds a problem of the current entry. The format and its arguments tell what was found.
 func (c *Checker) Add(key, expected, format string, args ...any) {
 	c.Problems = append(c.Problems, Problem{
 		List: c.list, Entry: c.entry, Table: c.table, Name: c.name, Key: key,
@@ -49,35 +50,35 @@
 	})
 }
 
-// Name checks a name that must be given.
+// Name checks that a required name has a valid length and characters.
 func (c *Checker) Name(key, value string) {
 	if len(value) > maxNameLength || !namePattern.MatchString(value) {
 		c.Add(key, expectedNameFormat, "%q", value)
 	}
 }
 
-// Range checks that a whole number lies between two bounds.
+// Range checks that an integer is between low and high, both inclusive.
 func (c *Checker) Range(key string, value, low, high int64) {
 	if value < low || value > high {
 		c.Add(key, fmt.Sprintf("%d to %d", low, high), "%d", value)
 	}
 }
 
-// NotNegative checks a whole number without an upper bound.
+// NotNegative checks that an integer is 0 or above.
 func (c *Checker) NotNegative(key string, value int64) {
 	if value < 0 {
 		c.Add(key, "0 or more", "%d", value)
 	}
 }
 
-// Number checks that a number is finite and lies between 0 and high.
+// Number checks that a floating-point number is finite and between 0 and high, both inclusive.
 func (c *Checker) Number(key string, value, high float64) {
 	if math.IsNaN(value) || value < 0 || value > high {
 		c.Add(key, fmt.Sprintf("0 to %g", high), "%g", value)
 	}
 }
 
-// Unique checks that name has not been seen and notes it.
+// Unique checks that name is not in seen, and adds it.
 func (c *Checker) Unique(key string, seen map[string]bool, name string) {
 	if seen[name] {
 		c.Add(key, "each name once", "%q is listed twice", name)
