--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -1,6 +1,5 @@
-// Package listfile decodes the operators' lists from TOML and remembers the
-// line of each entry and key, so that a rule of a list can name the line that
-// breaks it although it runs on the decoded values.
+// Package listfile decodes the operators' lists from TOML and records the line of each entry and key,
+// so that validation, which runs on the decoded values, can report the line of a problem.
 package listfile
 
 import (
@@ -14,24 +13,26 @@
 	"github.com/pkg/errors"
 )
 
-// Positions holds the lines of a decoded list. Its nil value knows none.
+// Positions contains the lines of the entries and keys of a decoded list. A nil *Positions contains
+// none.
 type Positions struct {
+	// lines is keyed by path, such as "plan[0].budget.tokens".
 	lines map[string]int
 }
 
-// Decode reads the TOML text of the named list into the value that into points
-// at. Unknown keys are refused. The error is Problems.
-func Decode(list string, text []byte, into any) (*Positions, error) {
+// Decode decodes the TOML text of the named list into target, which is a pointer. Unknown keys are
+// refused. The error has type Problems.
+func Decode(list string, text []byte, target any) (*Positions, error) {
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
-		return nil, decodeProblems(list, err)
+	if err := decoder.Decode(target); err != nil {
+		return nil, problemsFromError(list, err)
 	}
-	return locate(text), nil
+	return findPositions(text), nil
 }
 
-// Line returns the line, from 1, of a key of the index-th entry (from 0) of an
-// array of tables. A key that is absent or stands within an inline table has
-// the line of what encloses it; 0 says that the line is not known.
+// Line returns the line, counted from 1, of a key in an entry of an array of tables; index counts the
+// entries from 0. For a key that is absent or in an inline table it returns the line of the enclosing
+// key or entry. It returns 0 if the line is unknown.
 func (p *Positions) Line(table string, index int, key string) int {
 	if p == nil {
 		return 0
@@ -41,89 +42,96 @@
 		if line := p.lines[entry+"."+key]; line > 0 {
 			return line
 		}
-		cut := strings.LastIndexByte(key, '.')
-		key = key[:max(cut, 0)]
+		lastDot := strings.LastIndexByte(key, '.')
+		key = key[:max(lastDot, 0)]
 	}
 	return p.lines[entry]
 }
 
-func decodeProblems(list string, err error) error {
+// problemsFromError converts an error of the TOML decoder.
+func problemsFromError(list string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		var problems Problems
 		for i := range strict.Errors {
-			problems = append(problems, decodeProblem(list, &strict.Errors[i], "a key that foxhall knows"))
+			problems = append(problems, problemFromDecodeError(list, &strict.Errors[i], "a key that foxhall knows"))
 		}
 		return problems
 	}
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
-		return Problems{decodeProblem(list, decode, "")}
+		return Problems{problemFromDecodeError(list, decode, "")}
 	}
 	return Problems{{List: list, Found: err.Error()}}
 }
 
-func decodeProblem(list string, err *toml.DecodeError, expected string) Problem {
-	row, _ := err.Position()
+func problemFromDecodeError(list string, err *toml.DecodeError, expected string) Problem {
+	line, _ := err.Position()
 	found := strings.TrimPrefix(err.Error(), "toml: ")
-	return Problem{List: list, Key: strings.Join(err.Key(), "."), Line: row, Found: found, Expected: expected}
+	return Problem{List: list, Key: strings.Join(err.Key(), "."), Line: line, Found: found, Expected: expected}
 }
 
-// locate finds the line of each entry and key. The text has already been decoded.
-func locate(text []byte) *Positions {
-	l := locator{starts: lineStarts(text), counts: map[string]int{}, lines: map[string]int{}}
+// findPositions finds the line of each entry and key. The text must be well-formed TOML.
+func findPositions(text []byte) *Positions {
+	l := locator{lineStarts: lineStartOffsets(text), entryCounts: map[string]int{}, lines: map[string]int{}}
 	parser := unstable.Parser{}
 	parser.Reset(text)
 	for parser.NextExpression() {
-		l.expression(parser.Expression())
+		l.recordExpression(parser.Expression())
 	}
 	return &Positions{lines: l.lines}
 }
 
+// locator records the lines of the expressions of a TOML document, in their order.
 type locator struct {
-	starts []int
-	counts map[string]int
-	lines  map[string]int
-	prefix string
+	// lineStarts contains the byte offset of each line.
+	lineStarts []int
+	// entryCounts contains the number of entries so far of each array of tables.
+	entryCounts map[string]int
+	lines       map[string]int
+	// currentPath is the path of the table that the next key belongs to.
+	currentPath string
 }
 
-func (l *locator) expression(node *unstable.Node) {
-	key, line := l.key(node)
+func (l *locator) recordExpression(node *unstable.Node) {
+	key, line := l.keyAndLine(node)
 	switch node.Kind {
 	case unstable.ArrayTable:
-		l.prefix = entryPath(key, l.counts[key])
-		l.counts[key]++
-		l.lines[l.prefix] = line
+		l.currentPath = entryPath(key, l.entryCounts[key])
+		l.entryCounts[key]++
+		l.lines[l.currentPath] = line
 	case unstable.Table:
-		l.prefix = l.tablePath(key)
-		l.lines[l.prefix] = line
+		l.currentPath = l.tablePath(key)
+		l.lines[l.currentPath] = line
 	case unstable.KeyValue:
-		l.lines[l.prefix+"."+key] = line
+		l.lines[l.currentPath+"."+key] = line
 	}
 }
 
-// tablePath turns "plan.budget" into the path within the last entry of plan.
+// tablePath returns the path of a table. If key is "plan.budget" and plan is an array of tables, the
+// table belongs to the array's last entry so far.
 func (l *locator) tablePath(key string) string {
 	table, rest, found := strings.Cut(key, ".")
-	if !found || l.counts[table] == 0 {
+	if !found || l.entryCounts[table] == 0 {
 		return key
 	}
-	return entryPath(table, l.counts[table]-1) + "." + rest
+	return entryPath(table, l.entryCounts[table]-1) + "." + rest
 }
 
-func (l *locator) key(node *unstable.Node) (string, int) {
+// keyAndLine returns the dotted key of a table or key-value expression and its line.
+func (l *locator) keyAndLine(node *unstable.Node) (string, int) {
 	var parts []string
 	line := 0
 	for it := node.Key(); it.Next(); {
 		if len(parts) == 0 {
-			line = sort.SearchInts(l.starts, int(it.Node().Raw.Offset)+1)
+			line = sort.SearchInts(l.lineStarts, int(it.Node().Raw.Offset)+1)
 		}
 		parts = append(parts, string(it.Node().Data))
 	}
 	return strings.Join(parts, "."), line
 }
 
-func lineStarts(text []byte) []int {
+func lineStartOffsets(text []byte) []int {
 	starts := []int{0}
 	for i, b := range text {
 		if b == '\n' {
@@ -133,4 +141,5 @@
 	return starts
 }
 
+// entryPath returns the path of an entry of an array of tables, such as "plan[0]".
 func entryPath(table string, index int) string { return table + "[" + strconv.Itoa(index) + "]" }
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -10,8 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// keysOf walks the settings and returns each dotted key with its default as the page writes it.
-func keysOf(prefix string, v reflect.Value, keys map[string]string) {
+// defaultsByKey adds each dotted key below v to keys, with its default in the notation of
+// docs/CONFIGURATION.md.
+func defaultsByKey(prefix string, v reflect.Value, keys map[string]string) {
 	for i := range v.NumField() {
 		key := prefix + v.Type().Field(i).Tag.Get("toml")
 		field := v.Field(i)
@@ -29,7 +30,7 @@
 			}
 		default:
 			if field.Kind() == reflect.Struct {
-				keysOf(key+".", field, keys)
+				defaultsByKey(key+".", field, keys)
 				continue
 			}
 			keys[key] = fmt.Sprint(value)
@@ -37,13 +38,13 @@
 	}
 }
 
-// The page lists exactly the keys that the code reads, with the defaults in force.
-func TestPageListsEveryKey(t *testing.T) {
+// docs/CONFIGURATION.md must list exactly the keys that the code reads, with their defaults.
+func TestDocumentationListsAllKeysWithDefaults(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/CONFIGURATION.md")
 	is.NoErr(err)
 	keys := map[string]string{}
-	keysOf("", reflect.ValueOf(Default()), keys)
+	defaultsByKey("", reflect.ValueOf(Default()), keys)
 	listed := 0
 	for _, line := range strings.Split(string(page), "\n") {
 		cells := strings.Split(line, "|")
@@ -54,12 +55,12 @@
 		key := strings.Trim(cells[1], " `")
 		want, ok := keys[key]
 		if !ok {
-			t.Errorf("the page lists %s, which is no key", key)
+			t.Errorf("the page lists the key %s, which does not exist", key)
 			continue
 		}
 		got := strings.Trim(cells[3], " `")
 		if got != want && !(got == "required" && want == `""`) {
-			t.Errorf("%s: the page gives the default %s, the code %s", key, got, want)
+			t.Errorf("%s: the default is %s on the page and %s in the code", key, got, want)
 		}
 	}
 	is.Equal(listed, len(keys))
