--- a/internal/joined/agent_test.go
+++ b/internal/joined/agent_test.go
@@ -17,39 +17,39 @@
 )
 
 // attempts bounds how often an agent sends one step.
-const attempts = 60
+const maxAttempts = 60
 
 // oracle holds what callers were told, to be held against what the stand-ins saw.
 type oracle struct {
-	mu     sync.Mutex
-	faults []string
+	mu         sync.Mutex
+	violations []string
 	// told has for each step that may not be repeated all outcomes that its
 	// caller was told, in order.
-	told     map[string][]step.Outcome
+	outcomes map[string][]step.Outcome
 	finished int
 	programs int
 	// stuck counts programs that ended for a reason that the faults explain.
-	stuck map[step.Code]int
+	unfinished map[step.Code]int
 	// lost names the steps at which programs ended without an explanation.
-	lost  []string
-	ended []string
-	tried int
+	unexplained   []string
+	endedPrograms []string
+	attempts      int
 	// broken has for each connection that broke under a call how it did.
-	broken []string
+	brokenConnections []string
 	// spent is what the small plan spent, in tokens.
-	spent int64
+	spentTokens int64
 	// edits is how many edits were accepted.
-	edits int
+	acceptedEdits int
 }
 
 func newOracle() *oracle {
-	return &oracle{told: map[string][]step.Outcome{}, stuck: map[step.Code]int{}}
+	return &oracle{outcomes: map[string][]step.Outcome{}, unfinished: map[step.Code]int{}}
 }
 
-func (o *oracle) fault(promise, format string, args ...any) {
+func (o *oracle) violation(promise, format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.faults = append(o.faults, promise+": "+fmt.Sprintf(format, args...))
+	o.violations = append(o.violations, promise+": "+fmt.Sprintf(format, args...))
 }
 
 // agent runs one program and checks each answer as it comes.
@@ -66,16 +66,16 @@
 
 // The promises of the brief that the oracle names.
 const (
-	promiseOrder    = "calls reach the engines in order"
-	promiseHistory  = "a history is never lost or mixed"
-	promiseBudget   = "each plan's budget holds"
-	promiseMemory   = "no engine memory stays held by programs that are gone"
-	promiseWhole    = "a caller gets the whole answer to its own request"
-	promiseNotRun   = "a refusal saying not run is true"
-	promiseOnce     = "a step that may not be repeated runs at most once"
-	promiseLeaving  = "a leaving upstream gets no new work"
-	promiseGraceful = "a planned stop cuts off no request"
-	promiseConfig   = "an accepted edit is in force everywhere and never reverts"
+	promiseOrder            = "calls reach the engines in order"
+	promiseHistory          = "a history is never lost or mixed"
+	promiseBudget           = "each plan's budget holds"
+	promiseMemoryReleased   = "no engine memory stays held by programs that are gone"
+	promiseCompleteResponse = "a caller gets the whole answer to its own request"
+	promiseNotRun           = "a refusal saying not run is true"
+	promiseOnce             = "a step that may not be repeated runs at most once"
+	promiseDraining         = "a leaving upstream gets no new work"
+	promiseGracefulStop     = "a planned stop cuts off no request"
+	promiseConfig           = "an accepted edit is in force everywhere and never reverts"
 )
 
 // run runs a program of some turns, each followed by a step that may be
@@ -85,33 +85,33 @@
 	a.oracle.mu.Lock()
 	a.oracle.programs++
 	a.oracle.mu.Unlock()
-	var helpers sync.WaitGroup
-	defer helpers.Wait()
+	var subAgents sync.WaitGroup
+	defer subAgents.Wait()
 	for turn := 1; turn <= turns; turn++ {
 		if turn == turns {
-			helpers.Wait() // what they found belongs to the last turn
+			subAgents.Wait() // what they found belongs to the last turn
 		}
-		if !a.turn(ctx, fmt.Sprintf("program %d turn %d %s", id, turn, strings.Repeat("word ", 20)), turn == turns) {
+		if !a.sendTurn(ctx, fmt.Sprintf("program %d turn %d %s", id, turn, strings.Repeat("word ", 20)), turn == turns) {
 			return
 		}
-		if turn < turns && !(a.quote(ctx, turn) && a.order(ctx, turn)) {
+		if turn < turns && !(a.sendQuote(ctx, turn) && a.sendOrder(ctx, turn)) {
 			return
 		}
 		if turn == 1 && id%4 == 2 && a.parent == "" {
-			helper := &agent{oracle: a.oracle, client: a.client, model: a.model, parent: a.program}
-			helpers.Go(func() { helper.run(ctx, id, 2) })
+			subAgent := &agent{oracle: a.oracle, client: a.client, model: a.model, parent: a.program}
+			subAgents.Go(func() { subAgent.run(ctx, id, 2) })
 		}
 		time.Sleep(time.Duration(50*(id%7)) * time.Millisecond)
 	}
 	a.oracle.mu.Lock()
 	defer a.oracle.mu.Unlock()
 	a.oracle.finished++
-	a.oracle.ended = append(a.oracle.ended, a.program)
+	a.oracle.endedPrograms = append(a.oracle.endedPrograms, a.program)
 }
 
 // turn sends one model step, and checks that the engine saw exactly the
 // program's history with the new message.
-func (a *agent) turn(ctx context.Context, text string, last bool) bool {
+func (a *agent) sendTurn(ctx context.Context, text string, last bool) bool {
 	message := chat.Message{Role: "user", Raw: fmt.Appendf(nil, `{"role":"user","content":%q}`, text)}
 	request := &chat.Request{Model: a.model, Messages: []chat.Message{message}, Stream: true, MaxTokens: 24}
 	r, ok := a.send(ctx, load.Request{Chat: request, Ends: last}, "")
@@ -125,9 +125,9 @@
 	if r.Text != want {
 		promise := promiseHistory
 		if strings.HasPrefix(want, r.Text) {
-			promise = promiseWhole
+			promise = promiseCompleteResponse
 		}
-		a.oracle.fault(promise, "%s step %d: answer %q, want %q", a.program, r.Number, r.Text, want)
+		a.oracle.violation(promise, "%s step %d: answer %q, want %q", a.program, r.Number, r.Text, want)
 		return false
 	}
 	a.history = append(a.history, chat.Message{Role: "assistant", Raw: fmt.Appendf(nil, `{"role":"assistant","content":%q}`, r.Text)})
@@ -135,27 +135,27 @@
 }
 
 // quote sends one step at a service that may be repeated.
-func (a *agent) quote(ctx context.Context, turn int) bool {
+func (a *agent) sendQuote(ctx context.Context, turn int) bool {
 	r, ok := a.send(ctx, load.Request{Service: "auction", Path: "/quote", Body: fmt.Appendf(nil, `{"lot":%d}`, turn)}, "")
 	if !ok {
 		return false
 	}
 	if !strings.Contains(r.Text, `"call":"POST /quote"`) {
-		a.oracle.fault(promiseWhole, "%s step %d: answer %q", a.program, a.next, r.Text)
+		a.oracle.violation(promiseCompleteResponse, "%s step %d: answer %q", a.program, a.next, r.Text)
 	}
 	a.next++
 	return true
 }
 
 // order sends one step that may not be repeated.
-func (a *agent) order(ctx context.Context, turn int) bool {
+func (a *agent) sendOrder(ctx context.Context, turn int) bool {
 	key := fmt.Sprintf("%s/%d", a.program, a.next)
 	r, ok := a.send(ctx, load.Request{Service: "auction", Path: "/bids", Body: fmt.Appendf(nil, `{"bid":%d}`, turn)}, key)
 	if !ok {
 		return false
 	}
 	if !strings.Contains(r.Text, `"call":"POST /bids"`) {
-		a.oracle.fault(promiseWhole, "%s: answer %q", key, r.Text)
+		a.oracle.violation(promiseCompleteResponse, "%s: answer %q", key, r.Text)
 	}
 	a.next++
 	return true
@@ -166,12 +166,12 @@
 func (a *agent) send(ctx context.Context, r load.Request, key string) (load.Response, bool) {
 	r.Program, r.Parent, r.Number, r.Origin, r.Deadline = a.program, a.parent, a.next, a.origin, 20*time.Second
 	code := step.CodeOwnerUnreachable
-	for attempt := range attempts {
+	for attempt := range maxAttempts {
 		r.Attempt = attempt
 		sendCtx, cancel := context.WithTimeout(ctx, 25*time.Second)
 		response, err := a.client.Send(sendCtx, r)
 		cancel()
-		a.note(key, response, err)
+		a.recordAttempt(key, response, err)
 		if err == nil && response.Outcome == step.Done && response.Code == "" {
 			return response, true
 		}
@@ -192,21 +192,21 @@
 	}
 	a.oracle.mu.Lock()
 	defer a.oracle.mu.Unlock()
-	a.oracle.stuck[code]++
-	if !explained[code] {
-		a.oracle.lost = append(a.oracle.lost, fmt.Sprintf("%q (parent %q) step %d: %s", a.program, a.parent, a.next, code))
+	a.oracle.unfinished[code]++
+	if !explainedCodes[code] {
+		a.oracle.unexplained = append(a.oracle.unexplained, fmt.Sprintf("%q (parent %q) step %d: %s", a.program, a.parent, a.next, code))
 	}
 	return load.Response{}, false
 }
 
 // note keeps what the caller was told of a step that may not be repeated. A
 // broken connection tells nothing.
-func (a *agent) note(key string, r load.Response, err error) {
+func (a *agent) recordAttempt(key string, r load.Response, err error) {
 	a.oracle.mu.Lock()
 	defer a.oracle.mu.Unlock()
-	a.oracle.tried++
+	a.oracle.attempts++
 	if err != nil && !errors.Is(err, syscall.ECONNREFUSED) {
-		a.oracle.broken = append(a.oracle.broken, fmt.Sprintf("%s step %d: %v", a.program, a.next, err))
+		a.oracle.brokenConnections = append(a.oracle.brokenConnections, fmt.Sprintf("%s step %d: %v", a.program, a.next, err))
 	}
 	if key == "" {
 		return
@@ -215,26 +215,26 @@
 	if err != nil || outcome == "" {
 		outcome = step.Unknown
 	}
-	a.oracle.told[key] = append(a.oracle.told[key], outcome)
+	a.oracle.outcomes[key] = append(a.oracle.outcomes[key], outcome)
 }
 
 // judgeEffects holds each step that may not be repeated against the services' counts.
-func (o *oracle) judgeEffects(effects map[string]int) {
+func (o *oracle) checkEffects(effects map[string]int) {
 	for key, n := range effects {
-		if _, once := o.told[key]; once && n > 1 {
-			o.fault(promiseOnce, "%s took effect %d times", key, n)
+		if _, once := o.outcomes[key]; once && n > 1 {
+			o.violation(promiseOnce, "%s took effect %d times", key, n)
 		}
 	}
-	for key, told := range o.told {
+	for key, outcomes := range o.outcomes {
 		allNotRun := true
-		for _, outcome := range told {
+		for _, outcome := range outcomes {
 			allNotRun = allNotRun && outcome == step.NotRun
 			if outcome == step.Done && effects[key] != 1 {
-				o.fault(promiseOnce, "%s was done and took effect %d times", key, effects[key])
+				o.violation(promiseOnce, "%s was done and took effect %d times", key, effects[key])
 			}
 		}
 		if allNotRun && effects[key] != 0 {
-			o.fault(promiseNotRun, "%s was not run by every answer and took effect", key)
+			o.violation(promiseNotRun, "%s was not run by every answer and took effect", key)
 		}
 	}
 }
--- a/internal/joined/capacity_test.go
+++ b/internal/joined/capacity_test.go
@@ -36,18 +36,18 @@
 
 const (
 	// capacityRest lets members meet and readers settle before anything is counted.
-	capacityRest = 20 * time.Second
+	capacitySettleTime = 20 * time.Second
 	// capacityWindow is how long, in virtual time, each state is counted.
 	capacityWindow = 40 * time.Second
 	// capacityTurns is the number of model steps of a program, each sent to
 	// an instance of its own, as a balancer would.
 	capacityTurns = 4
 	// capacityDrain ends the last programs before the closing count.
-	capacityDrain = 10 * time.Second
+	capacityDrainTime = 10 * time.Second
 )
 
 // snapshot is the state of all counts at one moment.
-type snapshot struct {
+type usageSnapshot struct {
 	at        time.Time
 	flows     map[string]standin.Flow
 	store     standin.StoreCounts
@@ -55,16 +55,16 @@
 	allocated uint64
 }
 
-func (w *world) snapshot(t *standin.Tally) snapshot {
+func (w *world) snapshot(t *standin.Tally) usageSnapshot {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	return snapshot{time.Now(), t.Flows(), w.store.Counts(), time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), memory.TotalAlloc}
+	return usageSnapshot{time.Now(), t.Flows(), w.store.Counts(), time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), memory.TotalAlloc}
 }
 
 // inUse is the heap and the stacks after a collection, in bytes.
-func inUse() float64 {
+func memoryInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -72,30 +72,30 @@
 }
 
 // report prints what one instance used in each virtual second.
-func report(t *testing.T, state string, a, b snapshot, instances int) {
-	each := b.at.Sub(a.at).Seconds() * float64(instances)
+func logUsage(t *testing.T, state string, a, b usageSnapshot, instances int) {
+	instanceSeconds := b.at.Sub(a.at).Seconds() * float64(instances)
 	bytes := int64(0)
 	for kind, g := range b.flows {
 		bytes += g.In + g.Out - a.flows[kind].In - a.flows[kind].Out
 	}
 	t.Logf("%s: %.2f KB/s on own connections, processor %.3f%% of a core (stand-ins included), %.0f KB/s allocated, store %.2f reads/s %.2f writes/s",
-		state, float64(bytes)/each/1000, 100*(b.processor-a.processor).Seconds()/each, float64(b.allocated-a.allocated)/each/1000,
-		float64(b.store.Reads-a.store.Reads)/each, float64(b.store.Writes-a.store.Writes)/each)
+		state, float64(bytes)/instanceSeconds/1000, 100*(b.processor-a.processor).Seconds()/instanceSeconds, float64(b.allocated-a.allocated)/instanceSeconds/1000,
+		float64(b.store.Reads-a.store.Reads)/instanceSeconds, float64(b.store.Writes-a.store.Writes)/instanceSeconds)
 	for _, kind := range slices.Sorted(maps.Keys(b.flows)) {
 		f, g := a.flows[kind], b.flows[kind]
 		if g == f {
 			continue
 		}
 		t.Logf("%s: %-40s %8.3f calls/s %9.0f B/s out %9.0f B/s in", state, kind,
-			float64(g.Calls-f.Calls)/each, float64(g.Out-f.Out)/each, float64(g.In-f.In)/each)
+			float64(g.Calls-f.Calls)/instanceSeconds, float64(g.Out-f.Out)/instanceSeconds, float64(g.In-f.In)/instanceSeconds)
 	}
 }
 
 // newFleet starts engines and instances in data centre "a".
-func newFleet(t *standin.Tally, instances, engines int) (*world, error) {
+func newCapacityWorld(t *standin.Tally, instances, engines int) (*world, error) {
 	w := &world{
 		network: standin.NewNetwork(), store: standin.NewStore(),
-		engines: map[string]*standin.Engine{}, nodes: map[string]*node{}, settings: map[*standin.Engine]int{}, calls: newCallOrder(),
+		engines: map[string]*standin.Engine{}, nodes: map[string]*node{}, faultChanges: map[*standin.Engine]int{}, calls: newCallOrder(),
 	}
 	if err := w.serve("store", storeAddress, w.store.Handler()); err != nil {
 		return nil, err
@@ -121,14 +121,14 @@
 		return nil, err
 	}
 	for n := range instances {
-		if err := w.startCounted(t, n+1); err != nil {
+		if err := w.startCountedInstance(t, n+1); err != nil {
 			return nil, err
 		}
 	}
 	return w, nil
 }
 
-func (w *world) startCounted(t *standin.Tally, number int) error {
+func (w *world) startCountedInstance(t *standin.Tally, number int) error {
 	name := fmt.Sprintf("a/%d", number)
 	s := settings.Default()
 	s.Instance, s.DataCentre = fmt.Sprintf("a-%d", number), "a"
@@ -151,7 +151,7 @@
 }
 
 // drive runs programs for the window at the rate, in steps a second.
-func (w *world) drive(o *oracle, instances int, rate float64) {
+func (w *world) runLoad(o *oracle, instances int, rate float64) {
 	var targets []string
 	for n := range instances {
 		targets = append(targets, "http://"+callersAddress("a", n+1))
@@ -169,7 +169,7 @@
 				if *capacitySticky {
 					a.origin = origins[0] + capacityTurns - turn
 				}
-				if !a.turn(context.Background(), fmt.Sprintf("%d %d %s", id, turn, strings.Repeat("word ", *capacityWords)), turn == capacityTurns-1) {
+				if !a.sendTurn(context.Background(), fmt.Sprintf("%d %d %s", id, turn, strings.Repeat("word ", *capacityWords)), turn == capacityTurns-1) {
 					return
 				}
 			}
@@ -192,25 +192,25 @@
 	is := is.New(t)
 	instances, engines := *capacityInstances, *capacityEngines
 	o, counts := newOracle(), standin.NewTally()
-	before := inUse()
+	before := memoryInUse()
 	var want int
 	synctest.Test(t, func(t *testing.T) {
-		w, err := newFleet(counts, instances, engines)
+		w, err := newCapacityWorld(counts, instances, engines)
 		is.NoErr(err)
-		time.Sleep(capacityRest)
+		time.Sleep(capacitySettleTime)
 		t.Logf("%d instances, %d engines: %.2f MB for each instance at rest, its share of the stand-ins included",
-			instances, engines, (inUse()-before)/float64(instances)/1e6)
+			instances, engines, (memoryInUse()-before)/float64(instances)/1e6)
 		a := w.snapshot(counts)
 		time.Sleep(capacityWindow)
-		report(t, "rest", a, w.snapshot(counts), instances)
+		logUsage(t, "rest", a, w.snapshot(counts), instances)
 		rate := *capacityRate * float64(instances)
 		want = int(rate * capacityWindow.Seconds() / capacityTurns)
 		a = w.snapshot(counts)
-		w.drive(o, instances, rate)
-		time.Sleep(capacityDrain)
-		report(t, "load", a, w.snapshot(counts), instances)
+		w.runLoad(o, instances, rate)
+		time.Sleep(capacityDrainTime)
+		logUsage(t, "load", a, w.snapshot(counts), instances)
 		w.close()
 	})
 	is.Equal(o.finished, want)
-	is.Equal(len(o.faults), 0)
+	is.Equal(len(o.violations), 0)
 }
--- a/internal/joined/machine_test.go
+++ b/internal/joined/machine_test.go
@@ -17,7 +17,7 @@
 )
 
 // act is one thing that happens while programs run.
-type act struct {
+type event struct {
 	// After is the time since the act before.
 	After time.Duration
 	Kind  string
@@ -28,16 +28,16 @@
 }
 
 // kinds are the faults, and the acts of operators and the platform.
-var kinds = []string{
+var eventKinds = []string{
 	"kill", "isolate", "stop", "cut-centres", "cut-platform", "store-down", "store-slow", "lose-answers", "drop-writes",
 	"engine-down", "engine-hang", "engine-slow", "engine-leaves", "tool-hang", "tool-drop", "tool-refuse", "edit", "race",
 }
 
-func drawActs(t *rapid.T) []act {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) act {
-		return act{
+func drawEvents(t *rapid.T) []event {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
+		return event{
 			After: time.Duration(rapid.IntRange(0, 4000).Draw(t, "after")) * time.Millisecond,
-			Kind:  rapid.SampledFrom(kinds).Draw(t, "kind"),
+			Kind:  rapid.SampledFrom(eventKinds).Draw(t, "kind"),
 			Which: rapid.IntRange(0, 9).Draw(t, "which"),
 			N:     rapid.IntRange(1, 3).Draw(t, "n"),
 			For:   time.Duration(rapid.IntRange(200, 12000).Draw(t, "for")) * time.Millisecond,
@@ -46,7 +46,7 @@
 }
 
 // long also waits in each run until the memory of ended programs is released.
-var long = flag.Bool("joined.long", false, "check the engines' memory in each run of the state machine")
+var checkMemoryAlways = flag.Bool("joined.long", false, "check the engines' memory in each run of the state machine")
 
 // TestPromisesUnderFaults runs programs of two customers through five instances
 // in two data centres while instances die, are cut off and are replaced, the
@@ -55,8 +55,8 @@
 // against what the stand-ins saw, and checks the brief's promises by name.
 func TestPromisesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		acts := drawActs(rt)
-		faults := runActs(t, acts, *long)
+		acts := drawEvents(rt)
+		faults := runEvents(t, acts, *checkMemoryAlways)
 		if len(faults) > 0 {
 			rt.Fatalf("acts %+v\n%s", acts, strings.Join(faults, "\n"))
 		}
@@ -64,13 +64,13 @@
 }
 
 // runActs runs the acts in a bubble of virtual time and returns the broken promises.
-func runActs(t *testing.T, acts []act, memory bool) []string {
+func runEvents(t *testing.T, acts []event, memory bool) []string {
 	t.Helper()
-	return runCrowd(t, mixed, acts, memory)
+	return runEventsWith(t, mixedCallers, acts, memory)
 }
 
 // runCrowd is runActs with another mix of callers.
-func runCrowd(t *testing.T, c crowd, acts []act, memory bool) []string {
+func runEventsWith(t *testing.T, c callerMix, acts []event, memory bool) []string {
 	t.Helper()
 	o := newOracle()
 	synctest.Test(t, func(t *testing.T) {
@@ -78,7 +78,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, s := range size {
+		for _, s := range dataCentres {
 			for n := range s.instances {
 				if err := w.start(s.dataCentre, n+1); err != nil {
 					t.Fatal(err)
@@ -89,28 +89,28 @@
 		watch, stopWatch := context.WithCancel(context.Background())
 		var watching sync.WaitGroup
 		watching.Go(func() { w.watchVersions(watch, o) })
-		w.play(o, c, acts)
-		w.calls.judge(o)
-		w.judgeStops(o, acts)
-		w.heal()
-		w.judge(o)
+		w.runCallers(o, c, acts)
+		w.calls.check(o)
+		w.checkStops(o, acts)
+		w.clearFaults()
+		w.check(o)
 		if memory {
-			time.Sleep(released)
-			w.judgeMemory(o)
+			time.Sleep(releaseTimeout)
+			w.checkMemory(o)
 		}
 		stopWatch()
 		watching.Wait()
 		w.close()
 	})
 	t.Logf("%d programs, %d ended, %d sends, %d broken connections, stuck %v, %d tokens of the small plan, %d edits accepted",
-		o.programs, o.finished, o.tried, len(o.broken), o.stuck, o.spent, o.edits)
-	return o.faults
+		o.programs, o.finished, o.attempts, len(o.brokenConnections), o.unfinished, o.spentTokens, o.acceptedEdits)
+	return o.violations
 }
 
 // crowd gives each caller its key and model.
-type crowd func(id int) (key, model string)
+type callerMix func(id int) (key, model string)
 
-func mixed(id int) (string, string) {
+func mixedCallers(id int) (string, string) {
 	switch {
 	case id%8 == 7:
 		return thriftKey, "thrift"
@@ -121,7 +121,7 @@
 }
 
 // play runs the callers and the acts at once, and waits for both.
-func (w *world) play(o *oracle, c crowd, acts []act) {
+func (w *world) runCallers(o *oracle, c callerMix, acts []event) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var callers sync.WaitGroup
@@ -135,18 +135,18 @@
 			a.run(ctx, id, 3+id%4)
 		})
 	}
-	var lasting sync.WaitGroup
+	var running sync.WaitGroup
 	for _, a := range acts {
 		time.Sleep(a.After)
-		lasting.Go(func() { w.act(o, a) })
+		running.Go(func() { w.apply(o, a) })
 	}
-	lasting.Wait()
-	w.heal()
+	running.Wait()
+	w.clearFaults()
 	callers.Wait()
 }
 
 // pick returns the data centre and number of the act's instance.
-func pick(which int) (string, int) {
+func instanceOf(which int) (string, int) {
 	if which%5 < 3 {
 		return "a", which%5 + 1
 	}
@@ -154,42 +154,42 @@
 }
 
 func (w *world) node(which int) *node {
-	dc, n := pick(which)
+	dc, n := instanceOf(which)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.nodes[fmt.Sprintf("%s/%d", dc, n)]
 }
 
 // act carries one act out and takes it back after its time.
-func (w *world) act(o *oracle, a act) {
+func (w *world) apply(o *oracle, a event) {
 	switch a.Kind {
 	case "kill":
 		w.replace(a, func(n *node) { w.network.Kill(n.host); n.stop() })
 	case "stop":
 		w.replace(a, func(n *node) { n.stop() })
 	case "isolate":
-		w.cutFor(a.For, w.node(a.Which).host, "")
+		w.partitionFor(a.For, w.node(a.Which).host, "")
 	case "cut-centres":
-		w.cutFor(a.For, "a/", "b/")
+		w.partitionFor(a.For, "a/", "b/")
 	case "cut-platform":
-		dc, _ := pick(a.Which)
-		w.cutFor(a.For, dc+"/", "store")
+		dc, _ := instanceOf(a.Which)
+		w.partitionFor(a.For, dc+"/", "store")
 	case "edit", "race":
-		w.operate(a)
+		w.applyEdits(a)
 	case "list-leaves", "list-stale":
-		w.contradict(o, a)
+		w.contradictList(o, a)
 	default:
-		w.misbehave(o, a)
+		w.injectFault(o, a)
 	}
 }
 
 // replace ends an instance and starts another under the same name.
-func (w *world) replace(a act, end func(*node)) {
+func (w *world) replace(a event, end func(*node)) {
 	n := w.node(a.Which)
 	end(n)
 	<-n.ended
 	time.Sleep(a.For / 4)
-	dc, number := pick(a.Which)
+	dc, number := instanceOf(a.Which)
 	w.mu.Lock()
 	same := w.nodes[n.name] == n
 	w.mu.Unlock()
@@ -198,7 +198,7 @@
 	}
 }
 
-func (w *world) cutFor(d time.Duration, one, other string) {
+func (w *world) partitionFor(d time.Duration, one, other string) {
 	w.network.Cut(one, other)
 	w.network.Cut(other, one)
 	time.Sleep(d)
@@ -207,7 +207,7 @@
 }
 
 // operate has operators edit: one, or two at once from the same version.
-func (w *world) operate(a act) {
+func (w *world) applyEdits(a event) {
 	operators := 1
 	if a.Kind == "race" {
 		operators = 2
@@ -224,10 +224,10 @@
 }
 
 // misbehave sets the fault of a stand-in for the act's time.
-func (w *world) misbehave(o *oracle, a act) {
+func (w *world) injectFault(o *oracle, a event) {
 	engines := []string{"a-fast", "a-slow", "b-fast", "b-slow"}
 	e := w.engines[engines[a.Which%len(engines)]]
-	dc, _ := pick(a.Which)
+	dc, _ := instanceOf(a.Which)
 	tool := w.tools[dc]
 	switch a.Kind {
 	case "store-down":
@@ -255,11 +255,11 @@
 	case "tool-refuse":
 		tool.SetFaults(standin.ToolFaults{Delay: toolTime, Refuse: a.N})
 	}
-	w.settle(o, a, e)
-	w.calm(a.Kind, e, tool)
+	w.waitOut(o, a, e)
+	w.clearFault(a.Kind, e, tool)
 }
 
-func (w *world) calm(kind string, e *standin.Engine, tool *standin.Tool) {
+func (w *world) clearFault(kind string, e *standin.Engine, tool *standin.Tool) {
 	switch {
 	case strings.HasPrefix(kind, "engine"):
 		w.setEngine(e, standin.EngineFaults{})
@@ -271,7 +271,7 @@
 }
 
 // heal takes back every fault.
-func (w *world) heal() {
+func (w *world) clearFaults() {
 	w.store.SetFaults(standin.StoreFaults{})
 	for _, e := range w.engines {
 		w.setEngine(e, standin.EngineFaults{})
@@ -289,7 +289,7 @@
 		for name, n := range w.nodes {
 			v := n.instance.ConfigVersion()
 			if v < highest[n] && v != 0 {
-				o.fault(promiseConfig, "%s went back from %d to %d", name, highest[n], v)
+				o.violation(promiseConfig, "%s went back from %d to %d", name, highest[n], v)
 			}
 			highest[n] = max(highest[n], v)
 		}
@@ -300,34 +300,34 @@
 
 // inForce is how long after healing an accepted edit may take to be in force
 // everywhere (letter 1).
-const inForce = 10 * time.Second
+const inForceTimeout = 10 * time.Second
 
 // released is how long after its end a program's memory may stay on engines:
 // its repeats are answered for five minutes, and the sweep comes after that.
-const released = 12 * time.Minute
+const releaseTimeout = 12 * time.Minute
 
 // judge checks what can be said only once all is calm.
-func (w *world) judge(o *oracle) {
-	time.Sleep(inForce)
+func (w *world) check(o *oracle) {
+	time.Sleep(inForceTimeout)
 	w.mu.Lock()
 	for name, n := range w.nodes {
-		if v := n.instance.ConfigVersion(); v < w.accepted {
-			o.fault(promiseConfig, "%s has version %d in force, %d was accepted", name, v, w.accepted)
+		if v := n.instance.ConfigVersion(); v < w.acceptedVersion {
+			o.violation(promiseConfig, "%s has version %d in force, %d was accepted", name, v, w.acceptedVersion)
 		}
 	}
 	w.mu.Unlock()
-	o.judgeEffects(w.effects())
-	if o.spent = w.spent(); o.spent > thriftTokens {
-		o.fault(promiseBudget, "%d of %d tokens were spent", o.spent, thriftTokens)
+	o.checkEffects(w.effects())
+	if o.spentTokens = w.spentTokens(); o.spentTokens > thriftTokens {
+		o.violation(promiseBudget, "%d of %d tokens were spent", o.spentTokens, thriftTokens)
 	}
-	w.judgeEdits(o)
-	w.judgePrograms(o)
+	w.checkEdits(o)
+	w.checkPrograms(o)
 }
 
 // spent returns the tokens that the engines of the small plan computed.
-func (w *world) spent() int64 {
+func (w *world) spentTokens() int64 {
 	spent := int64(0)
-	for _, dc := range size {
+	for _, dc := range dataCentres {
 		counts := w.engines[dc.dataCentre+"-thrift"].Counts()
 		spent += counts.PromptTokens + counts.GeneratedTokens
 	}
@@ -337,46 +337,46 @@
 // explained are the codes with which a program may end under faults: its
 // outcome is unknown and told so, its history can't be proved whole and told
 // so, or its budget is spent. Anything else is a program lost.
-var explained = map[step.Code]bool{
+var explainedCodes = map[step.Code]bool{
 	step.CodeOutcomeUnknown: true, step.CodeHistoryUncertain: true, step.CodeBudget: true,
 }
 
-func (w *world) judgePrograms(o *oracle) {
+func (w *world) checkPrograms(o *oracle) {
 	ended := o.finished
-	for code, n := range o.stuck {
+	for code, n := range o.unfinished {
 		ended += n
-		if !explained[code] {
-			o.fault("nothing silently disappears", "%d programs could not go on: %s, %v", n, code, o.lost)
+		if !explainedCodes[code] {
+			o.violation("nothing silently disappears", "%d programs could not go on: %s, %v", n, code, o.unexplained)
 		}
 	}
 	if ended != o.programs {
-		o.fault("nothing silently disappears", "%d of %d programs ended", ended, o.programs)
+		o.violation("nothing silently disappears", "%d of %d programs ended", ended, o.programs)
 	}
 }
 
 // judgeMemory checks that no engine still holds memory of an ended program.
-func (w *world) judgeMemory(o *oracle) {
+func (w *world) checkMemory(o *oracle) {
 	gone := map[string]bool{}
-	for _, id := range o.ended {
+	for _, id := range o.endedPrograms {
 		gone[id] = true
 	}
 	for name, e := range w.engines {
 		state, err := e.State(false)
 		if err != nil {
-			o.fault(promiseMemory, "%s: %v", name, err)
+			o.violation(promiseMemoryReleased, "%s: %v", name, err)
 			continue
 		}
 		for id, tokens := range state.Programs {
 			if gone[id] {
-				o.fault(promiseMemory, "%s holds %d tokens of the ended program %s", name, tokens, id)
+				o.violation(promiseMemoryReleased, "%s holds %d tokens of the ended program %s", name, tokens, id)
 			}
 		}
 	}
 }
 
 // A day without faults: every program finishes.
-func TestQuietDay(t *testing.T) {
-	if faults := runActs(t, nil, true); len(faults) > 0 {
+func TestProgramsFinishWithoutFaults(t *testing.T) {
+	if faults := runEvents(t, nil, true); len(faults) > 0 {
 		t.Fatal(strings.Join(faults, "\n"))
 	}
 }
--- a/internal/joined/remote_test.go
+++ b/internal/joined/remote_test.go
@@ -15,28 +15,28 @@
 )
 
 // abroad returns the calls that data centre b's engines have had.
-func (w *world) abroad() int64 {
+func (w *world) callsInB() int64 {
 	return w.engines["b-fast"].Counts().Calls + w.engines["b-slow"].Counts().Calls
 }
 
 // Callers of data centre a are served at home while its engines work. Then all
 // of its engines for the model go down: the instances of a ask b for its load,
 // send calls there, as the usage list allows, and every program finishes.
-func TestOtherDataCentreServesWhenHomeCannot(t *testing.T) {
+func TestOtherDataCentreServesWhenEnginesAreDown(t *testing.T) {
 	is := is.New(t)
 	o := newOracle()
-	var home, sent int64
+	var callsBefore, callsAfter int64
 	synctest.Test(t, func(t *testing.T) {
 		w, err := newWorld()
 		is.NoErr(err)
-		for _, s := range size {
+		for _, s := range dataCentres {
 			for n := range s.instances {
 				is.NoErr(w.start(s.dataCentre, n+1))
 			}
 		}
 		time.Sleep(15 * time.Second)
 		targets := []string{"http://" + callersAddress("a", 1), "http://" + callersAddress("a", 2)}
-		runAtHome := func(first int) {
+		runPrograms := func(first int) {
 			var callers sync.WaitGroup
 			for id := range 6 {
 				callers.Go(func() {
@@ -47,19 +47,19 @@
 			}
 			callers.Wait()
 		}
-		runAtHome(0)
-		home = w.abroad()
+		runPrograms(0)
+		callsBefore = w.callsInB()
 		for _, name := range []string{"a-fast", "a-slow"} {
 			w.engines[name].SetFaults(standin.EngineFaults{Down: true})
 		}
-		runAtHome(10)
-		sent = w.abroad()
-		w.heal()
+		runPrograms(10)
+		callsAfter = w.callsInB()
+		w.clearFaults()
 		w.close()
 	})
-	is.Equal(home, int64(0))
-	is.True(sent > 0)
-	is.Equal(o.stuck, map[step.Code]int{})
+	is.Equal(callsBefore, int64(0))
+	is.True(callsAfter > 0)
+	is.Equal(o.unfinished, map[step.Code]int{})
 	is.Equal(o.finished, o.programs)
-	is.Equal(len(o.faults), 0)
+	is.Equal(len(o.violations), 0)
 }
--- a/internal/joined/watch_test.go
+++ b/internal/joined/watch_test.go
@@ -19,33 +19,33 @@
 type callOrder struct {
 	mu sync.Mutex
 	// messages is the longest history that a call of the program brought.
-	messages map[string]int
-	back     map[string][2]int
-	calls    int
+	longest     map[string]int
+	regressions map[string][2]int
+	calls       int
 }
 
 func newCallOrder() *callOrder {
-	return &callOrder{messages: map[string]int{}, back: map[string][2]int{}}
+	return &callOrder{longest: map[string]int{}, regressions: map[string][2]int{}}
 }
 
 // note sees one call. Each turn's call brings a longer history than the one
 // before; a repeat of a turn brings one as long.
-func (c *callOrder) note(r *engine.Request) {
+func (c *callOrder) record(r *engine.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
-	n, longest := len(r.Chat.Messages), c.messages[r.Program]
+	n, longest := len(r.Chat.Messages), c.longest[r.Program]
 	if n < longest {
-		c.back[r.Program] = [2]int{longest, n}
+		c.regressions[r.Program] = [2]int{longest, n}
 	}
-	c.messages[r.Program] = max(longest, n)
+	c.longest[r.Program] = max(longest, n)
 }
 
-func (c *callOrder) judge(o *oracle) {
+func (c *callOrder) check(o *oracle) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for program, n := range c.back {
-		o.fault(promiseOrder, "%s: a call with %d messages came after one with %d", program, n[1], n[0])
+	for program, n := range c.regressions {
+		o.violation(promiseOrder, "%s: a call with %d messages came after one with %d", program, n[1], n[0])
 	}
 }
 
@@ -53,61 +53,61 @@
 func (w *world) setEngine(e *standin.Engine, f standin.EngineFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settings[e]++
+	w.faultChanges[e]++
 	e.SetFaults(f)
 }
 
-func (w *world) settingsOf(e *standin.Engine) int {
+func (w *world) faultChangesOf(e *standin.Engine) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.settings[e]
+	return w.faultChanges[e]
 }
 
 // aware is how long all may take to learn that an upstream leaves ("a few
 // seconds" in the brief).
-const aware = 4 * time.Second
+const drainingTimeout = 4 * time.Second
 
 // settle waits for the act's time. Where an engine leaves, it checks that after
 // a few seconds no call reaches it any more, unless another act took that back.
-func (w *world) settle(o *oracle, a act, e *standin.Engine) {
-	if a.Kind != "engine-leaves" || a.For <= aware {
+func (w *world) waitOut(o *oracle, a event, e *standin.Engine) {
+	if a.Kind != "engine-leaves" || a.For <= drainingTimeout {
 		time.Sleep(a.For)
 		return
 	}
-	set := w.settingsOf(e)
-	time.Sleep(aware)
+	set := w.faultChangesOf(e)
+	time.Sleep(drainingTimeout)
 	before := e.Counts()
-	time.Sleep(a.For - aware)
+	time.Sleep(a.For - drainingTimeout)
 	after := e.Counts()
-	if w.settingsOf(e) == set && after.Calls+after.Refused != before.Calls+before.Refused {
-		o.fault(promiseLeaving, "%d calls reached an engine that had been leaving for %s",
-			after.Calls+after.Refused-before.Calls-before.Refused, aware)
+	if w.faultChangesOf(e) == set && after.Calls+after.Refused != before.Calls+before.Refused {
+		o.violation(promiseDraining, "%d calls reached an engine that had been leaving for %s",
+			after.Calls+after.Refused-before.Calls-before.Refused, drainingTimeout)
 	}
 }
 
 // judgeStops checks that planned stops, where nothing else happens, break no
 // connection under a call and leave no program unfinished.
-func (w *world) judgeStops(o *oracle, acts []act) {
+func (w *world) checkStops(o *oracle, acts []event) {
 	for _, a := range acts {
 		if a.Kind != "stop" {
 			return
 		}
 	}
 	o.mu.Lock()
-	broken, stuck := o.broken, o.stuck
+	broken, stuck := o.brokenConnections, o.unfinished
 	o.mu.Unlock()
 	for _, b := range broken {
-		o.fault(promiseGraceful, "%s", b)
+		o.violation(promiseGracefulStop, "%s", b)
 	}
 	for code, n := range stuck {
 		if code != step.CodeBudget {
-			o.fault(promiseGraceful, "%d programs ended with %s", n, code)
+			o.violation(promiseGracefulStop, "%d programs ended with %s", n, code)
 		}
 	}
 }
 
 // heldEdit is an edit of the bound on steps that its operator was told is accepted.
-type heldEdit struct {
+type acceptedEdit struct {
 	base, version uint64
 	steps         int
 }
@@ -115,25 +115,25 @@
 // judgeEdits checks that each accepted edit stands in its version as its
 // operator made it, and that of edits of one entry from one version only one
 // was accepted.
-func (w *world) judgeEdits(o *oracle) {
+func (w *world) checkEdits(o *oracle) {
 	w.mu.Lock()
-	held := w.held
-	o.edits = len(held)
+	held := w.acceptedEdits
+	o.acceptedEdits = len(held)
 	w.mu.Unlock()
 	bases := map[uint64]uint64{}
 	editor := config.NewEditor(w.store)
 	for _, e := range held {
 		if other, ok := bases[e.base]; ok && other != e.version {
-			o.fault(promiseConfig, "versions %d and %d were both accepted from %d", other, e.version, e.base)
+			o.violation(promiseConfig, "versions %d and %d were both accepted from %d", other, e.version, e.base)
 		}
 		bases[e.base] = e.version
 		pair, _, err := editor.Get(context.Background(), e.version)
 		if err != nil {
-			o.fault(promiseConfig, "version %d can't be read: %v", e.version, err)
+			o.violation(promiseConfig, "version %d can't be read: %v", e.version, err)
 			continue
 		}
 		if got := pair.Plans.Plans[0].Bounds.Steps; got != e.steps {
-			o.fault(promiseConfig, "version %d has %d steps, its operator set %d", e.version, got, e.steps)
+			o.violation(promiseConfig, "version %d has %d steps, its operator set %d", e.version, got, e.steps)
 		}
 	}
 }
@@ -142,34 +142,34 @@
 // upstream itself another: either the list is right ("list-leaves"), or it is
 // stale and says live of an engine that leaves ("list-stale"). After a few
 // seconds nothing may reach the engine, whoever is right.
-func (w *world) contradict(o *oracle, a act) {
-	dc, _ := pick(a.Which)
+func (w *world) contradictList(o *oracle, a event) {
+	dc, _ := instanceOf(a.Which)
 	e := w.engines[dc+"-fast"]
 	if a.Kind == "list-leaves" {
-		w.list(o, dc, dc+"-fast")
+		w.writeEndpoints(o, dc, dc+"-fast")
 	} else {
-		w.list(o, dc, "")
+		w.writeEndpoints(o, dc, "")
 		w.setEngine(e, standin.EngineFaults{Leaving: true})
-		time.Sleep(aware / 2)
-		w.list(o, dc, "")
+		time.Sleep(drainingTimeout / 2)
+		w.writeEndpoints(o, dc, "")
 	}
 	other := w.engines[dc+"-slow"].Counts().Calls
-	time.Sleep(aware)
+	time.Sleep(drainingTimeout)
 	before := e.Counts()
 	time.Sleep(a.For)
 	after := e.Counts()
 	if n := after.Calls + after.Refused - before.Calls - before.Refused; n != 0 {
-		o.fault(promiseLeaving, "%s: %d calls reached the engine", a.Kind, n)
+		o.violation(promiseDraining, "%s: %d calls reached the engine", a.Kind, n)
 	}
 	if w.engines[dc+"-slow"].Counts().Calls == other {
-		o.fault(promiseLeaving, "%s: no calls came that could have gone to the engine", a.Kind)
+		o.violation(promiseDraining, "%s: no calls came that could have gone to the engine", a.Kind)
 	}
 	w.setEngine(e, standin.EngineFaults{})
-	w.list(o, dc, "")
+	w.writeEndpoints(o, dc, "")
 }
 
 // list writes the platform's list of a data centre.
-func (w *world) list(o *oracle, dc, leaving string) {
+func (w *world) writeEndpoints(o *oracle, dc, leaving string) {
 	var endpoints instance.Endpoints
 	for _, name := range []string{"-fast", "-slow", "-thrift", "-auction"} {
 		if dc+name == leaving {
@@ -186,6 +186,6 @@
 	key := store.Key{Kind: instance.KindEndpoints, Name: dc}
 	object, _ := w.store.Get(ctx, key)
 	if _, err := w.store.Put(ctx, key, value, object.Version); err != nil {
-		o.fault(promiseLeaving, "the list can't be written: %v", err)
+		o.violation(promiseDraining, "the list can't be written: %v", err)
 	}
 }
--- a/internal/joined/world_test.go
+++ b/internal/joined/world_test.go
@@ -44,7 +44,7 @@
 )
 
 // size says how many instances stand in each data centre.
-var size = []struct {
+var dataCentres = []struct {
 	dataCentre string
 	instances  int
 }{{"a", 3}, {"b", 2}}
@@ -63,13 +63,13 @@
 	nodes  map[string]*node
 	starts int
 	// accepted is the version of the last edit that an operator was told is accepted.
-	accepted uint64
-	edits    int
+	acceptedVersion uint64
+	edits           int
 	// settings counts how often the faults of each engine were set.
-	settings map[*standin.Engine]int
-	calls    *callOrder
+	faultChanges map[*standin.Engine]int
+	calls        *callOrder
 	// held are the edits that operators were told are accepted.
-	held []heldEdit
+	acceptedEdits []acceptedEdit
 }
 
 // node is one instance and the means to stop it.
@@ -94,12 +94,12 @@
 	w := &world{
 		network: standin.NewNetwork(), store: standin.NewStore(),
 		tools: map[string]*standin.Tool{}, engines: map[string]*standin.Engine{}, nodes: map[string]*node{},
-		settings: map[*standin.Engine]int{}, calls: newCallOrder(),
+		faultChanges: map[*standin.Engine]int{}, calls: newCallOrder(),
 	}
 	if err := w.serve("store", storeAddress, w.store.Handler()); err != nil {
 		return nil, err
 	}
-	for n, s := range size {
+	for n, s := range dataCentres {
 		w.tools[s.dataCentre] = standin.NewTool("auction")
 		w.tools[s.dataCentre].SetFaults(standin.ToolFaults{Delay: toolTime})
 		if err := w.serve(s.dataCentre+"/tool", fmt.Sprintf("127.0.0.1:%d", 950+n), w.tools[s.dataCentre].Handler()); err != nil {
@@ -128,7 +128,7 @@
 func (w *world) startEngine(dc, name, address string, speed float64) error {
 	e := standin.NewEngine(standin.EngineConfig{
 		Name: dc + "-" + name, Slots: 16, MaxQueue: 64, CacheTokens: 20000, PrefillSpeed: 20000 * speed, DecodeSpeed: decodeSpeed * speed,
-		BatchSlowdown: 0.03, Models: []string{modelOf(name)}, LoadLag: 100 * time.Millisecond, EventLag: 50 * time.Millisecond, KVSpeed: 1e5, ChunkTokens: 4, OnCall: w.calls.note,
+		BatchSlowdown: 0.03, Models: []string{modelOf(name)}, LoadLag: 100 * time.Millisecond, EventLag: 50 * time.Millisecond, KVSpeed: 1e5, ChunkTokens: 4, OnCall: w.calls.record,
 	})
 	w.engines[dc+"-"+name] = e
 	return w.serve(dc+"/"+name, address, e.Handler())
@@ -150,7 +150,7 @@
 
 func usageText() []byte {
 	text := []byte("[[model]]\nname = \"oak\"\n[[model]]\nname = \"thrift\"\n[[service]]\nname = \"auction\"\nrepeatable = [\"POST /quote\"]\n")
-	for n, s := range size {
+	for n, s := range dataCentres {
 		for k, name := range []string{"fast", "slow", "thrift"} {
 			text = fmt.Appendf(text, "[[upstream]]\nname = \"%s-%s\"\nkind = \"engine\"\naddress = \"127.0.0.1:%d\"\ndata_centre = %q\nmodels = [%q]\nslots = 16\ncache_tokens = 20000\n",
 				s.dataCentre, name, 910+10*n+k, s.dataCentre, modelOf(name))
@@ -199,8 +199,8 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.accepted = max(w.accepted, accepted.Version)
-	w.held = append(w.held, heldEdit{base: base, version: accepted.Version, steps: steps})
+	w.acceptedVersion = max(w.acceptedVersion, accepted.Version)
+	w.acceptedEdits = append(w.acceptedEdits, acceptedEdit{base: base, version: accepted.Version, steps: steps})
 	return nil
 }
 
@@ -216,7 +216,7 @@
 	s.Listen = settings.Listen{Callers: callersAddress(dc, number), Peers: peersAddress(dc, number)}
 	s.Store.URL, s.Store.Timeout = "http://"+storeAddress, settings.Duration(500*time.Millisecond)
 	s.Peers.Secret = "joined-joined-joined"
-	for _, other := range size {
+	for _, other := range dataCentres {
 		for n := range other.instances {
 			s.Peers.Seeds = append(s.Peers.Seeds, peersAddress(other.dataCentre, n+1))
 		}
@@ -260,7 +260,7 @@
 // client returns a caller that reaches all instances with the key.
 func (w *world) client(key string) *load.Client {
 	var targets []string
-	for _, s := range size {
+	for _, s := range dataCentres {
 		for n := range s.instances {
 			targets = append(targets, "http://"+callersAddress(s.dataCentre, n+1))
 		}
