--- a/internal/joined/agent_test.go
+++ b/internal/joined/agent_test.go
@@ -16,29 +16,29 @@
 	"foxhall/internal/step"
 )
 
-// attempts bounds how often an agent sends one step.
+// maxAttempts bounds how often an agent sends one step.
 const maxAttempts = 60
 
-// oracle holds what callers were told, to be held against what the stand-ins saw.
+// oracle records the responses that callers received and compares them with what the stand-ins counted.
 type oracle struct {
 	mu         sync.Mutex
 	violations []string
-	// told has for each step that may not be repeated all outcomes that its
-	// caller was told, in order.
+	// outcomes maps each non-repeatable step to the outcomes that its caller received, in order.
 	outcomes map[string][]step.Outcome
 	finished int
 	programs int
-	// stuck counts programs that ended for a reason that the faults explain.
+	// unfinished counts the programs that did not finish, by the last code that their caller received
+	// (CodeOwnerUnreachable if there was none).
 	unfinished map[step.Code]int
-	// lost names the steps at which programs ended without an explanation.
+	// unexplained lists the steps at which programs ended with a code outside explainedCodes.
 	unexplained   []string
 	endedPrograms []string
 	attempts      int
-	// broken has for each connection that broke under a call how it did.
+	// brokenConnections describes each connection that broke during a call.
 	brokenConnections []string
-	// spent is what the small plan spent, in tokens.
+	// spentTokens is the number of tokens spent by the plan with the small budget.
 	spentTokens int64
-	// edits is how many edits were accepted.
+	// acceptedEdits is the number of edits that were accepted.
 	acceptedEdits int
 }
 
@@ -52,7 +52,7 @@
 	o.violations = append(o.violations, promise+": "+fmt.Sprintf(format, args...))
 }
 
-// agent runs one program and checks each answer as it comes.
+// agent runs one program and checks each response on arrival.
 type agent struct {
 	oracle  *oracle
 	client  *load.Client
@@ -64,7 +64,7 @@
 	history []chat.Message
 }
 
-// The promises of the brief that the oracle names.
+// The guarantees that the oracle checks, as reported in a violation.
 const (
 	promiseOrder            = "calls reach the engines in order"
 	promiseHistory          = "a history is never lost or mixed"
@@ -78,8 +78,8 @@
 	promiseConfig           = "an accepted edit is in force everywhere and never reverts"
 )
 
-// run runs a program of some turns, each followed by a step that may be
-// repeated and one that may not, and ends it. Some start a sub-agent, which runs beside them.
+// run runs a program with the given number of turns and ends it. Each turn but the last is followed
+// by a repeatable and a non-repeatable step. Some programs start a sub-agent, which runs concurrently.
 func (a *agent) run(ctx context.Context, id, turns int) {
 	a.origin, a.next = id, 1
 	a.oracle.mu.Lock()
@@ -89,7 +89,7 @@
 	defer subAgents.Wait()
 	for turn := 1; turn <= turns; turn++ {
 		if turn == turns {
-			subAgents.Wait() // what they found belongs to the last turn
+			subAgents.Wait() // the last turn depends on the results of the sub-agents
 		}
 		if !a.sendTurn(ctx, fmt.Sprintf("program %d turn %d %s", id, turn, strings.Repeat("word ", 20)), turn == turns) {
 			return
@@ -109,8 +109,8 @@
 	a.oracle.endedPrograms = append(a.oracle.endedPrograms, a.program)
 }
 
-// turn sends one model step, and checks that the engine saw exactly the
-// program's history with the new message.
+// sendTurn sends one model step and checks that the engine received exactly the program's history
+// followed by the new message.
 func (a *agent) sendTurn(ctx context.Context, text string, last bool) bool {
 	message := chat.Message{Role: "user", Raw: fmt.Appendf(nil, `{"role":"user","content":%q}`, text)}
 	request := &chat.Request{Model: a.model, Messages: []chat.Message{message}, Stream: true, MaxTokens: 24}
@@ -127,27 +127,27 @@
 		if strings.HasPrefix(want, r.Text) {
 			promise = promiseCompleteResponse
 		}
-		a.oracle.violation(promise, "%s step %d: answer %q, want %q", a.program, r.Number, r.Text, want)
+		a.oracle.violation(promise, "%s step %d: response %q, want %q", a.program, r.Number, r.Text, want)
 		return false
 	}
 	a.history = append(a.history, chat.Message{Role: "assistant", Raw: fmt.Appendf(nil, `{"role":"assistant","content":%q}`, r.Text)})
 	return true
 }
 
-// quote sends one step at a service that may be repeated.
+// sendQuote sends one repeatable step to a service.
 func (a *agent) sendQuote(ctx context.Context, turn int) bool {
 	r, ok := a.send(ctx, load.Request{Service: "auction", Path: "/quote", Body: fmt.Appendf(nil, `{"lot":%d}`, turn)}, "")
 	if !ok {
 		return false
 	}
 	if !strings.Contains(r.Text, `"call":"POST /quote"`) {
-		a.oracle.violation(promiseCompleteResponse, "%s step %d: answer %q", a.program, a.next, r.Text)
+		a.oracle.violation(promiseCompleteResponse, "%s step %d: unexpected response %q", a.program, a.next, r.Text)
 	}
 	a.next++
 	return true
 }
 
-// order sends one step that may not be repeated.
+// sendOrder sends one non-repeatable step to a service.
 func (a *agent) sendOrder(ctx context.Context, turn int) bool {
 	key := fmt.Sprintf("%s/%d", a.program, a.next)
 	r, ok := a.send(ctx, load.Request{Service: "auction", Path: "/bids", Body: fmt.Appendf(nil, `{"bid":%d}`, turn)}, key)
@@ -155,14 +155,14 @@
 		return false
 	}
 	if !strings.Contains(r.Text, `"call":"POST /bids"`) {
-		a.oracle.violation(promiseCompleteResponse, "%s: answer %q", key, r.Text)
+		a.oracle.violation(promiseCompleteResponse, "%s: unexpected response %q", key, r.Text)
 	}
 	a.next++
 	return true
 }
 
-// send sends one step until it is done, as a careful caller does: under the
-// same number each time, and coming back when it is told to.
+// send sends one step until it is done, as a careful caller does: with the same step number in each
+// attempt, and after the delay that the response asks for.
 func (a *agent) send(ctx context.Context, r load.Request, key string) (load.Response, bool) {
 	r.Program, r.Parent, r.Number, r.Origin, r.Deadline = a.program, a.parent, a.next, a.origin, 20*time.Second
 	code := step.CodeOwnerUnreachable
@@ -183,7 +183,7 @@
 			return a.send(ctx, r, fmt.Sprintf("%s/%d", a.program, a.next))
 		}
 		if response.Code == step.CodeBudget {
-			break // it comes back when the window is over, an hour later
+			break // the budget is available again at the next window, an hour later
 		}
 		if err == nil && response.RetryAfter == 0 && response.Code != step.CodeOutcomeUnknown && response.Code != step.CodeDeadline {
 			break
@@ -199,8 +199,8 @@
 	return load.Response{}, false
 }
 
-// note keeps what the caller was told of a step that may not be repeated. A
-// broken connection tells nothing.
+// recordAttempt records the outcome that the caller received for a non-repeatable step. After a
+// broken connection the outcome is unknown.
 func (a *agent) recordAttempt(key string, r load.Response, err error) {
 	a.oracle.mu.Lock()
 	defer a.oracle.mu.Unlock()
@@ -218,11 +218,12 @@
 	a.oracle.outcomes[key] = append(a.oracle.outcomes[key], outcome)
 }
 
-// judgeEffects holds each step that may not be repeated against the services' counts.
+// checkEffects compares the outcomes of each non-repeatable step with the effects that the services
+// counted.
 func (o *oracle) checkEffects(effects map[string]int) {
 	for key, n := range effects {
 		if _, once := o.outcomes[key]; once && n > 1 {
-			o.violation(promiseOnce, "%s took effect %d times", key, n)
+			o.violation(promiseOnce, "%s: took effect %d times, want at most 1", key, n)
 		}
 	}
 	for key, outcomes := range o.outcomes {
@@ -230,11 +231,11 @@
 		for _, outcome := range outcomes {
 			allNotRun = allNotRun && outcome == step.NotRun
 			if outcome == step.Done && effects[key] != 1 {
-				o.violation(promiseOnce, "%s was done and took effect %d times", key, effects[key])
+				o.violation(promiseOnce, "%s: outcome is done, but it took effect %d times, want 1", key, effects[key])
 			}
 		}
 		if allNotRun && effects[key] != 0 {
-			o.violation(promiseNotRun, "%s was not run by every answer and took effect", key)
+			o.violation(promiseNotRun, "%s: every outcome is not run, but it took effect", key)
 		}
 	}
 }
--- a/internal/joined/caller_test.go
+++ b/internal/joined/caller_test.go
@@ -13,9 +13,9 @@
 	"foxhall/internal/step"
 )
 
-// A caller goes away in the middle of a streamed answer: the call is cancelled
-// at the engine and its slot is free again. A call for a model that nobody has
-// is refused at once, truly as not run.
+// Guards against engine slots that stay occupied after their caller has gone: the caller disconnects
+// in the middle of a streamed response, and the call must be cancelled at the engine. A call for a
+// model that no engine offers must be refused at once with the outcome not run.
 func TestCallerGoneAndUnknownModel(t *testing.T) {
 	is := is.New(t)
 	var cancelled int64
--- a/internal/joined/capacity_test.go
+++ b/internal/joined/capacity_test.go
@@ -35,18 +35,19 @@
 )
 
 const (
-	// capacityRest lets members meet and readers settle before anything is counted.
+	// capacitySettleTime lets the instances find each other and load the configuration before the
+	// first count.
 	capacitySettleTime = 20 * time.Second
-	// capacityWindow is how long, in virtual time, each state is counted.
+	// capacityWindow is the virtual time for which each state is measured.
 	capacityWindow = 40 * time.Second
-	// capacityTurns is the number of model steps of a program, each sent to
-	// an instance of its own, as a balancer would.
+	// capacityTurns is the number of model steps of a program. Each is sent to an instance chosen at
+	// random, as by a load balancer.
 	capacityTurns = 4
-	// capacityDrain ends the last programs before the closing count.
+	// capacityDrainTime lets the last programs end before the final count.
 	capacityDrainTime = 10 * time.Second
 )
 
-// snapshot is the state of all counts at one moment.
+// usageSnapshot holds the values of all counters at one time.
 type usageSnapshot struct {
 	at        time.Time
 	flows     map[string]standin.Flow
@@ -63,7 +64,7 @@
 	return usageSnapshot{time.Now(), t.Flows(), w.store.Counts(), time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), memory.TotalAlloc}
 }
 
-// inUse is the heap and the stacks after a collection, in bytes.
+// memoryInUse returns the bytes in use by heap and stacks after a garbage collection.
 func memoryInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -71,7 +72,7 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// report prints what one instance used in each virtual second.
+// logUsage logs the average resource usage of one instance per virtual second between two snapshots.
 func logUsage(t *testing.T, state string, a, b usageSnapshot, instances int) {
 	instanceSeconds := b.at.Sub(a.at).Seconds() * float64(instances)
 	bytes := int64(0)
@@ -91,7 +92,7 @@
 	}
 }
 
-// newFleet starts engines and instances in data centre "a".
+// newCapacityWorld starts engines and instances in data centre "a".
 func newCapacityWorld(t *standin.Tally, instances, engines int) (*world, error) {
 	w := &world{
 		network: standin.NewNetwork(), store: standin.NewStore(),
@@ -150,7 +151,8 @@
 	return nil
 }
 
-// drive runs programs for the window at the rate, in steps a second.
+// runLoad starts programs for capacityWindow at the given rate, in model steps per second, and
+// waits for them.
 func (w *world) runLoad(o *oracle, instances int, rate float64) {
 	var targets []string
 	for n := range instances {
@@ -182,10 +184,10 @@
 	programs.Wait()
 }
 
-// TestCapacity counts what whole instances use at rest and under a steady
-// load, for docs/CAPACITY.md: calls and bytes by kind of request, calls of the
-// object API, processor time and memory. It runs small unless told otherwise
-// and fails where a program does not finish.
+// TestCapacity measures the resource usage of complete instances at rest and under a steady load:
+// calls and bytes by kind of request, calls of the object API, processor time and memory. The
+// default size is small; flags set a larger one. It fails if a program does not finish
+// or a response is wrong.
 //
 //	go test ./internal/joined -run TestCapacity -v -capacity.instances 30 -capacity.engines 20
 func TestCapacity(t *testing.T) {
--- a/internal/joined/failure_test.go
+++ b/internal/joined/failure_test.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// expect runs the acts, which may overlap, and fails the test for each promise
-// that does not hold afterwards.
-func expectPromises(t *testing.T, memory bool, acts ...event) {
+// expectPromises runs the events, which may overlap, and fails the test if a guarantee was violated.
+// With checkMemory it also checks that engines released the memory of ended programs.
+func expectPromises(t *testing.T, checkMemory bool, events ...event) {
 	t.Helper()
-	if faults := runEvents(t, acts, memory); len(faults) > 0 {
-		t.Errorf("acts %+v\n%s", acts, strings.Join(faults, "\n"))
+	if violations := runEvents(t, events, checkMemory); len(violations) > 0 {
+		t.Errorf("events %+v\n%s", events, strings.Join(violations, "\n"))
 	}
 }
 
-// Instances of both data centres are stopped one after the other while
-// programs run on them, as in a rolling replacement. Each ends its answers,
-// hands its programs over and goes; no caller sees a connection break under
-// its call, and each program finishes.
+// Guards against a rolling replacement that interrupts requests. Instances of both data centres are
+// stopped one after the other while programs run on them. Each must complete its responses, hand its
+// programs over and exit; no connection breaks during a call, and every program finishes.
 func TestPlannedStopsBreakNoRequest(t *testing.T) {
 	expectPromises(t, false,
 		event{After: 2 * time.Second, Kind: "stop", Which: 0, For: 4 * time.Second},
@@ -26,50 +25,51 @@
 		event{After: 3 * time.Second, Kind: "stop", Which: 3, For: 4 * time.Second})
 }
 
-// The owner of programs is killed, and others take them over and end them. No
-// engine still holds their memory when their repeats are no longer answered.
+// Guards against engine memory that is never released because the owner of the program was killed:
+// other instances take its programs over and end them. Once repeats of their steps are no longer
+// answered, no engine may hold memory for them.
 func TestMemoryIsReleasedAfterKill(t *testing.T) {
 	expectPromises(t, true,
 		event{After: 3 * time.Second, Kind: "kill", Which: 0, For: 4 * time.Second},
 		event{After: 3 * time.Second, Kind: "kill", Which: 3, For: 4 * time.Second})
 }
 
-// Two faults at once, each pair where one hinders what mends the other. What
-// has to hold is the same for all: every promise that the oracle names, and
-// no program lost without an explanation.
+// Guards against faults that are handled one at a time but not together: in each pair one fault
+// hinders the recovery from the other. Every guarantee that the oracle checks must hold, and no
+// program may end without a code in explainedCodes.
 func TestPairsOfFaults(t *testing.T) {
 	const s = time.Second
-	for name, acts := range map[string][]event{
-		// Nobody can seal the dead owner's log before the outage ends.
+	for name, events := range map[string][]event{
+		// No instance can seal the dead owner's log before the outage ends.
 		"store down, owner killed": {{After: 3 * s, Kind: "store-down", For: 10 * s}, {After: s, Kind: "kill", Which: 0, For: 4 * s}},
-		// The survivors that see the death cannot write its seal.
-		"platform cut, owner killed": {{After: 3 * s, Kind: "cut-platform", Which: 0, For: 10 * s}, {After: s, Kind: "kill", Which: 1, For: 4 * s}},
-		// An instance that cannot be reached gets the edit once it is back.
+		// The survivors that detect the failure cannot write the seal.
+		"store unreachable, owner killed": {{After: 3 * s, Kind: "cut-platform", Which: 0, For: 10 * s}, {After: s, Kind: "kill", Which: 1, For: 4 * s}},
+		// An unreachable instance must get the edit once it is reachable again.
 		"instance isolated, edit": {{After: 3 * s, Kind: "isolate", Which: 2, For: 8 * s}, {After: s, Kind: "edit"}},
-		// The seal is written, and the successor is not told so.
-		"answers lost, owner killed": {{After: 3 * s, Kind: "lose-answers", N: 3, For: 10 * s}, {Kind: "kill", Which: 0, For: 4 * s}},
-		// The hand-over has to be written while each write takes most of its timeout.
+		// The seal is written, but the successor does not get the store's response.
+		"store responses lost, owner killed": {{After: 3 * s, Kind: "lose-answers", N: 3, For: 10 * s}, {Kind: "kill", Which: 0, For: 4 * s}},
+		// The handoff must be written while each write takes most of its timeout.
 		"store slow, planned stop": {{After: 3 * s, Kind: "store-slow", N: 1, For: 10 * s}, {After: s, Kind: "stop", Which: 0, For: 4 * s}},
-		// The one that takes over dies while it does.
+		// The successor is killed during the adoption.
 		"owner killed, successor killed": {{After: 3 * s, Kind: "kill", Which: 0, For: 30 * s}, {After: 4 * s, Kind: "kill", Which: 1, For: 8 * s}},
-		// Both sides of a cut see the other as gone, and one really is.
-		"data centres cut, owner killed": {{After: 3 * s, Kind: "cut-centres", For: 10 * s}, {After: s, Kind: "kill", Which: 3, For: 4 * s}},
-		// The service took effect and the owner that waits for its answer dies.
+		// Both sides of a network partition suspect the other, and one instance is really dead.
+		"data centres partitioned, owner killed": {{After: 3 * s, Kind: "cut-centres", For: 10 * s}, {After: s, Kind: "kill", Which: 3, For: 4 * s}},
+		// The step took effect at the service, and the owner is killed while it waits for the response.
 		"service hangs, owner killed": {{After: 3 * s, Kind: "tool-hang", Which: 0, N: 3, For: 6 * s}, {After: s, Kind: "kill", Which: 0, For: 4 * s}},
-		// Writes get lost while operators race.
-		"writes lost, operators race": {{After: 3 * s, Kind: "drop-writes", N: 3, For: 8 * s}, {After: s / 2, Kind: "race"}},
-		// The upstream leaves while one instance cannot hear of it from its peers.
-		"engine leaves, instance isolated": {{After: 3 * s, Kind: "isolate", Which: 1, For: 3 * s}, {Kind: "engine-leaves", Which: 0, For: 12 * s}},
+		// The store drops writes while operators edit concurrently.
+		"writes lost, concurrent edits": {{After: 3 * s, Kind: "drop-writes", N: 3, For: 8 * s}, {After: s / 2, Kind: "race"}},
+		// The upstream starts draining while one instance cannot learn of it from its peers.
+		"engine drains, instance isolated": {{After: 3 * s, Kind: "isolate", Which: 1, For: 3 * s}, {Kind: "engine-leaves", Which: 0, For: 12 * s}},
 	} {
-		t.Run(name, func(t *testing.T) { expectPromises(t, false, acts...) })
+		t.Run(name, func(t *testing.T) { expectPromises(t, false, events...) })
 	}
 }
 
-// An engine drains and says so in its answers, while the platform's lagging
-// list goes on to call it live and is written again as such; then, elsewhere,
-// the list calls an engine leaving that itself says nothing of it, and one
-// instance starts anew meanwhile and knows only what it reads and hears. One
-// sign of leaving is enough: after a few seconds no call reaches either engine.
+// Guards against new calls to a draining engine when the signs disagree. In one data centre an engine
+// reports in its responses that it drains while the platform's stale list, written again, has it as
+// live. In the other one the list has an engine as draining that does not report it. Meanwhile one
+// instance is killed and replaced, so that it knows only what it reads and what its peers send. One
+// sign must be enough: after a few seconds no call reaches either engine.
 func TestEitherSignOfDrainingStopsNewCalls(t *testing.T) {
 	expectPromises(t, false,
 		event{After: time.Second, Kind: "list-stale", Which: 0, For: 6 * time.Second},
@@ -77,29 +77,29 @@
 		event{After: 2 * time.Second, Kind: "kill", Which: 1, For: 4 * time.Second})
 }
 
-// Many programs of a small plan run in two data centres that are cut from each
-// other, and instances with a part of the budget in hand are killed, some of
-// them twice. What the dead held counts as spent: the callers get less than the
-// budget, and never more.
+// Guards against overspending a budget after a network partition and kills. Many programs of a plan
+// with a small budget run in two partitioned data centres, and instances that hold a part of the
+// budget are killed, some of them twice. The part that a killed instance held counts as spent, so the
+// callers may get less than the budget but never more.
 func TestBudgetHoldsUnderPartitionsAndKills(t *testing.T) {
 	thrifty := func(int) (string, string) { return thriftKey, "thrift" }
-	faults := runEventsWith(t, thrifty, []event{
+	violations := runEventsWith(t, thrifty, []event{
 		{After: 2 * time.Second, Kind: "cut-centres", For: 9 * time.Second},
 		{After: time.Second, Kind: "kill", Which: 0, For: 2 * time.Second},
 		{After: time.Second, Kind: "kill", Which: 3, For: 2 * time.Second},
 		{After: 2 * time.Second, Kind: "lose-answers", N: 2, For: 3 * time.Second},
 		{After: time.Second, Kind: "kill", Which: 0, For: 2 * time.Second},
 	}, false)
-	if len(faults) > 0 {
-		t.Error(strings.Join(faults, "\n"))
+	if len(violations) > 0 {
+		t.Error(strings.Join(violations, "\n"))
 	}
 }
 
-// Operators race on one entry while the store applies writes and loses the
-// answers, and an instance and then a data centre are out of reach; later the
-// store answers some reads from an older state. Of edits
-// from one version one is accepted and the others are told of a conflict; what
-// was accepted is in force everywhere within ten seconds of the healing.
+// Guards against accepted edits that are lost or reverted. Operators edit one entry concurrently while
+// the store applies writes and drops the responses, and while an instance and then a data centre are
+// unreachable; later the store answers some reads from an older state. Of the edits based on one
+// version only one may be accepted, the others get a conflict; an accepted edit must be in force
+// everywhere within ten seconds of the end of the faults.
 func TestAcceptedEditsStayInForce(t *testing.T) {
 	expectPromises(t, false,
 		event{After: time.Second, Kind: "lose-answers", N: 3, For: 12 * time.Second},
@@ -112,10 +112,10 @@
 		event{After: 7 * time.Second, Kind: "regress-reads", N: 3, For: 5 * time.Second})
 }
 
-// A program's owner is killed while the rest of its data centre is away: one
-// instance still stops, for as long as the object API is out of its reach, and
-// the killed owner's replacement is alone and sees itself cut off. It sealed
-// the dead log without a successor, and the callers were told "moved" for ever.
+// Guards against a log that is sealed without a successor, after which callers get "moved" for ever.
+// A program's owner is killed while the rest of its data centre is away: one instance is still
+// stopping, for as long as the object API is unreachable for it, and the killed owner's replacement
+// is the only instance and considers itself isolated when it seals the log.
 func TestOwnerKilledWhileItsDataCentreIsAway(t *testing.T) {
 	expectPromises(t, false,
 		event{After: time.Millisecond, Kind: "kill", Which: 4, For: 474 * time.Millisecond},
@@ -124,9 +124,9 @@
 		event{After: 3497 * time.Millisecond, Kind: "kill", Which: 8, For: 8826 * time.Millisecond})
 }
 
-// A caller's sub-agent starts just as its parent's owner stops. The call is
-// relayed to the successor before that has adopted the parent, and was answered
-// "no such program", although the parent went on there a moment later.
+// Guards against the response "no such program" for a program that is being handed over. A sub-agent
+// starts just as the owner of its parent stops, and the call is relayed to the successor before the
+// successor has adopted the parent.
 func TestSubAgentStartsDuringHandoff(t *testing.T) {
 	expectPromises(t, false,
 		event{After: 598 * time.Millisecond, Kind: "isolate", Which: 6, For: 202 * time.Millisecond},
--- a/internal/joined/machine_test.go
+++ b/internal/joined/machine_test.go
@@ -16,18 +16,18 @@
 	"foxhall/internal/step"
 )
 
-// act is one thing that happens while programs run.
+// event is one fault or edit that takes place while programs run.
 type event struct {
-	// After is the time since the act before.
+	// After is the time since the start of the previous event.
 	After time.Duration
 	Kind  string
-	// Which picks an instance, data centre or upstream, N is a count.
+	// Which selects an instance, data centre or upstream; N is a count.
 	Which, N int
-	// For is how long a fault lasts.
+	// For is the duration of a fault.
 	For time.Duration
 }
 
-// kinds are the faults, and the acts of operators and the platform.
+// eventKinds lists the faults and the actions of operators and of the platform.
 var eventKinds = []string{
 	"kill", "isolate", "stop", "cut-centres", "cut-platform", "store-down", "store-slow", "lose-answers", "drop-writes",
 	"engine-down", "engine-hang", "engine-slow", "engine-leaves", "tool-hang", "tool-drop", "tool-refuse", "edit", "race",
@@ -45,32 +45,32 @@
 	}), 1, 8).Draw(t, "acts")
 }
 
-// long also waits in each run until the memory of ended programs is released.
+// checkMemoryAlways makes each run wait for releaseTimeout and check that engines released the
+// memory of ended programs.
 var checkMemoryAlways = flag.Bool("joined.long", false, "check the engines' memory in each run of the state machine")
 
-// TestPromisesUnderFaults runs programs of two customers through five instances
-// in two data centres while instances die, are cut off and are replaced, the
-// object API fails, engines and services misbehave, upstreams leave and
-// operators edit, several at a time. The oracle holds what callers were told
-// against what the stand-ins saw, and checks the brief's promises by name.
+// TestPromisesUnderFaults runs programs of two customers on five instances in two data centres
+// while several faults overlap: instances are killed, isolated and replaced, the object API fails,
+// engines and services fail, upstreams drain and operators edit. The oracle compares the responses of
+// callers with what the stand-ins counted and reports each violated guarantee by its text.
 func TestPromisesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		acts := drawEvents(rt)
-		faults := runEvents(t, acts, *checkMemoryAlways)
-		if len(faults) > 0 {
-			rt.Fatalf("acts %+v\n%s", acts, strings.Join(faults, "\n"))
+		events := drawEvents(rt)
+		violations := runEvents(t, events, *checkMemoryAlways)
+		if len(violations) > 0 {
+			rt.Fatalf("events %+v\n%s", events, strings.Join(violations, "\n"))
 		}
 	})
 }
 
-// runActs runs the acts in a bubble of virtual time and returns the broken promises.
-func runEvents(t *testing.T, acts []event, memory bool) []string {
+// runEvents runs the events in a synctest bubble (virtual time) and returns the violations.
+func runEvents(t *testing.T, events []event, checkMemory bool) []string {
 	t.Helper()
-	return runEventsWith(t, mixedCallers, acts, memory)
+	return runEventsWith(t, mixedCallers, events, checkMemory)
 }
 
-// runCrowd is runActs with another mix of callers.
-func runEventsWith(t *testing.T, c callerMix, acts []event, memory bool) []string {
+// runEventsWith is runEvents with the given mix of callers.
+func runEventsWith(t *testing.T, c callerMix, events []event, checkMemory bool) []string {
 	t.Helper()
 	o := newOracle()
 	synctest.Test(t, func(t *testing.T) {
@@ -89,12 +89,12 @@
 		watch, stopWatch := context.WithCancel(context.Background())
 		var watching sync.WaitGroup
 		watching.Go(func() { w.watchVersions(watch, o) })
-		w.runCallers(o, c, acts)
+		w.runCallers(o, c, events)
 		w.calls.check(o)
-		w.checkStops(o, acts)
+		w.checkStops(o, events)
 		w.clearFaults()
 		w.check(o)
-		if memory {
+		if checkMemory {
 			time.Sleep(releaseTimeout)
 			w.checkMemory(o)
 		}
@@ -102,12 +102,12 @@
 		watching.Wait()
 		w.close()
 	})
-	t.Logf("%d programs, %d ended, %d sends, %d broken connections, stuck %v, %d tokens of the small plan, %d edits accepted",
+	t.Logf("%d programs, %d finished, %d attempts, %d broken connections, unfinished %v, %d tokens spent by the plan with the small budget, %d edits accepted",
 		o.programs, o.finished, o.attempts, len(o.brokenConnections), o.unfinished, o.spentTokens, o.acceptedEdits)
 	return o.violations
 }
 
-// crowd gives each caller its key and model.
+// callerMix returns the key and the model of a caller.
 type callerMix func(id int) (key, model string)
 
 func mixedCallers(id int) (string, string) {
@@ -120,8 +120,8 @@
 	return kerlouanKey, "oak"
 }
 
-// play runs the callers and the acts at once, and waits for both.
-func (w *world) runCallers(o *oracle, c callerMix, acts []event) {
+// runCallers runs the callers and the events concurrently and waits for both.
+func (w *world) runCallers(o *oracle, c callerMix, events []event) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var callers sync.WaitGroup
@@ -136,16 +136,16 @@
 		})
 	}
 	var running sync.WaitGroup
-	for _, a := range acts {
-		time.Sleep(a.After)
-		running.Go(func() { w.apply(o, a) })
+	for _, ev := range events {
+		time.Sleep(ev.After)
+		running.Go(func() { w.apply(o, ev) })
 	}
 	running.Wait()
 	w.clearFaults()
 	callers.Wait()
 }
 
-// pick returns the data centre and number of the act's instance.
+// instanceOf returns the data centre and the number of the instance that which selects.
 func instanceOf(which int) (string, int) {
 	if which%5 < 3 {
 		return "a", which%5 + 1
@@ -160,36 +160,36 @@
 	return w.nodes[fmt.Sprintf("%s/%d", dc, n)]
 }
 
-// act carries one act out and takes it back after its time.
-func (w *world) apply(o *oracle, a event) {
-	switch a.Kind {
+// apply applies one event and reverts it after its duration.
+func (w *world) apply(o *oracle, ev event) {
+	switch ev.Kind {
 	case "kill":
-		w.replace(a, func(n *node) { w.network.Kill(n.host); n.stop() })
+		w.replace(ev, func(n *node) { w.network.Kill(n.host); n.stop() })
 	case "stop":
-		w.replace(a, func(n *node) { n.stop() })
+		w.replace(ev, func(n *node) { n.stop() })
 	case "isolate":
-		w.partitionFor(a.For, w.node(a.Which).host, "")
+		w.partitionFor(ev.For, w.node(ev.Which).host, "")
 	case "cut-centres":
-		w.partitionFor(a.For, "a/", "b/")
+		w.partitionFor(ev.For, "a/", "b/")
 	case "cut-platform":
-		dc, _ := instanceOf(a.Which)
-		w.partitionFor(a.For, dc+"/", "store")
+		dc, _ := instanceOf(ev.Which)
+		w.partitionFor(ev.For, dc+"/", "store")
 	case "edit", "race":
-		w.applyEdits(a)
+		w.applyEdits(ev)
 	case "list-leaves", "list-stale":
-		w.contradictList(o, a)
+		w.contradictList(o, ev)
 	default:
-		w.injectFault(o, a)
+		w.injectFault(o, ev)
 	}
 }
 
-// replace ends an instance and starts another under the same name.
-func (w *world) replace(a event, end func(*node)) {
-	n := w.node(a.Which)
+// replace ends an instance and starts another one under the same name.
+func (w *world) replace(ev event, end func(*node)) {
+	n := w.node(ev.Which)
 	end(n)
 	<-n.ended
-	time.Sleep(a.For / 4)
-	dc, number := instanceOf(a.Which)
+	time.Sleep(ev.For / 4)
+	dc, number := instanceOf(ev.Which)
 	w.mu.Lock()
 	same := w.nodes[n.name] == n
 	w.mu.Unlock()
@@ -206,10 +206,10 @@
 	w.network.Heal(other, one)
 }
 
-// operate has operators edit: one, or two at once from the same version.
-func (w *world) applyEdits(a event) {
+// applyEdits makes one edit, or two concurrent edits based on the same version.
+func (w *world) applyEdits(ev event) {
 	operators := 1
-	if a.Kind == "race" {
+	if ev.Kind == "race" {
 		operators = 2
 	}
 	var editing sync.WaitGroup
@@ -223,23 +223,23 @@
 	editing.Wait()
 }
 
-// misbehave sets the fault of a stand-in for the act's time.
-func (w *world) injectFault(o *oracle, a event) {
+// injectFault sets a fault on a stand-in for the duration of the event.
+func (w *world) injectFault(o *oracle, ev event) {
 	engines := []string{"a-fast", "a-slow", "b-fast", "b-slow"}
-	e := w.engines[engines[a.Which%len(engines)]]
-	dc, _ := instanceOf(a.Which)
+	e := w.engines[engines[ev.Which%len(engines)]]
+	dc, _ := instanceOf(ev.Which)
 	tool := w.tools[dc]
-	switch a.Kind {
+	switch ev.Kind {
 	case "store-down":
 		w.store.SetFaults(standin.StoreFaults{Down: true})
 	case "store-slow":
-		w.store.SetFaults(standin.StoreFaults{Delay: time.Duration(a.N) * 300 * time.Millisecond})
+		w.store.SetFaults(standin.StoreFaults{Delay: time.Duration(ev.N) * 300 * time.Millisecond})
 	case "lose-answers":
-		w.store.SetFaults(standin.StoreFaults{LoseAnswers: 4 * a.N})
+		w.store.SetFaults(standin.StoreFaults{LoseAnswers: 4 * ev.N})
 	case "drop-writes":
-		w.store.SetFaults(standin.StoreFaults{DropWrites: 4 * a.N})
+		w.store.SetFaults(standin.StoreFaults{DropWrites: 4 * ev.N})
 	case "regress-reads":
-		w.store.SetFaults(standin.StoreFaults{RegressReads: 8 * a.N})
+		w.store.SetFaults(standin.StoreFaults{RegressReads: 8 * ev.N})
 	case "engine-down":
 		w.setEngine(e, standin.EngineFaults{Down: true})
 	case "engine-hang":
@@ -249,14 +249,14 @@
 	case "engine-leaves":
 		w.setEngine(e, standin.EngineFaults{Leaving: true})
 	case "tool-hang":
-		tool.SetFaults(standin.ToolFaults{Delay: toolTime, Hang: a.N})
+		tool.SetFaults(standin.ToolFaults{Delay: toolTime, Hang: ev.N})
 	case "tool-drop":
-		tool.SetFaults(standin.ToolFaults{Delay: toolTime, Drop: a.N})
+		tool.SetFaults(standin.ToolFaults{Delay: toolTime, Drop: ev.N})
 	case "tool-refuse":
-		tool.SetFaults(standin.ToolFaults{Delay: toolTime, Refuse: a.N})
+		tool.SetFaults(standin.ToolFaults{Delay: toolTime, Refuse: ev.N})
 	}
-	w.waitOut(o, a, e)
-	w.clearFault(a.Kind, e, tool)
+	w.waitOut(o, ev, e)
+	w.clearFault(ev.Kind, e, tool)
 }
 
 func (w *world) clearFault(kind string, e *standin.Engine, tool *standin.Tool) {
@@ -270,7 +270,7 @@
 	}
 }
 
-// heal takes back every fault.
+// clearFaults clears the faults of all stand-ins.
 func (w *world) clearFaults() {
 	w.store.SetFaults(standin.StoreFaults{})
 	for _, e := range w.engines {
@@ -281,7 +281,7 @@
 	}
 }
 
-// watchVersions checks that the version in force never goes back on a node.
+// watchVersions checks that the configuration version in force never decreases on a node.
 func (w *world) watchVersions(ctx context.Context, o *oracle) {
 	highest := map[*node]uint64{}
 	for ctx.Err() == nil {
@@ -289,7 +289,7 @@
 		for name, n := range w.nodes {
 			v := n.instance.ConfigVersion()
 			if v < highest[n] && v != 0 {
-				o.violation(promiseConfig, "%s went back from %d to %d", name, highest[n], v)
+				o.violation(promiseConfig, "%s: version in force decreased from %d to %d", name, highest[n], v)
 			}
 			highest[n] = max(highest[n], v)
 		}
@@ -298,33 +298,33 @@
 	}
 }
 
-// inForce is how long after healing an accepted edit may take to be in force
-// everywhere (letter 1).
+// inForceTimeout is how long after the end of the faults an accepted edit may take to be in force
+// everywhere.
 const inForceTimeout = 10 * time.Second
 
-// released is how long after its end a program's memory may stay on engines:
-// its repeats are answered for five minutes, and the sweep comes after that.
+// releaseTimeout is how long after a program's end engines may hold its memory: repeats of its steps
+// are answered for five minutes, and the sweep follows.
 const releaseTimeout = 12 * time.Minute
 
-// judge checks what can be said only once all is calm.
+// check checks the guarantees that can be judged only after all faults and programs have ended.
 func (w *world) check(o *oracle) {
 	time.Sleep(inForceTimeout)
 	w.mu.Lock()
 	for name, n := range w.nodes {
 		if v := n.instance.ConfigVersion(); v < w.acceptedVersion {
-			o.violation(promiseConfig, "%s has version %d in force, %d was accepted", name, v, w.acceptedVersion)
+			o.violation(promiseConfig, "%s: version %d is in force, want at least the accepted version %d", name, v, w.acceptedVersion)
 		}
 	}
 	w.mu.Unlock()
 	o.checkEffects(w.effects())
 	if o.spentTokens = w.spentTokens(); o.spentTokens > thriftTokens {
-		o.violation(promiseBudget, "%d of %d tokens were spent", o.spentTokens, thriftTokens)
+		o.violation(promiseBudget, "%d tokens were spent, the budget is %d", o.spentTokens, thriftTokens)
 	}
 	w.checkEdits(o)
 	w.checkPrograms(o)
 }
 
-// spent returns the tokens that the engines of the small plan computed.
+// spentTokens returns the number of tokens computed by the engines of the plan with the small budget.
 func (w *world) spentTokens() int64 {
 	spent := int64(0)
 	for _, dc := range dataCentres {
@@ -334,9 +334,9 @@
 	return spent
 }
 
-// explained are the codes with which a program may end under faults: its
-// outcome is unknown and told so, its history can't be proved whole and told
-// so, or its budget is spent. Anything else is a program lost.
+// explainedCodes are the codes with which a program may end under faults: the outcome of a step is
+// reported as unknown, the history is reported as possibly incomplete, or the budget is exhausted.
+// A program that ends with any other code violates a guarantee.
 var explainedCodes = map[step.Code]bool{
 	step.CodeOutcomeUnknown: true, step.CodeHistoryUncertain: true, step.CodeBudget: true,
 }
@@ -346,15 +346,15 @@
 	for code, n := range o.unfinished {
 		ended += n
 		if !explainedCodes[code] {
-			o.violation("nothing silently disappears", "%d programs could not go on: %s, %v", n, code, o.unexplained)
+			o.violation("nothing silently disappears", "%d programs could not continue: %s, %v", n, code, o.unexplained)
 		}
 	}
 	if ended != o.programs {
-		o.violation("nothing silently disappears", "%d of %d programs ended", ended, o.programs)
+		o.violation("nothing silently disappears", "only %d of %d programs ended", ended, o.programs)
 	}
 }
 
-// judgeMemory checks that no engine still holds memory of an ended program.
+// checkMemory checks that no engine holds memory of an ended program.
 func (w *world) checkMemory(o *oracle) {
 	gone := map[string]bool{}
 	for _, id := range o.endedPrograms {
@@ -374,9 +374,10 @@
 	}
 }
 
-// A day without faults: every program finishes.
+// Guards against programs that fail without any fault: every program must finish, and engines must
+// release its memory.
 func TestProgramsFinishWithoutFaults(t *testing.T) {
-	if faults := runEvents(t, nil, true); len(faults) > 0 {
-		t.Fatal(strings.Join(faults, "\n"))
+	if violations := runEvents(t, nil, true); len(violations) > 0 {
+		t.Fatal(strings.Join(violations, "\n"))
 	}
 }
--- a/internal/joined/remote_test.go
+++ b/internal/joined/remote_test.go
@@ -14,14 +14,14 @@
 	"foxhall/internal/step"
 )
 
-// abroad returns the calls that data centre b's engines have had.
+// callsInB returns the number of calls received by the oak engines of data centre b.
 func (w *world) callsInB() int64 {
 	return w.engines["b-fast"].Counts().Calls + w.engines["b-slow"].Counts().Calls
 }
 
-// Callers of data centre a are served at home while its engines work. Then all
-// of its engines for the model go down: the instances of a ask b for its load,
-// send calls there, as the usage list allows, and every program finishes.
+// Guards against programs that fail when all engines for their model in one data centre are down.
+// Calls stay in data centre a while its engines work. When they are down, the instances of a must ask
+// b for its load and send calls there, as the usage list allows, and every program must finish.
 func TestOtherDataCentreServesWhenEnginesAreDown(t *testing.T) {
 	is := is.New(t)
 	o := newOracle()
--- a/internal/joined/watch_test.go
+++ b/internal/joined/watch_test.go
@@ -14,12 +14,14 @@
 	"foxhall/internal/store"
 )
 
-// callOrder holds what the engines saw of each program, in the order in which
-// any of them admitted its calls.
+// callOrder records the history lengths of each program's calls in the order of their admission by
+// any engine.
 type callOrder struct {
 	mu sync.Mutex
-	// messages is the longest history that a call of the program brought.
-	longest     map[string]int
+	// longest maps a program to the longest history of its calls so far, in messages.
+	longest map[string]int
+	// regressions maps a program to the last call with a shorter history than an earlier one: the
+	// longest length before it and its own.
 	regressions map[string][2]int
 	calls       int
 }
@@ -28,8 +30,8 @@
 	return &callOrder{longest: map[string]int{}, regressions: map[string][2]int{}}
 }
 
-// note sees one call. Each turn's call brings a longer history than the one
-// before; a repeat of a turn brings one as long.
+// record records one call. The call of each turn has a longer history than the call before; a repeat
+// of a turn has one of the same length.
 func (c *callOrder) record(r *engine.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +51,7 @@
 	}
 }
 
-// setEngine replaces an engine's faults and counts that it did.
+// setEngine replaces an engine's faults and counts the change.
 func (w *world) setEngine(e *standin.Engine, f standin.EngineFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,33 +65,33 @@
 	return w.faultChanges[e]
 }
 
-// aware is how long all may take to learn that an upstream leaves ("a few
-// seconds" in the brief).
+// drainingTimeout is how long the instances may take to learn that an upstream is draining. Users
+// expect a few seconds.
 const drainingTimeout = 4 * time.Second
 
-// settle waits for the act's time. Where an engine leaves, it checks that after
-// a few seconds no call reaches it any more, unless another act took that back.
-func (w *world) waitOut(o *oracle, a event, e *standin.Engine) {
-	if a.Kind != "engine-leaves" || a.For <= drainingTimeout {
-		time.Sleep(a.For)
+// waitOut waits for the duration of the event. If an engine drains, it checks that no call reaches the
+// engine after drainingTimeout, unless another event changed the engine's faults meanwhile.
+func (w *world) waitOut(o *oracle, ev event, e *standin.Engine) {
+	if ev.Kind != "engine-leaves" || ev.For <= drainingTimeout {
+		time.Sleep(ev.For)
 		return
 	}
-	set := w.faultChangesOf(e)
+	changes := w.faultChangesOf(e)
 	time.Sleep(drainingTimeout)
 	before := e.Counts()
-	time.Sleep(a.For - drainingTimeout)
+	time.Sleep(ev.For - drainingTimeout)
 	after := e.Counts()
-	if w.faultChangesOf(e) == set && after.Calls+after.Refused != before.Calls+before.Refused {
-		o.violation(promiseDraining, "%d calls reached an engine that had been leaving for %s",
+	if w.faultChangesOf(e) == changes && after.Calls+after.Refused != before.Calls+before.Refused {
+		o.violation(promiseDraining, "%d calls reached an engine that had been draining for %s",
 			after.Calls+after.Refused-before.Calls-before.Refused, drainingTimeout)
 	}
 }
 
-// judgeStops checks that planned stops, where nothing else happens, break no
-// connection under a call and leave no program unfinished.
-func (w *world) checkStops(o *oracle, acts []event) {
-	for _, a := range acts {
-		if a.Kind != "stop" {
+// checkStops checks, if there are no events but planned stops, that no connection broke during a
+// call and that no program is unfinished for another reason than its budget.
+func (w *world) checkStops(o *oracle, events []event) {
+	for _, ev := range events {
+		if ev.Kind != "stop" {
 			return
 		}
 	}
@@ -106,15 +108,15 @@
 	}
 }
 
-// heldEdit is an edit of the bound on steps that its operator was told is accepted.
+// acceptedEdit is an edit of the bound on steps for which the operator got the response that it is
+// accepted.
 type acceptedEdit struct {
 	base, version uint64
 	steps         int
 }
 
-// judgeEdits checks that each accepted edit stands in its version as its
-// operator made it, and that of edits of one entry from one version only one
-// was accepted.
+// checkEdits checks that each accepted edit is in its version unchanged, and that only one of the
+// edits of one entry based on the same version was accepted.
 func (w *world) checkEdits(o *oracle) {
 	w.mu.Lock()
 	held := w.acceptedEdits
@@ -124,7 +126,7 @@
 	editor := config.NewEditor(w.store)
 	for _, e := range held {
 		if other, ok := bases[e.base]; ok && other != e.version {
-			o.violation(promiseConfig, "versions %d and %d were both accepted from %d", other, e.version, e.base)
+			o.violation(promiseConfig, "versions %d and %d were both accepted with the base version %d", other, e.version, e.base)
 		}
 		bases[e.base] = e.version
 		pair, _, err := editor.Get(context.Background(), e.version)
@@ -133,19 +135,18 @@
 			continue
 		}
 		if got := pair.Plans.Plans[0].Bounds.Steps; got != e.steps {
-			o.violation(promiseConfig, "version %d has %d steps, its operator set %d", e.version, got, e.steps)
+			o.violation(promiseConfig, "version %d has a bound of %d steps, want %d", e.version, got, e.steps)
 		}
 	}
 }
 
-// contradict has the platform's list say one thing of an upstream and the
-// upstream itself another: either the list is right ("list-leaves"), or it is
-// stale and says live of an engine that leaves ("list-stale"). After a few
-// seconds nothing may reach the engine, whoever is right.
-func (w *world) contradictList(o *oracle, a event) {
-	dc, _ := instanceOf(a.Which)
+// contradictList makes the platform's list and an engine contradict each other: either only the list
+// has the engine as draining ("list-leaves"), or the list is stale and has a draining engine as live
+// ("list-stale"). In both cases no call may reach the engine after drainingTimeout.
+func (w *world) contradictList(o *oracle, ev event) {
+	dc, _ := instanceOf(ev.Which)
 	e := w.engines[dc+"-fast"]
-	if a.Kind == "list-leaves" {
+	if ev.Kind == "list-leaves" {
 		w.writeEndpoints(o, dc, dc+"-fast")
 	} else {
 		w.writeEndpoints(o, dc, "")
@@ -153,22 +154,23 @@
 		time.Sleep(drainingTimeout / 2)
 		w.writeEndpoints(o, dc, "")
 	}
-	other := w.engines[dc+"-slow"].Counts().Calls
+	otherCalls := w.engines[dc+"-slow"].Counts().Calls
 	time.Sleep(drainingTimeout)
 	before := e.Counts()
-	time.Sleep(a.For)
+	time.Sleep(ev.For)
 	after := e.Counts()
 	if n := after.Calls + after.Refused - before.Calls - before.Refused; n != 0 {
-		o.violation(promiseDraining, "%s: %d calls reached the engine", a.Kind, n)
+		o.violation(promiseDraining, "%s: %d calls reached the engine", ev.Kind, n)
 	}
-	if w.engines[dc+"-slow"].Counts().Calls == other {
-		o.violation(promiseDraining, "%s: no calls came that could have gone to the engine", a.Kind)
+	if w.engines[dc+"-slow"].Counts().Calls == otherCalls {
+		o.violation(promiseDraining, "%s: the other engine got no calls either, so the check shows nothing", ev.Kind)
 	}
 	w.setEngine(e, standin.EngineFaults{})
 	w.writeEndpoints(o, dc, "")
 }
 
-// list writes the platform's list of a data centre.
+// writeEndpoints writes the platform's list of a data centre with one upstream as leaving, or none if
+// leaving is empty.
 func (w *world) writeEndpoints(o *oracle, dc, leaving string) {
 	var endpoints instance.Endpoints
 	for _, name := range []string{"-fast", "-slow", "-thrift", "-auction"} {
--- a/internal/joined/world_test.go
+++ b/internal/joined/world_test.go
@@ -26,31 +26,31 @@
 
 func TestMain(m *testing.M) {
 	fuzzing.Fix(20261202, 12)
-	// go-metrics starts one goroutine with its first meter, which never ends
-	// and so must not belong to a test's bubble.
+	// go-metrics starts a goroutine with its first meter that never ends, so it must start outside the
+	// synctest bubble of a test.
 	metrics.NewMeter()
 	log.SetHandler(discard.New())
 	os.Exit(m.Run())
 }
 
-// The customers: one for each scenario, and one whose budget is small.
+// Keys of the customers: one for each scenario, and one with a small budget.
 const (
 	kerlouanKey = "joined-kerlouan-key"
 	sementeKey  = "joined-semente-key"
 	thriftKey   = "joined-thrift-key"
-	// thriftTokens is the small budget; its model stands on engines of its own,
-	// so that what they count is what the plan spent.
+	// thriftTokens is the small budget, in tokens. Its model runs on separate engines, so that their
+	// counts equal what the plan spent.
 	thriftTokens = 3000
 )
 
-// size says how many instances stand in each data centre.
+// dataCentres lists the data centres with their number of instances.
 var dataCentres = []struct {
 	dataCentre string
 	instances  int
 }{{"a", 3}, {"b", 2}}
 
-// world is instances in two data centres over shared stand-ins, on an
-// in-memory network. Hosts are named "a/1#2": data centre, instance, start.
+// world holds instances in two data centres and the stand-ins that they share, on an in-memory network.
+// Hosts are named "a/1#2": data centre, number of the instance, count of starts.
 type world struct {
 	network *standin.Network
 	store   *standin.Store
@@ -62,17 +62,17 @@
 	mu     sync.Mutex
 	nodes  map[string]*node
 	starts int
-	// accepted is the version of the last edit that an operator was told is accepted.
+	// acceptedVersion is the highest version that an operator got as accepted.
 	acceptedVersion uint64
 	edits           int
-	// settings counts how often the faults of each engine were set.
+	// faultChanges counts how often the faults of each engine were set.
 	faultChanges map[*standin.Engine]int
 	calls        *callOrder
-	// held are the edits that operators were told are accepted.
+	// acceptedEdits are the edits that operators got as accepted.
 	acceptedEdits []acceptedEdit
 }
 
-// node is one instance and the means to stop it.
+// node is one running instance with the function that stops it.
 type node struct {
 	name, host string
 	instance   *instance.Instance
@@ -82,9 +82,8 @@
 
 const storeAddress = "127.0.0.1:900"
 
-// Steps take so long that most acts meet some of them under way: a model step
-// a third of a second or more, by decodeSpeed in tokens a second, and a step
-// at a service toolTime.
+// Durations of steps, long enough that most events meet some steps in flight: a model step takes a
+// third of a second or more at decodeSpeed (tokens per second), a step at a service takes toolTime.
 const (
 	decodeSpeed = 80
 	toolTime    = 200 * time.Millisecond
@@ -163,7 +162,7 @@
 	return text
 }
 
-// modelOf returns the model of an engine or a plan of that name.
+// modelOf returns the model of the engine or plan with the given name.
 func modelOf(name string) string {
 	if name == "thrift" {
 		return "thrift"
@@ -171,8 +170,8 @@
 	return "oak"
 }
 
-// edit has an operator change the bound on steps, which no program reaches. It
-// notes the version once the operator is told that it is accepted.
+// edit changes the bound on steps, which no program reaches, as an operator would, and records the
+// version if the edit is accepted.
 func (w *world) edit(ctx context.Context, client *config.Editor) error {
 	if client == nil {
 		client = config.NewEditor(w.store)
@@ -204,7 +203,7 @@
 	return nil
 }
 
-// start starts an instance under its fixed addresses.
+// start starts an instance with its fixed addresses.
 func (w *world) start(dc string, number int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -232,7 +231,7 @@
 	return nil
 }
 
-// run does what the serve verb does: it begins a new incarnation after a fence.
+// run runs the instance as the serve command does: after an incarnation is fenced, it starts a new one.
 func (w *world) run(ctx context.Context, n *node, s settings.Settings) {
 	defer close(n.ended)
 	for {
@@ -257,7 +256,7 @@
 	return fmt.Sprintf("127.0.0.1:%d", 3000+100*int(dc[0]-'a')+number)
 }
 
-// client returns a caller that reaches all instances with the key.
+// client returns a client that sends to all instances with the key.
 func (w *world) client(key string) *load.Client {
 	var targets []string
 	for _, s := range dataCentres {
@@ -268,7 +267,7 @@
 	return load.NewClientOn(w.network.Host("caller").DialContext, targets, key)
 }
 
-// effects returns how often each key took effect at any service.
+// effects returns how often each key took effect, summed over all services.
 func (w *world) effects() map[string]int {
 	sum := map[string]int{}
 	for _, t := range w.tools {
@@ -279,7 +278,7 @@
 	return sum
 }
 
-// close stops everything, so that the bubble can end.
+// close stops all instances and servers, so that the synctest bubble can end.
 func (w *world) close() {
 	w.mu.Lock()
 	nodes := make([]*node, 0, len(w.nodes))
