--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -22,9 +22,9 @@
 const (
 	customerKey = "e2e-customer-key"
 	// freeKey is of a plan without a budget, which needs no allotment.
-	freeKey     = "e2e-free-key"
-	operatorKey = "e2e-operator-key"
-	peerSecret  = "e2e-secret-e2e-secret"
+	unbudgetedKey = "e2e-free-key"
+	operatorKey   = "e2e-operator-key"
+	peerSecret    = "e2e-secret-e2e-secret"
 )
 
 // binary is the foxhall program built once for all tests of the package.
@@ -47,10 +47,10 @@
 
 // process is one running foxhall process.
 type process struct {
-	name string
-	cmd  *exec.Cmd
-	log  string
-	done chan struct{}
+	name    string
+	cmd     *exec.Cmd
+	logFile string
+	done    chan struct{}
 }
 
 func (p *process) signal(t *testing.T, s os.Signal) {
@@ -61,38 +61,38 @@
 }
 
 // wait waits for the process to end and returns its exit code.
-func (p *process) wait(t *testing.T, limit time.Duration) int {
+func (p *process) wait(t *testing.T, timeout time.Duration) int {
 	t.Helper()
 	select {
 	case <-p.done:
-	case <-time.After(limit):
-		t.Fatalf("%s did not end within %s", p.name, limit)
+	case <-time.After(timeout):
+		t.Fatalf("%s did not end within %s", p.name, timeout)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
 // cluster is a set of processes: the stand-ins and some instances.
 type cluster struct {
-	t       *testing.T
-	folder  string
-	store   string
-	engines []string
-	tool    string
+	t               *testing.T
+	folder          string
+	storeAddress    string
+	engineAddresses []string
+	toolAddress     string
 	// centres and stores are the data centre of each instance and where it
 	// reaches the object API; instances beyond them stand in "dc".
-	centres []string
-	stores  []string
+	dataCentres    []string
+	storeAddresses []string
 	// more is added to the usage list.
-	more      string
-	instances []*process
-	callers   []string
-	peers     []string
+	extraUpstreams  string
+	instances       []*process
+	callerAddresses []string
+	peerAddresses   []string
 }
 
 func startCluster(t *testing.T, instances int) *cluster {
 	t.Helper()
 	c := newCluster(t)
-	c.run(instances)
+	c.applyListsAndStart(instances)
 	return c
 }
 
@@ -100,41 +100,41 @@
 func newCluster(t *testing.T) *cluster {
 	t.Helper()
 	c := &cluster{t: t, folder: t.TempDir()}
-	c.store, c.tool = freeAddress(t), freeAddress(t)
-	c.start("store", "standin", "store", "--listen", c.store)
-	c.start("tool", "standin", "tool", "--listen", c.tool, "--name", "auction")
+	c.storeAddress, c.toolAddress = freeAddress(t), freeAddress(t)
+	c.start("store", "standin", "store", "--listen", c.storeAddress)
+	c.start("tool", "standin", "tool", "--listen", c.toolAddress, "--name", "auction")
 	for n := range 2 {
 		address := freeAddress(t)
-		c.engines = append(c.engines, address)
+		c.engineAddresses = append(c.engineAddresses, address)
 		c.start(fmt.Sprintf("engine-%d", n), "standin", "engine", "--listen", address, "--decode", "2000", "--slots", "32")
 	}
-	c.waitFor("http://" + c.store + "/standin/counts")
+	c.waitFor("http://" + c.storeAddress + "/standin/counts")
 	return c
 }
 
 // run puts the lists in force and starts the instances.
-func (c *cluster) run(instances int) {
+func (c *cluster) applyListsAndStart(instances int) {
 	c.t.Helper()
-	out, code := c.apply("plans", c.write("plans.toml", c.plans()), "--base", "0", "--with", c.write("usage.toml", c.usage()))
+	out, code := c.applyEdit("plans", c.writeFile("plans.toml", c.plansText()), "--base", "0", "--with", c.writeFile("usage.toml", c.usageText()))
 	if code != 0 {
 		c.t.Fatalf("the lists were not accepted: %s", out)
 	}
 	for range instances {
-		c.callers = append(c.callers, freeAddress(c.t))
-		c.peers = append(c.peers, freeAddress(c.t))
+		c.callerAddresses = append(c.callerAddresses, freeAddress(c.t))
+		c.peerAddresses = append(c.peerAddresses, freeAddress(c.t))
 	}
 	for n := range instances {
 		c.startInstance(n)
 	}
 	for n := range instances {
-		c.waitFor("http://" + c.callers[n] + "/readyz")
+		c.waitFor("http://" + c.callerAddresses[n] + "/readyz")
 	}
 }
 
 func (c *cluster) startInstance(n int) {
-	centre, store := "dc", c.store
-	if n < len(c.centres) {
-		centre, store = c.centres[n], c.stores[n]
+	dataCentre, store := "dc", c.storeAddress
+	if n < len(c.dataCentres) {
+		dataCentre, store = c.dataCentres[n], c.storeAddresses[n]
 	}
 	text := fmt.Sprintf(`instance = "i%d"
 data_centre = %q
@@ -159,15 +159,15 @@
 key_hash = %q
 [shutdown]
 grace = "20s"
-`, n, centre, c.callers[n], c.peers[n], store, strings.Join(c.peers, `", "`), peerSecret, plan.HashKey(operatorKey))
-	p := c.start(fmt.Sprintf("instance-%d", n), "serve", "--settings", c.write(fmt.Sprintf("i%d.toml", n), text))
+`, n, dataCentre, c.callerAddresses[n], c.peerAddresses[n], store, strings.Join(c.peerAddresses, `", "`), peerSecret, plan.HashKey(operatorKey))
+	p := c.start(fmt.Sprintf("instance-%d", n), "serve", "--settings", c.writeFile(fmt.Sprintf("i%d.toml", n), text))
 	for len(c.instances) <= n {
 		c.instances = append(c.instances, nil)
 	}
 	c.instances[n] = p
 }
 
-func (c *cluster) plans() string {
+func (c *cluster) plansText() string {
 	return fmt.Sprintf(`[[plan]]
 name = "bids"
 customer = "kerlouan"
@@ -191,13 +191,13 @@
 name = "free"
 customer = "semente"
 key_hashes = [%q]
-`, plan.HashKey(customerKey), plan.HashKey(freeKey))
+`, plan.HashKey(customerKey), plan.HashKey(unbudgetedKey))
 }
 
-func (c *cluster) usage() string {
-	far := ""
-	if c.more != "" {
-		far = `, "far"`
+func (c *cluster) usageText() string {
+	extraCentre := ""
+	if c.extraUpstreams != "" {
+		extraCentre = `, "far"`
 	}
 	text := fmt.Sprintf(`[[model]]
 name = "oak-large"
@@ -221,18 +221,18 @@
 models = ["oak-large"]
 data_centres = ["dc"]
 latency_weight = 1.0
-`, far)
-	for n, address := range c.engines {
+`, extraCentre)
+	for n, address := range c.engineAddresses {
 		text += fmt.Sprintf("[[upstream]]\nname = \"engine-%d\"\nkind = \"engine\"\naddress = %q\ndata_centre = \"dc\"\nmodels = [\"oak-large\"]\nslots = 32\ncache_tokens = 20000\n", n, address)
 	}
-	return text + c.more + fmt.Sprintf("[[upstream]]\nname = \"auction-1\"\nkind = \"service\"\naddress = %q\ndata_centre = \"dc\"\nservice = \"auction\"\nslots = 128\n", c.tool)
+	return text + c.extraUpstreams + fmt.Sprintf("[[upstream]]\nname = \"auction-1\"\nkind = \"service\"\naddress = %q\ndata_centre = \"dc\"\nservice = \"auction\"\nslots = 128\n", c.toolAddress)
 }
 
 // start runs the binary with the arguments until the test ends.
 func (c *cluster) start(name string, args ...string) *process {
 	c.t.Helper()
-	p := &process{name: name, log: filepath.Join(c.folder, name+".log"), done: make(chan struct{})}
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	p := &process{name: name, logFile: filepath.Join(c.folder, name+".log"), done: make(chan struct{})}
+	out, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -251,21 +251,21 @@
 		_ = p.cmd.Process.Kill()
 		<-p.done
 		if c.t.Failed() {
-			c.showTail(p)
+			c.logTail(p)
 		}
 	})
 	return p
 }
 
 // shownLog is how much of a process's log a failed test shows, in bytes.
-const shownLog = 4000
+const shownLogBytes = 4000
 
-func (c *cluster) showTail(p *process) {
-	text, _ := os.ReadFile(p.log)
-	c.t.Logf("--- %s\n%s", p.name, text[max(0, len(text)-shownLog):])
+func (c *cluster) logTail(p *process) {
+	text, _ := os.ReadFile(p.logFile)
+	c.t.Logf("--- %s\n%s", p.name, text[max(0, len(text)-shownLogBytes):])
 }
 
-func (c *cluster) write(name, text string) string {
+func (c *cluster) writeFile(name, text string) string {
 	c.t.Helper()
 	file := filepath.Join(c.folder, name)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -275,9 +275,9 @@
 }
 
 // apply edits a list through the command line and returns its output and exit code.
-func (c *cluster) apply(list, file string, args ...string) (string, int) {
+func (c *cluster) applyEdit(list, file string, args ...string) (string, int) {
 	c.t.Helper()
-	all := append([]string{list, "apply", "--store", "http://" + c.store, "--operator", "e2e"}, append(args, file)...)
+	all := append([]string{list, "apply", "--store", "http://" + c.storeAddress, "--operator", "e2e"}, append(args, file)...)
 	out, err := exec.Command(binary, all...).CombinedOutput()
 	if exit, ok := err.(*exec.ExitError); ok {
 		return string(out), exit.ExitCode()
@@ -289,9 +289,9 @@
 }
 
 // base returns the version of the lists now accepted, as "plans get" tells it.
-func (c *cluster) base() string {
+func (c *cluster) acceptedVersion() string {
 	c.t.Helper()
-	out, err := exec.Command(binary, "plans", "get", "--store", "http://"+c.store).Output()
+	out, err := exec.Command(binary, "plans", "get", "--store", "http://"+c.storeAddress).Output()
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -300,20 +300,20 @@
 }
 
 func (c *cluster) client() *load.Client {
-	targets := make([]string, len(c.callers))
-	for n, address := range c.callers {
+	targets := make([]string, len(c.callerAddresses))
+	for n, address := range c.callerAddresses {
 		targets[n] = "http://" + address
 	}
 	return load.NewClient(targets, customerKey)
 }
 
 // readyLimit bounds how long a process takes to answer at its start.
-const readyLimit = 20 * time.Second
+const readyTimeout = 20 * time.Second
 
 func (c *cluster) waitFor(url string) {
 	c.t.Helper()
-	limit := time.Now().Add(readyLimit)
-	for time.Now().Before(limit) {
+	deadline := time.Now().Add(readyTimeout)
+	for time.Now().Before(deadline) {
 		resp, err := http.Get(url)
 		if err == nil {
 			resp.Body.Close()
@@ -327,7 +327,7 @@
 }
 
 // faults sets a stand-in's faults.
-func (c *cluster) faults(address, document string) {
+func (c *cluster) setFaults(address, document string) {
 	c.t.Helper()
 	req, err := http.NewRequest(http.MethodPut, "http://"+address+"/standin/faults", strings.NewReader(document))
 	if err != nil {
@@ -343,20 +343,20 @@
 // effects returns how often each key took effect at the tool service.
 func (c *cluster) effects() map[string]int {
 	c.t.Helper()
-	return c.effectsAt(c.tool)
+	return c.effectsAt(c.toolAddress)
 }
 
 func (c *cluster) effectsAt(tool string) map[string]int {
 	c.t.Helper()
 	effects, paths := map[string]int{}, map[string]string{}
-	c.read(tool, "/standin/effects", &effects)
-	c.read(tool, "/standin/paths", &paths)
+	c.readJSON(tool, "/standin/effects", &effects)
+	c.readJSON(tool, "/standin/paths", &paths)
 	// What may be repeated has no effect that counts.
 	maps.DeleteFunc(effects, func(key string, _ int) bool { return paths[key] == shape().Quote })
 	return effects
 }
 
-func (c *cluster) read(address, path string, into any) {
+func (c *cluster) readJSON(address, path string, into any) {
 	c.t.Helper()
 	resp, err := http.Get("http://" + address + path)
 	if err != nil {
@@ -369,7 +369,7 @@
 }
 
 // drive runs programs in the background; the report comes when all have ended.
-func (c *cluster) drive(shape load.Shape, programs, concurrency int) <-chan *load.Report {
+func (c *cluster) runPrograms(shape load.Shape, programs, concurrency int) <-chan *load.Report {
 	out := make(chan *load.Report, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	c.t.Cleanup(cancel)
@@ -379,15 +379,15 @@
 
 // judge holds what callers saw against what the service counted: each effect
 // that a caller was told of took place exactly once, and none twice.
-func (c *cluster) judge(r *load.Report) {
+func (c *cluster) checkReport(r *load.Report) {
 	c.t.Helper()
 	for code, n := range r.Reasons {
 		c.t.Logf("%d programs ended unfinished: %s", n, code)
 	}
-	c.judgeEffects(r, c.effects())
+	c.checkEffects(r, c.effects())
 }
 
-func (c *cluster) judgeEffects(r *load.Report, effects map[string]int) {
+func (c *cluster) checkEffects(r *load.Report, effects map[string]int) {
 	c.t.Helper()
 	for key, n := range effects {
 		if n > 1 {
--- a/internal/e2e/fault_test.go
+++ b/internal/e2e/fault_test.go
@@ -17,11 +17,11 @@
 
 // An operator asks that the command return only when the edit is in force. It
 // does when all three instances have the version, and names how many.
-func TestApplyWaitsUntilInForce(t *testing.T) {
+func TestApplyWaitsUntilEditIsInForce(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
-	edited := c.write("edited.toml", strings.Replace(c.plans(), "steps = 300", "steps = 200", 1))
-	out, code := c.apply("plans", edited, "--base", c.base(), "--wait", "--instance", "http://"+c.callers[1], "--key", operatorKey)
+	edited := c.writeFile("edited.toml", strings.Replace(c.plansText(), "steps = 300", "steps = 200", 1))
+	out, code := c.applyEdit("plans", edited, "--base", c.acceptedVersion(), "--wait", "--instance", "http://"+c.callerAddresses[1], "--key", operatorKey)
 	is.Equal(code, 0)
 	is.True(strings.Contains(out, "in force on all 3 instances"))
 }
@@ -29,14 +29,14 @@
 // The data centre "far" is cut from the platform while programs run on all
 // instances. "dc" goes on as before; "far" goes on with its model calls and
 // refuses what may not be repeated as not run. After the cut all programs finish.
-func TestDataCentreCutFromThePlatform(t *testing.T) {
+func TestProgramsFinishAfterDataCentreLosesStore(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t)
-	far := newLink(t, c.store)
+	far := newLink(t, c.storeAddress)
 	engine, service := freeAddress(t), freeAddress(t)
 	c.start("far-engine", "standin", "engine", "--listen", engine, "--decode", "2000", "--slots", "32")
 	c.start("far-tool", "standin", "tool", "--listen", service, "--name", "auction")
-	c.more = fmt.Sprintf(`[[upstream]]
+	c.extraUpstreams = fmt.Sprintf(`[[upstream]]
 name = "far-engine"
 kind = "engine"
 address = %q
@@ -52,10 +52,10 @@
 service = "auction"
 slots = 128
 `, engine, service)
-	c.centres = []string{"dc", "dc", "far", "far"}
-	c.stores = []string{c.store, c.store, far.address, far.address}
-	c.run(4)
-	reports := c.drive(shape(), 60, 20)
+	c.dataCentres = []string{"dc", "dc", "far", "far"}
+	c.storeAddresses = []string{c.storeAddress, c.storeAddress, far.address, far.address}
+	c.applyListsAndStart(4)
+	reports := c.runPrograms(shape(), 60, 20)
 	time.Sleep(400 * time.Millisecond)
 	far.setDown(true)
 	time.Sleep(3 * time.Second)
@@ -66,14 +66,14 @@
 	for key, n := range c.effectsAt(service) {
 		effects[key] += n
 	}
-	c.judgeEffects(report, effects)
+	c.checkEffects(report, effects)
 }
 
 // A program's owner is killed after a step that may not be repeated took effect
 // and before its answer came. The caller sends the step again under the same
 // number. The new owner finds the step sent and asks the service what became of
 // it: the caller gets the answer, and the step took effect once.
-func TestKillBetweenEffectAndAnswer(t *testing.T) {
+func TestOwnerKilledBeforeResponseRunsStepOnce(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	client := c.client()
@@ -84,7 +84,7 @@
 	}})
 	is.NoErr(err)
 	is.Equal(first.Outcome, step.Done)
-	c.faults(c.tool, `{"Hang":1}`)
+	c.setFaults(c.toolAddress, `{"Hang":1}`)
 	bid := load.Request{Program: first.Program, Number: 2, Deadline: 10 * time.Second, Service: "auction", Path: "/bids", Body: []byte(`{}`)}
 	go func() { _, _ = client.Send(ctx, bid) }()
 	key := first.Program + "/2"
@@ -107,27 +107,27 @@
 // An instance is killed and started anew while the object API is down, without
 // a disk. It gets the lists from its peers, is ready and serves model calls of
 // a plan without a budget; a budget can't be drawn on before the API is back.
-func TestRestartWithoutThePlatform(t *testing.T) {
+func TestRestartDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
-	c.faults(c.store, `{"Down":true}`)
+	c.setFaults(c.storeAddress, `{"Down":true}`)
 	c.instances[0].signal(t, os.Kill)
 	c.instances[0].wait(t, 10*time.Second)
 	c.startInstance(0)
-	c.waitFor("http://" + c.callers[0] + "/readyz")
-	client := load.NewClient([]string{"http://" + c.callers[0]}, freeKey)
+	c.waitFor("http://" + c.callerAddresses[0] + "/readyz")
+	client := load.NewClient([]string{"http://" + c.callerAddresses[0]}, unbudgetedKey)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	first := load.Request{Number: 1, Deadline: 10 * time.Second, Chat: &chat.Request{
 		Model: "oak-large", MaxTokens: 16, Messages: []chat.Message{{Role: "user", Raw: []byte(`{"role":"user","content":"oak"}`)}},
 	}}
-	answer, err := client.Send(ctx, first)
-	for err == nil && answer.Outcome == step.NotRun && answer.RetryAfter > 0 && ctx.Err() == nil {
+	response, err := client.Send(ctx, first)
+	for err == nil && response.Outcome == step.NotRun && response.RetryAfter > 0 && ctx.Err() == nil {
 		// Ready, but not yet in touch with peers that could hold a copy.
-		time.Sleep(answer.RetryAfter)
-		answer, err = client.Send(ctx, first)
+		time.Sleep(response.RetryAfter)
+		response, err = client.Send(ctx, first)
 	}
 	is.NoErr(err)
-	is.Equal(answer.Code, step.Code(""))
-	is.Equal(answer.Outcome, step.Done)
+	is.Equal(response.Code, step.Code(""))
+	is.Equal(response.Outcome, step.Done)
 }
--- a/internal/e2e/link_test.go
+++ b/internal/e2e/link_test.go
@@ -31,13 +31,13 @@
 			if err != nil {
 				return
 			}
-			go k.carry(near, to)
+			go k.forward(near, to)
 		}
 	}()
 	return k
 }
 
-func (k *link) carry(near net.Conn, to string) {
+func (k *link) forward(near net.Conn, to string) {
 	far, err := net.Dial("tcp", to)
 	k.mu.Lock()
 	if err != nil || k.down {
