--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -21,13 +21,13 @@
 
 const (
 	customerKey = "e2e-customer-key"
-	// freeKey is of a plan without a budget, which needs no allotment.
+	// unbudgetedKey belongs to a plan without a budget, whose calls need no part of a budget.
 	unbudgetedKey = "e2e-free-key"
 	operatorKey   = "e2e-operator-key"
 	peerSecret    = "e2e-secret-e2e-secret"
 )
 
-// binary is the foxhall program built once for all tests of the package.
+// binary is the path of the foxhall binary, built once for all tests of the package.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -60,29 +60,31 @@
 	}
 }
 
-// wait waits for the process to end and returns its exit code.
+// wait waits for the process to exit and returns its exit code. It fails the test after the timeout.
 func (p *process) wait(t *testing.T, timeout time.Duration) int {
 	t.Helper()
 	select {
 	case <-p.done:
 	case <-time.After(timeout):
-		t.Fatalf("%s did not end within %s", p.name, timeout)
+		t.Fatalf("%s did not exit within %s", p.name, timeout)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// cluster is a set of processes: the stand-ins and some instances.
+// cluster is a set of processes: the stand-ins and the instances.
 type cluster struct {
 	t               *testing.T
 	folder          string
 	storeAddress    string
 	engineAddresses []string
 	toolAddress     string
-	// centres and stores are the data centre of each instance and where it
-	// reaches the object API; instances beyond them stand in "dc".
+	// dataCentres and storeAddresses hold, by instance number, the data centre of an instance and the
+	// address at which it reaches the object API. Instances beyond their length are in "dc" and use
+	// storeAddress.
 	dataCentres    []string
 	storeAddresses []string
-	// more is added to the usage list.
+	// extraUpstreams is TOML text with upstreams in data centre "far" that is added to the usage list.
+	// If it is set, the grant of plan "bids" includes that data centre.
 	extraUpstreams  string
 	instances       []*process
 	callerAddresses []string
@@ -112,12 +114,13 @@
 	return c
 }
 
-// run puts the lists in force and starts the instances.
+// applyListsAndStart applies the plans and usage lists, starts the instances and waits until they
+// are ready.
 func (c *cluster) applyListsAndStart(instances int) {
 	c.t.Helper()
 	out, code := c.applyEdit("plans", c.writeFile("plans.toml", c.plansText()), "--base", "0", "--with", c.writeFile("usage.toml", c.usageText()))
 	if code != 0 {
-		c.t.Fatalf("the lists were not accepted: %s", out)
+		c.t.Fatalf("the plans and usage lists were not accepted: %s", out)
 	}
 	for range instances {
 		c.callerAddresses = append(c.callerAddresses, freeAddress(c.t))
@@ -228,7 +231,7 @@
 	return text + c.extraUpstreams + fmt.Sprintf("[[upstream]]\nname = \"auction-1\"\nkind = \"service\"\naddress = %q\ndata_centre = \"dc\"\nservice = \"auction\"\nslots = 128\n", c.toolAddress)
 }
 
-// start runs the binary with the arguments until the test ends.
+// start runs the binary with the arguments until the end of the test.
 func (c *cluster) start(name string, args ...string) *process {
 	c.t.Helper()
 	p := &process{name: name, logFile: filepath.Join(c.folder, name+".log"), done: make(chan struct{})}
@@ -257,7 +260,7 @@
 	return p
 }
 
-// shownLog is how much of a process's log a failed test shows, in bytes.
+// shownLogBytes is the size of the end of a process's log that a failed test prints.
 const shownLogBytes = 4000
 
 func (c *cluster) logTail(p *process) {
@@ -274,7 +277,7 @@
 	return file
 }
 
-// apply edits a list through the command line and returns its output and exit code.
+// applyEdit edits a list with the command line tool and returns its output and exit code.
 func (c *cluster) applyEdit(list, file string, args ...string) (string, int) {
 	c.t.Helper()
 	all := append([]string{list, "apply", "--store", "http://" + c.storeAddress, "--operator", "e2e"}, append(args, file)...)
@@ -288,7 +291,7 @@
 	return string(out), 0
 }
 
-// base returns the version of the lists now accepted, as "plans get" tells it.
+// acceptedVersion returns the latest accepted version of the lists, as printed by "plans get".
 func (c *cluster) acceptedVersion() string {
 	c.t.Helper()
 	out, err := exec.Command(binary, "plans", "get", "--store", "http://"+c.storeAddress).Output()
@@ -307,7 +310,7 @@
 	return load.NewClient(targets, customerKey)
 }
 
-// readyLimit bounds how long a process takes to answer at its start.
+// readyTimeout is how long a process may take after its start to respond.
 const readyTimeout = 20 * time.Second
 
 func (c *cluster) waitFor(url string) {
@@ -323,10 +326,10 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	c.t.Fatalf("%s did not answer", url)
+	c.t.Fatalf("%s did not respond with status 200 in time", url)
 }
 
-// faults sets a stand-in's faults.
+// setFaults sets the faults of a stand-in to a JSON document.
 func (c *cluster) setFaults(address, document string) {
 	c.t.Helper()
 	req, err := http.NewRequest(http.MethodPut, "http://"+address+"/standin/faults", strings.NewReader(document))
@@ -340,7 +343,7 @@
 	resp.Body.Close()
 }
 
-// effects returns how often each key took effect at the tool service.
+// effects returns how often each key took effect at the tool service, without repeatable steps.
 func (c *cluster) effects() map[string]int {
 	c.t.Helper()
 	return c.effectsAt(c.toolAddress)
@@ -351,7 +354,7 @@
 	effects, paths := map[string]int{}, map[string]string{}
 	c.readJSON(tool, "/standin/effects", &effects)
 	c.readJSON(tool, "/standin/paths", &paths)
-	// What may be repeated has no effect that counts.
+	// Repeatable steps may take effect more than once.
 	maps.DeleteFunc(effects, func(key string, _ int) bool { return paths[key] == shape().Quote })
 	return effects
 }
@@ -368,7 +371,7 @@
 	}
 }
 
-// drive runs programs in the background; the report comes when all have ended.
+// runPrograms runs programs in the background and sends the report when all have ended.
 func (c *cluster) runPrograms(shape load.Shape, programs, concurrency int) <-chan *load.Report {
 	out := make(chan *load.Report, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
@@ -377,12 +380,12 @@
 	return out
 }
 
-// judge holds what callers saw against what the service counted: each effect
-// that a caller was told of took place exactly once, and none twice.
+// checkReport compares the responses of callers with the effects that the service counted: each step
+// reported as done took effect exactly once, and no step took effect twice.
 func (c *cluster) checkReport(r *load.Report) {
 	c.t.Helper()
 	for code, n := range r.Reasons {
-		c.t.Logf("%d programs ended unfinished: %s", n, code)
+		c.t.Logf("%d programs ended before they finished: %s", n, code)
 	}
 	c.checkEffects(r, c.effects())
 }
@@ -391,18 +394,18 @@
 	c.t.Helper()
 	for key, n := range effects {
 		if n > 1 {
-			c.t.Errorf("step %s took effect %d times", key, n)
+			c.t.Errorf("step %s took effect %d times, want at most 1", key, n)
 		}
 	}
 	for _, key := range r.EffectKeys {
 		if effects[key] != 1 {
-			c.t.Errorf("step %s was answered as done and took effect %d times", key, effects[key])
+			c.t.Errorf("step %s was reported as done but took effect %d times, want 1", key, effects[key])
 		}
 	}
 }
 
-// ownerOf returns the number of the instance on which the program began: its
-// id names the cohort, "data centre.instance.start".
+// ownerOf returns the number of the instance that created the program. The program's id begins with
+// its cohort, "data centre.instance.start".
 func (c *cluster) ownerOf(program string) int {
 	c.t.Helper()
 	var n int
--- a/internal/e2e/fault_test.go
+++ b/internal/e2e/fault_test.go
@@ -15,8 +15,8 @@
 	"foxhall/internal/step"
 )
 
-// An operator asks that the command return only when the edit is in force. It
-// does when all three instances have the version, and names how many.
+// Guards against an apply command with --wait that returns before the edit is in force. It must return
+// when all three instances have the version, and print their number.
 func TestApplyWaitsUntilEditIsInForce(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
@@ -26,9 +26,10 @@
 	is.True(strings.Contains(out, "in force on all 3 instances"))
 }
 
-// The data centre "far" is cut from the platform while programs run on all
-// instances. "dc" goes on as before; "far" goes on with its model calls and
-// refuses what may not be repeated as not run. After the cut all programs finish.
+// Guards against programs that fail because one data centre cannot reach the object API. The data
+// centre "far" loses its connections to the object API while programs run on all instances. "dc" is
+// not affected; "far" continues with model calls and refuses non-repeatable steps as not run. After
+// the outage all programs finish, and no step takes effect twice.
 func TestProgramsFinishAfterDataCentreLosesStore(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t)
@@ -69,10 +70,10 @@
 	c.checkEffects(report, effects)
 }
 
-// A program's owner is killed after a step that may not be repeated took effect
-// and before its answer came. The caller sends the step again under the same
-// number. The new owner finds the step sent and asks the service what became of
-// it: the caller gets the answer, and the step took effect once.
+// Guards against a non-repeatable step that runs twice after a take-over. The owner of the program is
+// killed after the step took effect and before the service responded. The caller sends the step again
+// with the same number. The new owner finds in the log that the step was sent and looks up its outcome
+// at the service: the caller gets the response, and the step took effect once.
 func TestOwnerKilledBeforeResponseRunsStepOnce(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
@@ -104,9 +105,10 @@
 	is.Equal(c.effects()[key], 1)
 }
 
-// An instance is killed and started anew while the object API is down, without
-// a disk. It gets the lists from its peers, is ready and serves model calls of
-// a plan without a budget; a budget can't be drawn on before the API is back.
+// Guards against an instance that cannot start while the object API is down. An instance without a
+// disk is killed and started again during the outage. It must get the lists from its peers, become
+// ready and serve model calls of a plan without a budget. Plans with a budget are not tested: no
+// budget can be drawn before the object API is back.
 func TestRestartDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
@@ -123,7 +125,7 @@
 	}}
 	response, err := client.Send(ctx, first)
 	for err == nil && response.Outcome == step.NotRun && response.RetryAfter > 0 && ctx.Err() == nil {
-		// Ready, but not yet in touch with peers that could hold a copy.
+		// The instance is ready but has no contact yet with peers that can hold a copy of the program.
 		time.Sleep(response.RetryAfter)
 		response, err = client.Send(ctx, first)
 	}
--- a/internal/e2e/link_test.go
+++ b/internal/e2e/link_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// link carries TCP connections to an address until it is cut.
+// link is a TCP proxy to an address that a test can take down.
 type link struct {
 	address string
 
@@ -16,7 +16,7 @@
 	conns []net.Conn
 }
 
-// newLink starts a link to the address; it ends with the test.
+// newLink starts a link to the address. The link is closed at the end of the test.
 func newLink(t *testing.T, to string) *link {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,7 +55,7 @@
 	near.Close()
 }
 
-// setDown cuts the link, with all connections, or opens it for new ones.
+// setDown takes the link down and closes all its connections, or lets it accept new ones again.
 func (k *link) setDown(down bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -13,7 +13,7 @@
 	"foxhall/internal/step"
 )
 
-// shape is a program of several turns with repeatable and non-repeatable steps.
+// shape returns the shape of programs with several turns and with repeatable and non-repeatable steps.
 func shape() load.Shape {
 	s := load.Kerlouan
 	s.Turns = [2]int{4, 6}
@@ -23,23 +23,25 @@
 	return s
 }
 
-// The callers' steps go to three instances in turn and each program finishes;
-// each order that a caller was told of was placed exactly once.
+// Guards against programs that fail when their steps go to different instances. Callers send their
+// steps to three instances in turn. Each program must finish, and each order that a caller got as
+// done must be placed exactly once.
 func TestProgramsFinishOnThreeInstances(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	report := <-c.runPrograms(shape(), 40, 10)
 	is.Equal(report.Finished, report.Programs)
-	// A machine busy enough lets a step wait too long for a budget's draw, and
-	// it is told to come back; nothing else may be refused or broken off.
+	// On a busy machine a step may wait too long for a draw on the budget and is refused with a
+	// retry delay. No call may be refused for another reason or be interrupted.
 	delete(report.Codes, step.CodeOverloaded)
 	is.Equal(report.Codes, map[step.Code]int{})
 	c.checkReport(report)
 }
 
-// The object API goes down while programs run. Model calls go on; a step that
-// may not be repeated is refused at once as not run, with when to come back.
-// When the API is back every program finishes, and nothing took effect twice.
+// Guards against programs that fail, or steps that run twice, because of an outage of the object API.
+// The outage begins while programs run: model calls continue, and non-repeatable steps are refused at
+// once as not run, with a retry delay. After the outage every program must finish, and no step may
+// have taken effect twice.
 func TestProgramsFinishAfterStoreOutage(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
@@ -53,9 +55,9 @@
 	c.checkReport(report)
 }
 
-// An instance is told to stop while programs run on it. It ends its answers,
-// hands its programs to the others and exits; no caller is cut off or refused
-// for good, and each program finishes elsewhere.
+// Guards against a planned stop that interrupts programs. An instance gets SIGTERM while programs run
+// on it. It must complete its responses, hand its programs over to the other instances and exit with
+// code 0. No program may fail because of it, and each finishes on another instance.
 func TestProgramsFinishAfterGracefulStop(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
@@ -68,9 +70,9 @@
 	c.checkReport(report)
 }
 
-// An instance is killed while programs run on it. The others find it dead,
-// seal its log and go on with its programs. A step that was under way is
-// answered from its record or as unknown; none takes effect twice.
+// Guards against programs lost, or steps run twice, after a kill. An instance is killed while programs
+// run on it. The others detect the failure, seal its log and adopt its programs. A step that was in
+// flight gets the recorded response or the outcome unknown; no step takes effect twice.
 func TestProgramsOfKilledInstanceAreTakenOver(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
@@ -82,8 +84,9 @@
 	is.True(report.Finished >= report.Programs-report.Unknown)
 }
 
-// An instance freezes, is taken over, and wakes up later. Its next append
-// finds the seal: what it still holds is not sent, and it answers "moved".
+// Guards against an instance that continues its programs after their take-over. An instance is stopped
+// with SIGSTOP until others have taken its programs over, and then continued. Its next append finds
+// the seal, so it must send none of its pending steps and respond "moved".
 func TestPauseBeyondTakeOverRepeatsNoStep(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
@@ -97,8 +100,9 @@
 	is.True(report.Finished >= report.Programs-report.Unknown)
 }
 
-// Two operators edit from the same version. The second one's edit of the same
-// entry is refused as a conflict that names who was first, and changes nothing.
+// Guards against an edit that overwrites a concurrent one. Two operators edit the same entry based on
+// the same version. The second edit must be refused as a conflict that names the first operator, and
+// it changes nothing.
 func TestSecondConcurrentEditIsRefused(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 1)
