--- a/internal/e2e/fault_test.go
+++ b/internal/e2e/fault_test.go
@@ -109,7 +109,7 @@
 // disk is killed and started again during the outage. It must get the lists from its peers, become
 // ready and serve model calls of a plan without a budget. Plans with a budget are not tested: no
 // budget can be drawn before the object API is back.
-func TestRestartDuringStoreOutage(t *testing.T) {
+func TestRestartedInstanceServesDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	c.setFaults(c.storeAddress, `{"Down":true}`)
--- a/internal/joined/caller_test.go
+++ b/internal/joined/caller_test.go
@@ -16,7 +16,7 @@
 // Guards against engine slots that stay occupied after their caller has gone: the caller disconnects
 // in the middle of a streamed response, and the call must be cancelled at the engine. A call for a
 // model that no engine offers must be refused at once with the outcome not run.
-func TestCallerGoneAndUnknownModel(t *testing.T) {
+func TestGoneCallerFreesSlotAndUnknownModelIsRefused(t *testing.T) {
 	is := is.New(t)
 	var cancelled int64
 	var running int
--- a/internal/joined/failure_test.go
+++ b/internal/joined/failure_test.go
@@ -37,7 +37,7 @@
 // Guards against faults that are handled one at a time but not together: in each pair one fault
 // hinders the recovery from the other. Every guarantee that the oracle checks must hold, and no
 // program may end without a code in explainedCodes.
-func TestPairsOfFaults(t *testing.T) {
+func TestPromisesUnderPairsOfFaults(t *testing.T) {
 	const s = time.Second
 	for name, events := range map[string][]event{
 		// No instance can seal the dead owner's log before the outage ends.
@@ -116,7 +116,7 @@
 // A program's owner is killed while the rest of its data centre is away: one instance is still
 // stopping, for as long as the object API is unreachable for it, and the killed owner's replacement
 // is the only instance and considers itself isolated when it seals the log.
-func TestOwnerKilledWhileItsDataCentreIsAway(t *testing.T) {
+func TestLogIsSealedWithSuccessorWhileDataCentreIsAway(t *testing.T) {
 	expectPromises(t, false,
 		event{After: time.Millisecond, Kind: "kill", Which: 4, For: 474 * time.Millisecond},
 		event{After: 3690 * time.Millisecond, Kind: "stop", Which: 6, For: 291 * time.Millisecond},
@@ -127,7 +127,7 @@
 // Guards against the response "no such program" for a program that is being handed over. A sub-agent
 // starts just as the owner of its parent stops, and the call is relayed to the successor before the
 // successor has adopted the parent.
-func TestSubAgentStartsDuringHandoff(t *testing.T) {
+func TestSubAgentFindsParentDuringHandoff(t *testing.T) {
 	expectPromises(t, false,
 		event{After: 598 * time.Millisecond, Kind: "isolate", Which: 6, For: 202 * time.Millisecond},
 		event{Kind: "stop", Which: 1, For: 201 * time.Millisecond},
