--- a/internal/limit/flow.go
+++ b/internal/limit/flow.go
@@ -62,21 +62,21 @@
 }
 
 // applyShare sets this instance's part of the limits.
-func (f *flow) applyShare(part Share, now time.Time) {
+func (f *flow) applyShare(share Share, now time.Time) {
 	f.slots = noLimit
 	if f.limits.Concurrency > 0 {
-		f.slots = part.Slots
+		f.slots = share.Slots
 	}
 	if f.limits.Rate == 0 {
 		f.limiter = nil
 		return
 	}
-	burst := max(1, int(math.Ceil(f.burst()*part.Rate/f.limits.Rate)))
+	burst := max(1, int(math.Ceil(f.burst()*share.Rate/f.limits.Rate)))
 	if f.limiter == nil {
-		f.limiter = rate.NewLimiter(rate.Limit(part.Rate), burst)
+		f.limiter = rate.NewLimiter(rate.Limit(share.Rate), burst)
 		return
 	}
-	f.limiter.SetLimitAt(now, rate.Limit(part.Rate))
+	f.limiter.SetLimitAt(now, rate.Limit(share.Rate))
 	f.limiter.SetBurstAt(now, burst)
 }
 
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -60,7 +60,7 @@
 	rateTimer *time.Timer
 
 	admitted, refused, evicted metrics.Counter
-	queued, occupied           metrics.Gauge
+	queuedGauge, runningGauge  metrics.Gauge
 }
 
 // NewGate returns a gate without steps.
@@ -81,8 +81,8 @@
 		options: options, arbiter: newArbiter(), requestNow: make(chan struct{}, 1), flows: map[string]*flow{},
 		backlog: map[*flow]struct{}{}, serviceTime: initialServiceTime,
 		admitted: counter("admitted"), refused: counter("refused"), evicted: counter("evicted"),
-		queued:   metrics.GetOrRegisterGauge("limit.queued", options.Registry),
-		occupied: metrics.GetOrRegisterGauge("limit.running", options.Registry),
+		queuedGauge:  metrics.GetOrRegisterGauge("limit.queued", options.Registry),
+		runningGauge: metrics.GetOrRegisterGauge("limit.running", options.Registry),
 	}
 }
 
@@ -235,6 +235,7 @@
 	}
 	g.refused.Inc(1)
 	if refusal.Reason == Overloaded {
+		// With a deadline that has passed, assessWait always returns a refusal.
 		_, estimate := g.assessWait(w.flow, now, now)
 		refusal.RetryAfter = estimate.RetryAfter
 	}
@@ -270,7 +271,7 @@
 	f.virtualTime = max(f.virtualTime, g.virtualTime)
 	g.virtualTime = f.virtualTime
 	f.virtualTime += f.serviceTime.Seconds() / f.weight
-	g.occupied.Update(int64(g.running))
+	g.runningGauge.Update(int64(g.running))
 }
 
 // releaser returns the function that ends a step.
@@ -290,7 +291,7 @@
 	f.virtualTime += (elapsed - f.serviceTime).Seconds() / f.weight
 	f.recordServiceTime(elapsed)
 	g.serviceTime += (elapsed - g.serviceTime) / (4 * serviceTimeSamples)
-	g.occupied.Update(int64(g.running))
+	g.runningGauge.Update(int64(g.running))
 	g.dispatch(now)
 }
 
@@ -308,7 +309,7 @@
 		g.startStep(f, now)
 		w.decision <- nil
 	}
-	g.queued.Update(int64(g.waiting))
+	g.queuedGauge.Update(int64(g.waiting))
 	g.armRateTimer(now)
 }
 
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -339,7 +339,7 @@
 			group.Go(func() { offerSteps(g, p, 3, 0, 0, func(time.Duration, *Refusal) {}) })
 		}
 		time.Sleep(100 * time.Millisecond)
-		is.True(g.queued.Value() > 0)
+		is.True(g.queuedGauge.Value() > 0)
 		x := &plan.Plan{Name: "x", Limits: plan.Limits{Rate: 20, Burst: 1}}
 		for range 3 {
 			release, refusal := g.Admit(context.Background(), x, time.Now().Add(150*time.Millisecond))
--- a/internal/limit/meter.go
+++ b/internal/limit/meter.go
@@ -11,10 +11,11 @@
 	// and have not reported yet.
 	maxWindowFraction = 0.93
 	unseenCallReserve = 4
-	// burstFraction is the fraction of a window's calls that may come at once, burstRateFactor the
-	// ratio of the rate that may follow to the even rate. startFraction and startRateFactor bound
-	// the calls after a start. Together the four keep the calls before and after a restart of all
-	// instances within the allowance of one window.
+	// burstFraction is the fraction of a window's calls that may come simultaneously, and
+	// burstRateFactor the ratio of the rate that may follow to the even rate. startFraction and
+	// startRateFactor bound the calls until all calls have been known for one window. Together the
+	// four keep the calls before and after a restart of all instances within the allowance of one
+	// window.
 	burstFraction   = 0.25
 	burstRateFactor = 1.25
 	startFraction   = 0.02
@@ -22,7 +23,8 @@
 	// uncontendedFraction is the fraction of a window's calls that must be free for instances to
 	// admit calls beyond their local shares.
 	uncontendedFraction = 0.5
-	// windowSlots is the number of slots of a window, the steps in which it slides.
+	// windowSlots is the number of equal time slots of a window, which slides by one slot at a time.
+	// A slot here is a part of a window, not a part of a plan's concurrency.
 	windowSlots = 50
 	// minWindow is the shortest window, used if none is set.
 	minWindow = time.Second
@@ -43,13 +45,15 @@
 	// window is the duration of the sliding window over which calls are bounded.
 	window time.Duration
 	// createdAt is when the meter was created. Slots are numbered from it on the monotonic clock, so
-	// that steps of the wall clock do not change a window.
+	// that jumps of the wall clock do not change a window.
 	createdAt time.Time
-	// maxCalls is the limit of calls in a window, burst that of calls at once. refillRate is the
-	// rate of calls that may follow, per second. startLimit and startRate bound the calls after a
-	// start.
+	// maxCalls is the limit of calls in a window, burst that of simultaneous calls. refillRate is the
+	// rate of calls that may follow, per second. startLimit and startRate, per second, bound the calls
+	// until all calls have been known for one window.
 	maxCalls, burst, refillRate, startLimit, startRate float64
-	// bucket is the level of the token bucket: the number of calls that may come at once now.
+	// bucket is the level of the token bucket: the number of simultaneous calls that are possible
+	// now. It is negative after a burst of calls at several instances. advancedAt is the time of the
+	// last call of advance.
 	bucket     float64
 	advancedAt time.Time
 
@@ -153,17 +157,18 @@
 }
 
 // withinLocalShare reports whether this instance may admit a call while others may have admitted
-// calls that they have not reported yet. While half of a window's calls are free, that many do
-// not arrive within the report delay. Below that, each instance keeps to its share of the free
-// calls and of those that leave the window within the delay.
+// calls that they have not reported yet. If more than half of the limit is free, the calls that
+// others admit within the report delay are assumed not to use it up. Otherwise each instance keeps
+// to its share of the free calls and of those that leave the window within the delay.
 func (m *meter) withinLocalShare(limit float64, delay time.Duration) bool {
 	free := limit - m.recent.sum
 	leaving := m.ownFraction() * limit * delay.Seconds() / m.window.Seconds()
 	return free > uncontendedFraction*limit || m.unreported()+1 <= max(1, m.localShare()*(free+m.unreported())+leaving)
 }
 
-// canStartProgram reports whether the limit covers one more program beside the active ones. A
-// program that reaches the limit after its start has wasted the calls made until then.
+// canStartProgram reports whether the limit covers one more program beside the active ones, or this
+// instance has no calls of the customer in the window. A program that reaches the limit after its
+// start has wasted the calls made until then.
 func (m *meter) canStartProgram(now time.Time, limit float64) bool {
 	remote := m.recent.sum - m.own.sum
 	return m.own.sum < 1 || remote+m.programs.expectedCalls(now, m.window) <= limit
@@ -268,7 +273,8 @@
 	return directReportTime
 }
 
-// rotateUnreported discards the calls that have been reported to the others.
+// rotateUnreported starts a new count of unreported calls once a report delay has passed. It discards
+// the count before the last one, whose calls have been reported by then.
 func (m *meter) rotateUnreported(now time.Time, round time.Duration) {
 	passed := now.Sub(m.rotatedAt)
 	round = m.reportDelay(now, round)
--- a/internal/limit/programs.go
+++ b/internal/limit/programs.go
@@ -8,8 +8,8 @@
 	defaultProgramCalls = 10
 	// programCallSamples is the number of programs that the moving mean of learnedCalls spans.
 	programCallSamples = 8
-	// minPaceAge is the age from which on a program's call rate is used.
-	minPaceAge = time.Second
+	// minRateAge is the age from which on a program's call rate is used.
+	minRateAge = time.Second
 	// maxPauseFactor bounds the pause of an active program, in mean intervals between its calls.
 	maxPauseFactor = 3
 	// idleProgramWindows is the number of windows without calls after which a program has ended.
@@ -30,14 +30,14 @@
 	calls               float64
 }
 
-// contains reports whether the program has started.
+// contains reports whether the program has had calls on this instance and has not ended.
 func (p *programs) contains(name string) bool { return p.byName[name] != nil }
 
 // isActive reports whether more calls are expected soon: the pause since the last call is shorter
-// than a window and than the longer of minPaceAge and maxPauseFactor mean intervals between calls.
+// than a window and than the longer of minRateAge and maxPauseFactor mean intervals between calls.
 func (u *programUsage) isActive(now time.Time, window time.Duration) bool {
-	apart := u.lastCall.Sub(u.firstCall) / time.Duration(max(1, u.calls-1))
-	return now.Sub(u.lastCall) < min(window, max(minPaceAge, maxPauseFactor*apart))
+	meanInterval := u.lastCall.Sub(u.firstCall) / time.Duration(max(1, u.calls-1))
+	return now.Sub(u.lastCall) < min(window, max(minRateAge, maxPauseFactor*meanInterval))
 }
 
 // recordCall counts a call of a program.
@@ -95,7 +95,7 @@
 func (p *programs) meanCallsPerWindow(now time.Time, window time.Duration) float64 {
 	sum, n := 0.0, 0.0
 	for _, use := range p.byName {
-		if use.isActive(now, window) && now.Sub(use.firstCall) >= minPaceAge {
+		if use.isActive(now, window) && now.Sub(use.firstCall) >= minRateAge {
 			sum, n = sum+callsPerWindow(use, now, window), n+1
 		}
 	}
@@ -108,5 +108,5 @@
 
 // callsPerWindow returns the number of calls in a window that the program makes at its present rate.
 func callsPerWindow(use *programUsage, now time.Time, window time.Duration) float64 {
-	return use.calls * window.Seconds() / max(minPaceAge, min(window, now.Sub(use.firstCall))).Seconds()
+	return use.calls * window.Seconds() / max(minRateAge, min(window, now.Sub(use.firstCall))).Seconds()
 }
--- a/internal/limit/quota.go
+++ b/internal/limit/quota.go
@@ -38,8 +38,8 @@
 	// fraction of the burst. Fewer calls are reported every reportInterval.
 	reportBurstDivisor = 64
 	reportInterval     = 500 * time.Millisecond
-	// majorityFraction is the fraction of a quota that only a group of more than half of all
-	// instances exceeds.
+	// majorityFraction is the largest fraction of a quota that a group of at most half of all
+	// instances may use, see groupFraction.
 	majorityFraction = 0.5
 	// minFractionRise is the rise of the fraction that indicates a healed network partition.
 	minFractionRise = 0.05
@@ -69,7 +69,8 @@
 //   - A group of instances that reaches only some of the others has a fraction of the quota, see
 //     groupFraction. The fractions of groups that do not reach each other add up to at most one.
 //   - An instance that starts receives the calls of the last window from the others. If all have
-//     started, the calls before are unknown, and the admitted rate rises slowly for one window.
+//     started, the calls before are unknown, and the limit of a window starts low and rises until
+//     one window has passed.
 type Quotas struct {
 	tolerance   Tolerance
 	name        string
@@ -97,7 +98,7 @@
 	// risingSince is when the reachable instances began to allow a larger fraction; zero if they do
 	// not.
 	risingSince time.Time
-	// newInstances are started instances to which the counts of the window are to be sent.
+	// newInstances are instances that have started and are yet to be sent the counts of the window.
 	newInstances []string
 	fleetSize    int
 }
--- a/internal/limit/run.go
+++ b/internal/limit/run.go
@@ -18,7 +18,8 @@
 
 // Arbiters sends requests to the arbiters on other instances of the data centre.
 type Arbiters interface {
-	// RequestShares sends demands to an instance, which answers them with Gate.AllocateShares.
+	// RequestShares sends demands to an instance, which responds with the result of
+	// Gate.AllocateShares.
 	RequestShares(ctx context.Context, instance string, demands []Demand) ([]Share, error)
 }
 
@@ -96,9 +97,9 @@
 	defer g.mu.Unlock()
 	grouped := map[string][]Demand{}
 	for name, f := range g.flows {
-		part := members.defaultShare(f.limits, g.options.Members.Self())
+		share := members.defaultShare(f.limits, g.options.Members.Self())
 		d := f.demand()
-		if f.limits.Rate > 0 && d.Rate > part.Rate || f.limits.Concurrency > 0 && d.Slots > part.Slots || len(f.queue) > 0 {
+		if f.limits.Rate > 0 && d.Rate > share.Rate || f.limits.Concurrency > 0 && d.Slots > share.Slots || len(f.queue) > 0 {
 			arbiter := members.arbiterOf(name)
 			grouped[arbiter] = append(grouped[arbiter], d)
 		}
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -86,8 +86,8 @@
 	if f.total == 0 {
 		return limits.Rate, float64(limits.Concurrency)
 	}
-	part := max(f.weights[name], minWeight) / f.total
-	return limits.Rate * part, float64(limits.Concurrency) * part
+	fraction := max(f.weights[name], minWeight) / f.total
+	return limits.Rate * fraction, float64(limits.Concurrency) * fraction
 }
 
 // defaultShare returns what an instance may use without a granted share.
@@ -159,8 +159,8 @@
 	s.grants = append(kept, grant{share: share, expires: now.Add(shareLifetime)})
 }
 
-// mayUse returns the maximum that the requester may be using.
-func (s *requester) mayUse(now time.Time) Share {
+// maxInUse returns an upper bound of what the requester uses at present.
+func (s *requester) maxInUse(now time.Time) Share {
 	used := Share{Slots: s.demand.Running}
 	for _, g := range s.grants {
 		if now.Before(g.expires) {
@@ -190,7 +190,7 @@
 		// At least the default share, which the instance uses when its share expires.
 		used := members.defaultShare(demand.Limits, name)
 		if s := requesters[name]; s != nil {
-			used = used.atLeast(s.mayUse(now))
+			used = used.atLeast(s.maxInUse(now))
 		}
 		left.Rate -= used.Rate
 		left.Slots -= used.Slots
