--- a/internal/node/callerconn.go
+++ b/internal/node/callerconn.go
@@ -49,14 +49,14 @@
 	if t.IsZero() || c.serving.Load() {
 		return c.Conn.SetReadDeadline(t)
 	}
-	limits, limit := c.limits(), time.Duration(0)
+	limits, timeout := c.limits(), time.Duration(0)
 	if time.Until(t) > headerTimeout {
-		limit = limits.IdleTimeout
+		timeout = limits.IdleTimeout
 	} else {
-		limit = limits.HeaderTimeout
+		timeout = limits.HeaderTimeout
 	}
-	if sooner := time.Now().Add(limit); limit > 0 && sooner.Before(t) {
-		t = sooner
+	if earliest := time.Now().Add(timeout); timeout > 0 && earliest.Before(t) {
+		t = earliest
 	}
 	return c.Conn.SetReadDeadline(t)
 }
--- a/internal/node/callerconn_test.go
+++ b/internal/node/callerconn_test.go
@@ -73,7 +73,7 @@
 
 // A caller that sends half of a header must not occupy a connection for longer than the operators'
 // header timeout.
-func TestOperatorsLimitForTheHead(t *testing.T) {
+func TestOperatorsLimitForTheHeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		caller, side := net.Pipe()
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -31,13 +31,13 @@
 	assignmentName = "assignment"
 	// peerIdleTimeout is how long an unused connection between instances is kept.
 	peerIdleTimeout = time.Minute
-	// registrationDelay is the delay before an instance registers, since its present entry may not
-	// have reached the mirror yet. registrationInterval is how often it checks that the entry
-	// exists.
+	// registrationDelay is the delay before an instance registers, since its present registration may
+	// not have reached the mirror yet. registrationInterval is how often it checks that the
+	// registration exists.
 	registrationDelay    = 300 * time.Millisecond
 	registrationInterval = 10 * time.Second
-	// staleTimeout is how long an instance may send nothing before its entry is removed. It is
-	// longer than network partitions between data centres last.
+	// staleTimeout is how long an instance may send nothing before its registration is removed. It
+	// is longer than network partitions between data centres last.
 	staleTimeout       = 30 * time.Minute
 	staleCheckInterval = time.Minute
 )
@@ -109,7 +109,7 @@
 	return f
 }
 
-// decodeMember decodes an instance's entry.
+// decodeMember decodes an instance's registration.
 func decodeMember(e mirror.Entry) (member, bool) {
 	var m member
 	ok := strings.HasPrefix(e.Name, instancePrefix) && json.Unmarshal(e.Value, &m) == nil && m.Name != ""
@@ -188,7 +188,7 @@
 	return f.dataCentreNames
 }
 
-// entryAddresses returns the datagram addresses of the other entries.
+// entryAddresses returns the datagram addresses of the other instances that take callers' calls.
 func (f *fleet) entryAddresses() []*net.UDPAddr {
 	return f.addressesOf(func(m member) bool { return m.Entry })
 }
@@ -308,7 +308,7 @@
 const viaPath = "/via/"
 
 // forwardToKeeper forwards a call to the keeper named in its path. If the keeper is unreachable
-// from here too, it responds at once with status 503, and the sender tries another entry.
+// from this entry too, it responds at once with status 503, and the sender tries another entry.
 func (f *fleet) forwardToKeeper(w http.ResponseWriter, r *http.Request) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, viaPath), "/")
 	keeper, ok := f.keeperClient(name)
@@ -414,8 +414,8 @@
 	return list[0], e.Revision, true
 }
 
-// register keeps this instance's entry in the store, so that others find it. It writes only when
-// the entry is missing or differs.
+// register keeps this instance registered in the store, so that others find it, until ctx ends. It
+// writes only when the registration is missing or differs.
 func (f *fleet) register(ctx context.Context) error {
 	self := f.self()
 	key := store.Key{Kind: string(mirror.Fleet), Name: instancePrefix + self.Name}
@@ -446,17 +446,17 @@
 	return exists && json.Unmarshal(e.Value, &listed) == nil && listed == self
 }
 
-// removeStale removes the entries of instances that have sent nothing for staleTimeout, which
+// removeStale removes the registrations of instances that have sent nothing for staleTimeout, which
 // happens when they are replaced under other names. A live instance registers again. Only a
 // follower does this, so that the number of store calls does not grow with the fleet.
-func (f *fleet) removeStale(ctx context.Context, following func() bool, heardWithin func(name string, within time.Duration) bool) {
+func (f *fleet) removeStale(ctx context.Context, following func() bool, contactedWithin func(name string, within time.Duration) bool) {
 	firstSeen := map[string]time.Time{}
 	for sleep(ctx, staleCheckInterval); ctx.Err() == nil; sleep(ctx, staleCheckInterval) {
 		for _, m := range f.others() {
 			if firstSeen[m.Name].IsZero() {
 				firstSeen[m.Name] = time.Now()
 			}
-			if !following() || time.Since(firstSeen[m.Name]) < staleTimeout || heardWithin(m.Name, staleTimeout) {
+			if !following() || time.Since(firstSeen[m.Name]) < staleTimeout || contactedWithin(m.Name, staleTimeout) {
 				continue
 			}
 			key := store.Key{Kind: string(mirror.Fleet), Name: instancePrefix + m.Name}
@@ -465,7 +465,7 @@
 				continue
 			}
 			err := f.objects.Delete(ctx, key, e.Revision)
-			f.logger.WithField("gone", m.Name).WithField("deleted", err == nil).Info("stale instance: tried to remove its entry")
+			f.logger.WithField("gone", m.Name).WithField("deleted", err == nil).Info("stale instance: tried to remove its registration")
 		}
 	}
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -32,7 +32,7 @@
 	f := newFleet(s, m, nil, logger)
 	f.refresh()
 	x := peerload.New("me", "a", peerload.EntryFanout, upstream.NewTable(), f.entryAddresses, logger)
-	f.isReachable = func(name string) bool { return x.HeardOrUnknown(name, partitionTimeout) }
+	f.isReachable = func(name string) bool { return x.ReachableOrUnknown(name, partitionTimeout) }
 	f.isIsolated = func() bool { return x.IsolatedFor(nil) > isolationTimeout }
 	return f, x
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -169,7 +169,7 @@
 	if s.CallersAddress != "" {
 		n.load.SetQuotas(n.quotas)
 	}
-	n.fleet.isReachable = func(name string) bool { return n.load.HeardOrUnknown(name, partitionTimeout) }
+	n.fleet.isReachable = func(name string) bool { return n.load.ReachableOrUnknown(name, partitionTimeout) }
 	n.fleet.isSilent = func(name string) (bool, bool) { return n.load.Silent(name, keeperSilenceTimeout) }
 	n.fleet.isIsolated = n.isIsolated
 	n.openGateway()
@@ -179,7 +179,7 @@
 func (n *Node) openGateway() {
 	sched := scheduler.New(scheduler.Settings{
 		DataCentre:        n.settings.DataCentre,
-		DataCentreRTT:     n.settings.dataCentreRTT(),
+		DataCentreRTT:     n.settings.remoteCosts(),
 		Logger:            n.logger,
 		Random:            rand.Uint64,
 		HasIdleConnection: n.adapter.Replicas.Idle,
@@ -247,7 +247,7 @@
 	group.Go(func() error { return n.fleet.register(serving) })
 	if n.settings.CallersAddress != "" {
 		// Keepers receive no load datagrams and can't detect unresponsive instances.
-		group.Go(func() error { n.fleet.removeStale(serving, n.relay.Following, n.load.HeardWithin); return nil })
+		group.Go(func() error { n.fleet.removeStale(serving, n.relay.Following, n.load.ContactedWithin); return nil })
 	}
 	group.Go(func() error { return n.servePeers(serving) })
 	group.Go(func() error { return n.serveMetrics(serving) })
@@ -324,9 +324,9 @@
 	if n.keeper == nil {
 		return nil
 	}
-	limit, cancel := context.WithTimeout(context.Background(), n.settings.Grace-handoffMargin)
+	handoffCtx, cancel := context.WithTimeout(context.Background(), n.settings.Grace-handoffMargin)
 	defer cancel()
-	n.keeper.HandOff(limit)
+	n.keeper.HandOff(handoffCtx)
 	return nil
 }
 
@@ -353,8 +353,8 @@
 	return n.listen(ctx, server, n.settings.peerAddress(n.settings.IP))
 }
 
-// runRefresh updates this instance's state after each change of the mirror until ctx ends. It is
-// the only goroutine that does.
+// runRefresh updates this instance's state after each change of the mirror until ctx ends. Only its
+// goroutine calls refresh.
 func (n *Node) runRefresh(ctx context.Context) {
 	ticker := time.NewTicker(removalCheckInterval)
 	defer ticker.Stop()
@@ -444,10 +444,10 @@
 		n.stopping.Store(true)
 		n.logger.Info("stopping")
 		time.Sleep(balancerDelay)
-		limit, cancel := context.WithDeadline(context.Background(), began.Add(n.settings.Grace-shutdownMargin))
+		drainCtx, cancel := context.WithDeadline(context.Background(), began.Add(n.settings.Grace-shutdownMargin))
 		defer cancel()
-		err := callers.Shutdown(limit)
-		n.gateway.Drain(limit)
+		err := callers.Shutdown(drainCtx)
+		n.gateway.Drain(drainCtx)
 		_ = ready.Close()
 		return errors.Wrap(err, "calls still in flight at the end of the grace period")
 	})
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// isEntryAlive reports whether an entry is reachable. The silence of its whole data centre shows
-// sooner than its own.
+// isEntryAlive reports whether an entry is reachable. The silence of its whole data centre is
+// detected sooner than that of the entry alone.
 func (n *Node) isEntryAlive(m member) bool {
 	return n.load.DataCentreSilentFor(m.DataCentre) <= partitionTimeout && n.load.Alive(m.Name, partitionTimeout)
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -50,13 +50,13 @@
 
 func (s *Settings) isSeed() bool { return slices.Contains(s.Seeds, s.IP) }
 
-// dataCentreRTT returns the assumed cost of a call to each other data centre.
-func (s *Settings) dataCentreRTT() map[string]time.Duration {
-	rtt := map[string]time.Duration{}
+// remoteCosts returns the assumed cost of a call to each other data centre.
+func (s *Settings) remoteCosts() map[string]time.Duration {
+	costs := map[string]time.Duration{}
 	for _, dc := range s.DataCentres {
 		if dc != s.DataCentre {
-			rtt[dc] = remoteCost
+			costs[dc] = remoteCost
 		}
 	}
-	return rtt
+	return costs
 }
--- a/internal/node/silence.go
+++ b/internal/node/silence.go
@@ -9,9 +9,9 @@
 // silenceCheckInterval is how often the sources with callbacks are checked.
 const silenceCheckInterval = 50 * time.Millisecond
 
-// silenceMonitor notifies calls that wait for a response when its source becomes unresponsive. A
-// network partition does not refuse what is sent into it, so that a call would otherwise wait until
-// its connection times out.
+// silenceMonitor notifies calls that wait for a response when the source of the response, a data
+// centre or a keeper, becomes unresponsive. A network partition drops packets without an error, so
+// that a call would otherwise wait until its connection times out.
 type silenceMonitor struct {
 	mu sync.Mutex
 	// callbacks are the functions to call when a source becomes unresponsive, by its name.
--- a/internal/node/silencelog.go
+++ b/internal/node/silencelog.go
@@ -41,12 +41,12 @@
 		}
 		for _, dataCentre := range n.fleet.dataCentres() {
 			began, ended, since := silent.update(dataCentre, n.load.DataCentreSilentFor(dataCentre), time.Now())
-			entry := n.logger.WithField("data_centre", dataCentre)
+			line := n.logger.WithField("data_centre", dataCentre)
 			switch duration := time.Since(since).Milliseconds(); {
 			case began:
-				entry.WithField("unheard_ms", duration).WithField("instances", n.formatSilentInstances(dataCentre)).Info("data centre unresponsive; calls to it stop")
+				line.WithField("unheard_ms", duration).WithField("instances", n.formatSilentInstances(dataCentre)).Info("data centre unresponsive; calls to it stop")
 			case ended:
-				entry.WithField("silent_ms", duration).Info("data centre reachable again")
+				line.WithField("silent_ms", duration).Info("data centre reachable again")
 			}
 		}
 	}
--- a/internal/peerload/peerload.go
+++ b/internal/peerload/peerload.go
@@ -65,7 +65,7 @@
 	// last contact with each instance.
 	dataCentreContacts map[string]time.Time
 	contacts           map[string]contact
-	// addresses are the source addresses of the instances' datagrams, at which they also receive.
+	// addresses holds, by instance, the source address of its datagrams, at which it also receives.
 	addresses map[string]netip.AddrPort
 	// pendingPeers are the peers that have not been sent a datagram in this round. Only the sending
 	// goroutine uses it.
@@ -98,7 +98,7 @@
 // contact is the last contact with an instance. sendsPerRound is the number of sends in which the
 // instance sends one datagram to each of its peers.
 type contact struct {
-	heardAt       time.Time
+	receivedAt    time.Time
 	sendsPerRound uint32
 	// busy is true if the instance had calls in flight or customers' usage to report.
 	busy bool
@@ -107,7 +107,7 @@
 // isSilentFor reports whether nothing was received for t times the number of sends per round. t is
 // thus the time that applies in a small fleet, whose rounds take one send.
 func (c contact) isSilentFor(t time.Duration, now time.Time) bool {
-	return now.Sub(c.heardAt) >= t*time.Duration(max(1, c.sendsPerRound))
+	return now.Sub(c.receivedAt) >= t*time.Duration(max(1, c.sendsPerRound))
 }
 
 // New returns an exchange that is not yet running. fanout is the maximum number of peers in one
@@ -137,8 +137,8 @@
 func (x *Exchange) SilentFor(instance string) (time.Duration, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	l, ok := x.contacts[instance]
-	return time.Since(l.heardAt), ok
+	last, ok := x.contacts[instance]
+	return time.Since(last.receivedAt), ok
 }
 
 // minSilentOthers is the number of other data centres, or of other instances in a fleet within one
@@ -161,8 +161,8 @@
 	}
 	delete(others, x.dataCentre)
 	instances := map[string]time.Time{}
-	for name, l := range x.contacts {
-		instances[name] = l.heardAt
+	for name, last := range x.contacts {
+		instances[name] = last.receivedAt
 	}
 	now := time.Now()
 	return max(commonSilence(others, now), commonSilence(instances, now))
@@ -234,14 +234,14 @@
 	}
 }
 
-// HeardOrUnknown reports whether the last contact with an instance is recent. It returns true if
+// ReachableOrUnknown reports whether the last contact with an instance is recent. It returns true if
 // there was none, since nothing is known of the instance then. within is scaled to the instance's
 // round length, since an instance with more peers than its fanout sends to each of them less often.
-func (x *Exchange) HeardOrUnknown(instance string, within time.Duration) bool {
+func (x *Exchange) ReachableOrUnknown(instance string, within time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	l, ok := x.contacts[instance]
-	return !ok || !l.isSilentFor(within, time.Now())
+	last, ok := x.contacts[instance]
+	return !ok || !last.isSilentFor(within, time.Now())
 }
 
 // Silent reports whether there was no recent contact with an instance. known is false if this
@@ -249,24 +249,24 @@
 func (x *Exchange) Silent(instance string, within time.Duration) (silent, known bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	l, ok := x.contacts[instance]
+	last, ok := x.contacts[instance]
 	if !ok {
 		// Without any contact the instance's round length is unknown; that of an entry is assumed.
-		l.sendsPerRound = sendsPerRound(x.peerCount, EntryFanout)
+		last.sendsPerRound = sendsPerRound(x.peerCount, EntryFanout)
 	}
-	listening := contact{heardAt: x.listeningSince, sendsPerRound: l.sendsPerRound}
-	return l.isSilentFor(within, time.Now()), listening.isSilentFor(within, time.Now())
+	listening := contact{receivedAt: x.listeningSince, sendsPerRound: last.sendsPerRound}
+	return last.isSilentFor(within, time.Now()), listening.isSilentFor(within, time.Now())
 }
 
 // sendsPerRound returns the number of sends in which an instance sends one datagram to each of its
 // peers.
 func sendsPerRound(peers, fanout int) uint32 { return uint32(max(1, (peers+fanout-1)/fanout)) }
 
-// HeardWithin reports whether the last contact with an instance is more recent than within.
-func (x *Exchange) HeardWithin(instance string, within time.Duration) bool {
+// ContactedWithin reports whether the last contact with an instance is more recent than within.
+func (x *Exchange) ContactedWithin(instance string, within time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return time.Since(x.contacts[instance].heardAt) < within
+	return time.Since(x.contacts[instance].receivedAt) < within
 }
 
 func (x *Exchange) ownLoad() *peerloadpb.Load {
@@ -287,6 +287,8 @@
 	return load
 }
 
+// send sends the load to the next peers and, if a round takes more than one send, also to the
+// instances named in atOnce.
 func (x *Exchange) send(conn *net.UDPConn, load *peerloadpb.Load, atOnce []string) {
 	next := x.nextPeers()
 	x.mu.Lock()
@@ -326,8 +328,8 @@
 }
 
 // nextPeers returns the peers of the next send. The order differs between instances, since all
-// would otherwise send to the same peers at once. It stays the same while the peers do, so that
-// each of them receives datagrams at regular intervals.
+// would otherwise send to the same peers simultaneously. It does not change while the set of peers
+// does not, so that each of them receives datagrams at regular intervals.
 func (x *Exchange) nextPeers() []*net.UDPAddr {
 	if len(x.pendingPeers) == 0 {
 		x.pendingPeers = x.peers()
@@ -408,15 +410,15 @@
 func (x *Exchange) Alive(instance string, within time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	l, ok := x.contacts[instance]
+	last, ok := x.contacts[instance]
 	if !ok {
 		return false
 	}
 	now := time.Now()
-	if l.busy {
-		return now.Sub(l.heardAt) < max(within, maxLostDatagrams*time.Duration(max(1, l.sendsPerRound))*sendInterval)
+	if last.busy {
+		return now.Sub(last.receivedAt) < max(within, maxLostDatagrams*time.Duration(max(1, last.sendsPerRound))*sendInterval)
 	}
-	return !l.isSilentFor(within, now)
+	return !last.isSilentFor(within, now)
 }
 
 // OnKeeperStatus sets the function that receives the status of other keepers. It must be called
@@ -428,7 +430,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.loads[load.From] = receivedLoad{load: load, receivedAt: now}
-	x.dataCentreContacts[load.DataCentre], x.contacts[load.From] = now, contact{heardAt: now, sendsPerRound: x.sendsPerRoundOf(load), busy: isActive(load)}
+	x.dataCentreContacts[load.DataCentre], x.contacts[load.From] = now, contact{receivedAt: now, sendsPerRound: x.sendsPerRoundOf(load), busy: isActive(load)}
 	x.sumPending = true
 	if now.Sub(x.summedAt) >= sumInterval {
 		x.sumLoads(now)
@@ -448,25 +450,25 @@
 func (x *Exchange) sumLoads(now time.Time) {
 	x.summedAt, x.sumPending = now, false
 	calls, backlog, erring := map[uint64]int{}, map[uint64]int{}, map[uint64]bool{}
-	heard := 0
-	for from, h := range x.loads {
-		if now.Sub(h.receivedAt) > loadLifetime {
+	reporting := 0
+	for from, received := range x.loads {
+		if now.Sub(received.receivedAt) > loadLifetime {
 			delete(x.loads, from)
 			continue
 		}
-		heard++
-		for _, hash := range h.load.Erring {
+		reporting++
+		for _, hash := range received.load.Erring {
 			erring[hash] = true
 		}
-		for i, hash := range h.load.Upstreams {
-			calls[hash] += int(h.load.Calls[i])
-			backlog[hash] += int(h.load.Backlog[i])
+		for i, hash := range received.load.Upstreams {
+			calls[hash] += int(received.load.Calls[i])
+			backlog[hash] += int(received.load.Backlog[i])
 		}
 	}
-	scale := max(1, float64(x.peerCount)/float64(max(1, heard)))
-	if heard < EntryFanout/2 {
-		// With few peers, those without recent contact are down or unreachable, so there is nothing
-		// to extrapolate to.
+	scale := max(1, float64(x.peerCount)/float64(max(1, reporting)))
+	if reporting < EntryFanout/2 {
+		// With few loads, the peers that sent none are down or unreachable, so there is nothing to
+		// extrapolate to.
 		scale = 1
 	}
 	for _, u := range x.table.Snapshot().All {
--- a/internal/peerload/quota.go
+++ b/internal/peerload/quota.go
@@ -16,10 +16,10 @@
 type Quotas interface {
 	// Report returns the usage to report, and the names of instances to which it is sent at once,
 	// in addition to the next peers of the round.
-	Report(now time.Time) (t limit.QuotaReport, atOnce []string)
+	Report(now time.Time) (report limit.QuotaReport, atOnce []string)
 	// NewInstances returns the names of instances that have started, and the report for them.
-	NewInstances(now time.Time) (instances []string, t limit.QuotaReport)
-	Merge(t limit.QuotaReport, now time.Time)
+	NewInstances(now time.Time) (instances []string, report limit.QuotaReport)
+	Merge(report limit.QuotaReport, now time.Time)
 }
 
 // SetQuotas sets the quotas that exchange customers' usage. It must be called before Run.
@@ -31,9 +31,9 @@
 	if x.quotas == nil {
 		return nil
 	}
-	t, atOnce := x.quotas.Report(now)
-	load.Run, load.KnownMs = t.Incarnation, uint32(t.ObservedFor.Milliseconds())
-	for _, u := range t.Usage {
+	report, atOnce := x.quotas.Report(now)
+	load.Run, load.KnownMs = report.Incarnation, uint32(report.ObservedFor.Milliseconds())
+	for _, u := range report.Usage {
 		load.Customers = append(load.Customers, u.Customer)
 		load.Made = append(load.Made, u.Admitted)
 		load.Recent = append(load.Recent, u.Recent)
@@ -46,15 +46,15 @@
 	if x.quotas == nil {
 		return
 	}
-	instances, t := x.quotas.NewInstances(time.Now())
+	instances, report := x.quotas.NewInstances(time.Now())
 	if len(instances) == 0 {
 		return
 	}
 	x.mu.Lock()
 	peers := x.addPeers(nil, instances)
 	x.mu.Unlock()
-	for part := range slices.Chunk(t.WindowCounts, maxCountsPerDatagram) {
-		load := &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre, Run: t.Incarnation, KnownMs: uint32(t.ObservedFor.Milliseconds())}
+	for part := range slices.Chunk(report.WindowCounts, maxCountsPerDatagram) {
+		load := &peerloadpb.Load{From: x.name, DataCentre: x.dataCentre, Run: report.Incarnation, KnownMs: uint32(report.ObservedFor.Milliseconds())}
 		for _, c := range part {
 			load.CountedCustomers = append(load.CountedCustomers, c.Customer)
 			load.Counted = append(load.Counted, c.Calls)
@@ -78,12 +78,12 @@
 }
 
 func decodeQuotaReport(l *peerloadpb.Load) limit.QuotaReport {
-	t := limit.QuotaReport{From: l.From, Incarnation: l.Run, ObservedFor: time.Duration(l.KnownMs) * time.Millisecond}
+	report := limit.QuotaReport{From: l.From, Incarnation: l.Run, ObservedFor: time.Duration(l.KnownMs) * time.Millisecond}
 	for i, customer := range l.Customers {
-		t.Usage = append(t.Usage, limit.CallUsage{Customer: customer, Admitted: l.Made[i], Recent: l.Recent[i]})
+		report.Usage = append(report.Usage, limit.CallUsage{Customer: customer, Admitted: l.Made[i], Recent: l.Recent[i]})
 	}
 	for i, customer := range l.CountedCustomers {
-		t.WindowCounts = append(t.WindowCounts, limit.WindowCount{Customer: customer, Calls: l.Counted[i]})
+		report.WindowCounts = append(report.WindowCounts, limit.WindowCount{Customer: customer, Calls: l.Counted[i]})
 	}
-	return t
+	return report
 }
--- a/internal/peerload/quota_test.go
+++ b/internal/peerload/quota_test.go
@@ -83,8 +83,8 @@
 	is := is.New(t)
 	x, _ := newTestExchange()
 	now := time.Now()
-	x.contacts["busy"] = contact{heardAt: now.Add(-600 * time.Millisecond), sendsPerRound: 3, busy: true}
-	x.contacts["idle"] = contact{heardAt: now.Add(-600 * time.Millisecond), sendsPerRound: 3}
+	x.contacts["busy"] = contact{receivedAt: now.Add(-600 * time.Millisecond), sendsPerRound: 3, busy: true}
+	x.contacts["idle"] = contact{receivedAt: now.Add(-600 * time.Millisecond), sendsPerRound: 3}
 	is.True(!x.Alive("busy", 450*time.Millisecond))
 	is.True(x.Alive("idle", 450*time.Millisecond))
 	is.True(!x.Alive("never heard", time.Hour))
