--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -25,8 +25,8 @@
 	// checkJitter spreads the checks of followers, so that the later ones learn of the first
 	// response through the relay and need no check.
 	checkJitter = 350 * time.Millisecond
-	// standbyDelay is the extra delay of a standby follower's checks. Store responses to other
-	// followers reach it through the relay, in its exchange rounds.
+	// standbyDelay is the extra delay of a standby follower's checks, since the store's responses to
+	// other followers reach it through the relay, in its gossip rounds.
 	standbyDelay = 300 * time.Millisecond
 	// checkDueInterval is how often a follower determines whether a check is due.
 	checkDueInterval = 60 * time.Millisecond
@@ -298,8 +298,8 @@
 
 // detectOutageEnd is called before a store response is applied. After an outage the response may
 // lack live replicas whose entries expired meanwhile, so a registration grace is set first, which
-// listeners see with the change. The first response to a process is not the end of an outage;
-// otherwise a rolling restart of instances would retain removed replicas indefinitely.
+// listeners see with the change. The first response to a process does not count as the end of an
+// outage; otherwise a rolling restart of instances would retain removed replicas indefinitely.
 func (f *Follower) detectOutageEnd(k Kind) {
 	if now := time.Now(); k == Replicas && f.mirror.AfterOutage(k, now) && f.mirror.Age(k, now) >= outageThreshold {
 		f.mirror.SetRegistrationGrace(now.Add(registrationTime))
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -61,8 +61,9 @@
 	tombstones []Entry
 	// tombstonesSince is the version after which tombstones are complete.
 	tombstonesSince store.Version
-	// confirmedAt is the time of the store's last known response about the kind. returnedAt is the
-	// time of the first response after the latest outage.
+	// confirmedAt is the time of the store's last known response about the kind; zero if there is
+	// none or the state is stale. returnedAt is the time of the first response after the latest
+	// outage.
 	confirmedAt, returnedAt time.Time
 }
 
@@ -154,7 +155,8 @@
 	return e, ok
 }
 
-// Since returns the changes of the kind after a version, and false if there are none.
+// Since returns the changes of the kind after a version, and false if there are none. With known
+// false, which stands for a peer that has no version of the kind, it returns all entries.
 func (m *Mirror) Since(k Kind, from store.Version, known bool) (Delta, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -213,7 +215,7 @@
 }
 
 // applyListing applies a complete listing. Entries that it lacks were removed at some revision up
-// to its own. With tombstones for them, peers need not be sent all entries of the kind again.
+// to its own. They get tombstones, so that peers need not be sent all entries of the kind again.
 func (c *kindCopy) applyListing(d Delta) bool {
 	if !c.known {
 		for _, e := range d.Entries {
--- a/internal/mirror/relay.go
+++ b/internal/mirror/relay.go
@@ -32,8 +32,8 @@
 }
 
 // Relay exchanges a mirror's state with other instances, and decides whether this instance follows
-// the store itself. In each data centre the first instance by name to which the store responds does
-// so. Two followers at a time do no harm.
+// the store itself. In each data centre the first instance by name to which the store responds
+// follows it. Two followers at a time in a data centre do no harm.
 type Relay struct {
 	name       string
 	dataCentre string
@@ -57,10 +57,10 @@
 	// unreachableUntil holds, for peers that did not respond, the time when they may be queried
 	// again.
 	unreachableUntil map[string]time.Time
-	// standbyRound counts the rounds in which this instance was a standby follower.
+	// standbyRound counts the rounds in which this instance, a follower, relied on other watchers.
 	standbyRound int
-	// roundsWithoutFollower counts successive rounds in which no follower responded to which this
-	// instance would defer.
+	// roundsWithoutFollower counts successive rounds in which no peer that this instance defers to
+	// responded that it follows the store.
 	roundsWithoutFollower int
 	cancelFollow          context.CancelFunc
 	followerDone          chan struct{}
@@ -179,8 +179,9 @@
 	}
 }
 
-// exchange applies the changes that only the peer has, and sends it those that it lacks. It reports
-// whether the peer follows the store and gets responses from it, and whether the peer responded.
+// exchange applies the changes that this instance lacks and the peer has, and sends the peer those
+// that it lacks. It reports whether the peer follows the store and gets responses from it, and
+// whether the peer responded.
 func (r *Relay) exchange(ctx context.Context, p Peer) (following, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -302,12 +303,12 @@
 	return deltas
 }
 
-func (r *Relay) applyDeltas(deltas []*mirrorpb.Delta, unsettledMs int64) {
+func (r *Relay) applyDeltas(deltas []*mirrorpb.Delta, graceMs int64) {
 	// An instance that was isolated mistakes its own return for the end of a store outage, and
 	// announces a registration grace. Instances that kept contact with the store must not retain
 	// removed replicas because of that.
-	if unsettledMs > 0 && r.mirror.AfterOutage(Replicas, time.Now()) {
-		r.mirror.SetRegistrationGrace(time.Now().Add(time.Duration(unsettledMs) * time.Millisecond))
+	if graceMs > 0 && r.mirror.AfterOutage(Replicas, time.Now()) {
+		r.mirror.SetRegistrationGrace(time.Now().Add(time.Duration(graceMs) * time.Millisecond))
 	}
 	for _, d := range deltas {
 		if k := Kind(d.Kind); slices.Contains(Kinds, k) {
--- a/internal/mirror/succession.go
+++ b/internal/mirror/succession.go
@@ -57,8 +57,8 @@
 // defersTo reports whether this instance leaves the store to p while p follows it.
 func (r *Relay) defersTo(p Peer) bool { return r.cancelFollow == nil || p.Name < r.name }
 
-// firstFollower returns the first peer by name in this data centre whose last response says that it
-// follows the store.
+// firstFollower returns the first peer by name in this data centre that followed the store
+// according to its last response. The caller holds the lock.
 func (r *Relay) firstFollower() (first Peer, ok bool) {
 	for _, p := range r.followers {
 		if p.DataCentre == r.dataCentre && (!ok || p.Name < first.Name) {
@@ -68,6 +68,8 @@
 	return first, ok
 }
 
+// precedingPeers returns the first peers by name in this data centre that precede this instance and
+// may be queried at present, at most maxQueried. The caller holds the lock.
 func (r *Relay) precedingPeers(peers []Peer) []Peer {
 	var preceding []Peer
 	now := time.Now()
