--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -24,8 +24,8 @@
 	// few times per second.
 	maxRecentWrites = 96
 	// carryPeriod is how long after a change of the window length new windows include the draws
-	// under the old length. An edit is in force everywhere within 10 s; allotments that a
-	// partitioned instance holds for longer are not counted.
+	// under the old length. An edit is in force everywhere within 10 s. Allotments that a
+	// partitioned instance holds for longer than carryPeriod are not included.
 	carryPeriod = time.Minute
 )
 
@@ -36,10 +36,12 @@
 	Budget  plan.Budget `json:"b"`
 	Version uint64      `json:"v"`
 	// PreviousLength is the window length before its last change, made at ChangedAt.
-	PreviousLength time.Duration  `json:"o,omitempty"`
-	ChangedAt      time.Time      `json:"c,omitzero"`
-	Drawn          map[int64]Cost `json:"d"`
-	Carried        map[int64]Cost `json:"p,omitempty"`
+	PreviousLength time.Duration `json:"o,omitempty"`
+	ChangedAt      time.Time     `json:"c,omitzero"`
+	// Drawn holds the draws by window index. Carried holds, by window index, the draws under the
+	// previous window length that the window includes.
+	Drawn   map[int64]Cost `json:"d"`
+	Carried map[int64]Cost `json:"p,omitempty"`
 }
 
 // accountSet is one object of the store: the accounts of a shard of the plans.
@@ -57,8 +59,8 @@
 	window  Window
 	// returned is an amount drawn before that the request returns.
 	returned Cost
-	// need is the least useful amount, want the amount that recent spending calls for. held is
-	// what the instance holds unreserved already.
+	// need is the smallest amount that is of use, and want the amount that recent spending calls
+	// for. held is what the instance holds unreserved already.
 	need, want, held Cost
 }
 
@@ -74,18 +76,18 @@
 func shardOf(name string, shards int) int { return int(xxhash.Sum64String(name) % uint64(shards)) }
 
 // apply applies requests to the accounts and reports whether an account has changed.
-func (b *accountSet) apply(requests []drawRequest, share int64, now time.Time) (results []drawResult, changed bool) {
+func (b *accountSet) apply(requests []drawRequest, shareDivisor int64, now time.Time) (results []drawResult, changed bool) {
 	if b.Accounts == nil {
 		b.Accounts = map[string]*account{}
 	}
-	for _, a := range requests {
-		acc := b.Accounts[a.plan]
+	for _, q := range requests {
+		acc := b.Accounts[q.plan]
 		if acc == nil {
-			acc = &account{Budget: a.budget, Version: a.version, Drawn: map[int64]Cost{}}
-			b.Accounts[a.plan] = acc
+			acc = &account{Budget: q.budget, Version: q.version, Drawn: map[int64]Cost{}}
+			b.Accounts[q.plan] = acc
 		}
-		r := acc.grant(a, share, now)
-		changed = changed || !r.granted.isZero() || !a.returned.isZero()
+		r := acc.grant(q, shareDivisor, now)
+		changed = changed || !r.granted.isZero() || !q.returned.isZero()
 		results = append(results, r)
 	}
 	if changed {
@@ -95,7 +97,7 @@
 }
 
 // grant credits the returned amount and grants what the budget has left.
-func (a *account) grant(q drawRequest, share int64, now time.Time) drawResult {
+func (a *account) grant(q drawRequest, shareDivisor int64, now time.Time) drawResult {
 	r := drawResult{request: q}
 	if !a.updateBudget(q, now) {
 		r.refusal = PlanOutdated
@@ -113,9 +115,9 @@
 		r.refusal = Exhausted
 		return r
 	}
-	// No instance holds more than a share of the rest, so that the last part of a budget does not
-	// go to the first requester.
-	available := left.dividedBy(share).minus(q.held).atLeast(Cost{})
+	// In advance no instance holds more than 1/shareDivisor of the rest, so that the last part of a
+	// budget does not go to the first requester.
+	available := left.dividedBy(shareDivisor).minus(q.held).atLeast(Cost{})
 	r.granted = q.want.atMost(available).atLeast(q.need)
 	a.Drawn[q.window.Index] = a.Drawn[q.window.Index].plus(r.granted)
 	return r
@@ -200,10 +202,10 @@
 	return m
 }
 
-// findWrite reports whether a write has taken effect. known is false if later writes may have been
-// removed from the set, so that this can't be determined. If the write before it is still in the
-// set, none since has been removed; without this rule a full set could never determine that a
-// write had no effect, and draws would be refused for the duration of the backoff.
+// findWrite reports whether a write has taken effect. known is false if this can't be determined,
+// because the write's id may have been removed from the set. If the id of the write before it is
+// still in the set, no later id has been removed; without this rule a full set could never show
+// that a write had no effect, and draws would be refused for the duration of the backoff.
 func (b *accountSet) findWrite(m writeMark) (found, known bool) {
 	if slices.Contains(b.Writes, m.id) {
 		return true, true
--- a/internal/budget/allotment.go
+++ b/internal/budget/allotment.go
@@ -27,7 +27,7 @@
 	generation int
 	holdings   []holding
 	// need is the largest cost that waits for a draw; zero if none. typical is the last need that
-	// was collected for a draw; the target is at least firstDrawCalls times it.
+	// was included in a draw; the target is at least firstDrawCalls times it.
 	need, typical Cost
 	lastUse       time.Time
 	// retired means that nothing is to be held: the plan was removed or the instance stops.
@@ -39,7 +39,8 @@
 	// refusal is the result of the last refused draw, valid until refusedUntil.
 	refusal      Reason
 	refusedUntil time.Time
-	// refillAfter is the time before which the background does not draw from an exhausted budget.
+	// refillAfter is the time before which, after a refused draw, no further one is made unless a
+	// cost waits for it.
 	refillAfter time.Time
 }
 
@@ -274,8 +275,8 @@
 	}
 }
 
-// idle reports whether the allotment can be removed.
-func (a *allotment) idle(now time.Time) bool {
+// isIdle reports whether the allotment can be removed.
+func (a *allotment) isIdle(now time.Time) bool {
 	return len(a.holdings) == 0 && a.need.isZero() && now.Sub(a.lastUse) > idleTimeout
 }
 
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -57,8 +57,9 @@
 	}
 }
 
-// recordOutage sets the time before which the store is not called again, with backoff and jitter,
-// so that an outage costs few calls and its end causes no burst of calls.
+// recordOutage records the result of a draw. After an error it sets the time before which the store
+// is not called again, with backoff and jitter, so that an outage costs few calls and its end causes
+// no burst of calls.
 func (al *Allocator) recordOutage(err error) {
 	al.outageMu.Lock()
 	defer al.outageMu.Unlock()
@@ -174,7 +175,9 @@
 }
 
 // resolveLost determines the outcome of lost writes from a read of the object. While the object
-// still has their base version they may yet take effect, and stay lost.
+// still has their base version they may yet take effect, and stay lost. If the outcome can't be
+// determined any more, the write is dropped: what it drew is not held, and what it returned is not
+// spent.
 func (al *Allocator) resolveLost(s *shard, b *accountSet, version store.Version) {
 	kept := s.lost[:0]
 	for _, l := range s.lost {
@@ -278,5 +281,5 @@
 }
 
 func (al *Allocator) logDraw(p pendingDraw) {
-	al.options.Log.WithFields(log.Fields{"plan": p.allotment.plan, "asks": len(p.requests)}).Debug("budget drawn")
+	al.options.Log.WithFields(log.Fields{"plan": p.allotment.plan, "asks": len(p.requests)}).Debug("budget draw completed")
 }
--- a/internal/budget/failure_test.go
+++ b/internal/budget/failure_test.go
@@ -141,7 +141,7 @@
 // The amount drawn must not be held, and the amount returned by the same write must not be spent:
 // other instances may hold it by now. When the store is back, the next read resolves the outcome and
 // nothing stays stranded.
-func TestDrawAnswerLostThenOutage(t *testing.T) {
+func TestDrawResponseLostThenOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(400, 0, 0)
--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -51,9 +51,10 @@
 	rateInterval = 5 * time.Second
 	// maxDrawWait bounds how long a call waits for a draw.
 	maxDrawWait = time.Second
-	// exhaustedRetention is how long the result that a budget is exhausted is used without another
-	// read, which each refusal would cost otherwise. It is bounded because other instances may
-	// return parts of the budget. outdatedRetention is the same for an outdated plan version.
+	// exhaustedRetention is how long after a draw was refused because the budget is exhausted
+	// reservations are refused without another read of the object. It is bounded because other
+	// instances may return parts of the budget. outdatedRetention is the same for a draw refused
+	// because the plan version is outdated.
 	exhaustedRetention = 30 * time.Second
 	outdatedRetention  = time.Second
 
--- a/internal/budget/run.go
+++ b/internal/budget/run.go
@@ -64,7 +64,7 @@
 			for _, h := range a.holdings {
 				held = held.plus(h.free).plus(h.returning)
 			}
-			if a.idle(now) {
+			if a.isIdle(now) {
 				a.removed = true
 				delete(s.allotments, name)
 			}
