--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -29,7 +29,7 @@
 // Writer is a log.Handler that writes lines of JSON from the goroutine that calls Run.
 type Writer struct {
 	lines   chan line
-	limit   *rate.Limiter
+	limiter *rate.Limiter
 	dropped atomic.Int64
 }
 
@@ -42,14 +42,14 @@
 
 // New returns a writer. It writes nothing until Run is called.
 func New() *Writer {
-	return &Writer{lines: make(chan line, queueCapacity), limit: rate.NewLimiter(linesPerSecond, burstLines)}
+	return &Writer{lines: make(chan line, queueCapacity), limiter: rate.NewLimiter(linesPerSecond, burstLines)}
 }
 
 // HandleLog implements log.Handler. It never blocks: if the queue is full or the rate exceeded, it
 // drops the line and counts it, and the count is logged later. The rate limit does not apply to
 // warnings and errors.
 func (w *Writer) HandleLog(e *log.Entry) error {
-	if e.Level < log.WarnLevel && !w.limit.Allow() {
+	if e.Level < log.WarnLevel && !w.limiter.Allow() {
 		w.dropped.Add(1)
 		return nil
 	}
