--- a/internal/limit/quota_test.go
+++ b/internal/limit/quota_test.go
@@ -191,9 +191,9 @@
 	is.Equal(w.violations(), nil)
 }
 
-// TestAlternativesLoseMore compares Quotas with fixed parts of the quotas, and with parts that an
+// TestAlternativesRefuseMore compares Quotas with fixed parts of the quotas, and with parts that an
 // arbiter divides by demand.
-func TestAlternativesLoseMore(t *testing.T) {
+func TestAlternativesRefuseMore(t *testing.T) {
 	for _, load := range []string{"burst", "one customer floods", "a data centre is partitioned"} {
 		play := loads[load]
 		t.Run(load, func(t *testing.T) {
@@ -335,7 +335,7 @@
 }
 
 // Guards against memory that grows with all programs that ever made a call.
-func TestProgramsThatAreOverAreForgotten(t *testing.T) {
+func TestEndedProgramsAreRemoved(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var p programs
