--- a/command/apply.go
+++ b/command/apply.go
@@ -10,23 +10,23 @@
 )
 
 // apply makes one edit of one list, or of both with --with.
-func (l listVerbs) apply(ctx context.Context, c *cli.Command) error {
+func (l listCommands) apply(ctx context.Context, c *cli.Command) error {
 	if c.Bool("wait") && c.String("instance") == "" {
 		return cli.Exit("--wait needs --instance", ExitUsage)
 	}
 	editCtx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
 	defer cancel()
-	proposal, files, err := l.proposal(editCtx, c)
+	proposal, files, err := l.buildProposal(editCtx, c)
 	if err != nil {
-		return exitError(err)
+		return withExitCode(err)
 	}
-	accepted, err := editorOf(c).Apply(editCtx, *proposal)
+	accepted, err := newEditor(c).Apply(editCtx, *proposal)
 	if err != nil {
-		return exitError(err)
+		return withExitCode(err)
 	}
-	report(c, accepted)
+	printAccepted(c, accepted)
 	for _, file := range files {
-		if err := file.rebase(accepted.Version); err != nil {
+		if err := file.updateBase(accepted.Version); err != nil {
 			return err
 		}
 	}
@@ -36,10 +36,10 @@
 	return waitInForce(ctx, c, accepted.Version)
 }
 
-func (l listVerbs) proposal(ctx context.Context, c *cli.Command) (*config.Proposal, []*listFile, error) {
+func (l listCommands) buildProposal(ctx context.Context, c *cli.Command) (*config.Proposal, []*listFile, error) {
 	proposal := &config.Proposal{Operator: c.String("operator"), Note: c.String("note")}
 	if c.IsSet("rollback") {
-		err := l.rollback(ctx, c, proposal)
+		err := l.proposeRollback(ctx, c, proposal)
 		return proposal, nil, err
 	}
 	file, err := readListFile(c.Args().First())
@@ -56,19 +56,19 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		if err := l.other().parse(second.text, &pair); err != nil {
+		if err := l.otherList().parse(second.text, &pair); err != nil {
 			return nil, nil, err
 		}
 		files = append(files, second)
 	}
 	proposal.Plans, proposal.Usage = pair.Plans, pair.Usage
-	proposal.Base, err = baseOf(c, files)
+	proposal.Base, err = baseVersion(c, files)
 	return proposal, files, err
 }
 
 // baseOf returns the version from which the operator began. Without one, an
 // edit made by another operator since would be undone without a word.
-func baseOf(c *cli.Command, files []*listFile) (uint64, error) {
+func baseVersion(c *cli.Command, files []*listFile) (uint64, error) {
 	if c.IsSet("base") {
 		return c.Uint64("base"), nil
 	}
@@ -85,34 +85,34 @@
 }
 
 // rollback proposes the list as it was, on the base of what is accepted now.
-func (l listVerbs) rollback(ctx context.Context, c *cli.Command, p *config.Proposal) error {
-	editor := editorOf(c)
+func (l listCommands) proposeRollback(ctx context.Context, c *cli.Command, proposal *config.Proposal) error {
+	editor := newEditor(c)
 	target := c.Uint64("rollback")
-	then, version, err := editor.Get(ctx, target)
+	earlier, version, err := editor.Get(ctx, target)
 	if err != nil {
 		return err
 	}
-	_, now, err := editor.Get(ctx, 0)
+	_, current, err := editor.Get(ctx, 0)
 	if err != nil {
 		return err
 	}
-	list := l.only(then)
-	p.Plans, p.Usage, p.Base = list.Plans, list.Usage, now
-	if p.Note == "" {
-		p.Note = fmt.Sprintf("rollback to version %d", version)
+	list := l.selectFrom(earlier)
+	proposal.Plans, proposal.Usage, proposal.Base = list.Plans, list.Usage, current
+	if proposal.Note == "" {
+		proposal.Note = fmt.Sprintf("rollback to version %d", version)
 	}
 	return nil
 }
 
-func report(c *cli.Command, accepted config.Accepted) {
-	out := c.Root().Writer
+func printAccepted(c *cli.Command, accepted config.Accepted) {
+	w := c.Root().Writer
 	switch {
 	case accepted.Unchanged:
-		fmt.Fprintf(out, "nothing to change at version %d\n", accepted.Version)
+		fmt.Fprintf(w, "nothing to change at version %d\n", accepted.Version)
 	case accepted.Repeated:
-		fmt.Fprintf(out, "already accepted as version %d\n", accepted.Version)
+		fmt.Fprintf(w, "already accepted as version %d\n", accepted.Version)
 	default:
-		fmt.Fprintf(out, "accepted as version %d\n", accepted.Version)
-		printChanges(out, accepted.Changes)
+		fmt.Fprintf(w, "accepted as version %d\n", accepted.Version)
+		printChanges(w, accepted.Changes)
 	}
 }
--- a/command/check.go
+++ b/command/check.go
@@ -49,7 +49,7 @@
 
 func checkLists(plansFile, usageFile string) error {
 	var plans *plan.List
-	var uses *usage.List
+	var usageList *usage.List
 	if plansFile != "" {
 		text, err := os.ReadFile(plansFile)
 		if err != nil {
@@ -64,12 +64,12 @@
 		if err != nil {
 			return errors.Wrap(err, "usage")
 		}
-		if uses, err = usage.Parse(text); err != nil {
+		if usageList, err = usage.Parse(text); err != nil {
 			return errors.WithMessage(err, usageFile)
 		}
 	}
-	if plans == nil || uses == nil {
+	if plans == nil || usageList == nil {
 		return nil
 	}
-	return config.Validate(plans, uses)
+	return config.Validate(plans, usageList)
 }
--- a/command/demo.go
+++ b/command/demo.go
@@ -20,7 +20,7 @@
 			&cli.StringFlag{Name: "log-level", Value: "error", Usage: "debug, info, warn or error"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			setLog(settings.Log{Format: "text", Level: c.String("log-level")})
+			configureLog(settings.Log{Format: "text", Level: c.String("log-level")})
 			return demo.Run(ctx, c.Root().Writer, demo.Options{
 				Programs: c.Int("programs"), Concurrency: c.Int("concurrency"), Seed: c.Uint64("seed"),
 			})
--- a/command/earnings.go
+++ b/command/earnings.go
@@ -35,13 +35,13 @@
 	}
 	sums := map[string]*owner.CustomerEarnings{}
 	query := url.Values{"since": {since.UTC().Format(time.RFC3339)}}
-	failure := getAll(ctx, newOperatorClient(c), "/earnings", query, func(list []owner.CustomerEarnings) {
+	fetchErr := getAll(ctx, newOperatorClient(c), "/earnings", query, func(list []owner.CustomerEarnings) {
 		addEarnings(sums, list)
 	})
 	if err := printEarnings(c.Root().Writer, c.Bool("json"), sortedEarnings(sums)); err != nil {
 		return err
 	}
-	return failure
+	return fetchErr
 }
 
 func parseSince(text string, now time.Time) (time.Time, bool) {
@@ -70,12 +70,12 @@
 }
 
 func sortedEarnings(sums map[string]*owner.CustomerEarnings) []owner.CustomerEarnings {
-	out := make([]owner.CustomerEarnings, 0, len(sums))
+	sorted := make([]owner.CustomerEarnings, 0, len(sums))
 	for _, sum := range sums {
-		out = append(out, *sum)
+		sorted = append(sorted, *sum)
 	}
-	slices.SortFunc(out, func(a, b owner.CustomerEarnings) int { return cmp.Compare(a.Customer, b.Customer) })
-	return out
+	slices.SortFunc(sorted, func(a, b owner.CustomerEarnings) int { return cmp.Compare(a.Customer, b.Customer) })
+	return sorted
 }
 
 // microsPerUnit is a currency unit in micros.
@@ -83,18 +83,18 @@
 
 func printEarnings(w io.Writer, asJSON bool, list []owner.CustomerEarnings) error {
 	if asJSON {
-		return printJSON(w, list)
+		return printJSONLines(w, list)
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "CUSTOMER\tSTEPS\tPRICE\tCUT\t")
 	for _, e := range list {
-		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t\n", e.Customer, e.Steps, units(e.Price), units(e.Cut))
+		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t\n", e.Customer, e.Steps, formatMicros(e.Price), formatMicros(e.Cut))
 	}
 	return table.Flush()
 }
 
 // units writes micros as currency units, without rounding.
-func units(micros int64) string {
+func formatMicros(micros int64) string {
 	sign := ""
 	if micros < 0 {
 		sign, micros = "-", -micros
--- a/command/lists.go
+++ b/command/lists.go
@@ -24,60 +24,60 @@
 
 // Bounds of the operators' verbs.
 const (
-	storeCallTimeout = 5 * time.Second
-	defaultEditTime  = 30 * time.Second
-	defaultWaitTime  = 30 * time.Second
-	defaultHistory   = 20
+	storeCallTimeout    = 5 * time.Second
+	defaultEditTimeout  = 30 * time.Second
+	defaultWaitTimeout  = 30 * time.Second
+	defaultHistoryLimit = 20
 )
 
 // baseLine is the comment by which a list's file remembers the version that it
 // was taken from.
-var baseLine = regexp.MustCompile(`(?m)^# base: ([0-9]+)$`)
+var baseLinePattern = regexp.MustCompile(`(?m)^# base: ([0-9]+)$`)
 
 // listVerbs are the verbs of one of the two lists.
-type listVerbs struct {
+type listCommands struct {
 	// name is plan.ListName or usage.ListName.
 	name string
 }
 
-func (l listVerbs) command(use string) *cli.Command {
+func (l listCommands) command(summary string) *cli.Command {
 	return &cli.Command{
 		Name:  l.name,
-		Usage: use,
+		Usage: summary,
 		Commands: []*cli.Command{
 			{
 				Name: "get", Usage: "print the list as accepted, with its version",
-				Flags:  l.flags(&cli.Uint64Flag{Name: "version", Usage: "an earlier `VERSION`; 0 is the last accepted"}),
+				Flags:  l.commonFlags(&cli.Uint64Flag{Name: "version", Usage: "an earlier `VERSION`; 0 is the last accepted"}),
 				Action: l.get,
 			},
 			{
 				Name: "diff", Usage: "show what applying a file would change", ArgsUsage: "FILE",
-				Flags:  l.flags(),
+				Flags:  l.commonFlags(),
 				Action: l.diff,
 			},
 			{
 				Name: "apply", Usage: "make a file the list, or go back to an earlier version", ArgsUsage: "[FILE]",
-				Flags:  l.flags(l.applyFlags()...),
+				Flags:  l.commonFlags(l.applyFlags()...),
 				Action: l.apply,
 			},
 			{
 				Name: "history", Usage: "list the last edits of both lists, newest first",
-				Flags:  l.flags(&cli.IntFlag{Name: "limit", Value: defaultHistory, Usage: "at most `N` edits"}),
+				Flags:  l.commonFlags(&cli.IntFlag{Name: "limit", Value: defaultHistoryLimit, Usage: "at most `N` edits"}),
 				Action: l.history,
 			},
 		},
 	}
 }
 
-func (l listVerbs) flags(more ...cli.Flag) []cli.Flag {
+func (l listCommands) commonFlags(extra ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringFlag{Name: "store", Required: true, Usage: "`URL` of the object API", Sources: cli.EnvVars("FOXHALL_STORE")},
-		&cli.StringFlag{Name: "cache", Value: cacheFolder(), Usage: "`FOLDER` that keeps what was read, empty for none"},
-		&cli.DurationFlag{Name: "timeout", Value: defaultEditTime, Usage: "how long to try while the object API fails"},
-	}, more...)
+		&cli.StringFlag{Name: "cache", Value: defaultCacheFolder(), Usage: "`FOLDER` that keeps what was read, empty for none"},
+		&cli.DurationFlag{Name: "timeout", Value: defaultEditTimeout, Usage: "how long to try while the object API fails"},
+	}, extra...)
 }
 
-func (l listVerbs) applyFlags() []cli.Flag {
+func (l listCommands) applyFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "operator", Required: true, Usage: "your `NAME`, which conflicts and the history show", Sources: cli.EnvVars("FOXHALL_OPERATOR")},
 		&cli.StringFlag{Name: "note", Usage: "a `TEXT` for the history, such as a commit"},
@@ -87,16 +87,16 @@
 		&cli.BoolFlag{Name: "wait", Usage: "wait until the edit is in force on every instance"},
 		&cli.StringFlag{Name: "instance", Usage: "`URL` of any instance's operators' endpoint, for --wait"},
 		operatorKeyFlag(),
-		&cli.DurationFlag{Name: "wait-timeout", Value: defaultWaitTime, Usage: "how long to wait"},
+		&cli.DurationFlag{Name: "wait-timeout", Value: defaultWaitTimeout, Usage: "how long to wait"},
 	}
 }
 
-func editorOf(c *cli.Command) *config.Editor {
+func newEditor(c *cli.Command) *config.Editor {
 	return config.NewCachedEditor(store.NewHTTP(c.String("store"), storeCallTimeout), c.String("cache"))
 }
 
 // cacheFolder is where the operator's system keeps caches.
-func cacheFolder() string {
+func defaultCacheFolder() string {
 	folder, err := os.UserCacheDir()
 	if err != nil {
 		return ""
@@ -104,10 +104,10 @@
 	return filepath.Join(folder, "foxhall", "chunks")
 }
 
-func (l listVerbs) get(ctx context.Context, c *cli.Command) error {
+func (l listCommands) get(ctx context.Context, c *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
 	defer cancel()
-	pair, version, err := editorOf(c).Get(ctx, c.Uint64("version"))
+	pair, version, err := newEditor(c).Get(ctx, c.Uint64("version"))
 	if err != nil {
 		return err
 	}
@@ -119,55 +119,55 @@
 	return err
 }
 
-func (l listVerbs) diff(ctx context.Context, c *cli.Command) error {
+func (l listCommands) diff(ctx context.Context, c *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
 	defer cancel()
 	file, err := readListFile(c.Args().First())
 	if err != nil {
 		return err
 	}
-	editor := editorOf(c)
+	editor := newEditor(c)
 	base, _, err := editor.Get(ctx, file.base)
 	if err != nil {
 		return err
 	}
 	proposed := base
 	if err := l.parse(file.text, &proposed); err != nil {
-		return exitError(err)
+		return withExitCode(err)
 	}
 	changes := config.Diff(base, proposed)
 	printChanges(c.Root().Writer, changes)
 	if err := config.Validate(proposed.Plans, proposed.Usage); err != nil {
-		return exitError(err)
+		return withExitCode(err)
 	}
 	return nil
 }
 
-func (l listVerbs) history(ctx context.Context, c *cli.Command) error {
+func (l listCommands) history(ctx context.Context, c *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
 	defer cancel()
-	records, err := editorOf(c).History(ctx, c.Int("limit"))
+	records, err := newEditor(c).History(ctx, c.Int("limit"))
 	if err != nil {
 		return err
 	}
-	out := c.Root().Writer
+	w := c.Root().Writer
 	for _, r := range records {
-		fmt.Fprintf(out, "version %d  %s  %s  %d changed", r.Version, r.Edit.Time.Format(time.RFC3339), r.Edit.Operator, r.Edit.Changed)
+		fmt.Fprintf(w, "version %d  %s  %s  %d changed", r.Version, r.Edit.Time.Format(time.RFC3339), r.Edit.Operator, r.Edit.Changed)
 		if r.Edit.Note != "" {
-			fmt.Fprintf(out, "  %s", r.Edit.Note)
+			fmt.Fprintf(w, "  %s", r.Edit.Note)
 		}
-		fmt.Fprintln(out)
+		fmt.Fprintln(w)
 		for _, change := range r.Edit.Changes {
-			fmt.Fprintf(out, "    %s\n", change)
+			fmt.Fprintf(w, "    %s\n", change)
 		}
-		if more := r.Edit.Changed - len(r.Edit.Changes); more > 0 {
-			fmt.Fprintf(out, "    and %d more\n", more)
+		if omitted := r.Edit.Changed - len(r.Edit.Changes); omitted > 0 {
+			fmt.Fprintf(w, "    and %d more\n", omitted)
 		}
 	}
 	return nil
 }
 
-func (l listVerbs) format(pair config.Pair) ([]byte, error) {
+func (l listCommands) format(pair config.Pair) ([]byte, error) {
 	if l.name == plan.ListName {
 		return pair.Plans.Format()
 	}
@@ -175,7 +175,7 @@
 }
 
 // parse reads the text of this list into the pair.
-func (l listVerbs) parse(text []byte, pair *config.Pair) (err error) {
+func (l listCommands) parse(text []byte, pair *config.Pair) (err error) {
 	if l.name == plan.ListName {
 		pair.Plans, err = plan.Parse(text)
 		return err
@@ -185,15 +185,15 @@
 }
 
 // other returns the verbs of the other list.
-func (l listVerbs) other() listVerbs {
+func (l listCommands) otherList() listCommands {
 	if l.name == plan.ListName {
-		return listVerbs{name: usage.ListName}
+		return listCommands{name: usage.ListName}
 	}
-	return listVerbs{name: plan.ListName}
+	return listCommands{name: plan.ListName}
 }
 
 // only returns the pair with nothing but this list, as a proposal has it.
-func (l listVerbs) only(pair config.Pair) config.Pair {
+func (l listCommands) selectFrom(pair config.Pair) config.Pair {
 	if l.name == plan.ListName {
 		return config.Pair{Plans: pair.Plans}
 	}
@@ -218,7 +218,7 @@
 		return nil, cli.Exit(err.Error(), ExitUsage)
 	}
 	file := &listFile{path: path, text: text}
-	if match := baseLine.FindSubmatch(text); match != nil {
+	if match := baseLinePattern.FindSubmatch(text); match != nil {
 		file.base, err = strconv.ParseUint(string(match[1]), 10, 64)
 		file.hasBase = err == nil
 	}
@@ -226,31 +226,31 @@
 }
 
 // rebase writes the version now accepted into the file's base line.
-func (f *listFile) rebase(version uint64) error {
+func (f *listFile) updateBase(version uint64) error {
 	if !f.hasBase || f.base == version {
 		return nil
 	}
-	text := baseLine.ReplaceAll(f.text, fmt.Appendf(nil, "# base: %d", version))
+	text := baseLinePattern.ReplaceAll(f.text, fmt.Appendf(nil, "# base: %d", version))
 	if bytes.Equal(text, f.text) {
 		return nil
 	}
 	return errors.Wrap(os.WriteFile(f.path, text, 0o644), "base line")
 }
 
-func printChanges(out io.Writer, changes []config.Change) {
+func printChanges(w io.Writer, changes []config.Change) {
 	for _, change := range changes {
-		fmt.Fprintln(out, change)
+		fmt.Fprintln(w, change)
 		for _, key := range change.Keys {
-			fmt.Fprintf(out, "    %s: %s -> %s\n", key.Key, key.From, key.To)
+			fmt.Fprintf(w, "    %s: %s -> %s\n", key.Key, key.From, key.To)
 		}
 	}
 	if len(changes) == 0 {
-		fmt.Fprintln(out, "no changes")
+		fmt.Fprintln(w, "no changes")
 	}
 }
 
 // exitError gives an error of the configuration its exit code.
-func exitError(err error) error {
+func withExitCode(err error) error {
 	var conflict *config.ConflictError
 	var problems listfile.Problems
 	switch {
--- a/command/lists_test.go
+++ b/command/lists_test.go
@@ -29,19 +29,19 @@
 `
 
 // shell runs the list verbs as an operator does.
-type shell struct {
+type listCLI struct {
 	is     *is.I
 	url    string
 	folder string
 }
 
-func newShell(t *testing.T, store *standin.Store) *shell {
+func newListCLI(t *testing.T, store *standin.Store) *listCLI {
 	server := httptest.NewServer(store.Handler())
 	t.Cleanup(server.Close)
-	return &shell{is: is.New(t), url: server.URL, folder: t.TempDir()}
+	return &listCLI{is: is.New(t), url: server.URL, folder: t.TempDir()}
 }
 
-func (s *shell) run(args ...string) (out string, code int) {
+func (s *listCLI) run(args ...string) (out string, code int) {
 	var buffer bytes.Buffer
 	app := &cli.Command{
 		Name: "foxhall", Writer: &buffer, ErrWriter: &buffer,
@@ -60,7 +60,7 @@
 	return buffer.String() + err.Error(), ExitFailure
 }
 
-func (s *shell) file(name, text string) string {
+func (s *listCLI) file(name, text string) string {
 	path := filepath.Join(s.folder, name)
 	s.is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 	return path
@@ -69,8 +69,8 @@
 // Two operators start from the same version. The second one's edit of another
 // plan is merged; an edit of the same plan is refused with exit code 3, and
 // the message names the plan, the key, the other operator and the version.
-func TestOperatorsRace(t *testing.T) {
-	s := newShell(t, standin.NewStore())
+func TestConcurrentOperatorEdits(t *testing.T) {
+	s := newListCLI(t, standin.NewStore())
 	first := s.file("plans.toml", plansFile)
 	out, code := s.run("plans", "apply", "--operator", "ana", first)
 	s.is.Equal(code, ExitOK)
@@ -100,8 +100,8 @@
 
 // The usage list grants to a plan that does not exist: refused as a pair, with
 // the line. A rollback is a new edit with its own version and note.
-func TestPairAndRollback(t *testing.T) {
-	s := newShell(t, standin.NewStore())
+func TestPairValidationAndRollback(t *testing.T) {
+	s := newListCLI(t, standin.NewStore())
 	plans := s.file("plans.toml", plansFile)
 	bad := s.file("usage.toml", "# base: 0\n[[grant]]\nplan = \"nobody\"\n")
 	out, code := s.run("plans", "apply", "--operator", "ana", "--with", bad, plans)
@@ -131,9 +131,9 @@
 
 // The answer of the accepting update is lost: the verb reads back, finds its
 // own edit and reports the version; a second run of the same file changes nothing.
-func TestApplyAnswerLost(t *testing.T) {
+func TestApplyResponseLost(t *testing.T) {
 	store := standin.NewStore()
-	s := newShell(t, store)
+	s := newListCLI(t, store)
 	path := s.file("plans.toml", plansFile)
 	store.SetFaults(standin.StoreFaults{LoseAnswers: 4})
 	_, code := s.run("plans", "apply", "--operator", "ana", path)
@@ -146,13 +146,13 @@
 
 // --wait goes on until the last instance has the version; while one stays
 // behind it ends with a failure that names it.
-func TestApplyWaits(t *testing.T) {
-	s := newShell(t, standin.NewStore())
-	asked, behind := 0, true
+func TestApplyWaitsForAllInstances(t *testing.T) {
+	s := newListCLI(t, standin.NewStore())
+	requests, behind := 0, true
 	status := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked++
+		requests++
 		version := 1
-		if asked > 1 && !behind {
+		if requests > 1 && !behind {
 			version = 1 << 30
 		}
 		fmt.Fprintf(w, `{"instances":[{"instance":"i1","data_centre":"brest","incarnation":"x","config_version":%d}]}`, version)
--- a/command/load.go
+++ b/command/load.go
@@ -53,7 +53,7 @@
 }
 
 // runPattern replays a load pattern before the model.
-func runPattern(c *cli.Command) error {
+func replayPattern(c *cli.Command) error {
 	pattern, err := experiment.PatternOf(c.String("pattern"))
 	if err != nil {
 		return cli.Exit("load: --pattern: "+err.Error(), ExitUsage)
@@ -85,7 +85,7 @@
 
 func runLoad(ctx context.Context, c *cli.Command) error {
 	if c.IsSet("pattern") {
-		return runPattern(c)
+		return replayPattern(c)
 	}
 	if len(c.StringSlice("target")) == 0 || c.String("key") == "" {
 		return cli.Exit("load: --target and --key are needed, or --pattern", ExitUsage)
--- a/command/operator.go
+++ b/command/operator.go
@@ -17,10 +17,10 @@
 )
 
 // operatorTimeout bounds one request to an instance.
-const operatorTimeout = 10 * time.Second
+const operatorRequestTimeout = 10 * time.Second
 
 // maxOperatorAnswer bounds an instance's answer, in bytes.
-const maxOperatorAnswer = 64 << 20
+const maxOperatorResponseBytes = 64 << 20
 
 // operatorFlags say which instances are asked, and as whom.
 func operatorFlags() []cli.Flag {
@@ -55,7 +55,7 @@
 	return &operatorClient{
 		instances: c.StringSlice("instance"),
 		key:       c.String("key"),
-		http:      &http.Client{Timeout: operatorTimeout},
+		http:      &http.Client{Timeout: operatorRequestTimeout},
 	}
 }
 
@@ -71,21 +71,21 @@
 // getAll asks every instance and gives each answer to take. It asks all of
 // them whatever fails, and then returns the first failure, since a list with a
 // part missing must not pass for the whole.
-func getAll[T any](ctx context.Context, o *operatorClient, path string, query url.Values, take func(T)) error {
-	var failure error
+func getAll[T any](ctx context.Context, o *operatorClient, path string, query url.Values, handle func(T)) error {
+	var lastErr error
 	for _, instance := range o.instances {
-		var answer T
-		err := o.do(ctx, http.MethodGet, instance, path+"?"+query.Encode(), nil, &answer)
+		var response T
+		err := o.do(ctx, http.MethodGet, instance, path+"?"+query.Encode(), nil, &response)
 		if err != nil {
-			failure = errors.Wrapf(err, "incomplete: %s", instance)
+			lastErr = errors.Wrapf(err, "incomplete: %s", instance)
 			continue
 		}
-		take(answer)
+		handle(response)
 	}
-	return failure
+	return lastErr
 }
 
-func (o *operatorClient) do(ctx context.Context, method, instance, path string, body []byte, into any) error {
+func (o *operatorClient) do(ctx context.Context, method, instance, path string, body []byte, result any) error {
 	address := strings.TrimSuffix(instance, "/") + "/operator/v1" + path
 	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
 	if err != nil {
@@ -100,32 +100,32 @@
 		return errors.Wrap(err, "request")
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxOperatorAnswer))
+	payload, err := io.ReadAll(io.LimitReader(response.Body, maxOperatorResponseBytes))
 	if err != nil {
 		return errors.Wrap(err, "answer")
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return &statusError{Status: response.StatusCode, Message: refusalMessage(answer)}
+		return &statusError{Status: response.StatusCode, Message: errorMessage(payload)}
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	return errors.Wrap(json.Unmarshal(answer, into), "answer")
+	return errors.Wrap(json.Unmarshal(payload, result), "answer")
 }
 
-func refusalMessage(answer []byte) string {
+func errorMessage(payload []byte) string {
 	var body struct {
 		Message string            `json:"message"`
 		Error   entry.ErrorDetail `json:"error"`
 	}
-	if json.Unmarshal(answer, &body) == nil && body.Message+body.Error.Message != "" {
+	if json.Unmarshal(payload, &body) == nil && body.Message+body.Error.Message != "" {
 		return body.Message + body.Error.Message
 	}
-	return strings.TrimSpace(string(answer))
+	return strings.TrimSpace(string(payload))
 }
 
 // printJSON writes each item on a line of its own.
-func printJSON[T any](w io.Writer, items []T) error {
+func printJSONLines[T any](w io.Writer, items []T) error {
 	encoder := json.NewEncoder(w)
 	for _, item := range items {
 		if err := encoder.Encode(item); err != nil {
--- a/command/operator_test.go
+++ b/command/operator_test.go
@@ -15,26 +15,26 @@
 )
 
 // instance answers one path with a body, and tells what it was asked.
-func testInstance(t *testing.T, answers map[string]string) (address string, asked *[]string) {
-	asked = &[]string{}
+func testInstance(t *testing.T, responses map[string]string) (address string, requests *[]string) {
+	requests = &[]string{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		*asked = append(*asked, r.Method+" "+r.URL.String()+" "+r.Header.Get("Authorization")+" "+string(body))
-		answer, ok := answers[r.URL.Path]
+		*requests = append(*requests, r.Method+" "+r.URL.String()+" "+r.Header.Get("Authorization")+" "+string(body))
+		response, ok := responses[r.URL.Path]
 		if !ok {
 			http.Error(w, `{"message":"no such program here"}`, http.StatusNotFound)
 			return
 		}
-		_, _ = io.WriteString(w, answer)
+		_, _ = io.WriteString(w, response)
 	}))
 	t.Cleanup(server.Close)
-	return server.URL, asked
+	return server.URL, requests
 }
 
-func runVerb(verb *cli.Command, args ...string) (string, error) {
+func runCLI(command *cli.Command, args ...string) (string, error) {
 	var out bytes.Buffer
 	root := &cli.Command{
-		Name: "foxhall", Writer: &out, ErrWriter: io.Discard, Commands: []*cli.Command{verb},
+		Name: "foxhall", Writer: &out, ErrWriter: io.Discard, Commands: []*cli.Command{command},
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
 	err := root.Run(context.Background(), append([]string{"foxhall"}, args...))
@@ -44,52 +44,52 @@
 // Earnings of two instances are summed by customer. With one of them away the
 // sum of the other is printed and the verb fails, so that a part does not pass
 // for the whole.
-func TestEarningsOverInstances(t *testing.T) {
+func TestEarningsSummedOverInstances(t *testing.T) {
 	is := is.New(t)
-	one, asked := testInstance(t, map[string]string{
+	one, requests := testInstance(t, map[string]string{
 		"/operator/v1/earnings": `[{"customer":"semente","steps":2,"price_micros":2000000,"cut_micros":150000}]`})
 	two, _ := testInstance(t, map[string]string{
 		"/operator/v1/earnings": `[{"customer":"semente","steps":1,"price_micros":1,"cut_micros":0}]`})
-	out, err := runVerb(earningsCommand(), "earnings", "--instance", one, "--instance", two, "--key", "k", "--since", "2026-01-31")
+	out, err := runCLI(earningsCommand(), "earnings", "--instance", one, "--instance", two, "--key", "k", "--since", "2026-01-31")
 	is.NoErr(err)
 	is.True(strings.Contains(out, "2.000001"))
 	is.True(strings.Contains(out, "0.150000"))
-	is.True(strings.HasPrefix((*asked)[0], "GET /operator/v1/earnings?since=2026-01-31T00%3A00%3A00Z Bearer k"))
-	out, err = runVerb(earningsCommand(), "earnings", "--instance", one, "--instance", "http://127.0.0.1:1", "--since", "1h")
+	is.True(strings.HasPrefix((*requests)[0], "GET /operator/v1/earnings?since=2026-01-31T00%3A00%3A00Z Bearer k"))
+	out, err = runCLI(earningsCommand(), "earnings", "--instance", one, "--instance", "http://127.0.0.1:1", "--since", "1h")
 	is.True(err != nil)
 	is.True(strings.Contains(out, "2.000000"))
-	_, err = runVerb(earningsCommand(), "earnings", "--instance", one, "--since", "lately")
+	_, err = runCLI(earningsCommand(), "earnings", "--instance", one, "--since", "lately")
 	is.Equal(err.(cli.ExitCoder).ExitCode(), ExitUsage)
 }
 
 // A step is resolved at the instance that owns its program, whichever it is.
-func TestResolveFindsTheOwner(t *testing.T) {
+func TestResolveReachesOwner(t *testing.T) {
 	is := is.New(t)
 	other, _ := testInstance(t, nil)
-	owner, asked := testInstance(t, map[string]string{"/operator/v1/steps/resolve": ""})
+	owner, requests := testInstance(t, map[string]string{"/operator/v1/steps/resolve": ""})
 	args := []string{"steps", "--instance", other, "--instance", owner, "resolve", "--program", "p", "--number", "3", "--operator", "ana"}
-	_, err := runVerb(stepsCommand(), args...)
+	_, err := runCLI(stepsCommand(), args...)
 	is.Equal(err.(cli.ExitCoder).ExitCode(), ExitUsage) // neither --ran nor --not-run
-	_, err = runVerb(stepsCommand(), append(args, "--ran", "--note", "seen")...)
+	_, err = runCLI(stepsCommand(), append(args, "--ran", "--note", "seen")...)
 	is.NoErr(err)
-	is.True(strings.Contains((*asked)[0], `{"program":"p","number":3,"ran":true,"operator":"ana","note":"seen"}`))
+	is.True(strings.Contains((*requests)[0], `{"program":"p","number":3,"ran":true,"operator":"ana","note":"seen"}`))
 }
 
 // Stalled programs and unknown steps are listed with what an operator needs.
-func TestLists(t *testing.T) {
+func TestListProgramsAndSteps(t *testing.T) {
 	is := is.New(t)
-	address, asked := testInstance(t, map[string]string{
+	address, requests := testInstance(t, map[string]string{
 		"/operator/v1/programs": `[{"id":"dc.i.x:abc","customer":"semente","steps":4,"unresolved_steps":1,"stalled":true}]`,
 		"/operator/v1/steps":    `[{"program":"dc.i.x:abc","number":4,"service":"pay","method":"POST","path":"/charge","upstream_key":"dc.i.x:abc/4"}]`,
 	})
-	out, err := runVerb(programsCommand(), "programs", "--instance", address, "--stalled")
+	out, err := runCLI(programsCommand(), "programs", "--instance", address, "--stalled")
 	is.NoErr(err)
 	is.True(strings.Contains(out, "dc.i.x:abc") && strings.Contains(out, "stalled"))
-	is.True(strings.HasPrefix((*asked)[0], "GET /operator/v1/programs?stalled=true"))
-	out, err = runVerb(stepsCommand(), "steps", "--instance", address, "--unknown")
+	is.True(strings.HasPrefix((*requests)[0], "GET /operator/v1/programs?stalled=true"))
+	out, err = runCLI(stepsCommand(), "steps", "--instance", address, "--unknown")
 	is.NoErr(err)
 	is.True(strings.Contains(out, "pay POST /charge") && strings.Contains(out, "dc.i.x:abc/4"))
-	_, err = runVerb(stepsCommand(), "steps", "--instance", address)
+	_, err = runCLI(stepsCommand(), "steps", "--instance", address)
 	is.Equal(err.(cli.ExitCoder).ExitCode(), ExitUsage)
 }
 
--- a/command/plans.go
+++ b/command/plans.go
@@ -7,5 +7,5 @@
 )
 
 func plansCommand() *cli.Command {
-	return listVerbs{name: plan.ListName}.command("edit the list of customers' plans")
+	return listCommands{name: plan.ListName}.command("edit the list of customers' plans")
 }
--- a/command/programs.go
+++ b/command/programs.go
@@ -27,18 +27,18 @@
 func listPrograms(ctx context.Context, c *cli.Command) error {
 	query := url.Values{"stalled": {strconv.FormatBool(c.Bool("stalled"))}}
 	var programs []owner.ProgramInfo
-	failure := getAll(ctx, newOperatorClient(c), "/programs", query, func(list []owner.ProgramInfo) {
+	fetchErr := getAll(ctx, newOperatorClient(c), "/programs", query, func(list []owner.ProgramInfo) {
 		programs = append(programs, list...)
 	})
 	if err := printPrograms(c.Root().Writer, c.Bool("json"), programs); err != nil {
 		return err
 	}
-	return failure
+	return fetchErr
 }
 
 func printPrograms(w io.Writer, asJSON bool, programs []owner.ProgramInfo) error {
 	if asJSON {
-		return printJSON(w, programs)
+		return printJSONLines(w, programs)
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "PROGRAM\tCUSTOMER\tSTEPS\tUNRESOLVED\tIDLE\tSTATE")
--- a/command/run.go
+++ b/command/run.go
@@ -38,17 +38,17 @@
 	}
 	writer := logging.New()
 	logger := &log.Logger{Handler: writer, Level: level}
-	lines, written := context.WithCancel(context.WithoutCancel(ctx))
-	ended := make(chan struct{})
+	logCtx, stopLog := context.WithCancel(context.WithoutCancel(ctx))
+	logDone := make(chan struct{})
 	go func() {
-		defer close(ended)
-		writer.Run(lines, os.Stdout)
+		defer close(logDone)
+		writer.Run(logCtx, os.Stdout)
 	}()
 	defer func() {
-		written()
-		<-ended
+		stopLog()
+		<-logDone
 	}()
-	noteReloads(ctx, logger)
+	logReloads(ctx, logger)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return platform.Run(ctx, settings, logger)
@@ -56,7 +56,7 @@
 
 // noteReloads logs each SIGHUP. A reload changes nothing that is read at the
 // start; without a handler the signal would end the process.
-func noteReloads(ctx context.Context, logger log.Interface) {
+func logReloads(ctx context.Context, logger log.Interface) {
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	go func() {
--- a/command/serve.go
+++ b/command/serve.go
@@ -40,7 +40,7 @@
 	if format := c.String("log-format"); format != "" {
 		s.Log.Format = format
 	}
-	setLog(s.Log)
+	configureLog(s.Log)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	for {
@@ -55,7 +55,7 @@
 }
 
 // setLog puts the log settings in force for the whole process.
-func setLog(s settings.Log) {
+func configureLog(s settings.Log) {
 	log.SetLevelFromString(s.Level)
 	if s.Format == "json" {
 		log.SetHandler(json.New(os.Stderr))
--- a/command/status.go
+++ b/command/status.go
@@ -41,7 +41,7 @@
 	if format != formatText && format != formatJSON {
 		return cli.Exit(errors.Errorf("no format %q", format), ExitUsage)
 	}
-	status, err := askStatus(ctx, c.String("instance"), c.String("key"), c.Bool("all"))
+	status, err := fetchStatus(ctx, c.String("instance"), c.String("key"), c.Bool("all"))
 	if err != nil {
 		return err
 	}
@@ -54,14 +54,14 @@
 }
 
 // pathStatus is where an instance tells operators of the fleet, under their prefix.
-const pathStatus = "/status"
+const statusPath = "/status"
 
-func askStatus(ctx context.Context, instance, key string, all bool) (*control.Status, error) {
-	path := pathStatus
+func fetchStatus(ctx context.Context, instance, key string, all bool) (*control.Status, error) {
+	path := statusPath
 	if all {
 		path += "?" + url.Values{"survey": {"all"}}.Encode()
 	}
-	client := &operatorClient{key: key, http: &http.Client{Timeout: operatorTimeout}}
+	client := &operatorClient{key: key, http: &http.Client{Timeout: operatorRequestTimeout}}
 	status := &control.Status{}
 	err := client.do(ctx, http.MethodGet, instance, path, nil, status)
 	return status, errors.Wrap(err, "status")
@@ -70,30 +70,30 @@
 // writeStatus prints data centres, instances, leases, and which instances are
 // behind the newest version.
 func writeStatus(w io.Writer, s *control.Status) error {
-	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(out, "answered by %s, newest configuration %d\n", s.Answered, s.ConfigVersion)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "answered by %s, newest configuration %d\n", s.Answered, s.ConfigVersion)
 	if s.Isolated {
-		fmt.Fprintln(out, "ISOLATED: this instance has lost most of its data centre; ask another one")
+		fmt.Fprintln(table, "ISOLATED: this instance has lost most of its data centre; ask another one")
 	}
-	fmt.Fprintln(out, "\nDATA CENTRE\tREACHABLE\tLIVE\tBEHIND")
+	fmt.Fprintln(table, "\nDATA CENTRE\tREACHABLE\tLIVE\tBEHIND")
 	for _, d := range s.DataCentres {
-		fmt.Fprintf(out, "%s\t%s\t%d\t%d\n", d.DataCentre, yesNo(d.Reachable), d.Live, d.Outdated)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\n", d.DataCentre, yesNo(d.Reachable), d.Live, d.Outdated)
 	}
-	fmt.Fprintln(out, "\nINSTANCE\tDATA CENTRE\tINCARNATION\tADDRESS\tSTATE\tSIZE\tCONFIG\tSTORE\tREACHED\tAGE")
+	fmt.Fprintln(table, "\nINSTANCE\tDATA CENTRE\tINCARNATION\tADDRESS\tSTATE\tSIZE\tCONFIG\tSTORE\tREACHED\tAGE")
 	for _, i := range s.Instances {
-		writeInstance(out, i, s.ConfigVersion)
+		writeInstance(table, i, s.ConfigVersion)
 	}
 	for _, i := range s.Gone {
-		writeInstance(out, i, 0)
+		writeInstance(table, i, 0)
 	}
-	fmt.Fprintln(out, "\nDUTY\tHOLDER\tEPOCH")
+	fmt.Fprintln(table, "\nDUTY\tHOLDER\tEPOCH")
 	for _, l := range s.Leases {
-		fmt.Fprintf(out, "%s\t%s\t%d\n", l.Duty, l.Holder, l.Epoch)
+		fmt.Fprintf(table, "%s\t%s\t%d\n", l.Duty, l.Holder, l.Epoch)
 	}
-	return out.Flush()
+	return table.Flush()
 }
 
-func writeInstance(out io.Writer, i control.StatusInstance, newest uint64) {
+func writeInstance(w io.Writer, i control.StatusInstance, newest uint64) {
 	version := fmt.Sprint(i.ConfigVersion)
 	if i.ConfigVersion < newest {
 		version += " behind"
@@ -103,7 +103,7 @@
 		state = "left"
 	}
 	age := time.Duration(i.AgeSeconds * float64(time.Second)).Round(100 * time.Millisecond)
-	fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", i.Instance, i.DataCentre, i.Incarnation,
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", i.Instance, i.DataCentre, i.Incarnation,
 		i.Address, state, i.Size, version, i.Store, yesNo(i.Reachable), age)
 }
 
--- a/command/status_test.go
+++ b/command/status_test.go
@@ -31,7 +31,7 @@
 }
 
 // An edit has not reached one instance: its row says so, and no other's does.
-func TestStatusNamesWhoIsBehind(t *testing.T) {
+func TestStatusMarksOutdatedInstances(t *testing.T) {
 	is := is.New(t)
 	status := control.Status{
 		ConfigVersion: 12,
--- a/command/steps.go
+++ b/command/steps.go
@@ -48,18 +48,18 @@
 		return cli.Exit("steps: say --unknown; no other steps are listed", ExitUsage)
 	}
 	var steps []owner.UnknownStep
-	failure := getAll(ctx, newOperatorClient(c), "/steps", url.Values{"unknown": {"true"}}, func(list []owner.UnknownStep) {
+	fetchErr := getAll(ctx, newOperatorClient(c), "/steps", url.Values{"unknown": {"true"}}, func(list []owner.UnknownStep) {
 		steps = append(steps, list...)
 	})
 	if err := printSteps(c.Root().Writer, c.Bool("json"), steps); err != nil {
 		return err
 	}
-	return failure
+	return fetchErr
 }
 
 func printSteps(w io.Writer, asJSON bool, steps []owner.UnknownStep) error {
 	if asJSON {
-		return printJSON(w, steps)
+		return printJSONLines(w, steps)
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "PROGRAM\tSTEP\tCUSTOMER\tCALL\tSENT\tKEY AT THE SERVICE")
@@ -89,17 +89,17 @@
 
 // resolveAtOwner asks the instances in turn for the one that owns the program.
 func resolveAtOwner(ctx context.Context, o *operatorClient, body []byte) error {
-	var failure error
+	var lastErr error
 	for _, instance := range o.instances {
 		err := o.do(ctx, http.MethodPost, instance, "/steps/resolve", body, nil)
 		if err == nil {
 			return nil
 		}
-		var refusal *statusError
-		if errors.As(err, &refusal) && refusal.Status == http.StatusConflict {
+		var status *statusError
+		if errors.As(err, &status) && status.Status == http.StatusConflict {
 			return cli.Exit(err.Error(), ExitConflict)
 		}
-		failure = errors.Wrap(err, instance)
+		lastErr = errors.Wrap(err, instance)
 	}
-	return failure
+	return lastErr
 }
--- a/command/usage.go
+++ b/command/usage.go
@@ -7,5 +7,5 @@
 )
 
 func usageCommand() *cli.Command {
-	return listVerbs{name: usage.ListName}.command("edit the list of what each plan may use")
+	return listCommands{name: usage.ListName}.command("edit the list of what each plan may use")
 }
--- a/command/wait.go
+++ b/command/wait.go
@@ -14,18 +14,18 @@
 )
 
 // waitInterval is the pace of waiting for an edit.
-const waitInterval = 500 * time.Millisecond
+const pollInterval = 500 * time.Millisecond
 
 // errBehind says that instances have not got the version yet.
-type errBehind struct {
-	version uint64
-	behind  []control.StatusInstance
+type outdatedError struct {
+	version   uint64
+	instances []control.StatusInstance
 }
 
 // Error implements error.
-func (e *errBehind) Error() string {
-	names := make([]string, len(e.behind))
-	for i, s := range e.behind {
+func (e *outdatedError) Error() string {
+	names := make([]string, len(e.instances))
+	for i, s := range e.instances {
 		names[i] = fmt.Sprintf("%s in %s at version %d", s.Instance, s.DataCentre, s.ConfigVersion)
 	}
 	return fmt.Sprintf("accepted, but version %d is not yet in force on %s", e.version, strings.Join(names, ", "))
@@ -35,37 +35,37 @@
 func waitInForce(ctx context.Context, c *cli.Command, version uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("wait-timeout"))
 	defer cancel()
-	var last error
+	var lastErr error
 	count, err := backoff.Retry(ctx, func() (int, error) {
-		count, err := inForce(ctx, c.String("instance"), c.String("key"), version)
+		count, err := countInForce(ctx, c.String("instance"), c.String("key"), version)
 		if err != nil {
-			last = err
+			lastErr = err
 		}
 		return count, err
-	}, backoff.WithBackOff(backoff.NewConstantBackOff(waitInterval)), backoff.WithMaxElapsedTime(0))
+	}, backoff.WithBackOff(backoff.NewConstantBackOff(pollInterval)), backoff.WithMaxElapsedTime(0))
 	if err != nil {
-		return last
+		return lastErr
 	}
 	_, err = fmt.Fprintf(c.Root().Writer, "in force on all %d instances\n", count)
 	return err
 }
 
-func inForce(ctx context.Context, instance, key string, version uint64) (int, error) {
-	status, err := askStatus(ctx, instance, key, true)
+func countInForce(ctx context.Context, instance, key string, version uint64) (int, error) {
+	status, err := fetchStatus(ctx, instance, key, true)
 	if err != nil {
 		return 0, errors.Wrap(err, "accepted, but the status cannot be read")
 	}
 	if len(status.Instances) == 0 {
 		return 0, errors.New("accepted, but the instance asked knows of no instance")
 	}
-	behind := &errBehind{version: version}
+	outdated := &outdatedError{version: version}
 	for _, s := range status.Instances {
 		if s.ConfigVersion < version {
-			behind.behind = append(behind.behind, s)
+			outdated.instances = append(outdated.instances, s)
 		}
 	}
-	if len(behind.behind) > 0 {
-		return 0, behind
+	if len(outdated.instances) > 0 {
+		return 0, outdated
 	}
 	return len(status.Instances), nil
 }
