--- a/command/apply.go
+++ b/command/apply.go
@@ -9,10 +9,10 @@
 	"foxhall/internal/config"
 )
 
-// apply makes one edit of one list, or of both with --with.
+// apply submits one edit of one list, or of both lists if --with is given.
 func (l listCommands) apply(ctx context.Context, c *cli.Command) error {
 	if c.Bool("wait") && c.String("instance") == "" {
-		return cli.Exit("--wait needs --instance", ExitUsage)
+		return cli.Exit("--wait requires --instance", ExitUsage)
 	}
 	editCtx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
 	defer cancel()
@@ -36,6 +36,8 @@
 	return waitInForce(ctx, c, accepted.Version)
 }
 
+// buildProposal reads the edit from the given files, or from an earlier version for --rollback.
+// It also returns the files, whose base lines are updated once the edit is accepted.
 func (l listCommands) buildProposal(ctx context.Context, c *cli.Command) (*config.Proposal, []*listFile, error) {
 	proposal := &config.Proposal{Operator: c.String("operator"), Note: c.String("note")}
 	if c.IsSet("rollback") {
@@ -66,8 +68,8 @@
 	return proposal, files, err
 }
 
-// baseOf returns the version from which the operator began. Without one, an
-// edit made by another operator since would be undone without a word.
+// baseVersion returns the version that the operator's edit is based on. Without a base version, an
+// edit accepted from another operator in the meantime would be overwritten silently.
 func baseVersion(c *cli.Command, files []*listFile) (uint64, error) {
 	if c.IsSet("base") {
 		return c.Uint64("base"), nil
@@ -75,7 +77,7 @@
 	base := files[0].base
 	for _, file := range files {
 		if !file.hasBase {
-			return 0, cli.Exit(file.path+`: no "# base: VERSION" line: give --base, 0 for the first edit, or start from "get"`, ExitUsage)
+			return 0, cli.Exit(file.path+`: no "# base: VERSION" line: give --base (0 for the first edit), or start from the output of "get"`, ExitUsage)
 		}
 		if file.base != base {
 			return 0, cli.Exit("the two files have different base lines: give --base", ExitUsage)
@@ -84,7 +86,8 @@
 	return base, nil
 }
 
-// rollback proposes the list as it was, on the base of what is accepted now.
+// proposeRollback fills the proposal with the list at the version given by --rollback, based on the
+// latest accepted version.
 func (l listCommands) proposeRollback(ctx context.Context, c *cli.Command, proposal *config.Proposal) error {
 	editor := newEditor(c)
 	target := c.Uint64("rollback")
--- a/command/check.go
+++ b/command/check.go
@@ -18,7 +18,7 @@
 	return &cli.Command{
 		Name:  "check",
 		Usage: "check a settings file and the two lists without applying them",
-		Description: `Each fault is named with its file, line and key. Examples:
+		Description: `Each error is reported with its file, line and key. Examples:
 
    foxhall check --settings foxhall.toml
    foxhall check --plans plans.toml --usage usage.toml`,
--- a/command/command.go
+++ b/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of foxhall: thin verbs over the packages
-// under internal.
+// Package command implements the command line of foxhall. Its commands are thin wrappers around the
+// packages under internal.
 package command
 
 import (
@@ -10,17 +10,18 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Version is the version that `foxhall version` prints.
+// Version is the version printed by `foxhall version`.
 const Version = "0.1.0"
 
-// The exit codes of every verb.
+// Exit codes of all commands.
 const (
 	ExitOK = iota
-	// ExitFailure says that the verb ran and failed.
+	// ExitFailure indicates that the command ran and failed.
 	ExitFailure
-	// ExitUsage says that the arguments or a settings file are wrong.
+	// ExitUsage indicates invalid arguments, or an invalid settings or list file.
 	ExitUsage
-	// ExitConflict says that another operator's edit came first.
+	// ExitConflict indicates that another operator's edit came first, or that the outcome of the step
+	// to resolve is not unknown.
 	ExitConflict
 )
 
--- a/command/earnings.go
+++ b/command/earnings.go
@@ -18,7 +18,7 @@
 func earningsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "earnings",
-		Usage: "sum by customer what placed steps brought",
+		Usage: "sum the earnings of placed steps by customer",
 		Flags: append(operatorFlags(), &cli.StringFlag{
 			Name:     "since",
 			Usage:    "a time (2026-01-31T00:00:00Z), a day (2026-01-31) or an age (36h); sums are kept by hour for two days, then by day",
@@ -31,7 +31,7 @@
 func sumEarnings(ctx context.Context, c *cli.Command) error {
 	since, ok := parseSince(c.String("since"), time.Now())
 	if !ok {
-		return cli.Exit("earnings: --since: not a time, a day or an age", ExitUsage)
+		return cli.Exit("earnings: --since: expected a time, a day or an age", ExitUsage)
 	}
 	sums := map[string]*owner.CustomerEarnings{}
 	query := url.Values{"since": {since.UTC().Format(time.RFC3339)}}
@@ -78,7 +78,7 @@
 	return sorted
 }
 
-// microsPerUnit is a currency unit in micros.
+// microsPerUnit is the number of micros in a currency unit.
 const microsPerUnit = 1_000_000
 
 func printEarnings(w io.Writer, asJSON bool, list []owner.CustomerEarnings) error {
@@ -93,7 +93,7 @@
 	return table.Flush()
 }
 
-// units writes micros as currency units, without rounding.
+// formatMicros formats an amount in micros as currency units, without rounding.
 func formatMicros(micros int64) string {
 	sign := ""
 	if micros < 0 {
--- a/command/explain.go
+++ b/command/explain.go
@@ -14,10 +14,10 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "explain",
-		Usage: "tell from log lines what became of calls",
+		Usage: "show from log lines how calls ended",
 		Description: `Reads the log lines of any number of instances from files, or from the standard
 input, and prints for each second and data centre how calls ended and where they
-waited. With --id it prints all that is known of one request or program.
+waited. With --id it prints everything the lines tell about one request or program.
 
    foxhall explain entry-1.log entry-2.log keeper-1.log
    foxhall explain --id 9c41d07be2a35f68 *.log`,
@@ -32,7 +32,7 @@
 
 func runExplain(_ context.Context, c *cli.Command) error {
 	if c.Duration("span") <= 0 {
-		return cli.Exit("explain: --span: expected a time above 0", ExitUsage)
+		return cli.Exit("explain: --span: expected a duration above 0", ExitUsage)
 	}
 	l, err := readLogs(c.Args().Slice())
 	if err != nil {
@@ -47,12 +47,12 @@
 	}
 	story := l.Story(id)
 	if len(story) == 0 {
-		return cli.Exit("explain: --id: no line names "+id, ExitFailure)
+		return cli.Exit("explain: --id: no log line refers to "+id, ExitFailure)
 	}
 	return explain.WriteStory(c.Root().Writer, story)
 }
 
-// readLogs reads the named files, or the standard input where there is none.
+// readLogs reads the named files, or the standard input if none is named.
 func readLogs(paths []string) (*explain.Log, error) {
 	if len(paths) == 0 {
 		return explain.Read(os.Stdin)
--- a/command/lists.go
+++ b/command/lists.go
@@ -22,7 +22,7 @@
 	"foxhall/internal/usage"
 )
 
-// Bounds of the operators' verbs.
+// Timeouts and default limits of the commands that read and edit the lists.
 const (
 	storeCallTimeout    = 5 * time.Second
 	defaultEditTimeout  = 30 * time.Second
@@ -30,11 +30,10 @@
 	defaultHistoryLimit = 20
 )
 
-// baseLine is the comment by which a list's file remembers the version that it
-// was taken from.
+// baseLinePattern matches the comment line that records the version a list file is based on.
 var baseLinePattern = regexp.MustCompile(`(?m)^# base: ([0-9]+)$`)
 
-// listVerbs are the verbs of one of the two lists.
+// listCommands implements the commands of one of the two lists.
 type listCommands struct {
 	// name is plan.ListName or usage.ListName.
 	name string
@@ -46,7 +45,7 @@
 		Usage: summary,
 		Commands: []*cli.Command{
 			{
-				Name: "get", Usage: "print the list as accepted, with its version",
+				Name: "get", Usage: "print the accepted list with its version",
 				Flags:  l.commonFlags(&cli.Uint64Flag{Name: "version", Usage: "an earlier `VERSION`; 0 is the last accepted"}),
 				Action: l.get,
 			},
@@ -56,7 +55,7 @@
 				Action: l.diff,
 			},
 			{
-				Name: "apply", Usage: "make a file the list, or go back to an earlier version", ArgsUsage: "[FILE]",
+				Name: "apply", Usage: "submit a file as the new list, or roll back to an earlier version", ArgsUsage: "[FILE]",
 				Flags:  l.commonFlags(l.applyFlags()...),
 				Action: l.apply,
 			},
@@ -72,18 +71,18 @@
 func (l listCommands) commonFlags(extra ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringFlag{Name: "store", Required: true, Usage: "`URL` of the object API", Sources: cli.EnvVars("FOXHALL_STORE")},
-		&cli.StringFlag{Name: "cache", Value: defaultCacheFolder(), Usage: "`FOLDER` that keeps what was read, empty for none"},
-		&cli.DurationFlag{Name: "timeout", Value: defaultEditTimeout, Usage: "how long to try while the object API fails"},
+		&cli.StringFlag{Name: "cache", Value: defaultCacheFolder(), Usage: "`FOLDER` that caches what was read, empty for no cache"},
+		&cli.DurationFlag{Name: "timeout", Value: defaultEditTimeout, Usage: "how long to retry while the object API fails"},
 	}, extra...)
 }
 
 func (l listCommands) applyFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "operator", Required: true, Usage: "your `NAME`, which conflicts and the history show", Sources: cli.EnvVars("FOXHALL_OPERATOR")},
+		&cli.StringFlag{Name: "operator", Required: true, Usage: "your `NAME`, shown in conflicts and in the history", Sources: cli.EnvVars("FOXHALL_OPERATOR")},
 		&cli.StringFlag{Name: "note", Usage: "a `TEXT` for the history, such as a commit"},
-		&cli.Uint64Flag{Name: "base", Usage: "the `VERSION` that the file was taken from, if the file's \"# base:\" line does not tell"},
+		&cli.Uint64Flag{Name: "base", Usage: "the `VERSION` that the file is based on, instead of that in the file's \"# base:\" line"},
 		&cli.StringFlag{Name: "with", Usage: "the `FILE` of the other list, to be accepted in the same edit"},
-		&cli.Uint64Flag{Name: "rollback", Usage: "make the list what it was at `VERSION`, as a new edit"},
+		&cli.Uint64Flag{Name: "rollback", Usage: "restore the list of `VERSION`, as a new edit"},
 		&cli.BoolFlag{Name: "wait", Usage: "wait until the edit is in force on every instance"},
 		&cli.StringFlag{Name: "instance", Usage: "`URL` of any instance's operators' endpoint, for --wait"},
 		operatorKeyFlag(),
@@ -95,7 +94,8 @@
 	return config.NewCachedEditor(store.NewHTTP(c.String("store"), storeCallTimeout), c.String("cache"))
 }
 
-// cacheFolder is where the operator's system keeps caches.
+// defaultCacheFolder returns a folder in the operating system's cache folder of the user, or the empty
+// string (no cache) if the system has none.
 func defaultCacheFolder() string {
 	folder, err := os.UserCacheDir()
 	if err != nil {
@@ -174,7 +174,7 @@
 	return pair.Usage.Format()
 }
 
-// parse reads the text of this list into the pair.
+// parse parses the text of this list into the pair.
 func (l listCommands) parse(text []byte, pair *config.Pair) (err error) {
 	if l.name == plan.ListName {
 		pair.Plans, err = plan.Parse(text)
@@ -184,7 +184,7 @@
 	return err
 }
 
-// other returns the verbs of the other list.
+// otherList returns the commands of the other list.
 func (l listCommands) otherList() listCommands {
 	if l.name == plan.ListName {
 		return listCommands{name: usage.ListName}
@@ -192,7 +192,7 @@
 	return listCommands{name: plan.ListName}
 }
 
-// only returns the pair with nothing but this list, as a proposal has it.
+// selectFrom returns a pair with only this list set, which is the form that a proposal of one list has.
 func (l listCommands) selectFrom(pair config.Pair) config.Pair {
 	if l.name == plan.ListName {
 		return config.Pair{Plans: pair.Plans}
@@ -200,18 +200,18 @@
 	return config.Pair{Usage: pair.Usage}
 }
 
-// listFile is a list's file as an operator edits it.
+// listFile is a file edited by an operator that contains one list.
 type listFile struct {
 	path string
 	text []byte
-	// base is the version in the file's base line; hasBase says that there is one.
+	// base is the version in the file's base line; hasBase reports whether the file has such a line.
 	base    uint64
 	hasBase bool
 }
 
 func readListFile(path string) (*listFile, error) {
 	if path == "" {
-		return nil, cli.Exit("which file? give its path", ExitUsage)
+		return nil, cli.Exit("expected the path of a list file as argument, found none", ExitUsage)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -225,7 +225,7 @@
 	return file, nil
 }
 
-// rebase writes the version now accepted into the file's base line.
+// updateBase writes the accepted version into the file's base line, if the file has one.
 func (f *listFile) updateBase(version uint64) error {
 	if !f.hasBase || f.base == version {
 		return nil
@@ -234,7 +234,7 @@
 	if bytes.Equal(text, f.text) {
 		return nil
 	}
-	return errors.Wrap(os.WriteFile(f.path, text, 0o644), "base line")
+	return errors.Wrap(os.WriteFile(f.path, text, 0o644), "update the base line")
 }
 
 func printChanges(w io.Writer, changes []config.Change) {
@@ -249,7 +249,7 @@
 	}
 }
 
-// exitError gives an error of the configuration its exit code.
+// withExitCode gives conflicts and invalid lists their exit codes; other errors are returned unchanged.
 func withExitCode(err error) error {
 	var conflict *config.ConflictError
 	var problems listfile.Problems
--- a/command/load.go
+++ b/command/load.go
@@ -16,20 +16,20 @@
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "drive running instances, or a model of engines, with programs of a scenario and print what callers saw",
+		Usage: "run programs of a scenario against running instances, or a model of engines, and print what callers saw",
 		Description: `Example, with the local example running:
 
    foxhall load --target http://127.0.0.1:8081 --target http://127.0.0.1:8082 \
      --key kerlouan-trial-key --scenario kerlouan --programs 100
 
-With --pattern no instance is called: the placement policies are replayed on virtual
-time before a model of engines.
+With --pattern no instance is called: the placement policies are replayed in virtual
+time against a model of engines.
 
    foxhall load --pattern burst --offered 1.1 --scenario kerlouan --compare --plot burst.svg`,
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "target", Usage: "callers' `URL` of an instance; steps go to all in turn"},
 			&cli.StringFlag{Name: "key", Usage: "the customer's bearer `KEY`"},
-			&cli.StringFlag{Name: "pattern", Usage: "replay a load pattern before a model: " + strings.Join(patternNames(), ", ")},
+			&cli.StringFlag{Name: "pattern", Usage: "replay a load pattern against a model: " + strings.Join(patternNames(), ", ")},
 			&cli.FloatFlag{Name: "offered", Value: 1, Usage: "offered load as a share of what the model's engines can serve"},
 			&cli.BoolFlag{Name: "compare", Usage: "replay the baselines too, and print the ratio"},
 			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "number of runs of each policy, from --seed on"},
@@ -38,7 +38,7 @@
 			&cli.IntFlag{Name: "programs", Value: 100, Usage: "number of programs"},
 			&cli.IntFlag{Name: "concurrency", Value: 10, Usage: "programs at once"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the programs' shapes"},
-			&cli.DurationFlag{Name: "time", Value: 10 * time.Minute, Usage: "bound of the whole run"},
+			&cli.DurationFlag{Name: "time", Value: 10 * time.Minute, Usage: "time limit of the whole run"},
 		},
 		Action: runLoad,
 	}
@@ -52,7 +52,7 @@
 	return names
 }
 
-// runPattern replays a load pattern before the model.
+// replayPattern replays a load pattern against the model of engines and prints the results.
 func replayPattern(c *cli.Command) error {
 	pattern, err := experiment.PatternOf(c.String("pattern"))
 	if err != nil {
@@ -88,7 +88,7 @@
 		return replayPattern(c)
 	}
 	if len(c.StringSlice("target")) == 0 || c.String("key") == "" {
-		return cli.Exit("load: --target and --key are needed, or --pattern", ExitUsage)
+		return cli.Exit("load: expected --target and --key, or --pattern", ExitUsage)
 	}
 	var shape load.Shape
 	switch name := strings.ToLower(c.String("scenario")); name {
--- a/command/operator.go
+++ b/command/operator.go
@@ -16,18 +16,19 @@
 	"foxhall/internal/entry"
 )
 
-// operatorTimeout bounds one request to an instance.
+// operatorRequestTimeout limits the duration of one request to an instance.
 const operatorRequestTimeout = 10 * time.Second
 
-// maxOperatorAnswer bounds an instance's answer, in bytes.
+// maxOperatorResponseBytes limits how much of an instance's response is read.
 const maxOperatorResponseBytes = 64 << 20
 
-// operatorFlags say which instances are asked, and as whom.
+// operatorFlags returns the flags that select the instances to query, the operators' key and the
+// output format.
 func operatorFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringSliceFlag{
 			Name:     "instance",
-			Usage:    "base URL of an instance, http://ip:port; each answers for the programs that it owns, so give all",
+			Usage:    "base URL of an instance, http://ip:port; an instance reports only the programs that it owns, so give all",
 			Required: true,
 		},
 		operatorKeyFlag(),
@@ -35,7 +36,7 @@
 	}
 }
 
-// operatorKeyFlag is the bearer key of every verb that asks an instance.
+// operatorKeyFlag returns the bearer key flag of all commands that send requests to an instance.
 func operatorKeyFlag() cli.Flag {
 	return &cli.StringFlag{
 		Name:    "key",
@@ -44,7 +45,7 @@
 	}
 }
 
-// operatorClient talks to the operators' endpoints of instances.
+// operatorClient sends requests to the operators' endpoints of instances.
 type operatorClient struct {
 	instances []string
 	key       string
@@ -59,7 +60,7 @@
 	}
 }
 
-// statusError is an instance's refusal.
+// statusError is an error response of an instance.
 type statusError struct {
 	Status  int
 	Message string
@@ -68,9 +69,9 @@
 // Error implements error.
 func (e *statusError) Error() string { return http.StatusText(e.Status) + ": " + e.Message }
 
-// getAll asks every instance and gives each answer to take. It asks all of
-// them whatever fails, and then returns the first failure, since a list with a
-// part missing must not pass for the whole.
+// getAll queries every instance and passes each response to handle. After a failure it still queries
+// the other instances, and returns the last failure at the end, so that an incomplete list is not
+// mistaken for a complete one.
 func getAll[T any](ctx context.Context, o *operatorClient, path string, query url.Values, handle func(T)) error {
 	var lastErr error
 	for _, instance := range o.instances {
@@ -89,7 +90,7 @@
 	address := strings.TrimSuffix(instance, "/") + "/operator/v1" + path
 	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "create the request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	if o.key != "" {
@@ -97,12 +98,12 @@
 	}
 	response, err := o.http.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "send the request")
 	}
 	defer func() { _ = response.Body.Close() }()
 	payload, err := io.ReadAll(io.LimitReader(response.Body, maxOperatorResponseBytes))
 	if err != nil {
-		return errors.Wrap(err, "answer")
+		return errors.Wrap(err, "read the response")
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
 		return &statusError{Status: response.StatusCode, Message: errorMessage(payload)}
@@ -110,7 +111,7 @@
 	if result == nil {
 		return nil
 	}
-	return errors.Wrap(json.Unmarshal(payload, result), "answer")
+	return errors.Wrap(json.Unmarshal(payload, result), "decode the response")
 }
 
 func errorMessage(payload []byte) string {
@@ -124,7 +125,7 @@
 	return strings.TrimSpace(string(payload))
 }
 
-// printJSON writes each item on a line of its own.
+// printJSONLines writes each item as JSON on its own line.
 func printJSONLines[T any](w io.Writer, items []T) error {
 	encoder := json.NewEncoder(w)
 	for _, item := range items {
--- a/command/run.go
+++ b/command/run.go
@@ -17,11 +17,11 @@
 	return &cli.Command{
 		Name:  "run",
 		Usage: "run an instance on the users' platform",
-		Description: `The settings file is the platform's. An instance whose settings give it callers
-takes calls; one with a data folder keeps turns. SIGTERM is a graceful shutdown.`,
+		Description: `The settings file is the platform's. An instance with callers in its settings takes
+calls; one with a data folder stores turns. SIGTERM starts a graceful shutdown.`,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Required: true, Sources: cli.EnvVars(platform.SettingsVariable), Usage: "settings `FILE`"},
-			&cli.StringFlag{Name: "log-level", Value: "info", Usage: "least `LEVEL` of log lines: debug, info, warn or error"},
+			&cli.StringFlag{Name: "log-level", Value: "info", Usage: "minimum `LEVEL` of log lines: debug, info, warn or error"},
 		},
 		Action: runOnPlatform,
 	}
@@ -54,8 +54,8 @@
 	return platform.Run(ctx, settings, logger)
 }
 
-// noteReloads logs each SIGHUP. A reload changes nothing that is read at the
-// start; without a handler the signal would end the process.
+// logReloads logs each SIGHUP until ctx is done. A reload changes none of the settings read at the
+// start; without a handler the signal would terminate the process.
 func logReloads(ctx context.Context, logger log.Interface) {
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
@@ -63,7 +63,7 @@
 		for {
 			select {
 			case <-reloads:
-				logger.Info("reload: the settings in force hold until the next start")
+				logger.Info("reload: settings are read at the start only; the present ones stay in force")
 			case <-ctx.Done():
 				return
 			}
--- a/command/serve.go
+++ b/command/serve.go
@@ -20,8 +20,8 @@
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run an instance",
-		Description: `SIGTERM is a graceful shutdown: the instance says that it is not ready, ends the
-answers in flight, hands its programs over and exits. Example:
+		Description: `SIGTERM starts a graceful shutdown: the instance reports that it is not ready, finishes
+the responses in flight, hands its programs over and exits. Example:
 
    foxhall serve --settings foxhall.toml`,
 		Flags: []cli.Flag{
@@ -54,7 +54,7 @@
 	}
 }
 
-// setLog puts the log settings in force for the whole process.
+// configureLog applies the log settings to the process-wide logger.
 func configureLog(s settings.Log) {
 	log.SetLevelFromString(s.Level)
 	if s.Format == "json" {
--- a/command/standin.go
+++ b/command/standin.go
@@ -18,8 +18,8 @@
 func standinCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "standin",
-		Usage: "serve a stand-in of an outside system on loopback, for trials and tests",
-		Description: `Faults are switched while it runs, by PUT /standin/faults with a JSON document:
+		Usage: "serve a stand-in of an external system on loopback, for trials and tests",
+		Description: `Faults are set at run time by PUT /standin/faults with a JSON document:
 
    foxhall standin store  --listen 127.0.0.1:9000
    foxhall standin engine --listen 127.0.0.1:9101 --model oak-large
@@ -59,8 +59,8 @@
 		Name: "weights", Usage: "the weight store",
 		Flags: []cli.Flag{
 			listenFlag(),
-			&cli.FloatFlag{Name: "rate", Value: 1, Usage: "fetches a second that it allows"},
-			&cli.DurationFlag{Name: "transfer", Value: time.Second, Usage: "time of one fetch"},
+			&cli.FloatFlag{Name: "rate", Value: 1, Usage: "allowed fetches per second"},
+			&cli.DurationFlag{Name: "transfer", Value: time.Second, Usage: "duration of one fetch"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return serveStandin(ctx, c, standin.NewWeights(c.Float("rate"), c.Duration("transfer")).Handler())
@@ -74,7 +74,7 @@
 		Flags: []cli.Flag{
 			listenFlag(),
 			&cli.StringFlag{Name: "name", Value: "engine", Usage: "the engine's `NAME`"},
-			&cli.StringSliceFlag{Name: "model", Usage: "a model loaded from the start; none serves any"},
+			&cli.StringSliceFlag{Name: "model", Usage: "a model loaded at the start; if none is given, every model is served"},
 			&cli.IntFlag{Name: "slots", Value: 8, Usage: "largest batch"},
 			&cli.IntFlag{Name: "cache-tokens", Value: 20000, Usage: "size of the prefix cache"},
 			&cli.FloatFlag{Name: "prefill", Value: 8000, Usage: "prefill speed in tokens a second"},
@@ -96,8 +96,8 @@
 	}
 }
 
-// serveStandin serves until ctx ends or the process is told to stop. It
-// refuses to listen anywhere but on loopback.
+// serveStandin serves until ctx is done or the process receives SIGTERM or SIGINT. It only listens on
+// loopback addresses.
 func serveStandin(ctx context.Context, c *cli.Command, handler http.Handler) error {
 	address := c.String("listen")
 	host, _, err := net.SplitHostPort(address)
--- a/command/status.go
+++ b/command/status.go
@@ -16,7 +16,7 @@
 	"foxhall/internal/control"
 )
 
-// The formats of `foxhall status`.
+// Output formats of `foxhall status`.
 const (
 	formatText = "text"
 	formatJSON = "json"
@@ -30,7 +30,7 @@
 			&cli.StringFlag{Name: "instance", Usage: "any instance, as http://ip:port", Required: true},
 			operatorKeyFlag(),
 			&cli.StringFlag{Name: "format", Usage: "text or json", Value: formatText},
-			&cli.BoolFlag{Name: "all", Usage: "ask every instance for its present report"},
+			&cli.BoolFlag{Name: "all", Usage: "query every instance for its current report"},
 		},
 		Action: showStatus,
 	}
@@ -39,7 +39,7 @@
 func showStatus(ctx context.Context, c *cli.Command) error {
 	format := c.String("format")
 	if format != formatText && format != formatJSON {
-		return cli.Exit(errors.Errorf("no format %q", format), ExitUsage)
+		return cli.Exit(errors.Errorf("status: --format: expected text or json, found %q", format), ExitUsage)
 	}
 	status, err := fetchStatus(ctx, c.String("instance"), c.String("key"), c.Bool("all"))
 	if err != nil {
@@ -53,7 +53,7 @@
 	return writeStatus(c.Root().Writer, status)
 }
 
-// pathStatus is where an instance tells operators of the fleet, under their prefix.
+// statusPath is the path of the fleet status, relative to the prefix of the operators' endpoint.
 const statusPath = "/status"
 
 func fetchStatus(ctx context.Context, instance, key string, all bool) (*control.Status, error) {
@@ -67,8 +67,8 @@
 	return status, errors.Wrap(err, "status")
 }
 
-// writeStatus prints data centres, instances, leases, and which instances are
-// behind the newest version.
+// writeStatus prints the data centres, instances and leases, and marks the instances whose
+// configuration is older than the newest version.
 func writeStatus(w io.Writer, s *control.Status) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "answered by %s, newest configuration %d\n", s.Answered, s.ConfigVersion)
--- a/command/steps.go
+++ b/command/steps.go
@@ -21,7 +21,7 @@
 	return &cli.Command{
 		Name:     "steps",
 		Usage:    "list steps whose outcome is unknown, and resolve them",
-		Flags:    append(operatorFlags(), &cli.BoolFlag{Name: "unknown", Usage: "steps that may have run"}),
+		Flags:    append(operatorFlags(), &cli.BoolFlag{Name: "unknown", Usage: "list the steps that may have run"}),
 		Action:   listSteps,
 		Commands: []*cli.Command{resolveCommand()},
 	}
@@ -30,14 +30,14 @@
 func resolveCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "resolve",
-		Usage: "say what became of an unknown step",
+		Usage: "record the outcome of a step whose outcome is unknown",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "program", Usage: "the program's id", Required: true},
 			&cli.IntFlag{Name: "number", Usage: "the step's number", Required: true},
 			&cli.BoolFlag{Name: "ran", Usage: "the step had its effect"},
 			&cli.BoolFlag{Name: "not-run", Usage: "the step had no effect and never will"},
-			&cli.StringFlag{Name: "operator", Usage: "who says so", Required: true, Sources: cli.EnvVars("USER")},
-			&cli.StringFlag{Name: "note", Usage: "how it is known"},
+			&cli.StringFlag{Name: "operator", Usage: "who resolves the step", Required: true, Sources: cli.EnvVars("USER")},
+			&cli.StringFlag{Name: "note", Usage: "how the outcome is known"},
 		},
 		Action: resolveStep,
 	}
@@ -45,7 +45,7 @@
 
 func listSteps(ctx context.Context, c *cli.Command) error {
 	if !c.Bool("unknown") {
-		return cli.Exit("steps: say --unknown; no other steps are listed", ExitUsage)
+		return cli.Exit("steps: --unknown is required; no other steps are listed", ExitUsage)
 	}
 	var steps []owner.UnknownStep
 	fetchErr := getAll(ctx, newOperatorClient(c), "/steps", url.Values{"unknown": {"true"}}, func(list []owner.UnknownStep) {
@@ -72,7 +72,7 @@
 
 func resolveStep(ctx context.Context, c *cli.Command) error {
 	if c.Bool("ran") == c.Bool("not-run") {
-		return cli.Exit("steps resolve: say either --ran or --not-run", ExitUsage)
+		return cli.Exit("steps resolve: expected exactly one of --ran and --not-run", ExitUsage)
 	}
 	body, err := json.Marshal(owner.Resolution{
 		Program:  program.ID(c.String("program")),
@@ -87,7 +87,8 @@
 	return resolveAtOwner(ctx, newOperatorClient(c), body)
 }
 
-// resolveAtOwner asks the instances in turn for the one that owns the program.
+// resolveAtOwner sends the resolution to each instance in turn until one accepts it or reports a
+// conflict. Only the instance that owns the program accepts it.
 func resolveAtOwner(ctx context.Context, o *operatorClient, body []byte) error {
 	var lastErr error
 	for _, instance := range o.instances {
--- a/command/wait.go
+++ b/command/wait.go
@@ -13,10 +13,10 @@
 	"foxhall/internal/control"
 )
 
-// waitInterval is the pace of waiting for an edit.
+// pollInterval is the interval between status requests while waiting for an edit to be in force.
 const pollInterval = 500 * time.Millisecond
 
-// errBehind says that instances have not got the version yet.
+// outdatedError indicates that instances do not have the version in force yet.
 type outdatedError struct {
 	version   uint64
 	instances []control.StatusInstance
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("accepted, but version %d is not yet in force on %s", e.version, strings.Join(names, ", "))
 }
 
-// waitInForce polls an instance until all that it knows of have the version.
+// waitInForce polls an instance until all instances that it knows have the version in force.
 func waitInForce(ctx context.Context, c *cli.Command, version uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("wait-timeout"))
 	defer cancel()
@@ -50,13 +50,14 @@
 	return err
 }
 
+// countInForce returns the number of instances, or an error unless all have the version in force.
 func countInForce(ctx context.Context, instance, key string, version uint64) (int, error) {
 	status, err := fetchStatus(ctx, instance, key, true)
 	if err != nil {
 		return 0, errors.Wrap(err, "accepted, but the status cannot be read")
 	}
 	if len(status.Instances) == 0 {
-		return 0, errors.New("accepted, but the instance asked knows of no instance")
+		return 0, errors.New("accepted, but the queried instance reports no instances")
 	}
 	outdated := &outdatedError{version: version}
 	for _, s := range status.Instances {
