--- a/command/lists_test.go
+++ b/command/lists_test.go
@@ -28,7 +28,7 @@
 customer = "kerlouan"
 `
 
-// shell runs the list verbs as an operator does.
+// listCLI runs the commands of the lists against a stand-in store.
 type listCLI struct {
 	is     *is.I
 	url    string
@@ -66,9 +66,9 @@
 	return path
 }
 
-// Two operators start from the same version. The second one's edit of another
-// plan is merged; an edit of the same plan is refused with exit code 3, and
-// the message names the plan, the key, the other operator and the version.
+// Operators edit from the same base version. An edit of another plan is merged; an edit of the same
+// plan fails with exit code 3, and the message names the plan, the key, the other operator and the
+// version.
 func TestConcurrentOperatorEdits(t *testing.T) {
 	s := newListCLI(t, standin.NewStore())
 	first := s.file("plans.toml", plansFile)
@@ -77,7 +77,7 @@
 	s.is.True(strings.Contains(out, `added plan "buyers"`))
 	text, err := os.ReadFile(first)
 	s.is.NoErr(err)
-	s.is.True(!strings.Contains(string(text), "# base: 0")) // the file now knows its version
+	s.is.True(!strings.Contains(string(text), "# base: 0")) // the base line was updated
 
 	ana := s.file("ana.toml", strings.Replace(string(text), "priority = 1", "priority = 2", 1))
 	rui := s.file("rui.toml", strings.Replace(string(text), `"kerlouan"`, `"kerlouan-sa"`, 1))
@@ -89,7 +89,7 @@
 	out, code = s.run("plans", "apply", "--operator", "eva", eva)
 	s.is.Equal(code, ExitConflict)
 	for _, want := range []string{`plan "donors" (priority)`, "by ana", "(autumn)"} {
-		s.is.True(strings.Contains(out, want)) // the conflict tells
+		s.is.True(strings.Contains(out, want)) // details of the conflict
 	}
 
 	out, _ = s.run("plans", "get")
@@ -98,8 +98,8 @@
 	s.is.Equal(strings.Count(out, "version "), 3)
 }
 
-// The usage list grants to a plan that does not exist: refused as a pair, with
-// the line. A rollback is a new edit with its own version and note.
+// A usage list with a grant to a plan that does not exist is rejected together with its plans list,
+// and the error gives the line. A rollback is a new edit with its own version and note.
 func TestPairValidationAndRollback(t *testing.T) {
 	s := newListCLI(t, standin.NewStore())
 	plans := s.file("plans.toml", plansFile)
@@ -129,8 +129,8 @@
 	s.is.True(strings.Contains(out, fmt.Sprintf("rollback to version %d", version)))
 }
 
-// The answer of the accepting update is lost: the verb reads back, finds its
-// own edit and reports the version; a second run of the same file changes nothing.
+// The store's response to the accepted update is lost: apply reads the configuration back, finds its
+// own edit and reports the version. Applying the same file again changes nothing.
 func TestApplyResponseLost(t *testing.T) {
 	store := standin.NewStore()
 	s := newListCLI(t, store)
@@ -144,8 +144,8 @@
 	s.is.True(strings.Contains(out, "already accepted"))
 }
 
-// --wait goes on until the last instance has the version; while one stays
-// behind it ends with a failure that names it.
+// --wait polls until the last instance has the version in force. If an instance stays outdated until
+// the timeout, the command fails with an error that names it.
 func TestApplyWaitsForAllInstances(t *testing.T) {
 	s := newListCLI(t, standin.NewStore())
 	requests, behind := 0, true
--- a/command/operator_test.go
+++ b/command/operator_test.go
@@ -14,7 +14,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// instance answers one path with a body, and tells what it was asked.
+// testInstance serves the given response bodies by path, and records the requests that it receives.
 func testInstance(t *testing.T, responses map[string]string) (address string, requests *[]string) {
 	requests = &[]string{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -41,9 +41,8 @@
 	return out.String(), err
 }
 
-// Earnings of two instances are summed by customer. With one of them away the
-// sum of the other is printed and the verb fails, so that a part does not pass
-// for the whole.
+// Earnings of two instances are summed by customer. If one instance is unreachable, the sum of the
+// other is printed and the command fails, so that a partial sum is not mistaken for the total.
 func TestEarningsSummedOverInstances(t *testing.T) {
 	is := is.New(t)
 	one, requests := testInstance(t, map[string]string{
@@ -62,7 +61,7 @@
 	is.Equal(err.(cli.ExitCoder).ExitCode(), ExitUsage)
 }
 
-// A step is resolved at the instance that owns its program, whichever it is.
+// A step is resolved at the instance that owns its program, also if another instance is asked first.
 func TestResolveReachesOwner(t *testing.T) {
 	is := is.New(t)
 	other, _ := testInstance(t, nil)
@@ -75,7 +74,8 @@
 	is.True(strings.Contains((*requests)[0], `{"program":"p","number":3,"ran":true,"operator":"ana","note":"seen"}`))
 }
 
-// Stalled programs and unknown steps are listed with what an operator needs.
+// The lists of stalled programs and of unknown steps show the ids, the state, the call and the key at
+// the service.
 func TestListProgramsAndSteps(t *testing.T) {
 	is := is.New(t)
 	address, requests := testInstance(t, map[string]string{
--- a/command/run_test.go
+++ b/command/run_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// An instance with a wrong settings file must say what is wrong and not start.
+// An instance with an invalid or missing settings file, or an invalid log level, exits with a usage
+// error and does not start.
 func TestRunRefusesWrongSettings(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings.json")
--- a/command/status_test.go
+++ b/command/status_test.go
@@ -15,7 +15,7 @@
 	"foxhall/internal/control"
 )
 
-// runStatus runs the verb against a status and returns what it printed.
+// runStatus runs the status command against a server with the given status and returns its output.
 func runStatus(t *testing.T, status control.Status, args ...string) string {
 	t.Helper()
 	is := is.New(t)
@@ -30,7 +30,7 @@
 	return out.String()
 }
 
-// An edit has not reached one instance: its row says so, and no other's does.
+// An edit has not reached one instance: only the row of that instance is marked as behind.
 func TestStatusMarksOutdatedInstances(t *testing.T) {
 	is := is.New(t)
 	status := control.Status{
