--- a/command/check.go
+++ b/command/check.go
@@ -18,7 +18,7 @@
 	return &cli.Command{
 		Name:  "check",
 		Usage: "check a settings file and the two lists without applying them",
-		Description: `Each fault is named with its file, line and key. Examples:
+		Description: `Each error is reported with its file, line and key. Examples:
 
    foxhall check --settings foxhall.toml
    foxhall check --plans plans.toml --usage usage.toml`,
@@ -49,7 +49,7 @@
 
 func checkLists(plansFile, usageFile string) error {
 	var plans *plan.List
-	var uses *usage.List
+	var usageList *usage.List
 	if plansFile != "" {
 		text, err := os.ReadFile(plansFile)
 		if err != nil {
@@ -64,12 +64,12 @@
 		if err != nil {
 			return errors.Wrap(err, "usage")
 		}
-		if uses, err = usage.Parse(text); err != nil {
+		if usageList, err = usage.Parse(text); err != nil {
 			return errors.WithMessage(err, usageFile)
 		}
 	}
-	if plans == nil || uses == nil {
+	if plans == nil || usageList == nil {
 		return nil
 	}
-	return config.Validate(plans, uses)
+	return config.Validate(plans, usageList)
 }
--- a/command/lists.go
+++ b/command/lists.go
@@ -22,81 +22,81 @@
 	"foxhall/internal/usage"
 )
 
-// Bounds of the operators' verbs.
+// Timeouts and default limits of the commands that read and edit the lists.
 const (
-	storeCallTimeout = 5 * time.Second
-	defaultEditTime  = 30 * time.Second
-	defaultWaitTime  = 30 * time.Second
-	defaultHistory   = 20
+	storeCallTimeout    = 5 * time.Second
+	defaultEditTimeout  = 30 * time.Second
+	defaultWaitTimeout  = 30 * time.Second
+	defaultHistoryLimit = 20
 )
 
-// baseLine is the comment by which a list's file remembers the version that it
-// was taken from.
-var baseLine = regexp.MustCompile(`(?m)^# base: ([0-9]+)$`)
+// baseLinePattern matches the comment line that records the version a list file is based on.
+var baseLinePattern = regexp.MustCompile(`(?m)^# base: ([0-9]+)$`)
 
-// listVerbs are the verbs of one of the two lists.
-type listVerbs struct {
+// listCommands implements the commands of one of the two lists.
+type listCommands struct {
 	// name is plan.ListName or usage.ListName.
 	name string
 }
 
-func (l listVerbs) command(use string) *cli.Command {
+func (l listCommands) command(summary string) *cli.Command {
 	return &cli.Command{
 		Name:  l.name,
-		Usage: use,
+		Usage: summary,
 		Commands: []*cli.Command{
 			{
-				Name: "get", Usage: "print the list as accepted, with its version",
-				Flags:  l.flags(&cli.Uint64Flag{Name: "version", Usage: "an earlier `VERSION`; 0 is the last accepted"}),
+				Name: "get", Usage: "print the accepted list with its version",
+				Flags:  l.commonFlags(&cli.Uint64Flag{Name: "version", Usage: "an earlier `VERSION`; 0 is the last accepted"}),
 				Action: l.get,
 			},
 			{
 				Name: "diff", Usage: "show what applying a file would change", ArgsUsage: "FILE",
-				Flags:  l.flags(),
+				Flags:  l.commonFlags(),
 				Action: l.diff,
 			},
 			{
-				Name: "apply", Usage: "make a file the list, or go back to an earlier version", ArgsUsage: "[FILE]",
-				Flags:  l.flags(l.applyFlags()...),
+				Name: "apply", Usage: "submit a file as the new list, or roll back to an earlier version", ArgsUsage: "[FILE]",
+				Flags:  l.commonFlags(l.applyFlags()...),
 				Action: l.apply,
 			},
 			{
 				Name: "history", Usage: "list the last edits of both lists, newest first",
-				Flags:  l.flags(&cli.IntFlag{Name: "limit", Value: defaultHistory, Usage: "at most `N` edits"}),
+				Flags:  l.commonFlags(&cli.IntFlag{Name: "limit", Value: defaultHistoryLimit, Usage: "at most `N` edits"}),
 				Action: l.history,
 			},
 		},
 	}
 }
 
-func (l listVerbs) flags(more ...cli.Flag) []cli.Flag {
+func (l listCommands) commonFlags(extra ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringFlag{Name: "store", Required: true, Usage: "`URL` of the object API", Sources: cli.EnvVars("FOXHALL_STORE")},
-		&cli.StringFlag{Name: "cache", Value: cacheFolder(), Usage: "`FOLDER` that keeps what was read, empty for none"},
-		&cli.DurationFlag{Name: "timeout", Value: defaultEditTime, Usage: "how long to try while the object API fails"},
-	}, more...)
+		&cli.StringFlag{Name: "cache", Value: defaultCacheFolder(), Usage: "`FOLDER` that caches what was read, empty for no cache"},
+		&cli.DurationFlag{Name: "timeout", Value: defaultEditTimeout, Usage: "how long to retry while the object API fails"},
+	}, extra...)
 }
 
-func (l listVerbs) applyFlags() []cli.Flag {
+func (l listCommands) applyFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "operator", Required: true, Usage: "your `NAME`, which conflicts and the history show", Sources: cli.EnvVars("FOXHALL_OPERATOR")},
+		&cli.StringFlag{Name: "operator", Required: true, Usage: "your `NAME`, shown in conflicts and in the history", Sources: cli.EnvVars("FOXHALL_OPERATOR")},
 		&cli.StringFlag{Name: "note", Usage: "a `TEXT` for the history, such as a commit"},
-		&cli.Uint64Flag{Name: "base", Usage: "the `VERSION` that the file was taken from, if the file's \"# base:\" line does not tell"},
+		&cli.Uint64Flag{Name: "base", Usage: "the `VERSION` that the file is based on, instead of that in the file's \"# base:\" line"},
 		&cli.StringFlag{Name: "with", Usage: "the `FILE` of the other list, to be accepted in the same edit"},
-		&cli.Uint64Flag{Name: "rollback", Usage: "make the list what it was at `VERSION`, as a new edit"},
+		&cli.Uint64Flag{Name: "rollback", Usage: "restore the list of `VERSION`, as a new edit"},
 		&cli.BoolFlag{Name: "wait", Usage: "wait until the edit is in force on every instance"},
 		&cli.StringFlag{Name: "instance", Usage: "`URL` of any instance's operators' endpoint, for --wait"},
 		operatorKeyFlag(),
-		&cli.DurationFlag{Name: "wait-timeout", Value: defaultWaitTime, Usage: "how long to wait"},
+		&cli.DurationFlag{Name: "wait-timeout", Value: defaultWaitTimeout, Usage: "how long to wait"},
 	}
 }
 
-func editorOf(c *cli.Command) *config.Editor {
+func newEditor(c *cli.Command) *config.Editor {
 	return config.NewCachedEditor(store.NewHTTP(c.String("store"), storeCallTimeout), c.String("cache"))
 }
 
-// cacheFolder is where the operator's system keeps caches.
-func cacheFolder() string {
+// defaultCacheFolder returns a folder in the operating system's cache folder of the user, or the empty
+// string (no cache) if the system has none.
+func defaultCacheFolder() string {
 	folder, err := os.UserCacheDir()
 	if err != nil {
 		return ""
@@ -104,10 +104,10 @@
 	return filepath.Join(folder, "foxhall", "chunks")
 }
 
-func (l listVerbs) get(ctx context.Context, c *cli.Command) error {
+func (l listCommands) get(ctx context.Context, c *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
 	defer cancel()
-	pair, version, err := editorOf(c).Get(ctx, c.Uint64("version"))
+	pair, version, err := newEditor(c).Get(ctx, c.Uint64("version"))
 	if err != nil {
 		return err
 	}
@@ -119,63 +119,63 @@
 	return err
 }
 
-func (l listVerbs) diff(ctx context.Context, c *cli.Command) error {
+func (l listCommands) diff(ctx context.Context, c *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
 	defer cancel()
 	file, err := readListFile(c.Args().First())
 	if err != nil {
 		return err
 	}
-	editor := editorOf(c)
+	editor := newEditor(c)
 	base, _, err := editor.Get(ctx, file.base)
 	if err != nil {
 		return err
 	}
 	proposed := base
 	if err := l.parse(file.text, &proposed); err != nil {
-		return exitError(err)
+		return withExitCode(err)
 	}
 	changes := config.Diff(base, proposed)
 	printChanges(c.Root().Writer, changes)
 	if err := config.Validate(proposed.Plans, proposed.Usage); err != nil {
-		return exitError(err)
+		return withExitCode(err)
 	}
 	return nil
 }
 
-func (l listVerbs) history(ctx context.Context, c *cli.Command) error {
+func (l listCommands) history(ctx context.Context, c *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
 	defer cancel()
-	records, err := editorOf(c).History(ctx, c.Int("limit"))
+	records, err := newEditor(c).History(ctx, c.Int("limit"))
 	if err != nil {
 		return err
 	}
-	out := c.Root().Writer
+	w := c.Root().Writer
 	for _, r := range records {
-		fmt.Fprintf(out, "version %d  %s  %s  %d changed", r.Version, r.Edit.Time.Format(time.RFC3339), r.Edit.Operator, r.Edit.Changed)
+		fmt.Fprintf(w, "version %d  %s  %s  %d changed", r.Version, r.Edit.Time.Format(time.RFC3339), r.Edit.Operator, r.Edit.Changed)
 		if r.Edit.Note != "" {
-			fmt.Fprintf(out, "  %s", r.Edit.Note)
+			fmt.Fprintf(w, "  %s", r.Edit.Note)
 		}
-		fmt.Fprintln(out)
+		fmt.Fprintln(w)
 		for _, change := range r.Edit.Changes {
-			fmt.Fprintf(out, "    %s\n", change)
+			fmt.Fprintf(w, "    %s\n", change)
 		}
-		if more := r.Edit.Changed - len(r.Edit.Changes); more > 0 {
-			fmt.Fprintf(out, "    and %d more\n", more)
+		if omitted := r.Edit.Changed - len(r.Edit.Changes); omitted > 0 {
+			fmt.Fprintf(w, "    and %d more\n", omitted)
 		}
 	}
 	return nil
 }
 
-func (l listVerbs) format(pair config.Pair) ([]byte, error) {
+func (l listCommands) format(pair config.Pair) ([]byte, error) {
 	if l.name == plan.ListName {
 		return pair.Plans.Format()
 	}
 	return pair.Usage.Format()
 }
 
-// parse reads the text of this list into the pair.
-func (l listVerbs) parse(text []byte, pair *config.Pair) (err error) {
+// parse parses the text of this list into the pair.
+func (l listCommands) parse(text []byte, pair *config.Pair) (err error) {
 	if l.name == plan.ListName {
 		pair.Plans, err = plan.Parse(text)
 		return err
@@ -184,73 +184,73 @@
 	return err
 }
 
-// other returns the verbs of the other list.
-func (l listVerbs) other() listVerbs {
+// otherList returns the commands of the other list.
+func (l listCommands) otherList() listCommands {
 	if l.name == plan.ListName {
-		return listVerbs{name: usage.ListName}
+		return listCommands{name: usage.ListName}
 	}
-	return listVerbs{name: plan.ListName}
+	return listCommands{name: plan.ListName}
 }
 
-// only returns the pair with nothing but this list, as a proposal has it.
-func (l listVerbs) only(pair config.Pair) config.Pair {
+// selectFrom returns a pair with only this list set, which is the form that a proposal of one list has.
+func (l listCommands) selectFrom(pair config.Pair) config.Pair {
 	if l.name == plan.ListName {
 		return config.Pair{Plans: pair.Plans}
 	}
 	return config.Pair{Usage: pair.Usage}
 }
 
-// listFile is a list's file as an operator edits it.
+// listFile is a file edited by an operator that contains one list.
 type listFile struct {
 	path string
 	text []byte
-	// base is the version in the file's base line; hasBase says that there is one.
+	// base is the version in the file's base line; hasBase reports whether the file has such a line.
 	base    uint64
 	hasBase bool
 }
 
 func readListFile(path string) (*listFile, error) {
 	if path == "" {
-		return nil, cli.Exit("which file? give its path", ExitUsage)
+		return nil, cli.Exit("expected the path of a list file as argument, found none", ExitUsage)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, cli.Exit(err.Error(), ExitUsage)
 	}
 	file := &listFile{path: path, text: text}
-	if match := baseLine.FindSubmatch(text); match != nil {
+	if match := baseLinePattern.FindSubmatch(text); match != nil {
 		file.base, err = strconv.ParseUint(string(match[1]), 10, 64)
 		file.hasBase = err == nil
 	}
 	return file, nil
 }
 
-// rebase writes the version now accepted into the file's base line.
-func (f *listFile) rebase(version uint64) error {
+// updateBase writes the accepted version into the file's base line, if the file has one.
+func (f *listFile) updateBase(version uint64) error {
 	if !f.hasBase || f.base == version {
 		return nil
 	}
-	text := baseLine.ReplaceAll(f.text, fmt.Appendf(nil, "# base: %d", version))
+	text := baseLinePattern.ReplaceAll(f.text, fmt.Appendf(nil, "# base: %d", version))
 	if bytes.Equal(text, f.text) {
 		return nil
 	}
-	return errors.Wrap(os.WriteFile(f.path, text, 0o644), "base line")
+	return errors.Wrap(os.WriteFile(f.path, text, 0o644), "update the base line")
 }
 
-func printChanges(out io.Writer, changes []config.Change) {
+func printChanges(w io.Writer, changes []config.Change) {
 	for _, change := range changes {
-		fmt.Fprintln(out, change)
+		fmt.Fprintln(w, change)
 		for _, key := range change.Keys {
-			fmt.Fprintf(out, "    %s: %s -> %s\n", key.Key, key.From, key.To)
+			fmt.Fprintf(w, "    %s: %s -> %s\n", key.Key, key.From, key.To)
 		}
 	}
 	if len(changes) == 0 {
-		fmt.Fprintln(out, "no changes")
+		fmt.Fprintln(w, "no changes")
 	}
 }
 
-// exitError gives an error of the configuration its exit code.
-func exitError(err error) error {
+// withExitCode gives conflicts and invalid lists their exit codes; other errors are returned unchanged.
+func withExitCode(err error) error {
 	var conflict *config.ConflictError
 	var problems listfile.Problems
 	switch {
--- a/command/lists_test.go
+++ b/command/lists_test.go
@@ -28,20 +28,20 @@
 customer = "kerlouan"
 `
 
-// shell runs the list verbs as an operator does.
-type shell struct {
+// listCLI runs the commands of the lists against a stand-in store.
+type listCLI struct {
 	is     *is.I
 	url    string
 	folder string
 }
 
-func newShell(t *testing.T, store *standin.Store) *shell {
+func newListCLI(t *testing.T, store *standin.Store) *listCLI {
 	server := httptest.NewServer(store.Handler())
 	t.Cleanup(server.Close)
-	return &shell{is: is.New(t), url: server.URL, folder: t.TempDir()}
+	return &listCLI{is: is.New(t), url: server.URL, folder: t.TempDir()}
 }
 
-func (s *shell) run(args ...string) (out string, code int) {
+func (s *listCLI) run(args ...string) (out string, code int) {
 	var buffer bytes.Buffer
 	app := &cli.Command{
 		Name: "foxhall", Writer: &buffer, ErrWriter: &buffer,
@@ -60,24 +60,24 @@
 	return buffer.String() + err.Error(), ExitFailure
 }
 
-func (s *shell) file(name, text string) string {
+func (s *listCLI) file(name, text string) string {
 	path := filepath.Join(s.folder, name)
 	s.is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// Two operators start from the same version. The second one's edit of another
-// plan is merged; an edit of the same plan is refused with exit code 3, and
-// the message names the plan, the key, the other operator and the version.
-func TestOperatorsRace(t *testing.T) {
-	s := newShell(t, standin.NewStore())
+// Operators edit from the same base version. An edit of another plan is merged; an edit of the same
+// plan fails with exit code 3, and the message names the plan, the key, the other operator and the
+// version.
+func TestConcurrentOperatorEdits(t *testing.T) {
+	s := newListCLI(t, standin.NewStore())
 	first := s.file("plans.toml", plansFile)
 	out, code := s.run("plans", "apply", "--operator", "ana", first)
 	s.is.Equal(code, ExitOK)
 	s.is.True(strings.Contains(out, `added plan "buyers"`))
 	text, err := os.ReadFile(first)
 	s.is.NoErr(err)
-	s.is.True(!strings.Contains(string(text), "# base: 0")) // the file now knows its version
+	s.is.True(!strings.Contains(string(text), "# base: 0")) // the base line was updated
 
 	ana := s.file("ana.toml", strings.Replace(string(text), "priority = 1", "priority = 2", 1))
 	rui := s.file("rui.toml", strings.Replace(string(text), `"kerlouan"`, `"kerlouan-sa"`, 1))
@@ -89,7 +89,7 @@
 	out, code = s.run("plans", "apply", "--operator", "eva", eva)
 	s.is.Equal(code, ExitConflict)
 	for _, want := range []string{`plan "donors" (priority)`, "by ana", "(autumn)"} {
-		s.is.True(strings.Contains(out, want)) // the conflict tells
+		s.is.True(strings.Contains(out, want)) // details of the conflict
 	}
 
 	out, _ = s.run("plans", "get")
@@ -98,10 +98,10 @@
 	s.is.Equal(strings.Count(out, "version "), 3)
 }
 
-// The usage list grants to a plan that does not exist: refused as a pair, with
-// the line. A rollback is a new edit with its own version and note.
-func TestPairAndRollback(t *testing.T) {
-	s := newShell(t, standin.NewStore())
+// A usage list with a grant to a plan that does not exist is rejected together with its plans list,
+// and the error gives the line. A rollback is a new edit with its own version and note.
+func TestPairValidationAndRollback(t *testing.T) {
+	s := newListCLI(t, standin.NewStore())
 	plans := s.file("plans.toml", plansFile)
 	bad := s.file("usage.toml", "# base: 0\n[[grant]]\nplan = \"nobody\"\n")
 	out, code := s.run("plans", "apply", "--operator", "ana", "--with", bad, plans)
@@ -129,11 +129,11 @@
 	s.is.True(strings.Contains(out, fmt.Sprintf("rollback to version %d", version)))
 }
 
-// The answer of the accepting update is lost: the verb reads back, finds its
-// own edit and reports the version; a second run of the same file changes nothing.
-func TestApplyAnswerLost(t *testing.T) {
+// The store's response to the accepted update is lost: apply reads the configuration back, finds its
+// own edit and reports the version. Applying the same file again changes nothing.
+func TestApplyResponseLost(t *testing.T) {
 	store := standin.NewStore()
-	s := newShell(t, store)
+	s := newListCLI(t, store)
 	path := s.file("plans.toml", plansFile)
 	store.SetFaults(standin.StoreFaults{LoseAnswers: 4})
 	_, code := s.run("plans", "apply", "--operator", "ana", path)
@@ -144,15 +144,15 @@
 	s.is.True(strings.Contains(out, "already accepted"))
 }
 
-// --wait goes on until the last instance has the version; while one stays
-// behind it ends with a failure that names it.
-func TestApplyWaits(t *testing.T) {
-	s := newShell(t, standin.NewStore())
-	asked, behind := 0, true
+// --wait polls until the last instance has the version in force. If an instance stays outdated until
+// the timeout, the command fails with an error that names it.
+func TestApplyWaitsForAllInstances(t *testing.T) {
+	s := newListCLI(t, standin.NewStore())
+	requests, behind := 0, true
 	status := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked++
+		requests++
 		version := 1
-		if asked > 1 && !behind {
+		if requests > 1 && !behind {
 			version = 1 << 30
 		}
 		fmt.Fprintf(w, `{"instances":[{"instance":"i1","data_centre":"brest","incarnation":"x","config_version":%d}]}`, version)
--- a/command/operator.go
+++ b/command/operator.go
@@ -16,18 +16,19 @@
 	"foxhall/internal/entry"
 )
 
-// operatorTimeout bounds one request to an instance.
-const operatorTimeout = 10 * time.Second
+// operatorRequestTimeout limits the duration of one request to an instance.
+const operatorRequestTimeout = 10 * time.Second
 
-// maxOperatorAnswer bounds an instance's answer, in bytes.
-const maxOperatorAnswer = 64 << 20
+// maxOperatorResponseBytes limits how much of an instance's response is read.
+const maxOperatorResponseBytes = 64 << 20
 
-// operatorFlags say which instances are asked, and as whom.
+// operatorFlags returns the flags that select the instances to query, the operators' key and the
+// output format.
 func operatorFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringSliceFlag{
 			Name:     "instance",
-			Usage:    "base URL of an instance, http://ip:port; each answers for the programs that it owns, so give all",
+			Usage:    "base URL of an instance, http://ip:port; an instance reports only the programs that it owns, so give all",
 			Required: true,
 		},
 		operatorKeyFlag(),
@@ -35,7 +36,7 @@
 	}
 }
 
-// operatorKeyFlag is the bearer key of every verb that asks an instance.
+// operatorKeyFlag returns the bearer key flag of all commands that send requests to an instance.
 func operatorKeyFlag() cli.Flag {
 	return &cli.StringFlag{
 		Name:    "key",
@@ -44,7 +45,7 @@
 	}
 }
 
-// operatorClient talks to the operators' endpoints of instances.
+// operatorClient sends requests to the operators' endpoints of instances.
 type operatorClient struct {
 	instances []string
 	key       string
@@ -55,11 +56,11 @@
 	return &operatorClient{
 		instances: c.StringSlice("instance"),
 		key:       c.String("key"),
-		http:      &http.Client{Timeout: operatorTimeout},
+		http:      &http.Client{Timeout: operatorRequestTimeout},
 	}
 }
 
-// statusError is an instance's refusal.
+// statusError is an error response of an instance.
 type statusError struct {
 	Status  int
 	Message string
@@ -68,28 +69,28 @@
 // Error implements error.
 func (e *statusError) Error() string { return http.StatusText(e.Status) + ": " + e.Message }
 
-// getAll asks every instance and gives each answer to take. It asks all of
-// them whatever fails, and then returns the first failure, since a list with a
-// part missing must not pass for the whole.
-func getAll[T any](ctx context.Context, o *operatorClient, path string, query url.Values, take func(T)) error {
-	var failure error
+// getAll queries every instance and passes each response to handle. After a failure it still queries
+// the other instances, and returns the last failure at the end, so that an incomplete list is not
+// mistaken for a complete one.
+func getAll[T any](ctx context.Context, o *operatorClient, path string, query url.Values, handle func(T)) error {
+	var lastErr error
 	for _, instance := range o.instances {
-		var answer T
-		err := o.do(ctx, http.MethodGet, instance, path+"?"+query.Encode(), nil, &answer)
+		var response T
+		err := o.do(ctx, http.MethodGet, instance, path+"?"+query.Encode(), nil, &response)
 		if err != nil {
-			failure = errors.Wrapf(err, "incomplete: %s", instance)
+			lastErr = errors.Wrapf(err, "incomplete: %s", instance)
 			continue
 		}
-		take(answer)
+		handle(response)
 	}
-	return failure
+	return lastErr
 }
 
-func (o *operatorClient) do(ctx context.Context, method, instance, path string, body []byte, into any) error {
+func (o *operatorClient) do(ctx context.Context, method, instance, path string, body []byte, result any) error {
 	address := strings.TrimSuffix(instance, "/") + "/operator/v1" + path
 	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "create the request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	if o.key != "" {
@@ -97,35 +98,35 @@
 	}
 	response, err := o.http.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "send the request")
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxOperatorAnswer))
+	payload, err := io.ReadAll(io.LimitReader(response.Body, maxOperatorResponseBytes))
 	if err != nil {
-		return errors.Wrap(err, "answer")
+		return errors.Wrap(err, "read the response")
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return &statusError{Status: response.StatusCode, Message: refusalMessage(answer)}
+		return &statusError{Status: response.StatusCode, Message: errorMessage(payload)}
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	return errors.Wrap(json.Unmarshal(answer, into), "answer")
+	return errors.Wrap(json.Unmarshal(payload, result), "decode the response")
 }
 
-func refusalMessage(answer []byte) string {
+func errorMessage(payload []byte) string {
 	var body struct {
 		Message string            `json:"message"`
 		Error   entry.ErrorDetail `json:"error"`
 	}
-	if json.Unmarshal(answer, &body) == nil && body.Message+body.Error.Message != "" {
+	if json.Unmarshal(payload, &body) == nil && body.Message+body.Error.Message != "" {
 		return body.Message + body.Error.Message
 	}
-	return strings.TrimSpace(string(answer))
+	return strings.TrimSpace(string(payload))
 }
 
-// printJSON writes each item on a line of its own.
-func printJSON[T any](w io.Writer, items []T) error {
+// printJSONLines writes each item as JSON on its own line.
+func printJSONLines[T any](w io.Writer, items []T) error {
 	encoder := json.NewEncoder(w)
 	for _, item := range items {
 		if err := encoder.Encode(item); err != nil {
--- a/command/serve.go
+++ b/command/serve.go
@@ -20,8 +20,8 @@
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run an instance",
-		Description: `SIGTERM is a graceful shutdown: the instance says that it is not ready, ends the
-answers in flight, hands its programs over and exits. Example:
+		Description: `SIGTERM starts a graceful shutdown: the instance reports that it is not ready, finishes
+the responses in flight, hands its programs over and exits. Example:
 
    foxhall serve --settings foxhall.toml`,
 		Flags: []cli.Flag{
@@ -40,7 +40,7 @@
 	if format := c.String("log-format"); format != "" {
 		s.Log.Format = format
 	}
-	setLog(s.Log)
+	configureLog(s.Log)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	for {
@@ -54,8 +54,8 @@
 	}
 }
 
-// setLog puts the log settings in force for the whole process.
-func setLog(s settings.Log) {
+// configureLog applies the log settings to the process-wide logger.
+func configureLog(s settings.Log) {
 	log.SetLevelFromString(s.Level)
 	if s.Format == "json" {
 		log.SetHandler(json.New(os.Stderr))
