--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -71,18 +71,18 @@
 }
 
 // prefillShare is the part of the decode speed that remains while a prompt is prefilled.
-const prefillShare = 0.5
+const decodeShareDuringPrefill = 0.5
 
 // The defaults of an EngineConfig.
 const (
 	defaultSlots        = 16
-	defaultQueue        = 256
-	defaultCache        = 64 * 1024
-	defaultPrefill      = 8000
-	defaultDecode       = 60
-	defaultChunk        = 8
+	defaultMaxQueue     = 256
+	defaultCacheTokens  = 64 * 1024
+	defaultPrefillSpeed = 8000
+	defaultDecodeSpeed  = 60
+	defaultChunkTokens  = 8
 	defaultKVSpeed      = 20000
-	engineEventsKept    = 16384
+	maxEngineEvents     = 16384
 	engineRetryAfter    = time.Second
 	defaultOutputTokens = 24
 )
@@ -93,33 +93,33 @@
 type Engine struct {
 	config EngineConfig
 
-	mu      sync.Mutex
-	faults  EngineFaults
-	boot    int
-	cache   *blockCache
-	running []*sequence
-	waiting []*sequence
-	order   int64
-	last    time.Time
-	timer   *time.Timer
-	events  eventLog
-	load    loadLog
-	models  map[string]*engine.Loaded
-	role    string
-	token   uint64
-	counts  EngineCounts
+	mu           sync.Mutex
+	faults       EngineFaults
+	boot         int
+	cache        *blockCache
+	running      []*sequence
+	waiting      []*sequence
+	arrivals     int64
+	advancedTo   time.Time
+	timer        *time.Timer
+	events       eventLog
+	loads        loadLog
+	models       map[string]*engine.Loaded
+	role         string
+	fencingToken uint64
+	counts       EngineCounts
 }
 
 // NewEngine returns an engine without faults.
 func NewEngine(config EngineConfig) *Engine {
-	withDefaults(&config)
+	setDefaults(&config)
 	e := &Engine{
-		config: config,
-		cache:  newBlockCache(config.CacheTokens / engine.BlockTokens),
-		last:   time.Now(),
-		models: map[string]*engine.Loaded{},
-		role:   "both",
-		boot:   1,
+		config:     config,
+		cache:      newBlockCache(config.CacheTokens / engine.BlockTokens),
+		advancedTo: time.Now(),
+		models:     map[string]*engine.Loaded{},
+		role:       "both",
+		boot:       1,
 	}
 	for _, name := range config.Models {
 		e.models[name] = &engine.Loaded{Served: name, Model: name, Ready: true}
@@ -127,24 +127,24 @@
 	return e
 }
 
-func withDefaults(c *EngineConfig) {
+func setDefaults(c *EngineConfig) {
 	if c.Slots == 0 {
 		c.Slots = defaultSlots
 	}
 	if c.MaxQueue == 0 {
-		c.MaxQueue = defaultQueue
+		c.MaxQueue = defaultMaxQueue
 	}
 	if c.CacheTokens == 0 {
-		c.CacheTokens = defaultCache
+		c.CacheTokens = defaultCacheTokens
 	}
 	if c.PrefillSpeed == 0 {
-		c.PrefillSpeed = defaultPrefill
+		c.PrefillSpeed = defaultPrefillSpeed
 	}
 	if c.DecodeSpeed == 0 {
-		c.DecodeSpeed = defaultDecode
+		c.DecodeSpeed = defaultDecodeSpeed
 	}
 	if c.ChunkTokens == 0 {
-		c.ChunkTokens = defaultChunk
+		c.ChunkTokens = defaultChunkTokens
 	}
 	if c.KVSpeed == 0 {
 		c.KVSpeed = defaultKVSpeed
@@ -158,7 +158,7 @@
 	e.advance()
 	e.faults = f
 	if f.Down || f.Restart {
-		e.breakAll()
+		e.failAll()
 	}
 	if f.Restart {
 		e.boot++
@@ -178,7 +178,7 @@
 
 // Complete runs one completion, as engine.Client does over HTTP.
 func (e *Engine) Complete(ctx context.Context, r *engine.Request, onChunk func(engine.Chunk) error) (*engine.Response, error) {
-	s, err := e.enter(r)
+	s, err := e.enqueue(r)
 	if err != nil {
 		return nil, err
 	}
@@ -188,7 +188,7 @@
 		case <-s.done:
 			return e.finish(s, stream)
 		case <-s.progress:
-			if err := stream.emit(e.decoded(s)); err != nil {
+			if err := stream.emit(e.decodedTokens(s)); err != nil {
 				e.abort(s)
 				return nil, &engine.Error{Class: engine.ErrUnknown, Partial: true, Cause: err}
 			}
@@ -203,36 +203,36 @@
 	if s.err != nil {
 		return nil, s.err
 	}
-	if err := stream.end(); err != nil {
+	if err := stream.finish(); err != nil {
 		return nil, &engine.Error{Class: engine.ErrUnknown, Partial: true, Cause: err}
 	}
-	return s.answer(), nil
+	return s.response(), nil
 }
 
 // enter admits a call or says why the engine does not run it.
-func (e *Engine) enter(r *engine.Request) (*sequence, error) {
+func (e *Engine) enqueue(r *engine.Request) (*sequence, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.advance()
-	if err := e.refuse(r); err != nil {
+	if err := e.checkAdmission(r); err != nil {
 		e.counts.Refused++
 		return nil, err
 	}
-	e.order++
-	s := newSequence(r, e.order, e.config.ChunkTokens)
+	e.arrivals++
+	s := newSequence(r, e.arrivals, e.config.ChunkTokens)
 	e.waiting = append(e.waiting, s)
-	slices.SortStableFunc(e.waiting, bySequencePriority)
+	slices.SortStableFunc(e.waiting, compareSequences)
 	e.counts.Calls++
 	if e.config.OnCall != nil {
 		e.config.OnCall(r)
 	}
-	e.countModel(r.ServedModel(), 1)
+	e.addRunning(r.ServedModel(), 1)
 	e.admit()
 	e.schedule()
 	return s, nil
 }
 
-func (e *Engine) refuse(r *engine.Request) *engine.Error {
+func (e *Engine) checkAdmission(r *engine.Request) *engine.Error {
 	loaded := e.models[r.ServedModel()]
 	switch {
 	case e.faults.Down:
@@ -250,16 +250,16 @@
 	}
 }
 
-func (e *Engine) countModel(served string, n int) {
+func (e *Engine) addRunning(served string, n int) {
 	if loaded := e.models[served]; loaded != nil {
 		loaded.Running += n
 	}
 }
 
-func (e *Engine) decoded(s *sequence) int {
+func (e *Engine) decodedTokens(s *sequence) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return int(s.decoded)
+	return int(s.decodedTokens)
 }
 
 // abort frees the slot of a call whose caller is gone.
@@ -271,28 +271,28 @@
 		return
 	}
 	e.counts.Cancelled++
-	e.end(s, &engine.Error{Class: engine.ErrUnknown, Cause: context.Canceled})
+	e.endSequence(s, &engine.Error{Class: engine.ErrUnknown, Cause: context.Canceled})
 	e.admit()
 	e.schedule()
 }
 
-func (e *Engine) breakAll() {
+func (e *Engine) failAll() {
 	for _, s := range slices.Concat(e.running, e.waiting) {
 		e.counts.Broken++
-		e.end(s, &engine.Error{Class: engine.ErrUnknown, Partial: s.decoded > 0, Cause: errors.New("connection reset")})
+		e.endSequence(s, &engine.Error{Class: engine.ErrUnknown, Partial: s.decodedTokens > 0, Cause: errors.New("connection reset")})
 	}
 }
 
 // end takes the call out of the engine and wakes its caller.
-func (e *Engine) end(s *sequence, err error) {
+func (e *Engine) endSequence(s *sequence, err error) {
 	e.running = remove(e.running, s)
 	e.waiting = remove(e.waiting, s)
 	e.cache.unpin(s.pinned)
 	s.pinned = nil
 	s.ended = true
 	s.err = err
-	s.endedAt = e.last
-	e.countModel(s.model, -1)
+	s.endedAt = e.advancedTo
+	e.addRunning(s.model, -1)
 	close(s.done)
 }
 
@@ -303,4 +303,4 @@
 	return list
 }
 
-func (e *Engine) bootName() string { return fmt.Sprintf("%s-%d", e.config.Name, e.boot) }
+func (e *Engine) currentBoot() string { return fmt.Sprintf("%s-%d", e.config.Name, e.boot) }
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -23,11 +23,11 @@
 	return chat.Message{Role: "user", Raw: raw}
 }
 
-func ask(text string, tokens int) *engine.Request {
+func newRequest(text string, tokens int) *engine.Request {
 	return &engine.Request{Chat: &chat.Request{Model: "m", Messages: []chat.Message{userMessage(text)}, MaxTokens: tokens}}
 }
 
-func long(name string, tokens int) string {
+func textOfTokens(name string, tokens int) string {
 	return strings.Repeat(fmt.Sprintf("%-4.4s", name), tokens)
 }
 
@@ -42,11 +42,11 @@
 	addr := server.Listener.Addr().String()
 	client := engine.NewClient()
 
-	r := ask(long("a", 300), 40)
+	r := newRequest(textOfTokens("a", 300), 40)
 	r.Program = "p"
-	whole, err := client.Complete(ctx, addr, r, nil)
+	response, err := client.Complete(ctx, addr, r, nil)
 	is.NoErr(err)
-	is.True(len(whole.Body) > 0)
+	is.True(len(response.Body) > 0)
 	r.Chat.Stream = true
 	var text strings.Builder
 	streamed, err := client.Complete(ctx, addr, r, func(c engine.Chunk) error {
@@ -54,8 +54,8 @@
 		return nil
 	})
 	is.NoErr(err)
-	is.Equal(string(streamed.Message.Raw), string(whole.Message.Raw)) // the same history either way
-	is.True(streamed.CachedTokens() >= 256)                           // the first call left its prompt in the cache
+	is.Equal(string(streamed.Message.Raw), string(response.Message.Raw)) // the same history either way
+	is.True(streamed.CachedTokens() >= 256)                              // the first call left its prompt in the cache
 	is.Equal(streamed.Usage.CompletionTokens, 40)
 	is.True(text.Len() > 0)
 
@@ -94,7 +94,7 @@
 	standIn := NewEngine(EngineConfig{Name: "e", DecodeSpeed: 1000})
 	server := httptest.NewServer(standIn.Handler())
 	defer server.Close()
-	r := ask("hello", 100000)
+	r := newRequest("hello", 100000)
 	r.Chat.Stream = true
 	_, err := engine.NewClient().Complete(context.Background(), server.Listener.Addr().String(), r, func(engine.Chunk) error {
 		standIn.SetFaults(EngineFaults{Down: true})
@@ -114,12 +114,12 @@
 	defer server.Close()
 	addr := server.Listener.Addr().String()
 	client := engine.NewClient()
-	r := ask("hello", 1000000)
+	r := newRequest("hello", 1000000)
 	r.Chat.Stream = true
-	gone := errors.New("caller is gone")
-	_, err := client.Complete(context.Background(), addr, r, func(engine.Chunk) error { return gone })
-	is.True(errors.Is(err, gone))
-	_, err = client.Complete(context.Background(), addr, ask("next", 20), nil)
+	errCallerGone := errors.New("caller is gone")
+	_, err := client.Complete(context.Background(), addr, r, func(engine.Chunk) error { return errCallerGone })
+	is.True(errors.Is(err, errCallerGone))
+	_, err = client.Complete(context.Background(), addr, newRequest("next", 20), nil)
 	is.NoErr(err) // would wait for a quarter of an hour behind the first
 }
 
@@ -135,7 +135,7 @@
 	defer toServer.Close()
 	fromAddr, toAddr := fromServer.Listener.Addr().String(), toServer.Listener.Addr().String()
 	client := engine.NewClient()
-	r := ask(long("a", 600), 10)
+	r := newRequest(textOfTokens("a", 600), 10)
 	r.Program = "p"
 	_, err := client.Complete(ctx, fromAddr, r, nil)
 	is.NoErr(err)
@@ -153,9 +153,9 @@
 	_, err = client.Complete(ctx, fromAddr, r, nil)
 	is.NoErr(err)
 	is.NoErr(client.ImportKV(ctx, toAddr, engine.KVImport{Program: "p", From: fromAddr}))
-	moved, err := client.Complete(ctx, toAddr, r, nil)
+	afterImport, err := client.Complete(ctx, toAddr, r, nil)
 	is.NoErr(err)
-	is.True(moved.CachedTokens() > 500)
+	is.True(afterImport.CachedTokens() > 500)
 	load, err := client.Load(ctx, toAddr)
 	is.NoErr(err)
 	is.True(load.CacheTokens > 500)
@@ -165,7 +165,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := NewEngine(EngineConfig{Name: "e", PrefillSpeed: 1000, DecodeSpeed: 50, BatchSlowdown: 0.5, CacheTokens: 64 * 100})
-		prompt := ask(long("a", 2000), 50)
+		prompt := newRequest(textOfTokens("a", 2000), 50)
 		first, err := e.Complete(t.Context(), prompt, nil)
 		is.NoErr(err)
 		is.Equal(first.Total.Round(100*time.Millisecond), 3*time.Second) // 2 s of prefill, 1 s of decode
@@ -198,24 +198,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := NewEngine(EngineConfig{Name: "e", CacheTokens: 64 * 40})
-		shared := ask(long("s", 20*64), 8)
+		shared := newRequest(textOfTokens("s", 20*64), 8)
 		_, err := e.Complete(t.Context(), shared, nil)
 		is.NoErr(err)
-		gone := ask(long("g", 20*64), 8)
-		gone.Program = "gone"
-		_, err = e.Complete(t.Context(), gone, nil)
+		ended := newRequest(textOfTokens("g", 20*64), 8)
+		ended.Program = "gone"
+		_, err = e.Complete(t.Context(), ended, nil)
 		is.NoErr(err)
-		_, err = e.Complete(t.Context(), ask(long("n", 20*64), 8), nil)
+		_, err = e.Complete(t.Context(), newRequest(textOfTokens("n", 20*64), 8), nil)
 		is.NoErr(err)
-		again, err := e.Complete(t.Context(), gone, nil)
+		again, err := e.Complete(t.Context(), ended, nil)
 		is.NoErr(err)
 		is.True(again.CachedTokens() > 0)
 		is.NoErr(e.Order(t.Context(), engine.Order{Kind: engine.OrderRelease, Programs: []string{"gone"}}))
 		for i := range 2 {
-			_, err = e.Complete(t.Context(), ask(long(fmt.Sprint(i), 20*64), 8), nil)
+			_, err = e.Complete(t.Context(), newRequest(textOfTokens(fmt.Sprint(i), 20*64), 8), nil)
 			is.NoErr(err)
 		}
-		again, err = e.Complete(t.Context(), gone, nil)
+		again, err = e.Complete(t.Context(), ended, nil)
 		is.NoErr(err)
 		is.Equal(again.CachedTokens(), 0)
 	})
--- a/internal/standin/enginecache.go
+++ b/internal/standin/enginecache.go
@@ -9,7 +9,7 @@
 	capacity int
 	blocks   map[uint64]*cacheBlock
 	programs map[string]map[uint64]struct{}
-	free     *list.List
+	unheld   *list.List
 	held     *list.List
 }
 
@@ -17,8 +17,8 @@
 	hash    uint64
 	pins    int
 	holders map[string]struct{}
-	elem    *list.Element
-	in      *list.List
+	element *list.Element
+	lru     *list.List
 }
 
 func newBlockCache(capacity int) *blockCache {
@@ -26,7 +26,7 @@
 		capacity: capacity,
 		blocks:   map[uint64]*cacheBlock{},
 		programs: map[string]map[uint64]struct{}{},
-		free:     list.New(),
+		unheld:   list.New(),
 		held:     list.New(),
 	}
 }
@@ -61,12 +61,12 @@
 
 // store adds the chain for the program and pins what it could store. It
 // returns the stored part of the chain, the new blocks and the evicted ones.
-func (c *blockCache) store(hashes []uint64, program string) (kept, added, evicted []uint64) {
+func (c *blockCache) store(hashes []uint64, program string) (pinned, added, evicted []uint64) {
 	for i, hash := range hashes {
 		b := c.blocks[hash]
 		if b == nil {
-			out, ok := c.makeRoom()
-			evicted = append(evicted, out...)
+			newlyEvicted, ok := c.ensureCapacity()
+			evicted = append(evicted, newlyEvicted...)
 			if !ok {
 				return hashes[:i], added, evicted
 			}
@@ -76,12 +76,12 @@
 		}
 		b.pins++
 		b.unlink()
-		c.hold(b, program)
+		c.addHolder(b, program)
 	}
 	return hashes, added, evicted
 }
 
-func (c *blockCache) hold(b *cacheBlock, program string) {
+func (c *blockCache) addHolder(b *cacheBlock, program string) {
 	if program == "" {
 		return
 	}
@@ -94,9 +94,9 @@
 	set[b.hash] = struct{}{}
 }
 
-func (c *blockCache) makeRoom() (evicted []uint64, ok bool) {
+func (c *blockCache) ensureCapacity() (evicted []uint64, ok bool) {
 	for len(c.blocks) >= c.capacity {
-		victim := c.free.Back()
+		victim := c.unheld.Back()
 		if victim == nil {
 			victim = c.held.Back()
 		}
@@ -105,13 +105,13 @@
 		}
 		b := victim.Value.(*cacheBlock)
 		b.unlink()
-		c.drop(b)
+		c.deleteBlock(b)
 		evicted = append(evicted, b.hash)
 	}
 	return evicted, true
 }
 
-func (c *blockCache) drop(b *cacheBlock) {
+func (c *blockCache) deleteBlock(b *cacheBlock) {
 	delete(c.blocks, b.hash)
 	for program := range b.holders {
 		delete(c.programs[program], b.hash)
@@ -128,8 +128,8 @@
 		delete(b.holders, program)
 		if b.pins == 0 && len(b.holders) == 0 {
 			b.unlink()
-			b.in = c.free
-			b.elem = c.free.PushBack(b)
+			b.lru = c.unheld
+			b.element = c.unheld.PushBack(b)
 		}
 	}
 	delete(c.programs, program)
@@ -140,17 +140,17 @@
 	if b.pins > 0 {
 		return
 	}
-	b.in = c.free
+	b.lru = c.unheld
 	if len(b.holders) > 0 {
-		b.in = c.held
+		b.lru = c.held
 	}
-	b.elem = b.in.PushFront(b)
+	b.element = b.lru.PushFront(b)
 }
 
 func (b *cacheBlock) unlink() {
-	if b.elem == nil {
+	if b.element == nil {
 		return
 	}
-	b.in.Remove(b.elem)
-	b.elem = nil
+	b.lru.Remove(b.element)
+	b.element = nil
 }
--- a/internal/standin/enginecontrol.go
+++ b/internal/standin/enginecontrol.go
@@ -14,8 +14,8 @@
 
 // eventLog keeps the last cache events with the time at which they happened.
 type eventLog struct {
-	seq  uint64
-	kept []timedEvent
+	lastSeq uint64
+	recent  []timedEvent
 }
 
 type timedEvent struct {
@@ -27,14 +27,14 @@
 	if len(blocks) == 0 {
 		return
 	}
-	e.events.seq++
+	e.events.lastSeq++
 	if e.faults.DropEvents {
 		return
 	}
-	event := engine.Event{Boot: e.bootName(), Seq: e.events.seq, Kind: kind, Blocks: slices.Clone(blocks)}
-	e.events.kept = append(e.events.kept, timedEvent{event, e.last})
-	if len(e.events.kept) > engineEventsKept {
-		e.events.kept = slices.Clone(e.events.kept[len(e.events.kept)-engineEventsKept/2:])
+	event := engine.Event{Boot: e.currentBoot(), Seq: e.events.lastSeq, Kind: kind, Blocks: slices.Clone(blocks)}
+	e.events.recent = append(e.events.recent, timedEvent{event, e.advancedTo})
+	if len(e.events.recent) > maxEngineEvents {
+		e.events.recent = slices.Clone(e.events.recent[len(e.events.recent)-maxEngineEvents/2:])
 	}
 }
 
@@ -50,12 +50,12 @@
 	if e.faults.Hang {
 		return nil, nil
 	}
-	visible := e.last.Add(-e.config.EventLag)
+	visible := e.advancedTo.Add(-e.config.EventLag)
 	var events []engine.Event
-	start, _ := slices.BinarySearchFunc(e.events.kept, from+1, func(t timedEvent, seq uint64) int {
+	start, _ := slices.BinarySearchFunc(e.events.recent, from+1, func(t timedEvent, seq uint64) int {
 		return int(int64(t.Seq) - int64(seq))
 	})
-	for _, t := range e.events.kept[start:] {
+	for _, t := range e.events.recent[start:] {
 		if t.at.After(visible) {
 			break
 		}
@@ -66,7 +66,7 @@
 
 // loadLog delays load reports by the configured lag.
 type loadLog struct {
-	kept []timedLoad
+	reports []timedLoad
 }
 
 type timedLoad struct {
@@ -82,18 +82,18 @@
 	if e.faults.Down {
 		return engine.Load{}, &engine.Error{Class: engine.ErrNotSent, Cause: errors.New("connection refused")}
 	}
-	e.load.kept = append(e.load.kept, timedLoad{e.currentLoad(), e.last})
-	visible := e.last.Add(-e.config.LoadLag)
+	e.loads.reports = append(e.loads.reports, timedLoad{e.currentLoad(), e.advancedTo})
+	visible := e.advancedTo.Add(-e.config.LoadLag)
 	keep := 0
-	for i, report := range e.load.kept {
+	for i, report := range e.loads.reports {
 		if report.at.After(visible) {
 			break
 		}
 		keep = i
 	}
-	e.load.kept = e.load.kept[keep:]
-	report := e.load.kept[0].Load
-	report.AgeMillis = e.last.Sub(e.load.kept[0].at).Milliseconds()
+	e.loads.reports = e.loads.reports[keep:]
+	report := e.loads.reports[0].Load
+	report.AgeMillis = e.advancedTo.Sub(e.loads.reports[0].at).Milliseconds()
 	if e.faults.LieLoad {
 		report.Running, report.Waiting, report.PrefillTokens = 0, 0, 0
 	}
@@ -108,10 +108,10 @@
 		Draining:    e.faults.Leaving,
 	}
 	for _, s := range e.running {
-		load.PrefillTokens += max(0, int(s.prefillLeft))
+		load.PrefillTokens += max(0, int(s.prefillTokensLeft))
 	}
 	for _, s := range e.waiting {
-		load.PrefillTokens += s.prompt
+		load.PrefillTokens += s.promptTokens
 	}
 	return load
 }
@@ -124,7 +124,7 @@
 	if e.faults.Down {
 		return engine.State{}, &engine.Error{Class: engine.ErrNotSent, Cause: errors.New("connection refused")}
 	}
-	state := engine.State{Boot: e.bootName(), Seq: e.events.seq, Role: e.role, Token: e.token, Programs: map[string]int{}}
+	state := engine.State{Boot: e.currentBoot(), Seq: e.events.lastSeq, Role: e.role, Token: e.fencingToken, Programs: map[string]int{}}
 	for _, name := range slices.Sorted(maps.Keys(e.models)) {
 		state.Models = append(state.Models, *e.models[name])
 	}
@@ -154,15 +154,15 @@
 	if e.faults.Down {
 		return &engine.Error{Class: engine.ErrNotSent, Cause: errors.New("connection refused")}
 	}
-	if e.config.Fenced && o.Token < e.token {
-		return &engine.Error{Class: engine.ErrFenced, Status: 409, Cause: errors.Errorf("token %d is older than %d", o.Token, e.token)}
+	if e.config.Fenced && o.Token < e.fencingToken {
+		return &engine.Error{Class: engine.ErrFenced, Status: 409, Cause: errors.Errorf("token %d is older than %d", o.Token, e.fencingToken)}
 	}
-	e.token = max(e.token, o.Token)
+	e.fencingToken = max(e.fencingToken, o.Token)
 	switch o.Kind {
 	case engine.OrderLoad:
 		e.loadModel(o)
 	case engine.OrderUnload:
-		e.unload(o.Served)
+		e.unloadModel(o.Served)
 	case engine.OrderRole:
 		e.role = o.Role
 	case engine.OrderRelease:
@@ -186,15 +186,15 @@
 		loaded.Ready = true
 		return
 	}
-	go e.fetch(o, loaded)
+	go e.fetchWeights(o, loaded)
 }
 
 // unload takes a model out at once; calls that run on it are broken.
-func (e *Engine) unload(served string) {
+func (e *Engine) unloadModel(served string) {
 	for _, s := range slices.Concat(e.running, e.waiting) {
 		if s.model == served {
 			e.counts.Broken++
-			e.end(s, &engine.Error{Class: engine.ErrUnknown, Partial: s.decoded > 0, Cause: errors.New("model unloaded")})
+			e.endSequence(s, &engine.Error{Class: engine.ErrUnknown, Partial: s.decodedTokens > 0, Cause: errors.New("model unloaded")})
 		}
 	}
 	delete(e.models, served)
@@ -202,7 +202,7 @@
 	e.schedule()
 }
 
-func (e *Engine) fetch(o engine.Order, loaded *engine.Loaded) {
+func (e *Engine) fetchWeights(o engine.Order, loaded *engine.Loaded) {
 	err := e.config.Fetch(context.Background(), o.Model, o.Version)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -241,8 +241,8 @@
 	if e.faults.Down {
 		return &engine.Error{Class: engine.ErrUnknown, Cause: errors.New("connection reset")}
 	}
-	kept, added, evicted := e.cache.store(kv.Blocks, kv.Program)
-	e.cache.unpin(kept)
+	pinned, added, evicted := e.cache.store(kv.Blocks, kv.Program)
+	e.cache.unpin(pinned)
 	e.publish(engine.Evicted, evicted)
 	e.publish(engine.Stored, added)
 	return nil
--- a/internal/standin/enginefleet.go
+++ b/internal/standin/enginefleet.go
@@ -10,13 +10,13 @@
 )
 
 // fleetEventPoll is how often Fleet.Events looks for new events.
-const fleetEventPoll = 50 * time.Millisecond
+const fleetEventPollInterval = 50 * time.Millisecond
 
 // Fleet holds engines by address and has the methods of engine.Client, so
 // that a test runs against them without a network. It is not changed after use begins.
 type Fleet map[string]*Engine
 
-func (f Fleet) at(addr string) (*Engine, error) {
+func (f Fleet) engineAt(addr string) (*Engine, error) {
 	e := f[addr]
 	if e == nil {
 		return nil, &engine.Error{Class: engine.ErrNotSent, Cause: errors.Errorf("no engine at %s", addr)}
@@ -26,7 +26,7 @@
 
 // Complete runs a completion on the engine at addr.
 func (f Fleet) Complete(ctx context.Context, addr string, r *engine.Request, onChunk func(engine.Chunk) error) (*engine.Response, error) {
-	e, err := f.at(addr)
+	e, err := f.engineAt(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -35,7 +35,7 @@
 
 // Load reads the load report of the engine at addr.
 func (f Fleet) Load(_ context.Context, addr string) (engine.Load, error) {
-	e, err := f.at(addr)
+	e, err := f.engineAt(addr)
 	if err != nil {
 		return engine.Load{}, err
 	}
@@ -44,7 +44,7 @@
 
 // State reads what the engine at addr holds.
 func (f Fleet) State(_ context.Context, addr string, blocks bool) (engine.State, error) {
-	e, err := f.at(addr)
+	e, err := f.engineAt(addr)
 	if err != nil {
 		return engine.State{}, err
 	}
@@ -53,7 +53,7 @@
 
 // Order gives the engine at addr an order.
 func (f Fleet) Order(ctx context.Context, addr string, o engine.Order) error {
-	e, err := f.at(addr)
+	e, err := f.engineAt(addr)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 
 // Events calls each for every event after number from.
 func (f Fleet) Events(ctx context.Context, addr string, from uint64, each func(engine.Event) error) error {
-	e, err := f.at(addr)
+	e, err := f.engineAt(addr)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 			return &engine.Error{Class: engine.ErrUnknown, Cause: errors.New("engine restarted")}
 		}
 		select {
-		case <-time.After(fleetEventPoll):
+		case <-time.After(fleetEventPollInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -91,11 +91,11 @@
 
 // ImportKV lets one engine fetch a program's cache from another.
 func (f Fleet) ImportKV(ctx context.Context, addr string, order engine.KVImport) error {
-	to, err := f.at(addr)
+	to, err := f.engineAt(addr)
 	if err != nil {
 		return err
 	}
-	from, err := f.at(order.From)
+	from, err := f.engineAt(order.From)
 	if err != nil {
 		return err
 	}
@@ -110,5 +110,5 @@
 func (e *Engine) Boot() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.bootName()
+	return e.currentBoot()
 }
--- a/internal/standin/enginehttp.go
+++ b/internal/standin/enginehttp.go
@@ -15,7 +15,7 @@
 )
 
 // maxEngineBody bounds a completion request in bytes.
-const maxEngineBody = 16 << 20
+const maxEngineBodyBytes = 16 << 20
 
 // Handler serves the engine's API, with its faults under PathFaults.
 func (e *Engine) Handler() http.Handler {
@@ -65,7 +65,7 @@
 }
 
 func (e *Engine) handleComplete(c echo.Context) error {
-	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxEngineBody))
+	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxEngineBodyBytes))
 	if err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
@@ -74,11 +74,11 @@
 		return c.String(http.StatusBadRequest, "malformed request")
 	}
 	if !r.Chat.Stream {
-		answer, err := e.Complete(c.Request().Context(), r, nil)
+		response, err := e.Complete(c.Request().Context(), r, nil)
 		if err != nil {
 			return e.reply(c, nil, err)
 		}
-		return c.JSONBlob(http.StatusOK, answer.Body)
+		return c.JSONBlob(http.StatusOK, response.Body)
 	}
 	return e.stream(c, r)
 }
@@ -86,18 +86,18 @@
 // stream answers with server-sent events. The status is sent with the first
 // chunk, so that a refusal still has its own.
 func (e *Engine) stream(c echo.Context, r *engine.Request) error {
-	begun := false
+	streaming := false
 	_, err := e.Complete(c.Request().Context(), r, func(chunk engine.Chunk) error {
-		if !begun {
+		if !streaming {
 			beginEvents(c)
-			begun = true
+			streaming = true
 		}
 		return writeEvent(c, chunk.Data)
 	})
 	switch {
 	case err == nil:
 		return writeEvent(c, []byte("[DONE]"))
-	case begun:
+	case streaming:
 		panic(http.ErrAbortHandler)
 	default:
 		return e.reply(c, nil, err)
@@ -125,8 +125,8 @@
 	}
 	beginEvents(c)
 	c.Response().Flush()
-	only := Fleet{"": e}
-	_ = only.Events(c.Request().Context(), "", from, func(event engine.Event) error {
+	fleet := Fleet{"": e}
+	_ = fleet.Events(c.Request().Context(), "", from, func(event engine.Event) error {
 		return writeEvent(c, mustMarshal(event))
 	})
 	panic(http.ErrAbortHandler)
@@ -145,10 +145,10 @@
 	if err := json.NewDecoder(c.Request().Body).Decode(&order); err != nil {
 		return c.String(http.StatusBadRequest, err.Error())
 	}
-	return e.reply(c, struct{}{}, e.pull(c.Request().Context(), client, order))
+	return e.reply(c, struct{}{}, e.importFrom(c.Request().Context(), client, order))
 }
 
-func (e *Engine) pull(ctx context.Context, client *engine.Client, order engine.KVImport) error {
+func (e *Engine) importFrom(ctx context.Context, client *engine.Client, order engine.KVImport) error {
 	kv, err := client.ExportKV(ctx, order.From, order.Program)
 	if err != nil {
 		return &engine.Error{Class: engine.ErrNotRun, Status: http.StatusBadGateway, Cause: err}
--- a/internal/standin/enginemotion.go
+++ b/internal/standin/enginemotion.go
@@ -9,26 +9,26 @@
 )
 
 // never is further away than any event of a test.
-const never = time.Duration(math.MaxInt64)
+const noEvent = time.Duration(math.MaxInt64)
 
 // roundUp keeps a wake-up from coming just before its event by rounding.
-const roundUp = time.Microsecond
+const wakeMargin = time.Microsecond
 
-func bySequencePriority(a, b *sequence) int {
+func compareSequences(a, b *sequence) int {
 	if a.priority != b.priority {
 		return cmp.Compare(b.priority, a.priority)
 	}
-	return cmp.Compare(a.order, b.order)
+	return cmp.Compare(a.arrival, b.arrival)
 }
 
 // advance moves the batch to the present, from one event to the next.
 func (e *Engine) advance() {
 	now := time.Now()
-	for e.last.Before(now) {
-		step := min(e.untilNext(), now.Sub(e.last))
-		e.progress(step)
-		e.last = e.last.Add(step)
-		e.settle()
+	for e.advancedTo.Before(now) {
+		step := min(e.untilNextEvent(), now.Sub(e.advancedTo))
+		e.addProgress(step)
+		e.advancedTo = e.advancedTo.Add(step)
+		e.handleMilestones()
 		e.admit()
 	}
 }
@@ -38,8 +38,8 @@
 	if e.timer != nil {
 		e.timer.Stop()
 	}
-	next := e.untilNext()
-	if next == never {
+	next := e.untilNextEvent()
+	if next == noEvent {
 		return
 	}
 	e.timer = time.AfterFunc(next, e.wake)
@@ -52,7 +52,7 @@
 	e.schedule()
 }
 
-func (e *Engine) speed() float64 {
+func (e *Engine) speedFactor() float64 {
 	if e.faults.Hang {
 		return 0
 	}
@@ -66,77 +66,77 @@
 func (e *Engine) rates() (prefilling *sequence, prefill, decode float64) {
 	batch := 0
 	for _, s := range e.running {
-		if s.prefillLeft <= 0 {
+		if s.prefillTokensLeft <= 0 {
 			batch++
-		} else if prefilling == nil || bySequencePriority(s, prefilling) < 0 {
+		} else if prefilling == nil || compareSequences(s, prefilling) < 0 {
 			prefilling = s
 		}
 	}
-	speed := e.speed()
+	speed := e.speedFactor()
 	decode = speed * e.config.DecodeSpeed / (1 + e.config.BatchSlowdown*float64(max(0, batch-1)))
 	if prefilling != nil {
-		decode *= prefillShare
+		decode *= decodeShareDuringPrefill
 	}
 	return prefilling, speed * e.config.PrefillSpeed, decode
 }
 
-func (e *Engine) untilNext() time.Duration {
+func (e *Engine) untilNextEvent() time.Duration {
 	prefilling, prefill, decode := e.rates()
-	next := never
+	next := noEvent
 	if prefilling != nil {
-		next = timeFor(prefilling.prefillLeft, prefill)
+		next = durationFor(prefilling.prefillTokensLeft, prefill)
 	}
 	for _, s := range e.running {
-		if s.prefillLeft <= 0 {
-			next = min(next, timeFor(s.nextMark()-s.decoded, decode))
+		if s.prefillTokensLeft <= 0 {
+			next = min(next, durationFor(s.nextMilestone()-s.decodedTokens, decode))
 		}
 	}
 	return next
 }
 
-func timeFor(tokens, rate float64) time.Duration {
+func durationFor(tokens, rate float64) time.Duration {
 	if rate <= 0 {
-		return never
+		return noEvent
 	}
-	return time.Duration(tokens/rate*float64(time.Second)) + roundUp
+	return time.Duration(tokens/rate*float64(time.Second)) + wakeMargin
 }
 
-func (e *Engine) progress(step time.Duration) {
+func (e *Engine) addProgress(step time.Duration) {
 	prefilling, prefill, decode := e.rates()
 	seconds := step.Seconds()
 	for _, s := range e.running {
 		switch {
 		case s == prefilling:
-			s.prefillLeft -= prefill * seconds
-		case s.prefillLeft <= 0:
-			s.decoded += decode * seconds
+			s.prefillTokensLeft -= prefill * seconds
+		case s.prefillTokensLeft <= 0:
+			s.decodedTokens += decode * seconds
 		}
 	}
 }
 
 // settle handles the calls that have reached a mark.
-func (e *Engine) settle() {
+func (e *Engine) handleMilestones() {
 	for i := 0; i < len(e.running); {
 		s := e.running[i]
 		switch {
-		case s.prefillLeft <= 0 && !s.prefilled:
+		case s.prefillTokensLeft <= 0 && !s.prefilled:
 			e.endPrefill(s)
-		case s.decoded >= float64(s.output):
+		case s.decodedTokens >= float64(s.outputTokens):
 			e.complete(s)
 			continue
-		case s.prefilled && s.decoded >= s.nextMark():
-			e.mark(s)
+		case s.prefilled && s.decodedTokens >= s.nextMilestone():
+			e.signalProgress(s)
 		}
 		i++
 	}
 }
 
 // mark notes the first token and wakes the reader of a stream.
-func (e *Engine) mark(s *sequence) {
-	if s.firstToken.IsZero() {
-		s.firstToken = e.last
+func (e *Engine) signalProgress(s *sequence) {
+	if s.firstTokenAt.IsZero() {
+		s.firstTokenAt = e.advancedTo
 	}
-	s.marked = int(s.decoded)
+	s.lastMilestone = int(s.decodedTokens)
 	select {
 	case s.progress <- struct{}{}:
 	default:
@@ -145,27 +145,27 @@
 
 func (e *Engine) endPrefill(s *sequence) {
 	s.prefilled = true
-	s.prefillLeft = 0
-	e.store(s, s.blocks)
+	s.prefillTokensLeft = 0
+	e.storeBlocks(s, s.blocks)
 }
 
 func (e *Engine) complete(s *sequence) {
-	if s.firstToken.IsZero() {
-		s.firstToken = e.last
+	if s.firstTokenAt.IsZero() {
+		s.firstTokenAt = e.advancedTo
 	}
-	e.store(s, s.allBlocks())
+	e.storeBlocks(s, s.allBlocks())
 	e.counts.Finished++
-	e.counts.PromptTokens += int64(s.prompt)
-	e.counts.CachedTokens += int64(s.cached)
-	e.counts.GeneratedTokens += int64(s.output)
-	e.end(s, nil)
+	e.counts.PromptTokens += int64(s.promptTokens)
+	e.counts.CachedTokens += int64(s.cachedTokens)
+	e.counts.GeneratedTokens += int64(s.outputTokens)
+	e.endSequence(s, nil)
 }
 
 // store puts a chain into the cache for the call's program and keeps it pinned.
-func (e *Engine) store(s *sequence, blocks []uint64) {
+func (e *Engine) storeBlocks(s *sequence, blocks []uint64) {
 	e.cache.unpin(s.pinned)
-	kept, added, evicted := e.cache.store(blocks, s.program)
-	s.pinned = kept
+	pinned, added, evicted := e.cache.store(blocks, s.program)
+	s.pinned = pinned
 	e.publish(engine.Evicted, evicted)
 	e.publish(engine.Stored, added)
 }
@@ -181,8 +181,8 @@
 		hit := e.cache.match(s.blocks)
 		s.pinned = s.blocks[:hit]
 		e.cache.pin(s.pinned)
-		s.cached = hit * engine.BlockTokens
-		s.prefillLeft = float64(max(1, s.prompt-s.cached))
+		s.cachedTokens = hit * engine.BlockTokens
+		s.prefillTokensLeft = float64(max(1, s.promptTokens-s.cachedTokens))
 		e.running = append(e.running, s)
 	}
 }
--- a/internal/standin/enginesequence.go
+++ b/internal/standin/enginesequence.go
@@ -14,63 +14,63 @@
 
 // sequence is one call in an engine.
 type sequence struct {
-	model    string
-	program  string
-	priority int
-	order    int64
-	messages []chat.Message
-	text     string
-	blocks   []uint64
-	prompt   int
-	output   int
-	chunk    int
-	stream   bool
+	model        string
+	program      string
+	priority     int
+	arrival      int64
+	messages     []chat.Message
+	text         string
+	blocks       []uint64
+	promptTokens int
+	outputTokens int
+	chunkTokens  int
+	stream       bool
 
-	began      time.Time
-	firstToken time.Time
-	endedAt    time.Time
+	startedAt    time.Time
+	firstTokenAt time.Time
+	endedAt      time.Time
 
-	cached      int
-	pinned      []uint64
-	prefillLeft float64
-	prefilled   bool
-	decoded     float64
-	marked      int
-	ended       bool
-	err         error
-	progress    chan struct{}
-	done        chan struct{}
+	cachedTokens      int
+	pinned            []uint64
+	prefillTokensLeft float64
+	prefilled         bool
+	decodedTokens     float64
+	lastMilestone     int
+	ended             bool
+	err               error
+	progress          chan struct{}
+	done              chan struct{}
 }
 
 func newSequence(r *engine.Request, order int64, chunk int) *sequence {
 	s := &sequence{
-		model:    r.ServedModel(),
-		program:  r.Program,
-		priority: r.Priority,
-		order:    order,
-		messages: r.Chat.Messages,
-		blocks:   engine.Blocks(nil, r.ServedModel(), r.Chat.Messages),
-		prompt:   engine.PromptTokens(r.Chat.Messages),
-		chunk:    chunk,
-		stream:   r.Chat.Stream,
-		began:    time.Now(),
-		progress: make(chan struct{}, 1),
-		done:     make(chan struct{}),
+		model:        r.ServedModel(),
+		program:      r.Program,
+		priority:     r.Priority,
+		arrival:      order,
+		messages:     r.Chat.Messages,
+		blocks:       engine.Blocks(nil, r.ServedModel(), r.Chat.Messages),
+		promptTokens: engine.PromptTokens(r.Chat.Messages),
+		chunkTokens:  chunk,
+		stream:       r.Chat.Stream,
+		startedAt:    time.Now(),
+		progress:     make(chan struct{}, 1),
+		done:         make(chan struct{}),
 	}
 	s.text = AnswerText(r.ServedModel(), r.Chat.Messages, r.Chat.MaxTokens)
-	s.output = engine.Tokens(len(s.text))
+	s.outputTokens = engine.Tokens(len(s.text))
 	return s
 }
 
 // nextMark is the number of decoded tokens at which the call needs attention.
-func (s *sequence) nextMark() float64 {
+func (s *sequence) nextMilestone() float64 {
 	switch {
-	case s.firstToken.IsZero():
+	case s.firstTokenAt.IsZero():
 		return 1
 	case s.stream:
-		return float64(min(s.output, s.marked+s.chunk))
+		return float64(min(s.outputTokens, s.lastMilestone+s.chunkTokens))
 	default:
-		return float64(s.output)
+		return float64(s.outputTokens)
 	}
 }
 
@@ -97,23 +97,23 @@
 
 func (s *sequence) usage() chat.Usage {
 	return chat.Usage{
-		PromptTokens:     s.prompt,
-		CompletionTokens: s.output,
-		TotalTokens:      s.prompt + s.output,
-		Details:          &chat.UsageDetails{CachedTokens: s.cached},
+		PromptTokens:     s.promptTokens,
+		CompletionTokens: s.outputTokens,
+		TotalTokens:      s.promptTokens + s.outputTokens,
+		Details:          &chat.UsageDetails{CachedTokens: s.cachedTokens},
 	}
 }
 
-func (s *sequence) answer() *engine.Response {
+func (s *sequence) response() *engine.Response {
 	a := &engine.Response{
 		Message:      s.message(),
 		FinishReason: finishStop,
 		Usage:        s.usage(),
-		FirstToken:   s.firstToken.Sub(s.began),
-		Total:        s.endedAt.Sub(s.began),
+		FirstToken:   s.firstTokenAt.Sub(s.startedAt),
+		Total:        s.endedAt.Sub(s.startedAt),
 	}
 	if !s.stream {
-		a.Body = wholeBody(s)
+		a.Body = completionBody(s)
 	}
 	return a
 }
@@ -126,11 +126,11 @@
 		maxTokens = defaultOutputTokens
 	}
 	head := fmt.Sprintf("messages=%d hash=%016x", len(messages), MessagesHash(model, messages))
-	room := maxTokens*engine.TokenBytes - len(head)
-	if room <= 0 {
+	paddingBytes := maxTokens*engine.TokenBytes - len(head)
+	if paddingBytes <= 0 {
 		return head
 	}
-	return head + strings.Repeat(" ...", room/engine.TokenBytes+1)[:room]
+	return head + strings.Repeat(" ...", paddingBytes/engine.TokenBytes+1)[:paddingBytes]
 }
 
 // MessagesHash is the hash that AnswerText names.
--- a/internal/standin/enginestream.go
+++ b/internal/standin/enginestream.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	finishStop  = "stop"
-	objectWhole = "chat.completion"
-	objectChunk = "chat.completion.chunk"
+	finishStop       = "stop"
+	objectCompletion = "chat.completion"
+	objectChunk      = "chat.completion.chunk"
 )
 
 type wireChoice struct {
@@ -25,7 +25,7 @@
 	Content string `json:"content,omitempty"`
 }
 
-type wireAnswer struct {
+type wireResponse struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
 	Created int64        `json:"created"`
@@ -42,12 +42,12 @@
 	return raw
 }
 
-func newWireAnswer(s *sequence, object string) wireAnswer {
-	return wireAnswer{ID: "chatcmpl-standin", Object: object, Created: s.began.Unix(), Model: s.model, Choices: []wireChoice{}}
+func newWireResponse(s *sequence, object string) wireResponse {
+	return wireResponse{ID: "chatcmpl-standin", Object: object, Created: s.startedAt.Unix(), Model: s.model, Choices: []wireChoice{}}
 }
 
-func wholeBody(s *sequence) []byte {
-	a := newWireAnswer(s, objectWhole)
+func completionBody(s *sequence) []byte {
+	a := newWireResponse(s, objectCompletion)
 	message := s.message()
 	reason := finishStop
 	a.Choices = []wireChoice{{Message: &message, FinishReason: &reason}}
@@ -58,54 +58,54 @@
 
 // streamer gives the chunks of one call to its reader.
 type streamer struct {
-	s       *sequence
-	on      func(engine.Chunk) error
-	emitted int
+	s            *sequence
+	onChunk      func(engine.Chunk) error
+	emittedBytes int
 }
 
-func newStreamer(s *sequence, r *engine.Request, on func(engine.Chunk) error) *streamer {
+func newStreamer(s *sequence, r *engine.Request, onChunk func(engine.Chunk) error) *streamer {
 	if !r.Chat.Stream {
-		on = nil
+		onChunk = nil
 	}
-	return &streamer{s: s, on: on}
+	return &streamer{s: s, onChunk: onChunk}
 }
 
 // emit sends the text up to a number of decoded tokens.
 func (t *streamer) emit(tokens int) error {
-	if t.on == nil {
+	if t.onChunk == nil {
 		return nil
 	}
 	upTo := min(tokens*engine.TokenBytes, len(t.s.text))
-	if upTo <= t.emitted {
+	if upTo <= t.emittedBytes {
 		return nil
 	}
-	delta := &wireDelta{Content: t.s.text[t.emitted:upTo]}
-	if t.emitted == 0 {
+	delta := &wireDelta{Content: t.s.text[t.emittedBytes:upTo]}
+	if t.emittedBytes == 0 {
 		delta.Role = "assistant"
 	}
-	t.emitted = upTo
-	return t.send([]wireChoice{{Delta: delta}}, nil)
+	t.emittedBytes = upTo
+	return t.sendChunk([]wireChoice{{Delta: delta}}, nil)
 }
 
 // end sends the rest, the finish reason and the usage.
-func (t *streamer) end() error {
-	if t.on == nil {
+func (t *streamer) finish() error {
+	if t.onChunk == nil {
 		return nil
 	}
-	if err := t.emit(t.s.output); err != nil {
+	if err := t.emit(t.s.outputTokens); err != nil {
 		return err
 	}
 	reason := finishStop
-	if err := t.send([]wireChoice{{Delta: &wireDelta{}, FinishReason: &reason}}, nil); err != nil {
+	if err := t.sendChunk([]wireChoice{{Delta: &wireDelta{}, FinishReason: &reason}}, nil); err != nil {
 		return err
 	}
 	usage := t.s.usage()
-	return t.send([]wireChoice{}, &usage)
+	return t.sendChunk([]wireChoice{}, &usage)
 }
 
-func (t *streamer) send(choices []wireChoice, usage *chat.Usage) error {
-	a := newWireAnswer(t.s, objectChunk)
+func (t *streamer) sendChunk(choices []wireChoice, usage *chat.Usage) error {
+	a := newWireResponse(t.s, objectChunk)
 	a.Choices = choices
 	a.Usage = usage
-	return t.on(engine.Chunk{Data: mustMarshal(a), UsageOnly: usage != nil})
+	return t.onChunk(engine.Chunk{Data: mustMarshal(a), UsageOnly: usage != nil})
 }
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -20,45 +20,45 @@
 	mu        sync.Mutex
 	listeners map[string]*memListener
 	// down holds the links that carry nothing, by prefixes of the names of both ends.
-	down  map[link]bool
-	dead  map[string]bool
-	conns map[*memConn]struct{}
-	port  int
+	cutLinks map[link]bool
+	killed   map[string]bool
+	conns    map[*memConn]struct{}
+	lastPort int
 }
 
 type link struct{ from, to string }
 
 // NewNetwork returns a network without hosts.
 func NewNetwork() *Network {
-	return &Network{listeners: map[string]*memListener{}, down: map[link]bool{}, dead: map[string]bool{}, conns: map[*memConn]struct{}{}, port: 1024}
+	return &Network{listeners: map[string]*memListener{}, cutLinks: map[link]bool{}, killed: map[string]bool{}, conns: map[*memConn]struct{}{}, lastPort: 1024}
 }
 
 // Cut stops everything from the hosts whose names start with from to those
 // whose names start with to; the other way stays open unless it is cut too.
 // What is sent into a cut is lost without an error, as on a real network, and
 // connections that lost bytes never carry any again.
-func (n *Network) Cut(from, to string) { n.set(from, to, true) }
+func (n *Network) Cut(from, to string) { n.setCut(from, to, true) }
 
 // Heal opens a cut link for new connections.
-func (n *Network) Heal(from, to string) { n.set(from, to, false) }
+func (n *Network) Heal(from, to string) { n.setCut(from, to, false) }
 
-func (n *Network) set(from, to string, down bool) {
+func (n *Network) setCut(from, to string, down bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !down {
-		delete(n.down, link{from, to})
+		delete(n.cutLinks, link{from, to})
 		return
 	}
-	n.down[link{from, to}] = true
+	n.cutLinks[link{from, to}] = true
 }
 
-func (n *Network) isDown(from, to string) bool {
+func (n *Network) isBlocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.dead[from] || n.dead[to] {
+	if n.killed[from] || n.killed[to] {
 		return true
 	}
-	for l := range n.down {
+	for l := range n.cutLinks {
 		if strings.HasPrefix(from, l.from) && strings.HasPrefix(to, l.to) {
 			return true
 		}
@@ -73,7 +73,7 @@
 // of its process does. What still runs in its name reaches nobody.
 func (n *Network) Kill(name string) {
 	n.mu.Lock()
-	n.dead[name] = true
+	n.killed[name] = true
 	var closing []io.Closer
 	for _, l := range n.listeners {
 		if l.host == name {
@@ -111,8 +111,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if port == "0" {
-		n.port++
-		port = strconv.Itoa(n.port)
+		n.lastPort++
+		port = strconv.Itoa(n.lastPort)
 	}
 	address = net.JoinHostPort(host, port)
 	if n.listeners[address] != nil {
@@ -140,7 +140,7 @@
 	if l == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
-	if n.isDown(h.name, l.host) || n.isDown(l.host, h.name) {
+	if n.isBlocked(h.name, l.host) || n.isBlocked(l.host, h.name) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
 		<-ctx.Done()
@@ -148,8 +148,8 @@
 	}
 	near, far := net.Pipe()
 	select {
-	case l.accepted <- n.conn(far, l.host, h.name, l.address):
-		return n.conn(near, h.name, l.host, l.address), nil
+	case l.accepted <- n.newConn(far, l.host, h.name, l.address):
+		return n.newConn(near, h.name, l.host, l.address), nil
 	case <-l.closed:
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	case <-ctx.Done():
@@ -157,7 +157,7 @@
 	}
 }
 
-func (n *Network) conn(c net.Conn, from, to string, address net.Addr) *memConn {
+func (n *Network) newConn(c net.Conn, from, to string, address net.Addr) *memConn {
 	m := &memConn{Conn: c, network: n, from: from, to: to, address: address}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -207,16 +207,16 @@
 	from, to string
 	address  net.Addr
 
-	mu   sync.Mutex
-	lost bool
+	mu     sync.Mutex
+	broken bool
 }
 
 // Write implements net.Conn. Bytes sent into a cut are lost; so is all that
 // follows, since a stream with a hole is no stream.
 func (c *memConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	c.lost = c.lost || c.network.isDown(c.from, c.to)
-	lost := c.lost
+	c.broken = c.broken || c.network.isBlocked(c.from, c.to)
+	lost := c.broken
 	c.mu.Unlock()
 	if lost {
 		return len(p), nil
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -18,7 +18,7 @@
 )
 
 // watchBuffer is the number of past events that a store keeps for watches to resume from.
-const watchBuffer = 4096
+const maxWatchEvents = 4096
 
 // StoreFaults are the ways in which the stand-in object API can misbehave.
 type StoreFaults struct {
@@ -50,17 +50,17 @@
 
 // Store is an in-memory object API. It implements store.Client.
 type Store struct {
-	mu       sync.Mutex
-	objects  map[store.Key]store.Object
-	previous map[store.Key]store.Object
-	reads    *rate.Limiter
-	writes   *rate.Limiter
-	version  store.Version
-	log      []store.Event
-	trimmed  store.Version
-	faults   StoreFaults
-	counts   StoreCounts
-	watchers map[*watcher]struct{}
+	mu          sync.Mutex
+	objects     map[store.Key]store.Object
+	previous    map[store.Key]store.Object
+	reads       *rate.Limiter
+	writes      *rate.Limiter
+	version     store.Version
+	events      []store.Event
+	trimmedUpTo store.Version
+	faults      StoreFaults
+	counts      StoreCounts
+	watchers    map[*watcher]struct{}
 }
 
 type watcher struct {
@@ -74,14 +74,14 @@
 	return &Store{
 		objects:  map[store.Key]store.Object{},
 		previous: map[store.Key]store.Object{},
-		reads:    limiter(0),
-		writes:   limiter(0),
+		reads:    newLimiter(0),
+		writes:   newLimiter(0),
 		watchers: map[*watcher]struct{}{},
 	}
 }
 
 // limiter bounds calls a second, with a burst of a tenth of a second.
-func limiter(perSecond float64) *rate.Limiter {
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
@@ -93,10 +93,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.Reads != s.faults.Reads {
-		s.reads = limiter(f.Reads)
+		s.reads = newLimiter(f.Reads)
 	}
 	if f.Writes != s.faults.Writes {
-		s.writes = limiter(f.Writes)
+		s.writes = newLimiter(f.Writes)
 	}
 	s.faults = f
 	for w := range s.watchers {
@@ -114,7 +114,7 @@
 
 // Get implements store.Client.
 func (s *Store) Get(ctx context.Context, key store.Key) (store.Object, error) {
-	if err := s.enter(ctx, s.readLimit()); err != nil {
+	if err := s.admit(ctx, s.readLimiter()); err != nil {
 		return store.Object{}, err
 	}
 	defer s.mu.Unlock()
@@ -133,7 +133,7 @@
 
 // List implements store.Client.
 func (s *Store) List(ctx context.Context, kind, prefix string) ([]store.Object, error) {
-	if err := s.enter(ctx, s.readLimit()); err != nil {
+	if err := s.admit(ctx, s.readLimiter()); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
@@ -153,25 +153,25 @@
 	if len(value) > store.MaxValue {
 		return 0, store.ErrTooLarge
 	}
-	return s.write(ctx, func() (store.Version, error) { return s.put(key, value, base) })
+	return s.write(ctx, func() (store.Version, error) { return s.applyPut(key, value, base) })
 }
 
 // write performs a write after the delay, also where its caller gave up and
 // writes are late.
 func (s *Store) write(ctx context.Context, apply func() (store.Version, error)) (store.Version, error) {
-	late := s.lateWrites()
-	err := s.enter(ctx, s.writeLimit())
+	late := s.lateWriteDelay()
+	err := s.admit(ctx, s.writeLimiter())
 	if err == nil {
 		defer s.mu.Unlock()
 		return apply()
 	}
 	if late > 0 && errors.Is(err, store.ErrUnknown) {
-		go s.writeLate(late, apply)
+		go s.applyLate(late, apply)
 	}
 	return 0, err
 }
 
-func (s *Store) writeLate(after time.Duration, apply func() (store.Version, error)) {
+func (s *Store) applyLate(after time.Duration, apply func() (store.Version, error)) {
 	time.Sleep(after)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +179,7 @@
 }
 
 // lateWrites returns how late a write takes effect whose caller gives up, or zero.
-func (s *Store) lateWrites() time.Duration {
+func (s *Store) lateWriteDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.faults.LateWrites {
@@ -188,22 +188,22 @@
 	return s.faults.Delay
 }
 
-func (s *Store) readLimit() *rate.Limiter {
+func (s *Store) readLimiter() *rate.Limiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads
 }
 
-func (s *Store) writeLimit() *rate.Limiter {
+func (s *Store) writeLimiter() *rate.Limiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes
 }
 
 // put applies a write. The lock is held.
-func (s *Store) put(key store.Key, value []byte, base store.Version) (store.Version, error) {
+func (s *Store) applyPut(key store.Key, value []byte, base store.Version) (store.Version, error) {
 	s.counts.Writes++
-	if s.dropWrite() {
+	if s.consumeDroppedWrite() {
 		return 0, store.ErrUnknown
 	}
 	if s.objects[key].Version != base {
@@ -214,19 +214,19 @@
 	s.previous[key] = s.objects[key]
 	s.objects[key] = object
 	s.publish(store.Event{Object: object})
-	return object.Version, s.loseAnswer()
+	return object.Version, s.consumeLostResponse()
 }
 
 // Delete implements store.Client.
 func (s *Store) Delete(ctx context.Context, key store.Key, base store.Version) error {
-	_, err := s.write(ctx, func() (store.Version, error) { return 0, s.remove(key, base) })
+	_, err := s.write(ctx, func() (store.Version, error) { return 0, s.applyDelete(key, base) })
 	return err
 }
 
 // remove applies a deletion. The lock is held.
-func (s *Store) remove(key store.Key, base store.Version) error {
+func (s *Store) applyDelete(key store.Key, base store.Version) error {
 	s.counts.Writes++
-	if s.dropWrite() {
+	if s.consumeDroppedWrite() {
 		return store.ErrUnknown
 	}
 	object, ok := s.objects[key]
@@ -240,28 +240,28 @@
 	s.previous[key] = object
 	delete(s.objects, key)
 	s.publish(store.Event{Object: store.Object{Key: key, Version: s.version}, Deleted: true})
-	return s.loseAnswer()
+	return s.consumeLostResponse()
 }
 
 // Watch implements store.Client.
 func (s *Store) Watch(ctx context.Context, kind string, from store.Version) (<-chan store.Event, error) {
-	if err := s.enter(ctx, s.readLimit()); err != nil {
+	if err := s.admit(ctx, s.readLimiter()); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
 	s.counts.Watches++
-	if from < s.trimmed {
+	if from < s.trimmedUpTo {
 		return nil, store.ErrGone
 	}
 	w := &watcher{kind: kind, wake: make(chan struct{}, 1)}
 	s.watchers[w] = struct{}{}
 	events := make(chan store.Event)
-	go s.feed(ctx, w, from, events)
+	go s.sendEvents(ctx, w, from, events)
 	return events, nil
 }
 
 // feed sends the events after from to one watch until it breaks or ctx ends.
-func (s *Store) feed(ctx context.Context, w *watcher, from store.Version, events chan<- store.Event) {
+func (s *Store) sendEvents(ctx context.Context, w *watcher, from store.Version, events chan<- store.Event) {
 	defer close(events)
 	defer func() {
 		s.mu.Lock()
@@ -269,7 +269,7 @@
 		s.mu.Unlock()
 	}()
 	for {
-		batch, broken := s.after(w, from)
+		batch, broken := s.eventsAfter(w, from)
 		if broken {
 			return
 		}
@@ -292,17 +292,17 @@
 	}
 }
 
-func (s *Store) after(w *watcher, from store.Version) ([]store.Event, bool) {
+func (s *Store) eventsAfter(w *watcher, from store.Version) ([]store.Event, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w.broken || from < s.trimmed {
+	if w.broken || from < s.trimmedUpTo {
 		return nil, true
 	}
 	if s.faults.StallWatches {
 		return nil, false
 	}
 	var batch []store.Event
-	for _, event := range s.log {
+	for _, event := range s.events {
 		if event.Object.Version > from && event.Object.Key.Kind == w.kind {
 			batch = append(batch, event)
 		}
@@ -318,7 +318,7 @@
 }
 
 // enter waits out the delay and returns with the lock held, or with an error and without it.
-func (s *Store) enter(ctx context.Context, limit *rate.Limiter) error {
+func (s *Store) admit(ctx context.Context, limit *rate.Limiter) error {
 	s.mu.Lock()
 	delay := s.faults.Delay
 	s.mu.Unlock()
@@ -344,11 +344,11 @@
 }
 
 func (s *Store) publish(event store.Event) {
-	s.log = append(s.log, event)
-	if len(s.log) > watchBuffer {
-		drop := len(s.log) - watchBuffer
-		s.trimmed = s.log[drop-1].Object.Version
-		s.log = append([]store.Event(nil), s.log[drop:]...)
+	s.events = append(s.events, event)
+	if len(s.events) > maxWatchEvents {
+		drop := len(s.events) - maxWatchEvents
+		s.trimmedUpTo = s.events[drop-1].Object.Version
+		s.events = append([]store.Event(nil), s.events[drop:]...)
 	}
 	for w := range s.watchers {
 		if w.kind == event.Object.Key.Kind {
@@ -357,7 +357,7 @@
 	}
 }
 
-func (s *Store) dropWrite() bool {
+func (s *Store) consumeDroppedWrite() bool {
 	if s.faults.DropWrites == 0 {
 		return false
 	}
@@ -365,7 +365,7 @@
 	return true
 }
 
-func (s *Store) loseAnswer() error {
+func (s *Store) consumeLostResponse() error {
 	if s.faults.LoseAnswers == 0 {
 		return nil
 	}
--- a/internal/standin/storehttp.go
+++ b/internal/standin/storehttp.go
@@ -30,7 +30,7 @@
 }
 
 // keyOf unescapes the name, which the router leaves as it is on the wire.
-func keyOf(c echo.Context) store.Key {
+func objectKey(c echo.Context) store.Key {
 	name, err := url.PathUnescape(c.Param("name"))
 	if err != nil {
 		name = c.Param("name")
@@ -39,7 +39,7 @@
 }
 
 func (s *Store) handleGet(c echo.Context) error {
-	object, err := s.Get(c.Request().Context(), keyOf(c))
+	object, err := s.Get(c.Request().Context(), objectKey(c))
 	if err != nil {
 		return c.NoContent(storeStatus(err))
 	}
@@ -54,7 +54,7 @@
 	}
 	wire := make([]store.WireObject, 0, len(objects))
 	for _, o := range objects {
-		wire = append(wire, wireOf(store.Event{Object: o}))
+		wire = append(wire, wireObject(store.Event{Object: o}))
 	}
 	return c.JSON(http.StatusOK, wire)
 }
@@ -64,11 +64,11 @@
 	if err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	base, err := baseOf(c)
+	base, err := baseVersion(c)
 	if err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	version, err := s.Put(c.Request().Context(), keyOf(c), value, base)
+	version, err := s.Put(c.Request().Context(), objectKey(c), value, base)
 	if err != nil {
 		return c.NoContent(storeStatus(err))
 	}
@@ -77,11 +77,11 @@
 }
 
 func (s *Store) handleDelete(c echo.Context) error {
-	base, err := baseOf(c)
+	base, err := baseVersion(c)
 	if err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	if err := s.Delete(c.Request().Context(), keyOf(c), base); err != nil {
+	if err := s.Delete(c.Request().Context(), objectKey(c), base); err != nil {
 		return c.NoContent(storeStatus(err))
 	}
 	return c.NoContent(http.StatusOK)
@@ -100,7 +100,7 @@
 	c.Response().Flush()
 	encoder := json.NewEncoder(c.Response())
 	for event := range events {
-		if err := encoder.Encode(wireOf(event)); err != nil {
+		if err := encoder.Encode(wireObject(event)); err != nil {
 			return nil
 		}
 		c.Response().Flush()
@@ -117,12 +117,12 @@
 	return c.NoContent(http.StatusOK)
 }
 
-func wireOf(event store.Event) store.WireObject {
+func wireObject(event store.Event) store.WireObject {
 	o := event.Object
 	return store.WireObject{Kind: o.Key.Kind, Name: o.Key.Name, Version: o.Version, Value: o.Value, Deleted: event.Deleted}
 }
 
-func baseOf(c echo.Context) (store.Version, error) {
+func baseVersion(c echo.Context) (store.Version, error) {
 	base, err := strconv.ParseUint(c.Request().Header.Get(store.HeaderBase), 10, 64)
 	return store.Version(base), err
 }
--- a/internal/standin/tool.go
+++ b/internal/standin/tool.go
@@ -39,14 +39,14 @@
 	faults  ToolFaults
 	effects map[string]int
 	// paths has what was called under each key.
-	paths   map[string]string
-	answers map[string]tool.Finding
-	calls   int
+	paths    map[string]string
+	outcomes map[string]tool.Finding
+	calls    int
 }
 
 // NewTool returns a service without faults.
 func NewTool(name string) *Tool {
-	return &Tool{name: name, effects: map[string]int{}, paths: map[string]string{}, answers: map[string]tool.Finding{}}
+	return &Tool{name: name, effects: map[string]int{}, paths: map[string]string{}, outcomes: map[string]tool.Finding{}}
 }
 
 // SetFaults replaces the faults in force.
@@ -81,7 +81,7 @@
 	e.PUT(PathFaults, t.handleFaults)
 	e.GET("/standin/effects", func(c echo.Context) error { return c.JSON(http.StatusOK, t.Effects()) })
 	e.GET("/standin/paths", func(c echo.Context) error { return c.JSON(http.StatusOK, t.Paths()) })
-	e.GET("/outcome", t.handleLookup)
+	e.GET("/outcome", t.handleOutcome)
 	e.Any("/*", t.handleCall)
 	return e
 }
@@ -95,10 +95,10 @@
 	return c.NoContent(http.StatusOK)
 }
 
-func (t *Tool) handleLookup(c echo.Context) error {
+func (t *Tool) handleOutcome(c echo.Context) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found, ok := t.answers[c.QueryParam("key")]
+	found, ok := t.outcomes[c.QueryParam("key")]
 	if !ok {
 		found = tool.Finding{State: tool.StateNotRun}
 	}
@@ -110,9 +110,9 @@
 	if err != nil {
 		return nil
 	}
-	fault := t.takeFault()
+	fault := t.takeFaults()
 	if fault.Leaving || fault.Refuse > 0 {
-		return refuse(c, fault.Leaving)
+		return writeRefusal(c, fault.Leaving)
 	}
 	ctx := c.Request().Context()
 	if fault.HangBefore > 0 {
@@ -122,7 +122,7 @@
 	if fault.Delay > 0 {
 		time.Sleep(fault.Delay)
 	}
-	answer := t.run(c.Request(), body)
+	finding := t.run(c.Request(), body)
 	if fault.Hang > 0 {
 		<-ctx.Done()
 		return nil
@@ -130,20 +130,20 @@
 	if fault.Drop > 0 {
 		panic(http.ErrAbortHandler)
 	}
-	return c.Blob(answer.Status, answer.ContentType, answer.Body)
+	return c.Blob(finding.Status, finding.ContentType, finding.Body)
 }
 
 // takeFault returns the faults that strike the next call and counts them down.
-func (t *Tool) takeFault() ToolFaults {
+func (t *Tool) takeFaults() ToolFaults {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.faults
+	inForce := t.faults
 	for _, n := range []*int{&t.faults.Hang, &t.faults.HangBefore, &t.faults.Drop, &t.faults.Refuse} {
 		if *n > 0 {
 			*n--
 		}
 	}
-	return now
+	return inForce
 }
 
 func (t *Tool) run(r *http.Request, body []byte) tool.Finding {
@@ -156,12 +156,12 @@
 		t.paths[key] = r.URL.Path
 	}
 	text := fmt.Sprintf(`{"service":%q,"call":%q,"number":%d,"bytes":%d}`, t.name, r.Method+" "+r.URL.Path, t.calls, len(body))
-	answer := tool.Finding{State: tool.StateDone, Status: http.StatusOK, ContentType: echo.MIMEApplicationJSON, Body: []byte(text)}
-	t.answers[key] = answer
-	return answer
+	finding := tool.Finding{State: tool.StateDone, Status: http.StatusOK, ContentType: echo.MIMEApplicationJSON, Body: []byte(text)}
+	t.outcomes[key] = finding
+	return finding
 }
 
-func refuse(c echo.Context, leaving bool) error {
+func writeRefusal(c echo.Context, leaving bool) error {
 	c.Response().Header().Set(tool.HeaderNotRun, "true")
 	c.Response().Header().Set("Retry-After", "1")
 	if leaving {
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -17,13 +17,13 @@
 const PathWeights = "/v1/weights/"
 
 // errWeightsBusy says that the store's rate is used up.
-var errWeightsBusy = errors.New("standin: weight store: rate exceeded")
+var errWeightsRateExceeded = errors.New("standin: weight store: rate exceeded")
 
 // Weights is a rate-limited weight store.
 type Weights struct {
-	limiter *rate.Limiter
-	shared  singleflight.Group
-	size    time.Duration
+	limiter      *rate.Limiter
+	inFlight     singleflight.Group
+	transferTime time.Duration
 
 	mu      sync.Mutex
 	down    bool
@@ -34,7 +34,7 @@
 // NewWeights returns a store that lets perSecond fetches begin each second,
 // with a burst of one, and takes transfer for each.
 func NewWeights(perSecond float64, transfer time.Duration) *Weights {
-	return &Weights{limiter: rate.NewLimiter(rate.Limit(perSecond), 1), size: transfer, fetches: map[string]int{}}
+	return &Weights{limiter: rate.NewLimiter(rate.Limit(perSecond), 1), transferTime: transfer, fetches: map[string]int{}}
 }
 
 // SetDown refuses all fetches while down is true.
@@ -65,11 +65,11 @@
 // Fetch takes the time of a transfer; it fails at once where the rate is used
 // up. Fetches of the same weights at the same time share one transfer.
 func (w *Weights) Fetch(ctx context.Context, model, version string) error {
-	result := w.shared.DoChan(model+"/"+version, func() (any, error) {
-		if err := w.begin(model, version); err != nil {
+	result := w.inFlight.DoChan(model+"/"+version, func() (any, error) {
+		if err := w.startFetch(model, version); err != nil {
 			return nil, err
 		}
-		time.Sleep(w.size)
+		time.Sleep(w.transferTime)
 		return nil, nil
 	})
 	select {
@@ -80,12 +80,12 @@
 	}
 }
 
-func (w *Weights) begin(model, version string) error {
+func (w *Weights) startFetch(model, version string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.down || !w.limiter.Allow() {
 		w.refused++
-		return errWeightsBusy
+		return errWeightsRateExceeded
 	}
 	w.fetches[model+"/"+version]++
 	return nil
