--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -12,68 +12,72 @@
 	"foxhall/internal/engine"
 )
 
-// EngineConfig describes a model engine.
+// EngineConfig is the configuration of a stand-in model engine. Zero sizes and speeds are
+// replaced by defaults.
 type EngineConfig struct {
 	Name string
-	// Slots is the largest batch; MaxQueue bounds the calls that wait for it.
-	Slots    int
+	// Slots is the maximum batch size in calls.
+	Slots int
+	// MaxQueue is the maximum number of calls that wait for a slot.
 	MaxQueue int
-	// CacheTokens is the size of the prefix cache.
+	// CacheTokens is the capacity of the prefix cache in tokens.
 	CacheTokens int
-	// PrefillSpeed is in tokens a second, for one prompt after the other.
+	// PrefillSpeed is in tokens per second; prompts are prefilled one at a time.
 	PrefillSpeed float64
-	// DecodeSpeed is in tokens a second for a batch of one.
+	// DecodeSpeed is in tokens per second for a batch of one.
 	DecodeSpeed float64
-	// BatchSlowdown is how much each further call of a batch slows every call:
+	// BatchSlowdown is the slowdown of every call per additional call in the batch:
 	// speed = DecodeSpeed / (1 + BatchSlowdown * (batch - 1)).
 	BatchSlowdown float64
-	// LoadLag and EventLag are how late load reports and cache events come.
+	// LoadLag delays load reports, EventLag cache events.
 	LoadLag  time.Duration
 	EventLag time.Duration
-	// KVSpeed is the rate of cache imports in tokens a second.
+	// KVSpeed is the rate of KV cache imports in tokens per second.
 	KVSpeed float64
 	// ChunkTokens is the number of tokens in a streamed chunk.
 	ChunkTokens int
-	// Fenced refuses orders with an old fencing token.
+	// Fenced makes the engine reject orders whose fencing token is older than the last accepted one.
 	Fenced bool
-	// Models are loaded from the start, under their own names; none means that
-	// any model is served.
+	// Models are loaded at start and served under their own names. If empty, every model is
+	// served until an order loads one.
 	Models []string
-	// Fetch gets weights before a model is ready; nil takes no time.
+	// Fetch loads a model's weights; the model is ready when it returns. If nil, models are ready
+	// at once.
 	Fetch func(ctx context.Context, model, version string) error
-	// OnCall sees each call in the order in which the engine admits them; it
-	// must return at once. Nil means that nobody looks.
+	// OnCall, if not nil, is called for each accepted call in order of arrival, with the engine's
+	// lock held; it must not block.
 	OnCall func(r *engine.Request)
 }
 
-// EngineFaults are the ways in which a stand-in engine can misbehave.
+// EngineFaults are the faults that can be injected into a stand-in engine.
 type EngineFaults struct {
-	// Down refuses new calls and breaks those under way.
+	// Down refuses new calls and fails those in flight.
 	Down bool
-	// Hang keeps calls without any progress.
+	// Hang stops the progress of all calls without failing them.
 	Hang bool
-	// Slow divides all speeds; 0 and 1 mean none.
+	// Slow is the divisor of all speeds; 0 and 1 leave them unchanged.
 	Slow float64
-	// LieLoad reports an idle engine.
+	// LieLoad makes load reports show an idle engine.
 	LieLoad bool
-	// DropEvents numbers cache events but loses them.
+	// DropEvents drops cache events after assigning their sequence numbers, which leaves gaps.
 	DropEvents bool
-	// Leaving answers new calls that the engine drains and did not run them.
+	// Leaving rejects new calls with the response that the engine is draining and did not run them.
 	Leaving bool
-	// Restart breaks all calls and loses the cache once, when the faults are set.
+	// Restart fails all calls and clears the cache, once, when the faults are set.
 	Restart bool
 }
 
-// EngineCounts counts what an engine has done.
+// EngineCounts are an engine's counters of calls and tokens since its creation.
 type EngineCounts struct {
 	Calls, Refused, Finished, Broken, Cancelled int64
 	PromptTokens, CachedTokens, GeneratedTokens int64
 }
 
-// prefillShare is the part of the decode speed that remains while a prompt is prefilled.
+// decodeShareDuringPrefill is the fraction of the decode speed that remains while a prompt is
+// prefilled.
 const decodeShareDuringPrefill = 0.5
 
-// The defaults of an EngineConfig.
+// Defaults of EngineConfig (speeds in tokens per second) and limits of the engine.
 const (
 	defaultSlots        = 16
 	defaultMaxQueue     = 256
@@ -87,9 +91,9 @@
 	defaultOutputTokens = 24
 )
 
-// Engine is a model engine with continuous batching. It moves in continuous
-// time: between two events each call progresses at a constant rate, so that it
-// costs no work per token. All time comes from package time.
+// Engine simulates a model engine with continuous batching. Between two events each call progresses
+// at a constant rate, so the simulation does no work per token. All time comes from package time,
+// so that it runs on the virtual time of testing/synctest.
 type Engine struct {
 	config EngineConfig
 
@@ -110,7 +114,7 @@
 	counts       EngineCounts
 }
 
-// NewEngine returns an engine without faults.
+// NewEngine returns an engine with an empty cache and no faults.
 func NewEngine(config EngineConfig) *Engine {
 	setDefaults(&config)
 	e := &Engine{
@@ -151,7 +155,7 @@
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -169,14 +173,14 @@
 	e.schedule()
 }
 
-// Counts returns what the engine has done so far.
+// Counts returns the current counters.
 func (e *Engine) Counts() EngineCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-// Complete runs one completion, as engine.Client does over HTTP.
+// Complete runs one completion and has the semantics of engine.Client.Complete over HTTP.
 func (e *Engine) Complete(ctx context.Context, r *engine.Request, onChunk func(engine.Chunk) error) (*engine.Response, error) {
 	s, err := e.enqueue(r)
 	if err != nil {
@@ -209,7 +213,7 @@
 	return s.response(), nil
 }
 
-// enter admits a call or says why the engine does not run it.
+// enqueue accepts a call into the queue or returns the reason for which the engine rejects it.
 func (e *Engine) enqueue(r *engine.Request) (*sequence, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -262,7 +266,7 @@
 	return int(s.decodedTokens)
 }
 
-// abort frees the slot of a call whose caller is gone.
+// abort cancels a call and frees its slot after the caller has disconnected.
 func (e *Engine) abort(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -283,7 +287,7 @@
 	}
 }
 
-// end takes the call out of the engine and wakes its caller.
+// endSequence removes the call from the engine, records its error and wakes the caller.
 func (e *Engine) endSequence(s *sequence, err error) {
 	e.running = remove(e.running, s)
 	e.waiting = remove(e.waiting, s)
--- a/internal/standin/enginecache.go
+++ b/internal/standin/enginecache.go
@@ -2,9 +2,9 @@
 
 import "container/list"
 
-// blockCache is an engine's prefix cache: hashed blocks in limited memory.
-// Blocks of running calls are pinned. Of the others those that no program
-// holds are evicted first, least recently used first, and then held ones.
+// blockCache is an engine's prefix cache: blocks identified by hash, up to a capacity in blocks.
+// Blocks of running calls are pinned and not evicted. Of the others, blocks that no program holds
+// are evicted first, then held blocks; each group in least-recently-used order.
 type blockCache struct {
 	capacity int
 	blocks   map[uint64]*cacheBlock
@@ -31,7 +31,7 @@
 	}
 }
 
-// match returns the number of leading hashes that the cache holds.
+// match returns the length of the longest prefix of hashes that is cached.
 func (c *blockCache) match(hashes []uint64) int {
 	for i, hash := range hashes {
 		if c.blocks[hash] == nil {
@@ -41,7 +41,7 @@
 	return len(hashes)
 }
 
-// pin keeps the blocks from eviction until unpin.
+// pin protects the blocks from eviction until unpin. All of them must be cached.
 func (c *blockCache) pin(hashes []uint64) {
 	for _, hash := range hashes {
 		b := c.blocks[hash]
@@ -50,7 +50,7 @@
 	}
 }
 
-// unpin takes the pins back, in reverse, so that a chain's tail is evicted before its head.
+// unpin releases the pins in reverse order, so that a chain's tail is evicted before its head.
 func (c *blockCache) unpin(hashes []uint64) {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		b := c.blocks[hashes[i]]
@@ -59,8 +59,8 @@
 	}
 }
 
-// store adds the chain for the program and pins what it could store. It
-// returns the stored part of the chain, the new blocks and the evicted ones.
+// store adds the chain of blocks, held by the program, and pins the prefix that fits. It returns
+// that prefix, the blocks that were added and those that were evicted.
 func (c *blockCache) store(hashes []uint64, program string) (pinned, added, evicted []uint64) {
 	for i, hash := range hashes {
 		b := c.blocks[hash]
@@ -121,7 +121,8 @@
 	}
 }
 
-// release ends the program's hold; its blocks stay until room is needed.
+// release removes the program as a holder. Blocks without another holder stay cached and become
+// the first to be evicted.
 func (c *blockCache) release(program string) {
 	for hash := range c.programs[program] {
 		b := c.blocks[hash]
--- a/internal/standin/enginecontrol.go
+++ b/internal/standin/enginecontrol.go
@@ -12,7 +12,7 @@
 	"foxhall/internal/engine"
 )
 
-// eventLog keeps the last cache events with the time at which they happened.
+// eventLog holds the most recent cache events with their times.
 type eventLog struct {
 	lastSeq uint64
 	recent  []timedEvent
@@ -38,8 +38,8 @@
 	}
 }
 
-// EventsAfter returns the cache events after number from that are old enough
-// to have come through.
+// EventsAfter returns the cache events with sequence numbers above from that are at least EventLag
+// old.
 func (e *Engine) EventsAfter(from uint64) ([]engine.Event, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -64,7 +64,7 @@
 	return events, nil
 }
 
-// loadLog delays load reports by the configured lag.
+// loadLog holds recent load reports, so that they can be returned with the configured lag.
 type loadLog struct {
 	reports []timedLoad
 }
@@ -74,7 +74,7 @@
 	at time.Time
 }
 
-// Load returns the report that is old enough to have come through.
+// Load returns the latest recorded report that is at least LoadLag old, or the oldest one if none is.
 func (e *Engine) Load() (engine.Load, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,7 +116,8 @@
 	return load
 }
 
-// State returns what the engine holds.
+// State returns the engine's role, fencing token, loaded models and cached tokens per program, and
+// the cached block hashes if blocks is set.
 func (e *Engine) State(blocks bool) (engine.State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -137,7 +138,7 @@
 	return state, nil
 }
 
-// Cached returns how many tokens of the conversation the engine holds.
+// Cached returns the number of tokens of the conversation's prefix in the cache.
 func (e *Engine) Cached(model string, messages []chat.Message) int {
 	blocks := engine.Blocks(nil, model, messages)
 	e.mu.Lock()
@@ -146,7 +147,7 @@
 	return e.cache.match(blocks) * engine.BlockTokens
 }
 
-// Order carries out an order, or refuses an old token where the engine checks.
+// Order executes an order. An engine configured as Fenced rejects orders with an old fencing token.
 func (e *Engine) Order(ctx context.Context, o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -175,7 +176,8 @@
 	return nil
 }
 
-// loadModel is idempotent: a model that is loaded or loading stays as it is.
+// loadModel starts to load a model. It is idempotent: a model that is loaded or loading stays
+// unchanged.
 func (e *Engine) loadModel(o engine.Order) {
 	if e.models[o.Served] != nil {
 		return
@@ -189,7 +191,7 @@
 	go e.fetchWeights(o, loaded)
 }
 
-// unload takes a model out at once; calls that run on it are broken.
+// unloadModel removes a model at once; its running and waiting calls fail.
 func (e *Engine) unloadModel(served string) {
 	for _, s := range slices.Concat(e.running, e.waiting) {
 		if s.model == served {
@@ -216,7 +218,7 @@
 	loaded.Ready = true
 }
 
-// ExportKV returns the cache of a program.
+// ExportKV returns the cached blocks that a program holds.
 func (e *Engine) ExportKV(program string) (engine.KV, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -227,7 +229,8 @@
 	return engine.KV{Program: program, Blocks: blocks}, nil
 }
 
-// ImportKV takes a program's cache in, which lasts by the size of it.
+// ImportKV adds a program's exported blocks to the cache. The transfer takes time in proportion to
+// their size, at KVSpeed.
 func (e *Engine) ImportKV(ctx context.Context, kv engine.KV) error {
 	tokens := float64(len(kv.Blocks) * engine.BlockTokens)
 	select {
--- a/internal/standin/enginefleet.go
+++ b/internal/standin/enginefleet.go
@@ -9,11 +9,11 @@
 	"foxhall/internal/engine"
 )
 
-// fleetEventPoll is how often Fleet.Events looks for new events.
+// fleetEventPollInterval is the interval at which Fleet.Events polls for new events.
 const fleetEventPollInterval = 50 * time.Millisecond
 
-// Fleet holds engines by address and has the methods of engine.Client, so
-// that a test runs against them without a network. It is not changed after use begins.
+// Fleet maps addresses to engines and has the methods of engine.Client, so that tests can use the
+// engines without a network. It must not be modified after first use.
 type Fleet map[string]*Engine
 
 func (f Fleet) engineAt(addr string) (*Engine, error) {
@@ -33,7 +33,7 @@
 	return e.Complete(ctx, r, onChunk)
 }
 
-// Load reads the load report of the engine at addr.
+// Load returns the load report of the engine at addr.
 func (f Fleet) Load(_ context.Context, addr string) (engine.Load, error) {
 	e, err := f.engineAt(addr)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return e.Load()
 }
 
-// State reads what the engine at addr holds.
+// State returns the state of the engine at addr.
 func (f Fleet) State(_ context.Context, addr string, blocks bool) (engine.State, error) {
 	e, err := f.engineAt(addr)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return e.State(blocks)
 }
 
-// Order gives the engine at addr an order.
+// Order sends an order to the engine at addr.
 func (f Fleet) Order(ctx context.Context, addr string, o engine.Order) error {
 	e, err := f.engineAt(addr)
 	if err != nil {
@@ -60,7 +60,8 @@
 	return e.Order(ctx, o)
 }
 
-// Events calls each for every event after number from.
+// Events calls each for every event with a sequence number above from. It returns when ctx ends,
+// each fails, or the engine fails or restarts.
 func (f Fleet) Events(ctx context.Context, addr string, from uint64, each func(engine.Event) error) error {
 	e, err := f.engineAt(addr)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return ctx.Err()
 }
 
-// ImportKV lets one engine fetch a program's cache from another.
+// ImportKV copies a program's cache from the engine at order.From to the engine at addr.
 func (f Fleet) ImportKV(ctx context.Context, addr string, order engine.KVImport) error {
 	to, err := f.engineAt(addr)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return to.ImportKV(ctx, kv)
 }
 
-// Boot names the engine's present boot.
+// Boot returns the identifier of the engine's current boot.
 func (e *Engine) Boot() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/enginehttp.go
+++ b/internal/standin/enginehttp.go
@@ -14,10 +14,10 @@
 	"foxhall/internal/engine"
 )
 
-// maxEngineBody bounds a completion request in bytes.
+// maxEngineBodyBytes is the maximum number of bytes read from a completion request's body.
 const maxEngineBodyBytes = 16 << 20
 
-// Handler serves the engine's API, with its faults under PathFaults.
+// Handler returns the engine's HTTP API, with fault injection at PathFaults.
 func (e *Engine) Handler() http.Handler {
 	client := engine.NewClient()
 	s := echo.New()
@@ -42,7 +42,8 @@
 	return s
 }
 
-// reply writes a value or a failure; an engine that is down breaks the connection.
+// reply writes the value or the error as the response. An error without a status, such as that of an
+// engine that is down, breaks the connection.
 func (e *Engine) reply(c echo.Context, value any, err error) error {
 	if err == nil {
 		return c.JSON(http.StatusOK, value)
@@ -83,8 +84,8 @@
 	return e.stream(c, r)
 }
 
-// stream answers with server-sent events. The status is sent with the first
-// chunk, so that a refusal still has its own.
+// stream responds with server-sent events. Status 200 is sent with the first chunk, so that a
+// rejected call can still be sent its own status.
 func (e *Engine) stream(c echo.Context, r *engine.Request) error {
 	streaming := false
 	_, err := e.Complete(c.Request().Context(), r, func(chunk engine.Chunk) error {
--- a/internal/standin/enginemotion.go
+++ b/internal/standin/enginemotion.go
@@ -8,10 +8,10 @@
 	"foxhall/internal/engine"
 )
 
-// never is further away than any event of a test.
+// noEvent is the time until the next event when there is none.
 const noEvent = time.Duration(math.MaxInt64)
 
-// roundUp keeps a wake-up from coming just before its event by rounding.
+// wakeMargin is added to each wake-up, since rounding could put it just before its event.
 const wakeMargin = time.Microsecond
 
 func compareSequences(a, b *sequence) int {
@@ -21,7 +21,7 @@
 	return cmp.Compare(a.arrival, b.arrival)
 }
 
-// advance moves the batch to the present, from one event to the next.
+// advance simulates the batch up to the current time, event by event.
 func (e *Engine) advance() {
 	now := time.Now()
 	for e.advancedTo.Before(now) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// schedule wakes the engine at its next event.
+// schedule sets the timer to the engine's next event.
 func (e *Engine) schedule() {
 	if e.timer != nil {
 		e.timer.Stop()
@@ -62,7 +62,8 @@
 	return 1
 }
 
-// rates returns the call being prefilled, its rate, and each other call's decode rate.
+// rates returns the call being prefilled, the prefill rate, and the decode rate of each decoding
+// call, in tokens per second.
 func (e *Engine) rates() (prefilling *sequence, prefill, decode float64) {
 	batch := 0
 	for _, s := range e.running {
@@ -114,7 +115,8 @@
 	}
 }
 
-// settle handles the calls that have reached a mark.
+// handleMilestones processes the calls that have finished their prefill, reached a decoding
+// milestone or completed.
 func (e *Engine) handleMilestones() {
 	for i := 0; i < len(e.running); {
 		s := e.running[i]
@@ -131,7 +133,7 @@
 	}
 }
 
-// mark notes the first token and wakes the reader of a stream.
+// signalProgress records the time of the first token and wakes the reader of a stream.
 func (e *Engine) signalProgress(s *sequence) {
 	if s.firstTokenAt.IsZero() {
 		s.firstTokenAt = e.advancedTo
@@ -161,7 +163,8 @@
 	e.endSequence(s, nil)
 }
 
-// store puts a chain into the cache for the call's program and keeps it pinned.
+// storeBlocks caches the chain for the call's program and pins it in place of the call's previous
+// pins.
 func (e *Engine) storeBlocks(s *sequence, blocks []uint64) {
 	e.cache.unpin(s.pinned)
 	pinned, added, evicted := e.cache.store(blocks, s.program)
@@ -170,7 +173,7 @@
 	e.publish(engine.Stored, added)
 }
 
-// admit fills free slots with the calls that wait, by priority.
+// admit moves waiting calls into free slots, in order of priority.
 func (e *Engine) admit() {
 	if e.faults.Hang {
 		return
--- a/internal/standin/enginesequence.go
+++ b/internal/standin/enginesequence.go
@@ -12,7 +12,7 @@
 	"foxhall/internal/engine"
 )
 
-// sequence is one call in an engine.
+// sequence is the state of one call in an engine.
 type sequence struct {
 	model        string
 	program      string
@@ -62,7 +62,8 @@
 	return s
 }
 
-// nextMark is the number of decoded tokens at which the call needs attention.
+// nextMilestone returns the number of decoded tokens at which the engine next has to act on the call:
+// the first token, the next chunk of a stream, or the end.
 func (s *sequence) nextMilestone() float64 {
 	switch {
 	case s.firstTokenAt.IsZero():
@@ -74,7 +75,7 @@
 	}
 }
 
-// allBlocks returns the chain of the prompt with the answer behind it.
+// allBlocks returns the block chain of the prompt followed by the response.
 func (s *sequence) allBlocks() []uint64 {
 	messages := append(append([]chat.Message(nil), s.messages...), s.message())
 	return engine.Blocks(nil, s.model, messages)
@@ -118,9 +119,9 @@
 	return a
 }
 
-// AnswerText is the text that an engine answers: it names the hash and the
-// number of the messages that the engine saw, so that a test can tell lost,
-// mixed and reordered history. It has maxTokens tokens, or a default number.
+// AnswerText returns the text that an engine generates. It contains the number and the hash of the
+// request's messages, so that a test detects lost, mixed and reordered history. It is padded to
+// maxTokens tokens, or to a default length if maxTokens is not positive.
 func AnswerText(model string, messages []chat.Message, maxTokens int) string {
 	if maxTokens <= 0 {
 		maxTokens = defaultOutputTokens
@@ -133,7 +134,7 @@
 	return head + strings.Repeat(" ...", paddingBytes/engine.TokenBytes+1)[:paddingBytes]
 }
 
-// MessagesHash is the hash that AnswerText names.
+// MessagesHash returns the hash of the model's name and the messages that AnswerText contains.
 func MessagesHash(model string, messages []chat.Message) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model)
--- a/internal/standin/enginestream.go
+++ b/internal/standin/enginestream.go
@@ -56,7 +56,7 @@
 	return mustMarshal(a)
 }
 
-// streamer gives the chunks of one call to its reader.
+// streamer passes the chunks of one call to its reader. Without onChunk it does nothing.
 type streamer struct {
 	s            *sequence
 	onChunk      func(engine.Chunk) error
@@ -70,7 +70,7 @@
 	return &streamer{s: s, onChunk: onChunk}
 }
 
-// emit sends the text up to a number of decoded tokens.
+// emit sends the text that has not been sent yet, up to the given number of decoded tokens.
 func (t *streamer) emit(tokens int) error {
 	if t.onChunk == nil {
 		return nil
@@ -87,7 +87,7 @@
 	return t.sendChunk([]wireChoice{{Delta: delta}}, nil)
 }
 
-// end sends the rest, the finish reason and the usage.
+// finish sends the remaining text, the finish reason and the usage.
 func (t *streamer) finish() error {
 	if t.onChunk == nil {
 		return nil
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -13,13 +13,12 @@
 	"github.com/pkg/errors"
 )
 
-// Network is an in-memory network whose links can be cut. With it instances
-// and stand-ins run in one process, also on the virtual time of testing/synctest,
-// which real sockets do not keep to.
+// Network is an in-memory network whose links can be cut. It connects instances and stand-ins in one
+// process and, unlike real sockets, works with the virtual time of testing/synctest.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*memListener
-	// down holds the links that carry nothing, by prefixes of the names of both ends.
+	// cutLinks holds the cut links; each end is a prefix of host names.
 	cutLinks map[link]bool
 	killed   map[string]bool
 	conns    map[*memConn]struct{}
@@ -28,18 +27,18 @@
 
 type link struct{ from, to string }
 
-// NewNetwork returns a network without hosts.
+// NewNetwork returns a network without listeners and without cut links.
 func NewNetwork() *Network {
 	return &Network{listeners: map[string]*memListener{}, cutLinks: map[link]bool{}, killed: map[string]bool{}, conns: map[*memConn]struct{}{}, lastPort: 1024}
 }
 
-// Cut stops everything from the hosts whose names start with from to those
-// whose names start with to; the other way stays open unless it is cut too.
-// What is sent into a cut is lost without an error, as on a real network, and
-// connections that lost bytes never carry any again.
+// Cut blocks all traffic from hosts whose names start with from to hosts whose names start with to.
+// The opposite direction stays open unless it is cut too. As on a real network, bytes sent over a cut
+// link are lost without an error. A connection that has lost bytes in one direction carries no more
+// in that direction, also after Heal.
 func (n *Network) Cut(from, to string) { n.setCut(from, to, true) }
 
-// Heal opens a cut link for new connections.
+// Heal reopens a cut link. Connections that lost bytes over it stay broken.
 func (n *Network) Heal(from, to string) { n.setCut(from, to, false) }
 
 func (n *Network) setCut(from, to string, down bool) {
@@ -66,11 +65,11 @@
 	return false
 }
 
-// Host returns the network as the named host sees it.
+// Host returns the named host's access to the network.
 func (n *Network) Host(name string) *Host { return &Host{network: n, name: name} }
 
-// Kill breaks every connection and listener of the host for good, as the death
-// of its process does. What still runs in its name reaches nobody.
+// Kill permanently closes all connections and listeners of the host, like the death of its process.
+// Code that still runs as this host can reach no other host.
 func (n *Network) Kill(name string) {
 	n.mu.Lock()
 	n.killed[name] = true
@@ -91,7 +90,7 @@
 	}
 }
 
-// dialTimeout bounds a dial into a cut, where the caller's context does not.
+// dialTimeout limits a dial over a cut link if the caller's context has no earlier deadline.
 const dialTimeout = 2 * time.Second
 
 // Host is one host on a Network.
@@ -100,8 +99,8 @@
 	name    string
 }
 
-// Listen opens a listener; port 0 stands for any free port. Addresses belong
-// to the network, not to the host, so that a test may use loopback numbers.
+// Listen opens a listener; port 0 selects a free port. Addresses are unique in the whole network and
+// not bound to a host, so that tests can use loopback addresses.
 func (h *Host) Listen(_, address string) (net.Listener, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -130,8 +129,9 @@
 	return l, nil
 }
 
-// DialContext connects to a listener. Towards a cut host it waits until ctx
-// ends; where nobody listens it is refused at once.
+// DialContext connects to a listener. If a link between the hosts is cut in either direction, it
+// blocks until ctx ends or dialTimeout has passed. Without a listener the connection is refused at
+// once.
 func (h *Host) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	n := h.network
 	n.mu.Lock()
@@ -211,8 +211,8 @@
 	broken bool
 }
 
-// Write implements net.Conn. Bytes sent into a cut are lost; so is all that
-// follows, since a stream with a hole is no stream.
+// Write implements net.Conn. Bytes sent over a cut link are lost, and so are all later ones, since a
+// byte stream must not have gaps.
 func (c *memConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.broken = c.broken || c.network.isBlocked(c.from, c.to)
@@ -232,8 +232,8 @@
 	return c.Conn.Close()
 }
 
-// LocalAddr and RemoteAddr implement net.Conn; both give the listener's address.
+// LocalAddr implements net.Conn. Both ends return the listener's address.
 func (c *memConn) LocalAddr() net.Addr { return c.address }
 
-// RemoteAddr implements net.Conn.
+// RemoteAddr implements net.Conn. Both ends return the listener's address.
 func (c *memConn) RemoteAddr() net.Addr { return c.address }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -1,7 +1,6 @@
-// Package standin holds small stand-ins for the outside systems that foxhall
-// meets: the platform's object API, model engines, tool services and the
-// weight store. Each is a plain value with switches for its faults, usable in
-// a test directly or served over HTTP on loopback.
+// Package standin implements small stand-ins for the external systems that foxhall uses: the
+// platform's object API, model engines, tool services and the weight store. Each can inject faults
+// and is used in a test directly or served over HTTP on loopback.
 package standin
 
 import (
@@ -17,38 +16,38 @@
 	"foxhall/internal/store"
 )
 
-// watchBuffer is the number of past events that a store keeps for watches to resume from.
+// maxWatchEvents is the number of past events that a store retains for watches to resume from.
 const maxWatchEvents = 4096
 
-// StoreFaults are the ways in which the stand-in object API can misbehave.
+// StoreFaults are the faults that can be injected into the stand-in object API.
 type StoreFaults struct {
-	// Down refuses every call with store.ErrUnavailable and breaks watches.
+	// Down fails every call with store.ErrUnavailable and ends all watches.
 	Down bool
 	// Delay is added to each call.
 	Delay time.Duration
-	// LoseAnswers applies the next n writes and then loses their answers.
+	// LoseAnswers is the number of next writes that take effect but fail with store.ErrUnknown, as
+	// if their responses were lost.
 	LoseAnswers int
-	// DropWrites loses the next n writes before they take effect, with the same error.
+	// DropWrites is the number of next writes that fail with the same error without taking effect.
 	DropWrites int
-	// LateWrites lets a write whose caller gave up during Delay take effect
-	// when the delay is over.
+	// LateWrites makes a write whose caller gave up during Delay take effect late, Delay after that.
 	LateWrites bool
-	// RegressReads answers the next n reads of single objects from the state
-	// before the object's last write.
+	// RegressReads is the number of next reads of single objects that return the state before the
+	// object's last write.
 	RegressReads int
-	// Reads and Writes bound the calls a second; more are refused with
-	// store.ErrRateLimited. Zero means no bound.
+	// Reads and Writes are the limits in calls per second; calls above them fail with
+	// store.ErrRateLimited. Zero means no limit.
 	Reads, Writes float64
-	// StallWatches keeps watches open but sends nothing.
+	// StallWatches keeps watches open without sending events.
 	StallWatches bool
 }
 
-// StoreCounts counts the calls that a store has answered.
+// StoreCounts are the numbers of calls that a store has processed.
 type StoreCounts struct {
 	Reads, Writes, Watches int64
 }
 
-// Store is an in-memory object API. It implements store.Client.
+// Store is an in-memory implementation of the object API. It implements store.Client.
 type Store struct {
 	mu          sync.Mutex
 	objects     map[store.Key]store.Object
@@ -80,7 +79,8 @@
 	}
 }
 
-// limiter bounds calls a second, with a burst of a tenth of a second.
+// newLimiter returns a limiter of perSecond calls per second, with a burst of a tenth of a second's
+// calls but at least one. Zero or less means no limit.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -88,7 +88,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/10)))
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// Counts returns the number of calls answered so far.
+// Counts returns the numbers of calls processed so far.
 func (s *Store) Counts() StoreCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,8 +156,8 @@
 	return s.write(ctx, func() (store.Version, error) { return s.applyPut(key, value, base) })
 }
 
-// write performs a write after the delay, also where its caller gave up and
-// writes are late.
+// write applies a write after the delay. If the caller gives up during the delay, it applies the
+// write only with LateWrites.
 func (s *Store) write(ctx context.Context, apply func() (store.Version, error)) (store.Version, error) {
 	late := s.lateWriteDelay()
 	err := s.admit(ctx, s.writeLimiter())
@@ -178,7 +178,8 @@
 	_, _ = apply()
 }
 
-// lateWrites returns how late a write takes effect whose caller gives up, or zero.
+// lateWriteDelay returns the delay after which a write takes effect whose caller gave up, or zero
+// if it takes none.
 func (s *Store) lateWriteDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,7 +201,7 @@
 	return s.writes
 }
 
-// put applies a write. The lock is held.
+// applyPut applies a conditional write. The caller holds the lock.
 func (s *Store) applyPut(key store.Key, value []byte, base store.Version) (store.Version, error) {
 	s.counts.Writes++
 	if s.consumeDroppedWrite() {
@@ -223,7 +224,7 @@
 	return err
 }
 
-// remove applies a deletion. The lock is held.
+// applyDelete applies a conditional deletion. The caller holds the lock.
 func (s *Store) applyDelete(key store.Key, base store.Version) error {
 	s.counts.Writes++
 	if s.consumeDroppedWrite() {
@@ -260,7 +261,7 @@
 	return events, nil
 }
 
-// feed sends the events after from to one watch until it breaks or ctx ends.
+// sendEvents sends the events after version from to one watch, until the watch breaks or ctx ends.
 func (s *Store) sendEvents(ctx context.Context, w *watcher, from store.Version, events chan<- store.Event) {
 	defer close(events)
 	defer func() {
@@ -317,7 +318,8 @@
 	}
 }
 
-// enter waits out the delay and returns with the lock held, or with an error and without it.
+// admit waits for the injected delay and checks the rate limit and outage. It returns with the lock
+// held, or with an error and the lock not held.
 func (s *Store) admit(ctx context.Context, limit *rate.Limiter) error {
 	s.mu.Lock()
 	delay := s.faults.Delay
@@ -373,7 +375,7 @@
 	return store.ErrUnknown
 }
 
-// Faults returns the faults in force, with what is left of those that count down.
+// Faults returns the current faults; those that apply to the next n calls have the remaining number.
 func (s *Store) Faults() StoreFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/storehttp.go
+++ b/internal/standin/storehttp.go
@@ -13,10 +13,10 @@
 	"foxhall/internal/store"
 )
 
-// PathFaults is where each stand-in takes a JSON document of its faults.
+// PathFaults is the path at which each stand-in accepts its faults as a JSON document.
 const PathFaults = "/standin/faults"
 
-// Handler serves the store by the object API's protocol, with its faults under PathFaults.
+// Handler returns the object API over HTTP, with fault injection at PathFaults.
 func (s *Store) Handler() http.Handler {
 	e := echo.New()
 	e.GET(store.PathObjects+":kind", s.handleList)
@@ -29,7 +29,8 @@
 	return e
 }
 
-// keyOf unescapes the name, which the router leaves as it is on the wire.
+// objectKey returns the key in the request's path. It unescapes the name, which the router leaves
+// escaped.
 func objectKey(c echo.Context) store.Key {
 	name, err := url.PathUnescape(c.Param("name"))
 	if err != nil {
--- a/internal/standin/tool.go
+++ b/internal/standin/tool.go
@@ -14,31 +14,31 @@
 	"foxhall/internal/tool"
 )
 
-// ToolFaults are the ways in which a stand-in service can misbehave.
+// ToolFaults are the faults that can be injected into a stand-in service.
 type ToolFaults struct {
-	// Delay is added to each call, before its effect.
+	// Delay is added to each call before it takes effect.
 	Delay time.Duration
-	// Hang takes effect and then never answers, for the next n calls.
+	// Hang is the number of next calls that take effect and are never responded to.
 	Hang int
-	// HangBefore never answers and has no effect, for the next n calls.
+	// HangBefore is the number of next calls that have no effect and are never responded to.
 	HangBefore int
-	// Drop takes effect and then breaks the connection, for the next n calls.
+	// Drop is the number of next calls that take effect and then break the connection.
 	Drop int
-	// Refuse answers that the call was not run, for the next n calls.
+	// Refuse is the number of next calls that are rejected with the response that they were not run.
 	Refuse int
-	// Leaving refuses all calls and says that the service is shutting down.
+	// Leaving rejects all calls with the response that the service is draining.
 	Leaving bool
 }
 
-// Tool is a stand-in for a tool service or a plain service. Each call other
-// than GET has an effect, which is counted by the step's key.
+// Tool is a stand-in for a tool service or a plain service. Each call with a method other than GET
+// has an effect, which is counted per idempotency key.
 type Tool struct {
 	name string
 
 	mu      sync.Mutex
 	faults  ToolFaults
 	effects map[string]int
-	// paths has what was called under each key.
+	// paths holds the path of the last call with an effect by key.
 	paths    map[string]string
 	outcomes map[string]tool.Finding
 	calls    int
@@ -49,14 +49,14 @@
 	return &Tool{name: name, effects: map[string]int{}, paths: map[string]string{}, outcomes: map[string]tool.Finding{}}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (t *Tool) SetFaults(f ToolFaults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
 }
 
-// Effects returns how often each key has taken effect.
+// Effects returns the number of effects by key.
 func (t *Tool) Effects() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,15 +67,15 @@
 	return copied
 }
 
-// Paths returns the path that was called last under each key.
+// Paths returns the path of the last call with an effect by key.
 func (t *Tool) Paths() map[string]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.paths)
 }
 
-// Handler serves the service, with its faults under PathFaults, its lookup
-// under /outcome and its effects under /standin/effects.
+// Handler returns the service's HTTP API, with fault injection at PathFaults, the lookup of outcomes
+// at /outcome, the effects at /standin/effects and the paths at /standin/paths.
 func (t *Tool) Handler() http.Handler {
 	e := echo.New()
 	e.PUT(PathFaults, t.handleFaults)
@@ -133,7 +133,7 @@
 	return c.Blob(finding.Status, finding.ContentType, finding.Body)
 }
 
-// takeFault returns the faults that strike the next call and counts them down.
+// takeFaults returns the faults for the next call and decrements those that apply to n calls.
 func (t *Tool) takeFaults() ToolFaults {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/traffic.go
+++ b/internal/standin/traffic.go
@@ -9,16 +9,17 @@
 	"sync"
 )
 
-// Flow is what went over connections that an instance opened, by kind of request.
+// Flow is the number of requests and of bytes received and sent, on connections that an instance
+// opened, for one kind of request.
 type Flow struct{ Calls, In, Out int64 }
 
-// Tally counts flows by kind of request.
+// Tally sums flows by kind of request.
 type Tally struct {
 	mu    sync.Mutex
 	flows map[string]Flow
 }
 
-// NewTally returns a tally without counts.
+// NewTally returns an empty tally.
 func NewTally() *Tally { return &Tally{flows: map[string]Flow{}} }
 
 func (t *Tally) add(kind string, f Flow) {
@@ -28,20 +29,20 @@
 	t.flows[kind] = Flow{sum.Calls + f.Calls, sum.In + f.In, sum.Out + f.Out}
 }
 
-// Flows returns the counts so far.
+// Flows returns the sums so far by kind of request.
 func (t *Tally) Flows() map[string]Flow {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.flows)
 }
 
-// CountedHost is a Host that counts what its own connections carry.
+// CountedHost is a Host that counts the traffic of the connections it opens.
 type CountedHost struct {
 	*Host
 	Tally *Tally
 }
 
-// DialContext is Host's, with the connection counted.
+// DialContext calls Host.DialContext and counts the traffic of the connection.
 func (n CountedHost) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := n.Host.DialContext(ctx, network, address)
 	if err != nil {
@@ -50,8 +51,8 @@
 	return &countedConn{Conn: c, tally: n.Tally}, nil
 }
 
-// countedConn puts bytes to the request that they belong to; a connection
-// carries one request at a time.
+// countedConn counts bytes under the kind of the latest request sent; a connection carries one
+// request at a time.
 type countedConn struct {
 	net.Conn
 	tally *Tally
@@ -83,8 +84,8 @@
 	return n, err
 }
 
-// requestKind returns method and path of a request's first bytes, without the
-// names of single objects.
+// requestKind returns the method and the first three path segments from the first bytes of a request,
+// so that names of single objects are left out. It returns false for other data.
 func requestKind(p []byte) (string, bool) {
 	line, _, _ := strings.Cut(string(p[:min(len(p), 200)]), "\r\n")
 	method, rest, ok := strings.Cut(line, " ")
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -12,14 +12,13 @@
 	"golang.org/x/time/rate"
 )
 
-// PathWeights is where the weight store serves a model's weights, as
-// PathWeights + model + "/" + version.
+// PathWeights is the path prefix of a model's weights: PathWeights + model + "/" + version.
 const PathWeights = "/v1/weights/"
 
-// errWeightsBusy says that the store's rate is used up.
+// errWeightsRateExceeded indicates that the store's rate limit is exceeded or the store is down.
 var errWeightsRateExceeded = errors.New("standin: weight store: rate exceeded")
 
-// Weights is a rate-limited weight store.
+// Weights is a stand-in for a rate-limited weight store.
 type Weights struct {
 	limiter      *rate.Limiter
 	inFlight     singleflight.Group
@@ -31,20 +30,20 @@
 	refused int
 }
 
-// NewWeights returns a store that lets perSecond fetches begin each second,
-// with a burst of one, and takes transfer for each.
+// NewWeights returns a store that starts up to perSecond fetches per second, with a burst of one;
+// each takes the duration transfer.
 func NewWeights(perSecond float64, transfer time.Duration) *Weights {
 	return &Weights{limiter: rate.NewLimiter(rate.Limit(perSecond), 1), transferTime: transfer, fetches: map[string]int{}}
 }
 
-// SetDown refuses all fetches while down is true.
+// SetDown sets whether the store refuses all fetches.
 func (w *Weights) SetDown(down bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.down = down
 }
 
-// Fetches returns how often each model and version was fetched.
+// Fetches returns the number of fetches by model + "/" + version.
 func (w *Weights) Fetches() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,15 +54,15 @@
 	return counts
 }
 
-// Refused returns how many fetches were refused.
+// Refused returns the number of refused fetches.
 func (w *Weights) Refused() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.refused
 }
 
-// Fetch takes the time of a transfer; it fails at once where the rate is used
-// up. Fetches of the same weights at the same time share one transfer.
+// Fetch simulates a transfer of a model's weights. It fails at once if the rate limit is exceeded.
+// Concurrent fetches of the same weights share one transfer.
 func (w *Weights) Fetch(ctx context.Context, model, version string) error {
 	result := w.inFlight.DoChan(model+"/"+version, func() (any, error) {
 		if err := w.startFetch(model, version); err != nil {
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// Handler serves the store over HTTP.
+// Handler returns the store's HTTP API.
 func (w *Weights) Handler() http.Handler {
 	s := echo.New()
 	s.GET(PathWeights+":model/:version", func(c echo.Context) error {
