--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -31,8 +31,8 @@
 	return strings.Repeat(fmt.Sprintf("%-4.4s", name), tokens)
 }
 
-// The client sees over HTTP what the stand-in does in process: whole and
-// streamed answers that agree, and refusals whose class is true.
+// TestEngineOverHTTP checks that calls over HTTP behave like calls in process: non-streaming and
+// streamed responses contain the same message, and each rejection has the right error class.
 func TestEngineOverHTTP(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -54,8 +54,8 @@
 		return nil
 	})
 	is.NoErr(err)
-	is.Equal(string(streamed.Message.Raw), string(response.Message.Raw)) // the same history either way
-	is.True(streamed.CachedTokens() >= 256)                              // the first call left its prompt in the cache
+	is.Equal(string(streamed.Message.Raw), string(response.Message.Raw)) // the history does not depend on streaming
+	is.True(streamed.CachedTokens() >= 256)                              // the first call's prompt is cached
 	is.Equal(streamed.Usage.CompletionTokens, 40)
 	is.True(text.Len() > 0)
 
@@ -71,9 +71,9 @@
 	is.Equal(len(state.Models), 1)
 
 	_, err = client.Complete(ctx, addr, &engine.Request{Chat: r.Chat, Model: "other"}, nil)
-	is.True(errors.Is(err, engine.ErrNotRun)) // another engine may have it
+	is.True(errors.Is(err, engine.ErrNotRun)) // another engine may have the model
 	_, err = client.Complete(ctx, addr, &engine.Request{Chat: &chat.Request{Model: "m"}}, nil)
-	is.True(errors.Is(err, engine.ErrRejected)) // no engine would take it
+	is.True(errors.Is(err, engine.ErrRejected)) // no engine would accept a request without messages
 	standIn.SetFaults(EngineFaults{Leaving: true})
 	_, err = client.Complete(ctx, addr, r, nil)
 	var failure *engine.Error
@@ -81,15 +81,15 @@
 	is.True(errors.Is(err, engine.ErrNotRun) && failure.Draining && failure.RetryAfter > 0)
 	standIn.SetFaults(EngineFaults{Down: true})
 	_, err = client.Complete(ctx, addr, r, nil)
-	is.True(errors.Is(err, engine.ErrUnknown)) // the connection broke after the request had left
+	is.True(errors.Is(err, engine.ErrUnknown)) // the connection broke after the request was sent
 	server.Close()
 	_, err = client.Complete(ctx, addr, r, nil)
-	is.True(errors.Is(err, engine.ErrNotSent)) // nobody listens, so no byte left
+	is.True(errors.Is(err, engine.ErrNotSent)) // without a listener no byte is sent
 }
 
-// An engine dies while it streams. The caller has had some chunks; the answer
-// must end in "unknown, partial", never in success.
-func TestEngineDiesWhileStreaming(t *testing.T) {
+// TestEngineFailsWhileStreaming guards against a stream that breaks after some chunks and counts as
+// a success: the call must fail with an unknown outcome and a partial response.
+func TestEngineFailsWhileStreaming(t *testing.T) {
 	is := is.New(t)
 	standIn := NewEngine(EngineConfig{Name: "e", DecodeSpeed: 1000})
 	server := httptest.NewServer(standIn.Handler())
@@ -105,8 +105,8 @@
 	is.True(errors.Is(err, engine.ErrUnknown) && failure.Partial)
 }
 
-// A caller hangs up in the middle of a stream. The engine must free the slot
-// at once, or calls that nobody waits for would fill the batch.
+// TestEngineCancelFreesSlot: a caller disconnects in the middle of a stream. The engine must free the
+// slot at once; otherwise calls without a caller would fill the batch.
 func TestEngineCancelFreesSlot(t *testing.T) {
 	is := is.New(t)
 	standIn := NewEngine(EngineConfig{Name: "e", Slots: 1, DecodeSpeed: 1000})
@@ -120,13 +120,13 @@
 	_, err := client.Complete(context.Background(), addr, r, func(engine.Chunk) error { return errCallerGone })
 	is.True(errors.Is(err, errCallerGone))
 	_, err = client.Complete(context.Background(), addr, newRequest("next", 20), nil)
-	is.NoErr(err) // would wait for a quarter of an hour behind the first
+	is.NoErr(err) // behind the first call it would wait for a quarter of an hour
 }
 
-// The events of one engine are followed over HTTP. After a restart the old
-// stream must end, since its numbers mean nothing any more, and the cache of a
-// program can be fetched by another engine.
-func TestEngineEventsAndMovesOverHTTP(t *testing.T) {
+// TestEngineEventsAndKVImportOverHTTP follows an engine's events over HTTP. After a restart the event
+// stream must end, since the sequence numbers of the previous boot are invalid. Another engine can
+// import the cache of a program.
+func TestEngineEventsAndKVImportOverHTTP(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	from, to := NewEngine(EngineConfig{Name: "from"}), NewEngine(EngineConfig{Name: "to"})
@@ -161,6 +161,8 @@
 	is.True(load.CacheTokens > 500)
 }
 
+// TestEngineTimes checks the durations that follow from the configured speeds, cache hits and batch
+// size.
 func TestEngineTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -192,8 +194,8 @@
 	})
 }
 
-// Programs that ended without a release hold the memory, and the shared
-// prefix is evicted for them: the waste that the sweep is there to end.
+// TestEngineHeldMemoryIsEvictedLast: blocks held by a program that ended without a release stay cached
+// and the shared prefix is evicted in their place, until the release that a sweep sends.
 func TestEngineHeldMemoryIsEvictedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/standin/store_faults_test.go
+++ b/internal/standin/store_faults_test.go
@@ -13,8 +13,8 @@
 	"foxhall/internal/store"
 )
 
-// A log entry's name holds a slash. Over HTTP it must name the same object as
-// directly, or recovery would read another log than was written.
+// TestNamesWithSlashesOverHTTP: the name of a log entry contains a slash. It must identify the same
+// object over HTTP and directly; otherwise recovery would read another log than the one written.
 func TestNamesWithSlashesOverHTTP(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -37,11 +37,11 @@
 	is.True(errors.Is(err, store.ErrRateLimited))
 }
 
-// The store goes down and comes back. The tracked client knows after the first
-// refused call, says so without further calls, finds out by its own probe that
-// the store is back, and remembers when it was down. One lost answer and a
-// refusal for the rate are no outage.
-func TestTrackedStoreKnowsAnOutage(t *testing.T) {
+// TestTrackedStoreDetectsOutage: the store goes down and recovers. The tracked client reports the
+// outage after the first refused call and without further calls, detects the recovery by its own
+// probe, and records when the store was down. One lost response and a call above the rate limit do
+// not count as an outage.
+func TestTrackedStoreDetectsOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
@@ -68,9 +68,9 @@
 	})
 }
 
-// A store that takes ten seconds for each call answers none in time. After two
-// lost answers in a row it counts as down.
-func TestTrackedStoreThatHangsIsDown(t *testing.T) {
+// TestTrackedStoreDownAfterTimeouts: with a delay of ten seconds per call every call times out. After
+// two consecutive lost responses the store counts as down.
+func TestTrackedStoreDownAfterTimeouts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		standIn := NewStore()
@@ -87,9 +87,9 @@
 	})
 }
 
-// An instance with a share of ten writes a second makes ten and a burst, however
-// many it is asked for; a call whose deadline is too near is refused at once.
-func TestLimitedStoreKeepsItsShare(t *testing.T) {
+// TestLimitedStoreKeepsRateLimit: with a limit of ten writes per second and a burst, an instance makes
+// no more than that, however many are requested. A call whose deadline is too near is refused at once.
+func TestLimitedStoreKeepsRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		standIn := NewStore()
--- a/internal/standin/store_test.go
+++ b/internal/standin/store_test.go
@@ -12,8 +12,8 @@
 	"foxhall/internal/store"
 )
 
-// The client sees the same errors over HTTP as from the stand-in directly:
-// a conflict, an absent object, an outage and a write whose answer is lost.
+// TestStoreOverHTTP checks that the client returns the same errors over HTTP as the stand-in does
+// directly: a conflict, a missing object, an outage and a write whose response is lost.
 func TestStoreOverHTTP(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -35,7 +35,7 @@
 	is.True(errors.Is(err, store.ErrUnknown))
 	object, err := client.Get(ctx, key)
 	is.NoErr(err)
-	is.Equal(string(object.Value), "two") // the write took effect although its answer was lost
+	is.Equal(string(object.Value), "two") // the write took effect although its response was lost
 
 	standIn.SetFaults(StoreFaults{Down: true})
 	_, err = client.Get(ctx, key)
