--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -291,8 +291,8 @@
 func (e *Engine) endSequence(s *sequence, err error) {
 	e.running = remove(e.running, s)
 	e.waiting = remove(e.waiting, s)
-	e.cache.unpin(s.pinned)
-	s.pinned = nil
+	e.cache.unpin(s.pinnedBlocks)
+	s.pinnedBlocks = nil
 	s.ended = true
 	s.err = err
 	s.endedAt = e.advancedTo
--- a/internal/standin/enginecontrol.go
+++ b/internal/standin/enginecontrol.go
@@ -84,14 +84,14 @@
 	}
 	e.loads.reports = append(e.loads.reports, timedLoad{e.currentLoad(), e.advancedTo})
 	visible := e.advancedTo.Add(-e.config.LoadLag)
-	keep := 0
+	latestVisible := 0
 	for i, report := range e.loads.reports {
 		if report.at.After(visible) {
 			break
 		}
-		keep = i
+		latestVisible = i
 	}
-	e.loads.reports = e.loads.reports[keep:]
+	e.loads.reports = e.loads.reports[latestVisible:]
 	report := e.loads.reports[0].Load
 	report.AgeMillis = e.advancedTo.Sub(e.loads.reports[0].at).Milliseconds()
 	if e.faults.LieLoad {
--- a/internal/standin/enginefleet.go
+++ b/internal/standin/enginefleet.go
@@ -79,7 +79,7 @@
 			}
 			from, boot = event.Seq, event.Boot
 		}
-		if now := e.Boot(); boot != "" && boot != now {
+		if current := e.Boot(); boot != "" && boot != current {
 			return &engine.Error{Class: engine.ErrUnknown, Cause: errors.New("engine restarted")}
 		}
 		select {
--- a/internal/standin/enginemotion.go
+++ b/internal/standin/enginemotion.go
@@ -148,7 +148,7 @@
 func (e *Engine) endPrefill(s *sequence) {
 	s.prefilled = true
 	s.prefillTokensLeft = 0
-	e.storeBlocks(s, s.blocks)
+	e.storeBlocks(s, s.promptBlocks)
 }
 
 func (e *Engine) complete(s *sequence) {
@@ -166,9 +166,9 @@
 // storeBlocks caches the chain for the call's program and pins it in place of the call's previous
 // pins.
 func (e *Engine) storeBlocks(s *sequence, blocks []uint64) {
-	e.cache.unpin(s.pinned)
+	e.cache.unpin(s.pinnedBlocks)
 	pinned, added, evicted := e.cache.store(blocks, s.program)
-	s.pinned = pinned
+	s.pinnedBlocks = pinned
 	e.publish(engine.Evicted, evicted)
 	e.publish(engine.Stored, added)
 }
@@ -181,10 +181,10 @@
 	for len(e.running) < e.config.Slots && len(e.waiting) > 0 {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		hit := e.cache.match(s.blocks)
-		s.pinned = s.blocks[:hit]
-		e.cache.pin(s.pinned)
-		s.cachedTokens = hit * engine.BlockTokens
+		cachedBlocks := e.cache.match(s.promptBlocks)
+		s.pinnedBlocks = s.promptBlocks[:cachedBlocks]
+		e.cache.pin(s.pinnedBlocks)
+		s.cachedTokens = cachedBlocks * engine.BlockTokens
 		s.prefillTokensLeft = float64(max(1, s.promptTokens-s.cachedTokens))
 		e.running = append(e.running, s)
 	}
--- a/internal/standin/enginesequence.go
+++ b/internal/standin/enginesequence.go
@@ -20,7 +20,7 @@
 	arrival      int64
 	messages     []chat.Message
 	text         string
-	blocks       []uint64
+	promptBlocks []uint64
 	promptTokens int
 	outputTokens int
 	chunkTokens  int
@@ -31,7 +31,7 @@
 	endedAt      time.Time
 
 	cachedTokens      int
-	pinned            []uint64
+	pinnedBlocks      []uint64
 	prefillTokensLeft float64
 	prefilled         bool
 	decodedTokens     float64
@@ -49,7 +49,7 @@
 		priority:     r.Priority,
 		arrival:      order,
 		messages:     r.Chat.Messages,
-		blocks:       engine.Blocks(nil, r.ServedModel(), r.Chat.Messages),
+		promptBlocks: engine.Blocks(nil, r.ServedModel(), r.Chat.Messages),
 		promptTokens: engine.PromptTokens(r.Chat.Messages),
 		chunkTokens:  chunk,
 		stream:       r.Chat.Stream,
@@ -126,12 +126,12 @@
 	if maxTokens <= 0 {
 		maxTokens = defaultOutputTokens
 	}
-	head := fmt.Sprintf("messages=%d hash=%016x", len(messages), MessagesHash(model, messages))
-	paddingBytes := maxTokens*engine.TokenBytes - len(head)
+	prefix := fmt.Sprintf("messages=%d hash=%016x", len(messages), MessagesHash(model, messages))
+	paddingBytes := maxTokens*engine.TokenBytes - len(prefix)
 	if paddingBytes <= 0 {
-		return head
+		return prefix
 	}
-	return head + strings.Repeat(" ...", paddingBytes/engine.TokenBytes+1)[:paddingBytes]
+	return prefix + strings.Repeat(" ...", paddingBytes/engine.TokenBytes+1)[:paddingBytes]
 }
 
 // MessagesHash returns the hash of the model's name and the messages that AnswerText contains.
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -19,17 +19,17 @@
 	mu        sync.Mutex
 	listeners map[string]*memListener
 	// cutLinks holds the cut links; each end is a prefix of host names.
-	cutLinks map[link]bool
+	cutLinks map[hostLink]bool
 	killed   map[string]bool
 	conns    map[*memConn]struct{}
 	lastPort int
 }
 
-type link struct{ from, to string }
+type hostLink struct{ from, to string }
 
 // NewNetwork returns a network without listeners and without cut links.
 func NewNetwork() *Network {
-	return &Network{listeners: map[string]*memListener{}, cutLinks: map[link]bool{}, killed: map[string]bool{}, conns: map[*memConn]struct{}{}, lastPort: 1024}
+	return &Network{listeners: map[string]*memListener{}, cutLinks: map[hostLink]bool{}, killed: map[string]bool{}, conns: map[*memConn]struct{}{}, lastPort: 1024}
 }
 
 // Cut blocks all traffic from hosts whose names start with from to hosts whose names start with to.
@@ -45,10 +45,10 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !down {
-		delete(n.cutLinks, link{from, to})
+		delete(n.cutLinks, hostLink{from, to})
 		return
 	}
-	n.cutLinks[link{from, to}] = true
+	n.cutLinks[hostLink{from, to}] = true
 }
 
 func (n *Network) isBlocked(from, to string) bool {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -159,14 +159,14 @@
 // write applies a write after the delay. If the caller gives up during the delay, it applies the
 // write only with LateWrites.
 func (s *Store) write(ctx context.Context, apply func() (store.Version, error)) (store.Version, error) {
-	late := s.lateWriteDelay()
+	lateDelay := s.lateWriteDelay()
 	err := s.admit(ctx, s.writeLimiter())
 	if err == nil {
 		defer s.mu.Unlock()
 		return apply()
 	}
-	if late > 0 && errors.Is(err, store.ErrUnknown) {
-		go s.applyLate(late, apply)
+	if lateDelay > 0 && errors.Is(err, store.ErrUnknown) {
+		go s.applyLate(lateDelay, apply)
 	}
 	return 0, err
 }
@@ -348,9 +348,9 @@
 func (s *Store) publish(event store.Event) {
 	s.events = append(s.events, event)
 	if len(s.events) > maxWatchEvents {
-		drop := len(s.events) - maxWatchEvents
-		s.trimmedUpTo = s.events[drop-1].Object.Version
-		s.events = append([]store.Event(nil), s.events[drop:]...)
+		excess := len(s.events) - maxWatchEvents
+		s.trimmedUpTo = s.events[excess-1].Object.Version
+		s.events = append([]store.Event(nil), s.events[excess:]...)
 	}
 	for w := range s.watchers {
 		if w.kind == event.Object.Key.Kind {
--- a/internal/standin/traffic.go
+++ b/internal/standin/traffic.go
@@ -43,12 +43,12 @@
 }
 
 // DialContext calls Host.DialContext and counts the traffic of the connection.
-func (n CountedHost) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	c, err := n.Host.DialContext(ctx, network, address)
+func (h CountedHost) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+	c, err := h.Host.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: c, tally: n.Tally}, nil
+	return &countedConn{Conn: c, tally: h.Tally}, nil
 }
 
 // countedConn counts bytes under the kind of the latest request sent; a connection carries one
