--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -12,114 +12,118 @@
 	"foxhall/internal/engine"
 )
 
-// EngineConfig describes a model engine.
+// EngineConfig is the configuration of a stand-in model engine. Zero sizes and speeds are
+// replaced by defaults.
 type EngineConfig struct {
 	Name string
-	// Slots is the largest batch; MaxQueue bounds the calls that wait for it.
-	Slots    int
+	// Slots is the maximum batch size in calls.
+	Slots int
+	// MaxQueue is the maximum number of calls that wait for a slot.
 	MaxQueue int
-	// CacheTokens is the size of the prefix cache.
+	// CacheTokens is the capacity of the prefix cache in tokens.
 	CacheTokens int
-	// PrefillSpeed is in tokens a second, for one prompt after the other.
+	// PrefillSpeed is in tokens per second; prompts are prefilled one at a time.
 	PrefillSpeed float64
-	// DecodeSpeed is in tokens a second for a batch of one.
+	// DecodeSpeed is in tokens per second for a batch of one.
 	DecodeSpeed float64
-	// BatchSlowdown is how much each further call of a batch slows every call:
+	// BatchSlowdown is the slowdown of every call per additional call in the batch:
 	// speed = DecodeSpeed / (1 + BatchSlowdown * (batch - 1)).
 	BatchSlowdown float64
-	// LoadLag and EventLag are how late load reports and cache events come.
+	// LoadLag delays load reports, EventLag cache events.
 	LoadLag  time.Duration
 	EventLag time.Duration
-	// KVSpeed is the rate of cache imports in tokens a second.
+	// KVSpeed is the rate of KV cache imports in tokens per second.
 	KVSpeed float64
 	// ChunkTokens is the number of tokens in a streamed chunk.
 	ChunkTokens int
-	// Fenced refuses orders with an old fencing token.
+	// Fenced makes the engine reject orders whose fencing token is older than the last accepted one.
 	Fenced bool
-	// Models are loaded from the start, under their own names; none means that
-	// any model is served.
+	// Models are loaded at start and served under their own names. If empty, every model is
+	// served until an order loads one.
 	Models []string
-	// Fetch gets weights before a model is ready; nil takes no time.
+	// Fetch loads a model's weights; the model is ready when it returns. If nil, models are ready
+	// at once.
 	Fetch func(ctx context.Context, model, version string) error
-	// OnCall sees each call in the order in which the engine admits them; it
-	// must return at once. Nil means that nobody looks.
+	// OnCall, if not nil, is called for each accepted call in order of arrival, with the engine's
+	// lock held; it must not block.
 	OnCall func(r *engine.Request)
 }
 
-// EngineFaults are the ways in which a stand-in engine can misbehave.
+// EngineFaults are the faults that can be injected into a stand-in engine.
 type EngineFaults struct {
-	// Down refuses new calls and breaks those under way.
+	// Down refuses new calls and fails those in flight.
 	Down bool
-	// Hang keeps calls without any progress.
+	// Hang stops the progress of all calls without failing them.
 	Hang bool
-	// Slow divides all speeds; 0 and 1 mean none.
+	// Slow is the divisor of all speeds; 0 and 1 leave them unchanged.
 	Slow float64
-	// LieLoad reports an idle engine.
+	// LieLoad makes load reports show an idle engine.
 	LieLoad bool
-	// DropEvents numbers cache events but loses them.
+	// DropEvents drops cache events after assigning their sequence numbers, which leaves gaps.
 	DropEvents bool
-	// Leaving answers new calls that the engine drains and did not run them.
+	// Leaving rejects new calls with the response that the engine is draining and did not run them.
 	Leaving bool
-	// Restart breaks all calls and loses the cache once, when the faults are set.
+	// Restart fails all calls and clears the cache, once, when the faults are set.
 	Restart bool
 }
 
-// EngineCounts counts what an engine has done.
+// EngineCounts are an engine's counters of calls and tokens since its creation.
 type EngineCounts struct {
 	Calls, Refused, Finished, Broken, Cancelled int64
 	PromptTokens, CachedTokens, GeneratedTokens int64
 }
 
-// prefillShare is the part of the decode speed that remains while a prompt is prefilled.
-const prefillShare = 0.5
+// decodeShareDuringPrefill is the fraction of the decode speed that remains while a prompt is
+// prefilled.
+const decodeShareDuringPrefill = 0.5
 
-// The defaults of an EngineConfig.
+// Defaults of EngineConfig (speeds in tokens per second) and limits of the engine.
 const (
 	defaultSlots        = 16
-	defaultQueue        = 256
-	defaultCache        = 64 * 1024
-	defaultPrefill      = 8000
-	defaultDecode       = 60
-	defaultChunk        = 8
+	defaultMaxQueue     = 256
+	defaultCacheTokens  = 64 * 1024
+	defaultPrefillSpeed = 8000
+	defaultDecodeSpeed  = 60
+	defaultChunkTokens  = 8
 	defaultKVSpeed      = 20000
-	engineEventsKept    = 16384
+	maxEngineEvents     = 16384
 	engineRetryAfter    = time.Second
 	defaultOutputTokens = 24
 )
 
-// Engine is a model engine with continuous batching. It moves in continuous
-// time: between two events each call progresses at a constant rate, so that it
-// costs no work per token. All time comes from package time.
+// Engine simulates a model engine with continuous batching. Between two events each call progresses
+// at a constant rate, so the simulation does no work per token. All time comes from package time,
+// so that it runs on the virtual time of testing/synctest.
 type Engine struct {
 	config EngineConfig
 
-	mu      sync.Mutex
-	faults  EngineFaults
-	boot    int
-	cache   *blockCache
-	running []*sequence
-	waiting []*sequence
-	order   int64
-	last    time.Time
-	timer   *time.Timer
-	events  eventLog
-	load    loadLog
-	models  map[string]*engine.Loaded
-	role    string
-	token   uint64
-	counts  EngineCounts
+	mu           sync.Mutex
+	faults       EngineFaults
+	boot         int
+	cache        *blockCache
+	running      []*sequence
+	waiting      []*sequence
+	arrivals     int64
+	advancedTo   time.Time
+	timer        *time.Timer
+	events       eventLog
+	loads        loadLog
+	models       map[string]*engine.Loaded
+	role         string
+	fencingToken uint64
+	counts       EngineCounts
 }
 
-// NewEngine returns an engine without faults.
+// NewEngine returns an engine with an empty cache and no faults.
 func NewEngine(config EngineConfig) *Engine {
-	withDefaults(&config)
+	setDefaults(&config)
 	e := &Engine{
-		config: config,
-		cache:  newBlockCache(config.CacheTokens / engine.BlockTokens),
-		last:   time.Now(),
-		models: map[string]*engine.Loaded{},
-		role:   "both",
-		boot:   1,
+		config:     config,
+		cache:      newBlockCache(config.CacheTokens / engine.BlockTokens),
+		advancedTo: time.Now(),
+		models:     map[string]*engine.Loaded{},
+		role:       "both",
+		boot:       1,
 	}
 	for _, name := range config.Models {
 		e.models[name] = &engine.Loaded{Served: name, Model: name, Ready: true}
@@ -127,38 +131,38 @@
 	return e
 }
 
-func withDefaults(c *EngineConfig) {
+func setDefaults(c *EngineConfig) {
 	if c.Slots == 0 {
 		c.Slots = defaultSlots
 	}
 	if c.MaxQueue == 0 {
-		c.MaxQueue = defaultQueue
+		c.MaxQueue = defaultMaxQueue
 	}
 	if c.CacheTokens == 0 {
-		c.CacheTokens = defaultCache
+		c.CacheTokens = defaultCacheTokens
 	}
 	if c.PrefillSpeed == 0 {
-		c.PrefillSpeed = defaultPrefill
+		c.PrefillSpeed = defaultPrefillSpeed
 	}
 	if c.DecodeSpeed == 0 {
-		c.DecodeSpeed = defaultDecode
+		c.DecodeSpeed = defaultDecodeSpeed
 	}
 	if c.ChunkTokens == 0 {
-		c.ChunkTokens = defaultChunk
+		c.ChunkTokens = defaultChunkTokens
 	}
 	if c.KVSpeed == 0 {
 		c.KVSpeed = defaultKVSpeed
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.advance()
 	e.faults = f
 	if f.Down || f.Restart {
-		e.breakAll()
+		e.failAll()
 	}
 	if f.Restart {
 		e.boot++
@@ -169,16 +173,16 @@
 	e.schedule()
 }
 
-// Counts returns what the engine has done so far.
+// Counts returns the current counters.
 func (e *Engine) Counts() EngineCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-// Complete runs one completion, as engine.Client does over HTTP.
+// Complete runs one completion and has the semantics of engine.Client.Complete over HTTP.
 func (e *Engine) Complete(ctx context.Context, r *engine.Request, onChunk func(engine.Chunk) error) (*engine.Response, error) {
-	s, err := e.enter(r)
+	s, err := e.enqueue(r)
 	if err != nil {
 		return nil, err
 	}
@@ -188,7 +192,7 @@
 		case <-s.done:
 			return e.finish(s, stream)
 		case <-s.progress:
-			if err := stream.emit(e.decoded(s)); err != nil {
+			if err := stream.emit(e.decodedTokens(s)); err != nil {
 				e.abort(s)
 				return nil, &engine.Error{Class: engine.ErrUnknown, Partial: true, Cause: err}
 			}
@@ -203,36 +207,36 @@
 	if s.err != nil {
 		return nil, s.err
 	}
-	if err := stream.end(); err != nil {
+	if err := stream.finish(); err != nil {
 		return nil, &engine.Error{Class: engine.ErrUnknown, Partial: true, Cause: err}
 	}
-	return s.answer(), nil
+	return s.response(), nil
 }
 
-// enter admits a call or says why the engine does not run it.
-func (e *Engine) enter(r *engine.Request) (*sequence, error) {
+// enqueue accepts a call into the queue or returns the reason for which the engine rejects it.
+func (e *Engine) enqueue(r *engine.Request) (*sequence, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.advance()
-	if err := e.refuse(r); err != nil {
+	if err := e.checkAdmission(r); err != nil {
 		e.counts.Refused++
 		return nil, err
 	}
-	e.order++
-	s := newSequence(r, e.order, e.config.ChunkTokens)
+	e.arrivals++
+	s := newSequence(r, e.arrivals, e.config.ChunkTokens)
 	e.waiting = append(e.waiting, s)
-	slices.SortStableFunc(e.waiting, bySequencePriority)
+	slices.SortStableFunc(e.waiting, compareSequences)
 	e.counts.Calls++
 	if e.config.OnCall != nil {
 		e.config.OnCall(r)
 	}
-	e.countModel(r.ServedModel(), 1)
+	e.addRunning(r.ServedModel(), 1)
 	e.admit()
 	e.schedule()
 	return s, nil
 }
 
-func (e *Engine) refuse(r *engine.Request) *engine.Error {
+func (e *Engine) checkAdmission(r *engine.Request) *engine.Error {
 	loaded := e.models[r.ServedModel()]
 	switch {
 	case e.faults.Down:
@@ -250,19 +254,19 @@
 	}
 }
 
-func (e *Engine) countModel(served string, n int) {
+func (e *Engine) addRunning(served string, n int) {
 	if loaded := e.models[served]; loaded != nil {
 		loaded.Running += n
 	}
 }
 
-func (e *Engine) decoded(s *sequence) int {
+func (e *Engine) decodedTokens(s *sequence) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return int(s.decoded)
+	return int(s.decodedTokens)
 }
 
-// abort frees the slot of a call whose caller is gone.
+// abort cancels a call and frees its slot after the caller has disconnected.
 func (e *Engine) abort(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -271,28 +275,28 @@
 		return
 	}
 	e.counts.Cancelled++
-	e.end(s, &engine.Error{Class: engine.ErrUnknown, Cause: context.Canceled})
+	e.endSequence(s, &engine.Error{Class: engine.ErrUnknown, Cause: context.Canceled})
 	e.admit()
 	e.schedule()
 }
 
-func (e *Engine) breakAll() {
+func (e *Engine) failAll() {
 	for _, s := range slices.Concat(e.running, e.waiting) {
 		e.counts.Broken++
-		e.end(s, &engine.Error{Class: engine.ErrUnknown, Partial: s.decoded > 0, Cause: errors.New("connection reset")})
+		e.endSequence(s, &engine.Error{Class: engine.ErrUnknown, Partial: s.decodedTokens > 0, Cause: errors.New("connection reset")})
 	}
 }
 
-// end takes the call out of the engine and wakes its caller.
-func (e *Engine) end(s *sequence, err error) {
+// endSequence removes the call from the engine, records its error and wakes the caller.
+func (e *Engine) endSequence(s *sequence, err error) {
 	e.running = remove(e.running, s)
 	e.waiting = remove(e.waiting, s)
-	e.cache.unpin(s.pinned)
-	s.pinned = nil
+	e.cache.unpin(s.pinnedBlocks)
+	s.pinnedBlocks = nil
 	s.ended = true
 	s.err = err
-	s.endedAt = e.last
-	e.countModel(s.model, -1)
+	s.endedAt = e.advancedTo
+	e.addRunning(s.model, -1)
 	close(s.done)
 }
 
@@ -303,4 +307,4 @@
 	return list
 }
 
-func (e *Engine) bootName() string { return fmt.Sprintf("%s-%d", e.config.Name, e.boot) }
+func (e *Engine) currentBoot() string { return fmt.Sprintf("%s-%d", e.config.Name, e.boot) }
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -23,16 +23,16 @@
 	return chat.Message{Role: "user", Raw: raw}
 }
 
-func ask(text string, tokens int) *engine.Request {
+func newRequest(text string, tokens int) *engine.Request {
 	return &engine.Request{Chat: &chat.Request{Model: "m", Messages: []chat.Message{userMessage(text)}, MaxTokens: tokens}}
 }
 
-func long(name string, tokens int) string {
+func textOfTokens(name string, tokens int) string {
 	return strings.Repeat(fmt.Sprintf("%-4.4s", name), tokens)
 }
 
-// The client sees over HTTP what the stand-in does in process: whole and
-// streamed answers that agree, and refusals whose class is true.
+// TestEngineOverHTTP checks that calls over HTTP behave like calls in process: non-streaming and
+// streamed responses contain the same message, and each rejection has the right error class.
 func TestEngineOverHTTP(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -42,11 +42,11 @@
 	addr := server.Listener.Addr().String()
 	client := engine.NewClient()
 
-	r := ask(long("a", 300), 40)
+	r := newRequest(textOfTokens("a", 300), 40)
 	r.Program = "p"
-	whole, err := client.Complete(ctx, addr, r, nil)
+	response, err := client.Complete(ctx, addr, r, nil)
 	is.NoErr(err)
-	is.True(len(whole.Body) > 0)
+	is.True(len(response.Body) > 0)
 	r.Chat.Stream = true
 	var text strings.Builder
 	streamed, err := client.Complete(ctx, addr, r, func(c engine.Chunk) error {
@@ -54,8 +54,8 @@
 		return nil
 	})
 	is.NoErr(err)
-	is.Equal(string(streamed.Message.Raw), string(whole.Message.Raw)) // the same history either way
-	is.True(streamed.CachedTokens() >= 256)                           // the first call left its prompt in the cache
+	is.Equal(string(streamed.Message.Raw), string(response.Message.Raw)) // the history does not depend on streaming
+	is.True(streamed.CachedTokens() >= 256)                              // the first call's prompt is cached
 	is.Equal(streamed.Usage.CompletionTokens, 40)
 	is.True(text.Len() > 0)
 
@@ -71,9 +71,9 @@
 	is.Equal(len(state.Models), 1)
 
 	_, err = client.Complete(ctx, addr, &engine.Request{Chat: r.Chat, Model: "other"}, nil)
-	is.True(errors.Is(err, engine.ErrNotRun)) // another engine may have it
+	is.True(errors.Is(err, engine.ErrNotRun)) // another engine may have the model
 	_, err = client.Complete(ctx, addr, &engine.Request{Chat: &chat.Request{Model: "m"}}, nil)
-	is.True(errors.Is(err, engine.ErrRejected)) // no engine would take it
+	is.True(errors.Is(err, engine.ErrRejected)) // no engine would accept a request without messages
 	standIn.SetFaults(EngineFaults{Leaving: true})
 	_, err = client.Complete(ctx, addr, r, nil)
 	var failure *engine.Error
@@ -81,20 +81,20 @@
 	is.True(errors.Is(err, engine.ErrNotRun) && failure.Draining && failure.RetryAfter > 0)
 	standIn.SetFaults(EngineFaults{Down: true})
 	_, err = client.Complete(ctx, addr, r, nil)
-	is.True(errors.Is(err, engine.ErrUnknown)) // the connection broke after the request had left
+	is.True(errors.Is(err, engine.ErrUnknown)) // the connection broke after the request was sent
 	server.Close()
 	_, err = client.Complete(ctx, addr, r, nil)
-	is.True(errors.Is(err, engine.ErrNotSent)) // nobody listens, so no byte left
+	is.True(errors.Is(err, engine.ErrNotSent)) // without a listener no byte is sent
 }
 
-// An engine dies while it streams. The caller has had some chunks; the answer
-// must end in "unknown, partial", never in success.
-func TestEngineDiesWhileStreaming(t *testing.T) {
+// TestEngineFailsWhileStreaming guards against a stream that breaks after some chunks and counts as
+// a success: the call must fail with an unknown outcome and a partial response.
+func TestEngineFailsWhileStreaming(t *testing.T) {
 	is := is.New(t)
 	standIn := NewEngine(EngineConfig{Name: "e", DecodeSpeed: 1000})
 	server := httptest.NewServer(standIn.Handler())
 	defer server.Close()
-	r := ask("hello", 100000)
+	r := newRequest("hello", 100000)
 	r.Chat.Stream = true
 	_, err := engine.NewClient().Complete(context.Background(), server.Listener.Addr().String(), r, func(engine.Chunk) error {
 		standIn.SetFaults(EngineFaults{Down: true})
@@ -105,8 +105,8 @@
 	is.True(errors.Is(err, engine.ErrUnknown) && failure.Partial)
 }
 
-// A caller hangs up in the middle of a stream. The engine must free the slot
-// at once, or calls that nobody waits for would fill the batch.
+// TestEngineCancelFreesSlot: a caller disconnects in the middle of a stream. The engine must free the
+// slot at once; otherwise calls without a caller would fill the batch.
 func TestEngineCancelFreesSlot(t *testing.T) {
 	is := is.New(t)
 	standIn := NewEngine(EngineConfig{Name: "e", Slots: 1, DecodeSpeed: 1000})
@@ -114,19 +114,19 @@
 	defer server.Close()
 	addr := server.Listener.Addr().String()
 	client := engine.NewClient()
-	r := ask("hello", 1000000)
+	r := newRequest("hello", 1000000)
 	r.Chat.Stream = true
-	gone := errors.New("caller is gone")
-	_, err := client.Complete(context.Background(), addr, r, func(engine.Chunk) error { return gone })
-	is.True(errors.Is(err, gone))
-	_, err = client.Complete(context.Background(), addr, ask("next", 20), nil)
-	is.NoErr(err) // would wait for a quarter of an hour behind the first
+	errCallerGone := errors.New("caller is gone")
+	_, err := client.Complete(context.Background(), addr, r, func(engine.Chunk) error { return errCallerGone })
+	is.True(errors.Is(err, errCallerGone))
+	_, err = client.Complete(context.Background(), addr, newRequest("next", 20), nil)
+	is.NoErr(err) // behind the first call it would wait for a quarter of an hour
 }
 
-// The events of one engine are followed over HTTP. After a restart the old
-// stream must end, since its numbers mean nothing any more, and the cache of a
-// program can be fetched by another engine.
-func TestEngineEventsAndMovesOverHTTP(t *testing.T) {
+// TestEngineEventsAndKVImportOverHTTP follows an engine's events over HTTP. After a restart the event
+// stream must end, since the sequence numbers of the previous boot are invalid. Another engine can
+// import the cache of a program.
+func TestEngineEventsAndKVImportOverHTTP(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	from, to := NewEngine(EngineConfig{Name: "from"}), NewEngine(EngineConfig{Name: "to"})
@@ -135,7 +135,7 @@
 	defer toServer.Close()
 	fromAddr, toAddr := fromServer.Listener.Addr().String(), toServer.Listener.Addr().String()
 	client := engine.NewClient()
-	r := ask(long("a", 600), 10)
+	r := newRequest(textOfTokens("a", 600), 10)
 	r.Program = "p"
 	_, err := client.Complete(ctx, fromAddr, r, nil)
 	is.NoErr(err)
@@ -153,19 +153,21 @@
 	_, err = client.Complete(ctx, fromAddr, r, nil)
 	is.NoErr(err)
 	is.NoErr(client.ImportKV(ctx, toAddr, engine.KVImport{Program: "p", From: fromAddr}))
-	moved, err := client.Complete(ctx, toAddr, r, nil)
+	afterImport, err := client.Complete(ctx, toAddr, r, nil)
 	is.NoErr(err)
-	is.True(moved.CachedTokens() > 500)
+	is.True(afterImport.CachedTokens() > 500)
 	load, err := client.Load(ctx, toAddr)
 	is.NoErr(err)
 	is.True(load.CacheTokens > 500)
 }
 
+// TestEngineTimes checks the durations that follow from the configured speeds, cache hits and batch
+// size.
 func TestEngineTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := NewEngine(EngineConfig{Name: "e", PrefillSpeed: 1000, DecodeSpeed: 50, BatchSlowdown: 0.5, CacheTokens: 64 * 100})
-		prompt := ask(long("a", 2000), 50)
+		prompt := newRequest(textOfTokens("a", 2000), 50)
 		first, err := e.Complete(t.Context(), prompt, nil)
 		is.NoErr(err)
 		is.Equal(first.Total.Round(100*time.Millisecond), 3*time.Second) // 2 s of prefill, 1 s of decode
@@ -192,30 +194,30 @@
 	})
 }
 
-// Programs that ended without a release hold the memory, and the shared
-// prefix is evicted for them: the waste that the sweep is there to end.
+// TestEngineHeldMemoryIsEvictedLast: blocks held by a program that ended without a release stay cached
+// and the shared prefix is evicted in their place, until the release that a sweep sends.
 func TestEngineHeldMemoryIsEvictedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := NewEngine(EngineConfig{Name: "e", CacheTokens: 64 * 40})
-		shared := ask(long("s", 20*64), 8)
+		shared := newRequest(textOfTokens("s", 20*64), 8)
 		_, err := e.Complete(t.Context(), shared, nil)
 		is.NoErr(err)
-		gone := ask(long("g", 20*64), 8)
-		gone.Program = "gone"
-		_, err = e.Complete(t.Context(), gone, nil)
+		ended := newRequest(textOfTokens("g", 20*64), 8)
+		ended.Program = "gone"
+		_, err = e.Complete(t.Context(), ended, nil)
 		is.NoErr(err)
-		_, err = e.Complete(t.Context(), ask(long("n", 20*64), 8), nil)
+		_, err = e.Complete(t.Context(), newRequest(textOfTokens("n", 20*64), 8), nil)
 		is.NoErr(err)
-		again, err := e.Complete(t.Context(), gone, nil)
+		again, err := e.Complete(t.Context(), ended, nil)
 		is.NoErr(err)
 		is.True(again.CachedTokens() > 0)
 		is.NoErr(e.Order(t.Context(), engine.Order{Kind: engine.OrderRelease, Programs: []string{"gone"}}))
 		for i := range 2 {
-			_, err = e.Complete(t.Context(), ask(long(fmt.Sprint(i), 20*64), 8), nil)
+			_, err = e.Complete(t.Context(), newRequest(textOfTokens(fmt.Sprint(i), 20*64), 8), nil)
 			is.NoErr(err)
 		}
-		again, err = e.Complete(t.Context(), gone, nil)
+		again, err = e.Complete(t.Context(), ended, nil)
 		is.NoErr(err)
 		is.Equal(again.CachedTokens(), 0)
 	})
--- a/internal/standin/enginecache.go
+++ b/internal/standin/enginecache.go
@@ -2,14 +2,14 @@
 
 import "container/list"
 
-// blockCache is an engine's prefix cache: hashed blocks in limited memory.
-// Blocks of running calls are pinned. Of the others those that no program
-// holds are evicted first, least recently used first, and then held ones.
+// blockCache is an engine's prefix cache: blocks identified by hash, up to a capacity in blocks.
+// Blocks of running calls are pinned and not evicted. Of the others, blocks that no program holds
+// are evicted first, then held blocks; each group in least-recently-used order.
 type blockCache struct {
 	capacity int
 	blocks   map[uint64]*cacheBlock
 	programs map[string]map[uint64]struct{}
-	free     *list.List
+	unheld   *list.List
 	held     *list.List
 }
 
@@ -17,8 +17,8 @@
 	hash    uint64
 	pins    int
 	holders map[string]struct{}
-	elem    *list.Element
-	in      *list.List
+	element *list.Element
+	lru     *list.List
 }
 
 func newBlockCache(capacity int) *blockCache {
@@ -26,12 +26,12 @@
 		capacity: capacity,
 		blocks:   map[uint64]*cacheBlock{},
 		programs: map[string]map[uint64]struct{}{},
-		free:     list.New(),
+		unheld:   list.New(),
 		held:     list.New(),
 	}
 }
 
-// match returns the number of leading hashes that the cache holds.
+// match returns the length of the longest prefix of hashes that is cached.
 func (c *blockCache) match(hashes []uint64) int {
 	for i, hash := range hashes {
 		if c.blocks[hash] == nil {
@@ -41,7 +41,7 @@
 	return len(hashes)
 }
 
-// pin keeps the blocks from eviction until unpin.
+// pin protects the blocks from eviction until unpin. All of them must be cached.
 func (c *blockCache) pin(hashes []uint64) {
 	for _, hash := range hashes {
 		b := c.blocks[hash]
@@ -50,7 +50,7 @@
 	}
 }
 
-// unpin takes the pins back, in reverse, so that a chain's tail is evicted before its head.
+// unpin releases the pins in reverse order, so that a chain's tail is evicted before its head.
 func (c *blockCache) unpin(hashes []uint64) {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		b := c.blocks[hashes[i]]
@@ -59,14 +59,14 @@
 	}
 }
 
-// store adds the chain for the program and pins what it could store. It
-// returns the stored part of the chain, the new blocks and the evicted ones.
-func (c *blockCache) store(hashes []uint64, program string) (kept, added, evicted []uint64) {
+// store adds the chain of blocks, held by the program, and pins the prefix that fits. It returns
+// that prefix, the blocks that were added and those that were evicted.
+func (c *blockCache) store(hashes []uint64, program string) (pinned, added, evicted []uint64) {
 	for i, hash := range hashes {
 		b := c.blocks[hash]
 		if b == nil {
-			out, ok := c.makeRoom()
-			evicted = append(evicted, out...)
+			newlyEvicted, ok := c.ensureCapacity()
+			evicted = append(evicted, newlyEvicted...)
 			if !ok {
 				return hashes[:i], added, evicted
 			}
@@ -76,12 +76,12 @@
 		}
 		b.pins++
 		b.unlink()
-		c.hold(b, program)
+		c.addHolder(b, program)
 	}
 	return hashes, added, evicted
 }
 
-func (c *blockCache) hold(b *cacheBlock, program string) {
+func (c *blockCache) addHolder(b *cacheBlock, program string) {
 	if program == "" {
 		return
 	}
@@ -94,9 +94,9 @@
 	set[b.hash] = struct{}{}
 }
 
-func (c *blockCache) makeRoom() (evicted []uint64, ok bool) {
+func (c *blockCache) ensureCapacity() (evicted []uint64, ok bool) {
 	for len(c.blocks) >= c.capacity {
-		victim := c.free.Back()
+		victim := c.unheld.Back()
 		if victim == nil {
 			victim = c.held.Back()
 		}
@@ -105,13 +105,13 @@
 		}
 		b := victim.Value.(*cacheBlock)
 		b.unlink()
-		c.drop(b)
+		c.deleteBlock(b)
 		evicted = append(evicted, b.hash)
 	}
 	return evicted, true
 }
 
-func (c *blockCache) drop(b *cacheBlock) {
+func (c *blockCache) deleteBlock(b *cacheBlock) {
 	delete(c.blocks, b.hash)
 	for program := range b.holders {
 		delete(c.programs[program], b.hash)
@@ -121,15 +121,16 @@
 	}
 }
 
-// release ends the program's hold; its blocks stay until room is needed.
+// release removes the program as a holder. Blocks without another holder stay cached and become
+// the first to be evicted.
 func (c *blockCache) release(program string) {
 	for hash := range c.programs[program] {
 		b := c.blocks[hash]
 		delete(b.holders, program)
 		if b.pins == 0 && len(b.holders) == 0 {
 			b.unlink()
-			b.in = c.free
-			b.elem = c.free.PushBack(b)
+			b.lru = c.unheld
+			b.element = c.unheld.PushBack(b)
 		}
 	}
 	delete(c.programs, program)
@@ -140,17 +141,17 @@
 	if b.pins > 0 {
 		return
 	}
-	b.in = c.free
+	b.lru = c.unheld
 	if len(b.holders) > 0 {
-		b.in = c.held
+		b.lru = c.held
 	}
-	b.elem = b.in.PushFront(b)
+	b.element = b.lru.PushFront(b)
 }
 
 func (b *cacheBlock) unlink() {
-	if b.elem == nil {
+	if b.element == nil {
 		return
 	}
-	b.in.Remove(b.elem)
-	b.elem = nil
+	b.lru.Remove(b.element)
+	b.element = nil
 }
--- a/internal/standin/enginecontrol.go
+++ b/internal/standin/enginecontrol.go
@@ -12,10 +12,10 @@
 	"foxhall/internal/engine"
 )
 
-// eventLog keeps the last cache events with the time at which they happened.
+// eventLog holds the most recent cache events with their times.
 type eventLog struct {
-	seq  uint64
-	kept []timedEvent
+	lastSeq uint64
+	recent  []timedEvent
 }
 
 type timedEvent struct {
@@ -27,19 +27,19 @@
 	if len(blocks) == 0 {
 		return
 	}
-	e.events.seq++
+	e.events.lastSeq++
 	if e.faults.DropEvents {
 		return
 	}
-	event := engine.Event{Boot: e.bootName(), Seq: e.events.seq, Kind: kind, Blocks: slices.Clone(blocks)}
-	e.events.kept = append(e.events.kept, timedEvent{event, e.last})
-	if len(e.events.kept) > engineEventsKept {
-		e.events.kept = slices.Clone(e.events.kept[len(e.events.kept)-engineEventsKept/2:])
+	event := engine.Event{Boot: e.currentBoot(), Seq: e.events.lastSeq, Kind: kind, Blocks: slices.Clone(blocks)}
+	e.events.recent = append(e.events.recent, timedEvent{event, e.advancedTo})
+	if len(e.events.recent) > maxEngineEvents {
+		e.events.recent = slices.Clone(e.events.recent[len(e.events.recent)-maxEngineEvents/2:])
 	}
 }
 
-// EventsAfter returns the cache events after number from that are old enough
-// to have come through.
+// EventsAfter returns the cache events with sequence numbers above from that are at least EventLag
+// old.
 func (e *Engine) EventsAfter(from uint64) ([]engine.Event, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,12 +50,12 @@
 	if e.faults.Hang {
 		return nil, nil
 	}
-	visible := e.last.Add(-e.config.EventLag)
+	visible := e.advancedTo.Add(-e.config.EventLag)
 	var events []engine.Event
-	start, _ := slices.BinarySearchFunc(e.events.kept, from+1, func(t timedEvent, seq uint64) int {
+	start, _ := slices.BinarySearchFunc(e.events.recent, from+1, func(t timedEvent, seq uint64) int {
 		return int(int64(t.Seq) - int64(seq))
 	})
-	for _, t := range e.events.kept[start:] {
+	for _, t := range e.events.recent[start:] {
 		if t.at.After(visible) {
 			break
 		}
@@ -64,9 +64,9 @@
 	return events, nil
 }
 
-// loadLog delays load reports by the configured lag.
+// loadLog holds recent load reports, so that they can be returned with the configured lag.
 type loadLog struct {
-	kept []timedLoad
+	reports []timedLoad
 }
 
 type timedLoad struct {
@@ -74,7 +74,7 @@
 	at time.Time
 }
 
-// Load returns the report that is old enough to have come through.
+// Load returns the latest recorded report that is at least LoadLag old, or the oldest one if none is.
 func (e *Engine) Load() (engine.Load, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -82,18 +82,18 @@
 	if e.faults.Down {
 		return engine.Load{}, &engine.Error{Class: engine.ErrNotSent, Cause: errors.New("connection refused")}
 	}
-	e.load.kept = append(e.load.kept, timedLoad{e.currentLoad(), e.last})
-	visible := e.last.Add(-e.config.LoadLag)
-	keep := 0
-	for i, report := range e.load.kept {
+	e.loads.reports = append(e.loads.reports, timedLoad{e.currentLoad(), e.advancedTo})
+	visible := e.advancedTo.Add(-e.config.LoadLag)
+	latestVisible := 0
+	for i, report := range e.loads.reports {
 		if report.at.After(visible) {
 			break
 		}
-		keep = i
+		latestVisible = i
 	}
-	e.load.kept = e.load.kept[keep:]
-	report := e.load.kept[0].Load
-	report.AgeMillis = e.last.Sub(e.load.kept[0].at).Milliseconds()
+	e.loads.reports = e.loads.reports[latestVisible:]
+	report := e.loads.reports[0].Load
+	report.AgeMillis = e.advancedTo.Sub(e.loads.reports[0].at).Milliseconds()
 	if e.faults.LieLoad {
 		report.Running, report.Waiting, report.PrefillTokens = 0, 0, 0
 	}
@@ -108,15 +108,16 @@
 		Draining:    e.faults.Leaving,
 	}
 	for _, s := range e.running {
-		load.PrefillTokens += max(0, int(s.prefillLeft))
+		load.PrefillTokens += max(0, int(s.prefillTokensLeft))
 	}
 	for _, s := range e.waiting {
-		load.PrefillTokens += s.prompt
+		load.PrefillTokens += s.promptTokens
 	}
 	return load
 }
 
-// State returns what the engine holds.
+// State returns the engine's role, fencing token, loaded models and cached tokens per program, and
+// the cached block hashes if blocks is set.
 func (e *Engine) State(blocks bool) (engine.State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -124,7 +125,7 @@
 	if e.faults.Down {
 		return engine.State{}, &engine.Error{Class: engine.ErrNotSent, Cause: errors.New("connection refused")}
 	}
-	state := engine.State{Boot: e.bootName(), Seq: e.events.seq, Role: e.role, Token: e.token, Programs: map[string]int{}}
+	state := engine.State{Boot: e.currentBoot(), Seq: e.events.lastSeq, Role: e.role, Token: e.fencingToken, Programs: map[string]int{}}
 	for _, name := range slices.Sorted(maps.Keys(e.models)) {
 		state.Models = append(state.Models, *e.models[name])
 	}
@@ -137,7 +138,7 @@
 	return state, nil
 }
 
-// Cached returns how many tokens of the conversation the engine holds.
+// Cached returns the number of tokens of the conversation's prefix in the cache.
 func (e *Engine) Cached(model string, messages []chat.Message) int {
 	blocks := engine.Blocks(nil, model, messages)
 	e.mu.Lock()
@@ -146,7 +147,7 @@
 	return e.cache.match(blocks) * engine.BlockTokens
 }
 
-// Order carries out an order, or refuses an old token where the engine checks.
+// Order executes an order. An engine configured as Fenced rejects orders with an old fencing token.
 func (e *Engine) Order(ctx context.Context, o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -154,15 +155,15 @@
 	if e.faults.Down {
 		return &engine.Error{Class: engine.ErrNotSent, Cause: errors.New("connection refused")}
 	}
-	if e.config.Fenced && o.Token < e.token {
-		return &engine.Error{Class: engine.ErrFenced, Status: 409, Cause: errors.Errorf("token %d is older than %d", o.Token, e.token)}
+	if e.config.Fenced && o.Token < e.fencingToken {
+		return &engine.Error{Class: engine.ErrFenced, Status: 409, Cause: errors.Errorf("token %d is older than %d", o.Token, e.fencingToken)}
 	}
-	e.token = max(e.token, o.Token)
+	e.fencingToken = max(e.fencingToken, o.Token)
 	switch o.Kind {
 	case engine.OrderLoad:
 		e.loadModel(o)
 	case engine.OrderUnload:
-		e.unload(o.Served)
+		e.unloadModel(o.Served)
 	case engine.OrderRole:
 		e.role = o.Role
 	case engine.OrderRelease:
@@ -175,7 +176,8 @@
 	return nil
 }
 
-// loadModel is idempotent: a model that is loaded or loading stays as it is.
+// loadModel starts to load a model. It is idempotent: a model that is loaded or loading stays
+// unchanged.
 func (e *Engine) loadModel(o engine.Order) {
 	if e.models[o.Served] != nil {
 		return
@@ -186,15 +188,15 @@
 		loaded.Ready = true
 		return
 	}
-	go e.fetch(o, loaded)
+	go e.fetchWeights(o, loaded)
 }
 
-// unload takes a model out at once; calls that run on it are broken.
-func (e *Engine) unload(served string) {
+// unloadModel removes a model at once; its running and waiting calls fail.
+func (e *Engine) unloadModel(served string) {
 	for _, s := range slices.Concat(e.running, e.waiting) {
 		if s.model == served {
 			e.counts.Broken++
-			e.end(s, &engine.Error{Class: engine.ErrUnknown, Partial: s.decoded > 0, Cause: errors.New("model unloaded")})
+			e.endSequence(s, &engine.Error{Class: engine.ErrUnknown, Partial: s.decodedTokens > 0, Cause: errors.New("model unloaded")})
 		}
 	}
 	delete(e.models, served)
@@ -202,7 +204,7 @@
 	e.schedule()
 }
 
-func (e *Engine) fetch(o engine.Order, loaded *engine.Loaded) {
+func (e *Engine) fetchWeights(o engine.Order, loaded *engine.Loaded) {
 	err := e.config.Fetch(context.Background(), o.Model, o.Version)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -216,7 +218,7 @@
 	loaded.Ready = true
 }
 
-// ExportKV returns the cache of a program.
+// ExportKV returns the cached blocks that a program holds.
 func (e *Engine) ExportKV(program string) (engine.KV, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -227,7 +229,8 @@
 	return engine.KV{Program: program, Blocks: blocks}, nil
 }
 
-// ImportKV takes a program's cache in, which lasts by the size of it.
+// ImportKV adds a program's exported blocks to the cache. The transfer takes time in proportion to
+// their size, at KVSpeed.
 func (e *Engine) ImportKV(ctx context.Context, kv engine.KV) error {
 	tokens := float64(len(kv.Blocks) * engine.BlockTokens)
 	select {
@@ -241,8 +244,8 @@
 	if e.faults.Down {
 		return &engine.Error{Class: engine.ErrUnknown, Cause: errors.New("connection reset")}
 	}
-	kept, added, evicted := e.cache.store(kv.Blocks, kv.Program)
-	e.cache.unpin(kept)
+	pinned, added, evicted := e.cache.store(kv.Blocks, kv.Program)
+	e.cache.unpin(pinned)
 	e.publish(engine.Evicted, evicted)
 	e.publish(engine.Stored, added)
 	return nil
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -1,7 +1,6 @@
-// Package standin holds small stand-ins for the outside systems that foxhall
-// meets: the platform's object API, model engines, tool services and the
-// weight store. Each is a plain value with switches for its faults, usable in
-// a test directly or served over HTTP on loopback.
+// Package standin implements small stand-ins for the external systems that foxhall uses: the
+// platform's object API, model engines, tool services and the weight store. Each can inject faults
+// and is used in a test directly or served over HTTP on loopback.
 package standin
 
 import (
@@ -17,50 +16,50 @@
 	"foxhall/internal/store"
 )
 
-// watchBuffer is the number of past events that a store keeps for watches to resume from.
-const watchBuffer = 4096
+// maxWatchEvents is the number of past events that a store retains for watches to resume from.
+const maxWatchEvents = 4096
 
-// StoreFaults are the ways in which the stand-in object API can misbehave.
+// StoreFaults are the faults that can be injected into the stand-in object API.
 type StoreFaults struct {
-	// Down refuses every call with store.ErrUnavailable and breaks watches.
+	// Down fails every call with store.ErrUnavailable and ends all watches.
 	Down bool
 	// Delay is added to each call.
 	Delay time.Duration
-	// LoseAnswers applies the next n writes and then loses their answers.
+	// LoseAnswers is the number of next writes that take effect but fail with store.ErrUnknown, as
+	// if their responses were lost.
 	LoseAnswers int
-	// DropWrites loses the next n writes before they take effect, with the same error.
+	// DropWrites is the number of next writes that fail with the same error without taking effect.
 	DropWrites int
-	// LateWrites lets a write whose caller gave up during Delay take effect
-	// when the delay is over.
+	// LateWrites makes a write whose caller gave up during Delay take effect late, Delay after that.
 	LateWrites bool
-	// RegressReads answers the next n reads of single objects from the state
-	// before the object's last write.
+	// RegressReads is the number of next reads of single objects that return the state before the
+	// object's last write.
 	RegressReads int
-	// Reads and Writes bound the calls a second; more are refused with
-	// store.ErrRateLimited. Zero means no bound.
+	// Reads and Writes are the limits in calls per second; calls above them fail with
+	// store.ErrRateLimited. Zero means no limit.
 	Reads, Writes float64
-	// StallWatches keeps watches open but sends nothing.
+	// StallWatches keeps watches open without sending events.
 	StallWatches bool
 }
 
-// StoreCounts counts the calls that a store has answered.
+// StoreCounts are the numbers of calls that a store has processed.
 type StoreCounts struct {
 	Reads, Writes, Watches int64
 }
 
-// Store is an in-memory object API. It implements store.Client.
+// Store is an in-memory implementation of the object API. It implements store.Client.
 type Store struct {
-	mu       sync.Mutex
-	objects  map[store.Key]store.Object
-	previous map[store.Key]store.Object
-	reads    *rate.Limiter
-	writes   *rate.Limiter
-	version  store.Version
-	log      []store.Event
-	trimmed  store.Version
-	faults   StoreFaults
-	counts   StoreCounts
-	watchers map[*watcher]struct{}
+	mu          sync.Mutex
+	objects     map[store.Key]store.Object
+	previous    map[store.Key]store.Object
+	reads       *rate.Limiter
+	writes      *rate.Limiter
+	version     store.Version
+	events      []store.Event
+	trimmedUpTo store.Version
+	faults      StoreFaults
+	counts      StoreCounts
+	watchers    map[*watcher]struct{}
 }
 
 type watcher struct {
@@ -74,29 +73,30 @@
 	return &Store{
 		objects:  map[store.Key]store.Object{},
 		previous: map[store.Key]store.Object{},
-		reads:    limiter(0),
-		writes:   limiter(0),
+		reads:    newLimiter(0),
+		writes:   newLimiter(0),
 		watchers: map[*watcher]struct{}{},
 	}
 }
 
-// limiter bounds calls a second, with a burst of a tenth of a second.
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter returns a limiter of perSecond calls per second, with a burst of a tenth of a second's
+// calls but at least one. Zero or less means no limit.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/10)))
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.Reads != s.faults.Reads {
-		s.reads = limiter(f.Reads)
+		s.reads = newLimiter(f.Reads)
 	}
 	if f.Writes != s.faults.Writes {
-		s.writes = limiter(f.Writes)
+		s.writes = newLimiter(f.Writes)
 	}
 	s.faults = f
 	for w := range s.watchers {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Counts returns the number of calls answered so far.
+// Counts returns the numbers of calls processed so far.
 func (s *Store) Counts() StoreCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +114,7 @@
 
 // Get implements store.Client.
 func (s *Store) Get(ctx context.Context, key store.Key) (store.Object, error) {
-	if err := s.enter(ctx, s.readLimit()); err != nil {
+	if err := s.admit(ctx, s.readLimiter()); err != nil {
 		return store.Object{}, err
 	}
 	defer s.mu.Unlock()
@@ -133,7 +133,7 @@
 
 // List implements store.Client.
 func (s *Store) List(ctx context.Context, kind, prefix string) ([]store.Object, error) {
-	if err := s.enter(ctx, s.readLimit()); err != nil {
+	if err := s.admit(ctx, s.readLimiter()); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
@@ -153,33 +153,34 @@
 	if len(value) > store.MaxValue {
 		return 0, store.ErrTooLarge
 	}
-	return s.write(ctx, func() (store.Version, error) { return s.put(key, value, base) })
+	return s.write(ctx, func() (store.Version, error) { return s.applyPut(key, value, base) })
 }
 
-// write performs a write after the delay, also where its caller gave up and
-// writes are late.
+// write applies a write after the delay. If the caller gives up during the delay, it applies the
+// write only with LateWrites.
 func (s *Store) write(ctx context.Context, apply func() (store.Version, error)) (store.Version, error) {
-	late := s.lateWrites()
-	err := s.enter(ctx, s.writeLimit())
+	lateDelay := s.lateWriteDelay()
+	err := s.admit(ctx, s.writeLimiter())
 	if err == nil {
 		defer s.mu.Unlock()
 		return apply()
 	}
-	if late > 0 && errors.Is(err, store.ErrUnknown) {
-		go s.writeLate(late, apply)
+	if lateDelay > 0 && errors.Is(err, store.ErrUnknown) {
+		go s.applyLate(lateDelay, apply)
 	}
 	return 0, err
 }
 
-func (s *Store) writeLate(after time.Duration, apply func() (store.Version, error)) {
+func (s *Store) applyLate(after time.Duration, apply func() (store.Version, error)) {
 	time.Sleep(after)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = apply()
 }
 
-// lateWrites returns how late a write takes effect whose caller gives up, or zero.
-func (s *Store) lateWrites() time.Duration {
+// lateWriteDelay returns the delay after which a write takes effect whose caller gave up, or zero
+// if it takes none.
+func (s *Store) lateWriteDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.faults.LateWrites {
@@ -188,22 +189,22 @@
 	return s.faults.Delay
 }
 
-func (s *Store) readLimit() *rate.Limiter {
+func (s *Store) readLimiter() *rate.Limiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads
 }
 
-func (s *Store) writeLimit() *rate.Limiter {
+func (s *Store) writeLimiter() *rate.Limiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes
 }
 
-// put applies a write. The lock is held.
-func (s *Store) put(key store.Key, value []byte, base store.Version) (store.Version, error) {
+// applyPut applies a conditional write. The caller holds the lock.
+func (s *Store) applyPut(key store.Key, value []byte, base store.Version) (store.Version, error) {
 	s.counts.Writes++
-	if s.dropWrite() {
+	if s.consumeDroppedWrite() {
 		return 0, store.ErrUnknown
 	}
 	if s.objects[key].Version != base {
@@ -214,19 +215,19 @@
 	s.previous[key] = s.objects[key]
 	s.objects[key] = object
 	s.publish(store.Event{Object: object})
-	return object.Version, s.loseAnswer()
+	return object.Version, s.consumeLostResponse()
 }
 
 // Delete implements store.Client.
 func (s *Store) Delete(ctx context.Context, key store.Key, base store.Version) error {
-	_, err := s.write(ctx, func() (store.Version, error) { return 0, s.remove(key, base) })
+	_, err := s.write(ctx, func() (store.Version, error) { return 0, s.applyDelete(key, base) })
 	return err
 }
 
-// remove applies a deletion. The lock is held.
-func (s *Store) remove(key store.Key, base store.Version) error {
+// applyDelete applies a conditional deletion. The caller holds the lock.
+func (s *Store) applyDelete(key store.Key, base store.Version) error {
 	s.counts.Writes++
-	if s.dropWrite() {
+	if s.consumeDroppedWrite() {
 		return store.ErrUnknown
 	}
 	object, ok := s.objects[key]
@@ -240,28 +241,28 @@
 	s.previous[key] = object
 	delete(s.objects, key)
 	s.publish(store.Event{Object: store.Object{Key: key, Version: s.version}, Deleted: true})
-	return s.loseAnswer()
+	return s.consumeLostResponse()
 }
 
 // Watch implements store.Client.
 func (s *Store) Watch(ctx context.Context, kind string, from store.Version) (<-chan store.Event, error) {
-	if err := s.enter(ctx, s.readLimit()); err != nil {
+	if err := s.admit(ctx, s.readLimiter()); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
 	s.counts.Watches++
-	if from < s.trimmed {
+	if from < s.trimmedUpTo {
 		return nil, store.ErrGone
 	}
 	w := &watcher{kind: kind, wake: make(chan struct{}, 1)}
 	s.watchers[w] = struct{}{}
 	events := make(chan store.Event)
-	go s.feed(ctx, w, from, events)
+	go s.sendEvents(ctx, w, from, events)
 	return events, nil
 }
 
-// feed sends the events after from to one watch until it breaks or ctx ends.
-func (s *Store) feed(ctx context.Context, w *watcher, from store.Version, events chan<- store.Event) {
+// sendEvents sends the events after version from to one watch, until the watch breaks or ctx ends.
+func (s *Store) sendEvents(ctx context.Context, w *watcher, from store.Version, events chan<- store.Event) {
 	defer close(events)
 	defer func() {
 		s.mu.Lock()
@@ -269,7 +270,7 @@
 		s.mu.Unlock()
 	}()
 	for {
-		batch, broken := s.after(w, from)
+		batch, broken := s.eventsAfter(w, from)
 		if broken {
 			return
 		}
@@ -292,17 +293,17 @@
 	}
 }
 
-func (s *Store) after(w *watcher, from store.Version) ([]store.Event, bool) {
+func (s *Store) eventsAfter(w *watcher, from store.Version) ([]store.Event, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w.broken || from < s.trimmed {
+	if w.broken || from < s.trimmedUpTo {
 		return nil, true
 	}
 	if s.faults.StallWatches {
 		return nil, false
 	}
 	var batch []store.Event
-	for _, event := range s.log {
+	for _, event := range s.events {
 		if event.Object.Version > from && event.Object.Key.Kind == w.kind {
 			batch = append(batch, event)
 		}
@@ -317,8 +318,9 @@
 	}
 }
 
-// enter waits out the delay and returns with the lock held, or with an error and without it.
-func (s *Store) enter(ctx context.Context, limit *rate.Limiter) error {
+// admit waits for the injected delay and checks the rate limit and outage. It returns with the lock
+// held, or with an error and the lock not held.
+func (s *Store) admit(ctx context.Context, limit *rate.Limiter) error {
 	s.mu.Lock()
 	delay := s.faults.Delay
 	s.mu.Unlock()
@@ -344,11 +346,11 @@
 }
 
 func (s *Store) publish(event store.Event) {
-	s.log = append(s.log, event)
-	if len(s.log) > watchBuffer {
-		drop := len(s.log) - watchBuffer
-		s.trimmed = s.log[drop-1].Object.Version
-		s.log = append([]store.Event(nil), s.log[drop:]...)
+	s.events = append(s.events, event)
+	if len(s.events) > maxWatchEvents {
+		excess := len(s.events) - maxWatchEvents
+		s.trimmedUpTo = s.events[excess-1].Object.Version
+		s.events = append([]store.Event(nil), s.events[excess:]...)
 	}
 	for w := range s.watchers {
 		if w.kind == event.Object.Key.Kind {
@@ -357,7 +359,7 @@
 	}
 }
 
-func (s *Store) dropWrite() bool {
+func (s *Store) consumeDroppedWrite() bool {
 	if s.faults.DropWrites == 0 {
 		return false
 	}
@@ -365,7 +367,7 @@
 	return true
 }
 
-func (s *Store) loseAnswer() error {
+func (s *Store) consumeLostResponse() error {
 	if s.faults.LoseAnswers == 0 {
 		return nil
 	}
@@ -373,7 +375,7 @@
 	return store.ErrUnknown
 }
 
-// Faults returns the faults in force, with what is left of those that count down.
+// Faults returns the current faults; those that apply to the next n calls have the remaining number.
 func (s *Store) Faults() StoreFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
