--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -19,7 +19,7 @@
 	callMessage  = "call"
 	startMessage = "start"
 	// lineMost is the longest line that is read.
-	lineMost = 1 << 20
+	maxLineBytes = 1 << 20
 )
 
 // Line is one log line.
@@ -55,7 +55,7 @@
 	l := &Log{}
 	for _, r := range readers {
 		scanner := bufio.NewScanner(r)
-		scanner.Buffer(nil, lineMost)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
 			l.add(scanner.Bytes())
 		}
@@ -90,11 +90,11 @@
 
 // Story returns all lines about a request or a program.
 func (l *Log) Story(id string) []Line {
-	var story []Line
+	var lines []Line
 	for _, line := range l.Lines {
 		if line.Text("request") == id || line.Text("program") == id || line.Text("previous") == id {
-			story = append(story, line)
+			lines = append(lines, line)
 		}
 	}
-	return story
+	return lines
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-const lines = `
+const logText = `
   -9.99 entry-1 {"time":"2026-03-02T21:07:05.1Z","level":"info","message":"start","fields":{"instance":"entry-1","data_centre":"north"}}
 {"time":"2026-03-02T21:07:07.2Z","level":"info","message":"call","fields":{"instance":"entry-1","outcome":"not-run","reason":"turns_unreached","request":"r2","program":"p","reserving_ms":1800,"cause":"slice 3 in epoch 7"}}
 {"time":"2026-03-02T21:07:06.1Z","level":"info","message":"call","fields":{"instance":"entry-1","outcome":"answered","request":"r1","program":"p","placing_ms":4}}
@@ -19,14 +19,14 @@
 {"broken":`
 
 func read(t *testing.T) *Log {
-	l, err := Read(strings.NewReader(lines))
+	l, err := Read(strings.NewReader(logText))
 	is.New(t).NoErr(err)
 	return l
 }
 
 // An engineer sees neither when calls failed nor for what: the table has one row a
 // second and data centre, with the mean time in each stage and the reasons.
-func TestTableTellsWhenAndWhy(t *testing.T) {
+func TestTableShowsFailuresByTimeAndReason(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(read(t).Table(time.Second).Write(&out))
@@ -37,7 +37,7 @@
 }
 
 // The story of a program has its lines of all instances in the order of time.
-func TestStoryIsInOrder(t *testing.T) {
+func TestStoryIsInTimeOrder(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(WriteStory(&out, read(t).Story("p")))
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -9,11 +9,11 @@
 
 // WriteStory prints the lines about a request or a program, each with the time
 // since the first.
-func WriteStory(w io.Writer, story []Line) error {
-	for i := range story {
-		line := &story[i]
+func WriteStory(w io.Writer, lines []Line) error {
+	for i := range lines {
+		line := &lines[i]
 		_, err := fmt.Fprintf(w, "%+8.3f s  %-20s %s  %s\n",
-			line.Time.Sub(story[0].Time).Seconds(), line.Text("instance"), line.Message, fieldsOf(line))
+			line.Time.Sub(lines[0].Time).Seconds(), line.Text("instance"), line.Message, fieldsOf(line))
 		if err != nil {
 			return err
 		}
