--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain reads the log lines of instances and tells what became of calls:
-// over time for all of them, and in order for one request or program.
+// Package explain reads the log lines of instances and reports the outcomes of calls: a table
+// over time for all calls, or all lines in order of time for one request or program.
 package explain
 
 import (
@@ -14,11 +14,11 @@
 )
 
 const (
-	// callMessage is the message of the one line that ends each call, startMessage
-	// that of the first line of each process.
-	callMessage  = "call"
+	// callMessage is the message of the line that is logged once at the end of each call.
+	callMessage = "call"
+	// startMessage is the message of the first line of each process.
 	startMessage = "start"
-	// lineMost is the longest line that is read.
+	// maxLineBytes is the length of the longest line that is read; a longer one is an error.
 	maxLineBytes = 1 << 20
 )
 
@@ -30,27 +30,28 @@
 	Fields  map[string]any `json:"fields"`
 }
 
-// Text returns a field that holds a text; empty where there is none.
+// Text returns the string value of a field, or "" if the field is absent or not a string.
 func (l *Line) Text(name string) string {
 	s, _ := l.Fields[name].(string)
 	return s
 }
 
-// Millis returns a field that holds milliseconds.
+// Millis returns the duration in a field given in milliseconds, or 0 if the field is absent or
+// not a number.
 func (l *Line) Millis(name string) time.Duration {
 	ms, _ := l.Fields[name].(float64)
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Log is what was read of all instances' lines, in the order of time.
+// Log holds the log lines of all instances, in order of time.
 type Log struct {
 	Lines []Line
-	// Skipped is the number of lines that are none of an instance.
+	// Skipped is the number of lines read that are not log lines of an instance.
 	Skipped int
 }
 
-// Read reads log lines. What stands before a line's first brace, as collectors of
-// logs write it, is passed over.
+// Read reads log lines. Text before the first brace of a line is ignored, because log
+// collectors put a prefix there.
 func Read(readers ...io.Reader) (*Log, error) {
 	l := &Log{}
 	for _, r := range readers {
@@ -77,7 +78,7 @@
 	l.Lines = append(l.Lines, line)
 }
 
-// dataCentres returns where each instance stands, by what they said at their start.
+// dataCentres returns the data centre of each instance, as logged in its start line.
 func (l *Log) dataCentres() map[string]string {
 	centres := map[string]string{}
 	for i := range l.Lines {
@@ -88,7 +89,7 @@
 	return centres
 }
 
-// Story returns all lines about a request or a program.
+// Story returns all lines that name the request or program with this ID, in order of time.
 func (l *Log) Story(id string) []Line {
 	var lines []Line
 	for _, line := range l.Lines {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -24,8 +24,8 @@
 	return l
 }
 
-// An engineer sees neither when calls failed nor for what: the table has one row a
-// second and data centre, with the mean time in each stage and the reasons.
+// Guards against a table that hides when or why calls failed: it has one row per second and
+// data centre, with the mean time in each stage and the reasons.
 func TestTableShowsFailuresByTimeAndReason(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
@@ -36,7 +36,7 @@
 	is.Equal(strings.Fields(rows[2]), []string{"2.0", "north", "1", "1800.0", "0.0", "0.0", "0.0", "1", "not-run", "turns_unreached", "p"})
 }
 
-// The story of a program has its lines of all instances in the order of time.
+// The story of a program has the lines of all instances in order of time.
 func TestStoryIsInTimeOrder(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
@@ -48,7 +48,7 @@
 	is.True(strings.Contains(rows[2], "cause=slice 3 in epoch 7"))
 }
 
-// What is no line of an instance is counted and passed over.
+// Text that is not a log line of an instance is counted and skipped.
 func TestOtherTextIsSkipped(t *testing.T) {
 	is := is.New(t)
 	l := read(t)
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// WriteStory prints the lines about a request or a program, each with the time
-// since the first.
+// WriteStory prints the lines about a request or a program, each with the time in seconds
+// since the first line.
 func WriteStory(w io.Writer, lines []Line) error {
 	for i := range lines {
 		line := &lines[i]
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// fieldsOf returns a line's fields in the order of their names.
+// fieldsOf formats the fields of a line, sorted by name; the instance is left out.
 func fieldsOf(line *Line) string {
 	var names []string
 	for name := range line.Fields {
--- a/internal/explain/table.go
+++ b/internal/explain/table.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// ended is how a call ended.
+// callResult is the outcome of a call and the reason for it, which may be empty.
 type callResult struct{ outcome, reason string }
 
 func (e callResult) String() string {
@@ -20,27 +20,27 @@
 	return e.outcome + " " + e.reason
 }
 
-// stageNames are the fields of a call's time in each part of its way.
+// stageFields are the log fields with the time that a call spent in each stage, in milliseconds.
 var stageFields = []string{"reserving_ms", "placing_ms", "sending_ms", "keeping_ms"}
 
-// row is what became of the calls that ended in one span and data centre.
+// row sums up the calls that ended in one time span and data centre.
 type row struct {
 	start      time.Time
 	dataCentre string
 	calls      int
 	results    map[callResult]int
 	stages     map[string]time.Duration
-	// lost are the programs of calls that were not answered.
+	// unanswered is the set of programs with a call that was not answered.
 	unanswered map[string]bool
 }
 
-// Table is the calls by time and data centre.
+// Table sums up calls by time span and data centre.
 type Table struct {
 	start time.Time
 	rows  []*row
 }
 
-// Table adds calls up over spans of time.
+// Table returns a table of the calls with a row for each time span and data centre that had any.
 func (l *Log) Table(span time.Duration) *Table {
 	t := &Table{}
 	if len(l.Lines) == 0 {
@@ -68,7 +68,7 @@
 	return t
 }
 
-// answered is the outcome of a call whose whole answer was passed on.
+// answered is the outcome of a call whose complete response was relayed to the caller.
 const answered = "answered"
 
 func (r *row) add(line *Line) {
@@ -83,10 +83,10 @@
 	}
 }
 
-// lostMost is the number of programs that a row names.
+// maxNamedPrograms is the greatest number of programs that a row names.
 const maxNamedPrograms = 3
 
-// Write prints the table. Times are the mean of a call in each stage.
+// Write prints the table. The times are the mean per call in each stage, in milliseconds.
 func (t *Table) Write(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "second\tdata centre\tcalls\treserving\tplacing\tsending\tkeeping\tended otherwise\tprograms")
@@ -100,7 +100,7 @@
 	return table.Flush()
 }
 
-// otherwise lists how calls ended that were not answered, the most frequent first.
+// unansweredResults lists the results of calls that were not answered, most frequent first.
 func (r *row) unansweredResults() string {
 	var results []callResult
 	for result := range r.results {
@@ -118,6 +118,7 @@
 	return strings.Join(parts, ", ")
 }
 
+// unansweredPrograms lists the programs with unanswered calls, shortened to maxNamedPrograms.
 func (r *row) unansweredPrograms() string {
 	var names []string
 	for name := range r.unanswered {
