--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -88,17 +88,17 @@
 		return Response{}, errors.Wrap(err, "load: send")
 	}
 	defer resp.Body.Close()
-	out := readHeaders(resp.Header)
+	response := readHeaders(resp.Header)
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		err = out.readStream(resp, started)
-		return out, err
+		err = response.readStream(resp, started)
+		return response, err
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return out, errors.Wrap(err, "load: read")
+		return response, errors.Wrap(err, "load: read")
 	}
-	out.readBody(body)
-	return out, nil
+	response.readBody(body)
+	return response, nil
 }
 
 func (c *Client) newRequest(ctx context.Context, r Request) (*http.Request, error) {
@@ -163,7 +163,7 @@
 	Error *entry.ErrorDetail `json:"error"`
 }
 
-func (r *Response) take(data []byte) {
+func (r *Response) mergeCompletion(data []byte) {
 	var c completion
 	if json.Unmarshal(data, &c) != nil {
 		return
@@ -182,7 +182,7 @@
 }
 
 func (r *Response) readBody(body []byte) {
-	r.take(body)
+	r.mergeCompletion(body)
 	if r.Text == "" && r.Code == "" {
 		r.Text = string(body)
 	}
@@ -193,7 +193,7 @@
 func (r *Response) readStream(resp *http.Response, started time.Time) error {
 	scanner := bufio.NewScanner(resp.Body)
 	scanner.Buffer(nil, 1<<20)
-	whole := false
+	done := false
 	for scanner.Scan() {
 		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		if !ok {
@@ -203,10 +203,10 @@
 			r.FirstToken = time.Since(started)
 		}
 		if data == "[DONE]" {
-			whole = true
+			done = true
 			continue
 		}
-		r.take([]byte(data))
+		r.mergeCompletion([]byte(data))
 	}
 	if err := scanner.Err(); err != nil {
 		return errors.Wrap(err, "load: stream")
@@ -214,13 +214,13 @@
 	if outcome := resp.Trailer.Get(entry.HeaderOutcome); outcome != "" {
 		r.Outcome = step.Outcome(outcome)
 	}
-	if !whole && r.Code == "" {
+	if !done && r.Code == "" {
 		return errors.New("load: the stream ended without its mark")
 	}
 	return nil
 }
 
 // message returns a chat message of the role.
-func message(role, content string) chat.Message {
+func newMessage(role, content string) chat.Message {
 	return chat.Message{Role: role, Raw: fmt.Appendf(nil, `{"role":%q,"content":%q}`, role, content)}
 }
--- a/internal/load/program.go
+++ b/internal/load/program.go
@@ -74,12 +74,12 @@
 	EffectKeys []string
 }
 
-func (r *Run) refuse(code step.Code) {
+func (r *Run) recordRefusal(code step.Code) {
 	r.Refused++
-	r.count(code, 1)
+	r.addCode(code, 1)
 }
 
-func (r *Run) count(code step.Code, n int) {
+func (r *Run) addCode(code step.Code, n int) {
 	if r.Codes == nil {
 		r.Codes = map[step.Code]int{}
 	}
@@ -88,53 +88,53 @@
 
 // agent runs one program.
 type agent struct {
-	client *Client
-	shape  Shape
-	origin int
-	rnd    *rand.Rand
-	run    Run
-	next   int
+	client   *Client
+	shape    Shape
+	origin   int
+	rnd      *rand.Rand
+	run      Run
+	nextStep int
 }
 
 // RunProgram runs one program of the shape to its end and records what its caller saw.
 func RunProgram(ctx context.Context, client *Client, shape Shape, seed uint64) Run {
-	a := &agent{client: client, shape: shape, origin: int(seed % originCount), rnd: rand.New(rand.NewPCG(seed, 1)), next: 1}
+	a := &agent{client: client, shape: shape, origin: int(seed % originCount), rnd: rand.New(rand.NewPCG(seed, 1)), nextStep: 1}
 	started := time.Now()
-	a.run.Finished = a.turns(ctx, seed)
+	a.run.Finished = a.runTurns(ctx, seed)
 	a.run.Latency = time.Since(started)
 	return a.run
 }
 
-func (a *agent) turns(ctx context.Context, seed uint64) bool {
+func (a *agent) runTurns(ctx context.Context, seed uint64) bool {
 	turns := a.shape.Turns[0] + a.rnd.IntN(a.shape.Turns[1]-a.shape.Turns[0]+1)
 	prompt := strings.Repeat("shared ", a.shape.SharedWords) + fmt.Sprintf("program %d ", seed)
 	prompt += strings.Repeat("own ", max(0, a.shape.PromptWords-a.shape.SharedWords))
-	next := message("user", prompt)
+	nextMessage := newMessage("user", prompt)
 	for turn := 1; turn <= turns; turn++ {
 		last := turn == turns
-		answer, ok := a.model(ctx, next, last)
+		answer, ok := a.callModel(ctx, nextMessage, last)
 		if !ok {
 			return false
 		}
 		if last {
 			break
 		}
-		tool, ok := a.tool(ctx, turn)
+		toolText, ok := a.callTool(ctx, turn)
 		if !ok {
 			return false
 		}
-		if turn == 1 && !a.children(ctx, answer) {
+		if turn == 1 && !a.runChildren(ctx, answer) {
 			return false
 		}
-		a.pause(ctx)
-		next = message("user", "tool said: "+tool)
+		a.pauseBeforeTurn(ctx)
+		nextMessage = newMessage("user", "tool said: "+toolText)
 	}
 	return true
 }
 
-func (a *agent) model(ctx context.Context, m chat.Message, last bool) (string, bool) {
+func (a *agent) callModel(ctx context.Context, m chat.Message, last bool) (string, bool) {
 	request := &chat.Request{Model: a.shape.Model, Messages: []chat.Message{m}, Stream: true, MaxTokens: a.shape.AnswerTokens, Extra: usageOptions}
-	r, ok := a.send(ctx, Request{Chat: request, Ends: last})
+	r, ok := a.sendUntilDone(ctx, Request{Chat: request, Ends: last})
 	if !ok {
 		return "", false
 	}
@@ -144,13 +144,13 @@
 	return r.Text, true
 }
 
-func (a *agent) tool(ctx context.Context, turn int) (string, bool) {
+func (a *agent) callTool(ctx context.Context, turn int) (string, bool) {
 	request := Request{Service: a.shape.Service, Path: a.shape.Quote, Body: fmt.Appendf(nil, `{"turn":%d}`, turn)}
 	effect := turn%a.shape.EffectEvery == 0
 	if effect {
 		request.Path = a.shape.Effect
 	}
-	r, ok := a.send(ctx, request)
+	r, ok := a.sendUntilDone(ctx, request)
 	if effect && ok {
 		a.run.Effects++
 		a.run.EffectKeys = append(a.run.EffectKeys, fmt.Sprintf("%s/%d", a.run.Program, r.Number))
@@ -159,15 +159,15 @@
 }
 
 // children runs the sub-agents of the program, each of one model step.
-func (a *agent) children(ctx context.Context, task string) bool {
+func (a *agent) runChildren(ctx context.Context, task string) bool {
 	for range a.shape.Children {
-		child := &agent{client: a.client, shape: a.shape, origin: a.origin, rnd: a.rnd, next: 1}
-		request := &chat.Request{Model: a.shape.Model, Messages: []chat.Message{message("user", "check: "+task)}, MaxTokens: a.shape.AnswerTokens}
-		_, ok := child.send(ctx, Request{Chat: request, Parent: a.run.Program, Ends: true})
+		child := &agent{client: a.client, shape: a.shape, origin: a.origin, rnd: a.rnd, nextStep: 1}
+		request := &chat.Request{Model: a.shape.Model, Messages: []chat.Message{newMessage("user", "check: "+task)}, MaxTokens: a.shape.AnswerTokens}
+		_, ok := child.sendUntilDone(ctx, Request{Chat: request, Parent: a.run.Program, Ends: true})
 		a.run.Steps += child.run.Steps
 		a.run.Refused += child.run.Refused
 		for code, n := range child.run.Codes {
-			a.run.count(code, n)
+			a.run.addCode(code, n)
 		}
 		if !ok {
 			a.run.Reason = child.run.Reason
@@ -179,41 +179,41 @@
 
 // send sends one step until it is done, coming back when foxhall says so. The
 // number of the step is the same on every attempt, so none runs twice.
-func (a *agent) send(ctx context.Context, request Request) (Response, bool) {
-	request.Program, request.Number, request.Deadline, request.Origin = a.run.Program, a.next, a.shape.Deadline, a.origin
+func (a *agent) sendUntilDone(ctx context.Context, request Request) (Response, bool) {
+	request.Program, request.Number, request.Deadline, request.Origin = a.run.Program, a.nextStep, a.shape.Deadline, a.origin
 	for attempt := range maxAttempts {
 		request.Attempt = attempt
 		r, err := a.client.Send(ctx, request)
 		if err == nil && r.Outcome == step.Done && r.Code == "" {
 			a.run.Program = r.Program
 			a.run.Steps++
-			a.next++
+			a.nextStep++
 			return r, true
 		}
-		a.run.refuse(r.Code)
+		a.run.recordRefusal(r.Code)
 		a.run.Reason = r.Code
 		if r.Code == step.CodeSettledNotRun {
-			a.next++
-			request.Number = a.next
+			a.nextStep++
+			request.Number = a.nextStep
 			continue
 		}
 		if err == nil && r.RetryAfter == 0 {
 			return r, false
 		}
-		if !wait(ctx, max(r.RetryAfter, 100*time.Millisecond)) {
+		if !sleep(ctx, max(r.RetryAfter, 100*time.Millisecond)) {
 			return r, false
 		}
 	}
 	return Response{}, false
 }
 
-func (a *agent) pause(ctx context.Context) {
+func (a *agent) pauseBeforeTurn(ctx context.Context) {
 	if a.shape.Pause > 0 {
-		wait(ctx, time.Duration(a.rnd.Int64N(int64(a.shape.Pause))))
+		sleep(ctx, time.Duration(a.rnd.Int64N(int64(a.shape.Pause))))
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -16,7 +16,7 @@
 )
 
 // histogramMax is the longest latency that a report distinguishes, in microseconds.
-const histogramMax = int64(10 * time.Minute / time.Microsecond)
+const histogramMaxMicros = int64(10 * time.Minute / time.Microsecond)
 
 // Report sums up the programs of one shape.
 type Report struct {
@@ -35,8 +35,8 @@
 	Codes      map[step.Code]int
 	EffectKeys []string
 
-	latency *hdrhistogram.Histogram
-	first   *hdrhistogram.Histogram
+	latency    *hdrhistogram.Histogram
+	firstToken *hdrhistogram.Histogram
 }
 
 // Drive runs programs of the shape, at most concurrency at once, and sums them up.
@@ -60,11 +60,11 @@
 
 func newReport(shape string) *Report {
 	return &Report{
-		Shape:   shape,
-		Reasons: map[step.Code]int{},
-		Codes:   map[step.Code]int{},
-		latency: hdrhistogram.New(1, histogramMax, 3),
-		first:   hdrhistogram.New(1, histogramMax, 3),
+		Shape:      shape,
+		Reasons:    map[step.Code]int{},
+		Codes:      map[step.Code]int{},
+		latency:    hdrhistogram.New(1, histogramMaxMicros, 3),
+		firstToken: hdrhistogram.New(1, histogramMaxMicros, 3),
 	}
 }
 
@@ -80,7 +80,7 @@
 	r.Completion += run.Usage.CompletionTokens
 	r.EffectKeys = append(r.EffectKeys, run.EffectKeys...)
 	for _, first := range run.First {
-		_ = r.first.RecordValue(first.Microseconds())
+		_ = r.firstToken.RecordValue(first.Microseconds())
 	}
 	if !run.Finished {
 		r.Reasons[run.Reason]++
@@ -100,7 +100,7 @@
 
 // FirstToken returns the time to a step's first token at the percentile.
 func (r *Report) FirstToken(percentile float64) time.Duration {
-	return time.Duration(r.first.ValueAtPercentile(percentile)) * time.Microsecond
+	return time.Duration(r.firstToken.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
 // WriteTable writes one row for each report.
@@ -115,14 +115,14 @@
 		return err
 	}
 	for _, r := range reports {
-		for _, line := range r.unfinished() {
+		for _, line := range r.unfinishedReasons() {
 			fmt.Fprintln(w, line)
 		}
 	}
 	return nil
 }
 
-func (r *Report) unfinished() []string {
+func (r *Report) unfinishedReasons() []string {
 	lines := make([]string, 0, len(r.Reasons))
 	for code, n := range r.Reasons {
 		lines = append(lines, fmt.Sprintf("%s: %d programs ended unfinished: %s", r.Shape, n, code))
