--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -1,6 +1,6 @@
-// Package load drives a foxhall service as customers' programs do: chains of
-// model calls and tool calls with pauses, sub-agents and retries. It is used
-// by the demo, by the load verb and by tests over real sockets.
+// Package load generates load on a foxhall service in the manner of customers' programs: chains
+// of model calls and tool calls with pauses, sub-agents and retries. It is used by the demo, by
+// the load command and by tests over real sockets.
 package load
 
 import (
@@ -23,18 +23,18 @@
 	"foxhall/internal/step"
 )
 
-// Client calls foxhall with one customer's key, through any of several
-// instances in turn, as a balancer would.
+// Client calls foxhall with the key of one customer. It spreads steps over several instances in
+// turn, as a load balancer would.
 type Client struct {
 	targets []string
 	key     string
 	http    *http.Client
 }
 
-// NewClient returns a client of the instances at the URLs in targets.
+// NewClient returns a client of the instances at the URLs in targets, over TCP.
 func NewClient(targets []string, key string) *Client { return NewClientOn(nil, targets, key) }
 
-// NewClientOn is NewClient with connections made by dial; nil for TCP.
+// NewClientOn is like NewClient, with connections opened by dial; nil stands for TCP.
 func NewClientOn(dial func(ctx context.Context, network, address string) (net.Conn, error), targets []string, key string) *Client {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 256}
 	return &Client{targets: targets, key: key, http: &http.Client{Transport: transport}}
@@ -43,25 +43,25 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Request is one step to be sent.
+// Request describes one attempt at one step.
 type Request struct {
 	Program string
 	Parent  string
 	Number  int
-	// Origin and Attempt pick the instance: programs begin on different ones,
-	// and each step and retry goes to the next.
+	// Origin and Attempt select the instance together with Number: programs start on different
+	// instances, and each step and each retry goes to the next one.
 	Origin   int
 	Attempt  int
 	Deadline time.Duration
 	Ends     bool
-	// Chat is a model step; otherwise Service, Path and Body make a tool step.
+	// Chat is set for a model step; otherwise Service, Path and Body describe a tool step.
 	Chat    *chat.Request
 	Service string
 	Path    string
 	Body    []byte
 }
 
-// Response is what came back.
+// Response is the result of one attempt, from the response's headers, body and trailer.
 type Response struct {
 	Program    string
 	Number     int
@@ -69,14 +69,15 @@
 	Code       step.Code
 	Upstream   string
 	RetryAfter time.Duration
-	// FirstToken is the time to the first streamed chunk; zero if not streamed.
+	// FirstToken is the time to the first streamed chunk; zero for a response without a stream.
 	FirstToken time.Duration
 	Text       string
 	Usage      chat.Usage
 }
 
-// Send sends one step and reads the whole answer. An error means that the
-// connection failed; the step's outcome is then unknown to this client.
+// Send makes one attempt at a step and reads the complete response. An error means that the
+// connection failed or the response was truncated; the outcome of the step is then unknown to
+// this client.
 func (c *Client) Send(ctx context.Context, r Request) (Response, error) {
 	req, err := c.newRequest(ctx, r)
 	if err != nil {
@@ -150,6 +151,7 @@
 	}
 }
 
+// completion holds the fields that are read from a chat completion, a chunk of one or an error body.
 type completion struct {
 	Choices []struct {
 		Message struct {
@@ -163,6 +165,8 @@
 	Error *entry.ErrorDetail `json:"error"`
 }
 
+// mergeCompletion adds the text, usage and error in data to the response. Data that is not such
+// a JSON object is ignored.
 func (r *Response) mergeCompletion(data []byte) {
 	var c completion
 	if json.Unmarshal(data, &c) != nil {
@@ -181,6 +185,8 @@
 	}
 }
 
+// readBody parses a response body that is not a stream. A body that yields neither text nor an
+// error code is a tool's response and becomes the text unchanged.
 func (r *Response) readBody(body []byte) {
 	r.mergeCompletion(body)
 	if r.Text == "" && r.Code == "" {
@@ -188,8 +194,8 @@
 	}
 }
 
-// readStream reads server-sent events to the done mark; a stream without the
-// mark is a broken answer.
+// readStream reads server-sent events up to the end of the body. It returns an error if there is
+// no [DONE] event and the response has no error code, because the stream is then truncated.
 func (r *Response) readStream(resp *http.Response, started time.Time) error {
 	scanner := bufio.NewScanner(resp.Body)
 	scanner.Buffer(nil, 1<<20)
@@ -215,12 +221,12 @@
 		r.Outcome = step.Outcome(outcome)
 	}
 	if !done && r.Code == "" {
-		return errors.New("load: the stream ended without its mark")
+		return errors.New("load: event stream ended without [DONE]")
 	}
 	return nil
 }
 
-// message returns a chat message of the role.
+// newMessage returns a chat message with the role and content.
 func newMessage(role, content string) chat.Message {
 	return chat.Message{Role: role, Raw: fmt.Appendf(nil, `{"role":%q,"content":%q}`, role, content)}
 }
--- a/internal/load/program.go
+++ b/internal/load/program.go
@@ -16,61 +16,63 @@
 type Shape struct {
 	Name  string
 	Model string
-	// Turns is the least and greatest number of model steps.
+	// Turns holds the minimum and the maximum number of model steps.
 	Turns [2]int
-	// PromptWords is the size of a program's first message; programs of one
-	// customer share SharedWords of it.
+	// PromptWords is the length in words of a program's first message, of which the first
+	// SharedWords are the same in all programs of the customer.
 	PromptWords, SharedWords int
 	AnswerTokens             int
-	// Quote and Effect are the paths of a repeatable and a non-repeatable tool call.
+	// Quote is the path of the repeatable tool call, Effect that of the non-repeatable one.
 	Service, Quote, Effect string
-	// EffectEvery makes each n-th tool step a non-repeatable one.
+	// EffectEvery makes every n-th tool step a non-repeatable call.
 	EffectEvery int
-	// Pause is the longest wait between a tool's answer and the next turn.
+	// Pause is the longest pause between a tool's response and the next turn.
 	Pause time.Duration
 	// Children is the number of sub-agents that a program starts, each of one turn.
 	Children int
 	Deadline time.Duration
 }
 
-// Kerlouan is a buyer's agent that asks for appraisals and places bids.
+// Kerlouan is the shape of a buyer's agent that asks for appraisals and places bids.
 var Kerlouan = Shape{
 	Name: "kerlouan", Model: "oak-large", Turns: [2]int{2, 6}, PromptWords: 400, SharedWords: 250, AnswerTokens: 24,
 	Service: "auction", Quote: "/lots/quote", Effect: "/bids", EffectEvery: 2, Pause: 20 * time.Millisecond, Children: 1,
 	Deadline: 30 * time.Second,
 }
 
-// Semente is a donor's agent that confirms pledges and orders seedlings.
+// Semente is the shape of a donor's agent that confirms pledges and orders seedlings.
 var Semente = Shape{
 	Name: "semente", Model: "ipe-small", Turns: [2]int{3, 9}, PromptWords: 700, SharedWords: 600, AnswerTokens: 16,
 	Service: "nursery", Quote: "/stock", Effect: "/orders", EffectEvery: 3, Pause: 60 * time.Millisecond,
 	Deadline: 60 * time.Second,
 }
 
-// usageOptions ask for the usage block at the end of a stream.
+// usageOptions is the request field that asks for a usage block at the end of a stream.
 var usageOptions = map[string]json.RawMessage{"stream_options": json.RawMessage(`{"include_usage":true}`)}
 
-// originCount is the number of different first instances of programs.
+// originCount is the number of distinct values of Request.Origin.
 const originCount = 1 << 16
 
-// maxAttempts bounds how often a caller sends one step again.
+// maxAttempts is the maximum number of attempts at one step, the first one included.
 const maxAttempts = 12
 
 // Run is the record of one program as its caller saw it.
 type Run struct {
 	Program  string
 	Finished bool
-	// Reason is the code of the refusal that ended an unfinished program.
+	// Reason is the code of the refusal that ended an unfinished program; it has no meaning for a
+	// finished one.
 	Reason  step.Code
 	Latency time.Duration
 	Steps   int
 	Effects int
 	Refused int
-	// Codes counts the refusals by reason; a broken connection has none.
+	// Codes counts the refusals by code. A connection that fails before a response arrives counts
+	// under the empty code.
 	Codes map[step.Code]int
 	Usage chat.Usage
 	First []time.Duration
-	// EffectKeys are the steps whose non-repeatable call was answered as done.
+	// EffectKeys lists the steps whose non-repeatable call was reported as done, as PROGRAM/NUMBER.
 	EffectKeys []string
 }
 
@@ -86,7 +88,7 @@
 	r.Codes[code] += n
 }
 
-// agent runs one program.
+// agent runs one program and holds its state.
 type agent struct {
 	client   *Client
 	shape    Shape
@@ -96,7 +98,7 @@
 	nextStep int
 }
 
-// RunProgram runs one program of the shape to its end and records what its caller saw.
+// RunProgram runs one program of the shape to its end and returns the record of its caller.
 func RunProgram(ctx context.Context, client *Client, shape Shape, seed uint64) Run {
 	a := &agent{client: client, shape: shape, origin: int(seed % originCount), rnd: rand.New(rand.NewPCG(seed, 1)), nextStep: 1}
 	started := time.Now()
@@ -105,6 +107,7 @@
 	return a.run
 }
 
+// runTurns runs the model and tool steps of the program and reports whether all were done.
 func (a *agent) runTurns(ctx context.Context, seed uint64) bool {
 	turns := a.shape.Turns[0] + a.rnd.IntN(a.shape.Turns[1]-a.shape.Turns[0]+1)
 	prompt := strings.Repeat("shared ", a.shape.SharedWords) + fmt.Sprintf("program %d ", seed)
@@ -158,7 +161,8 @@
 	return r.Text, ok
 }
 
-// children runs the sub-agents of the program, each of one model step.
+// runChildren runs the sub-agents of the program, each with one model step, and reports whether
+// all of them finished.
 func (a *agent) runChildren(ctx context.Context, task string) bool {
 	for range a.shape.Children {
 		child := &agent{client: a.client, shape: a.shape, origin: a.origin, rnd: a.rnd, nextStep: 1}
@@ -177,8 +181,10 @@
 	return true
 }
 
-// send sends one step until it is done, coming back when foxhall says so. The
-// number of the step is the same on every attempt, so none runs twice.
+// sendUntilDone sends a step until it is done, at most maxAttempts times. Between attempts it
+// waits as long as foxhall asks for, and at least 100 ms; a refusal that names no such time ends
+// the program. All attempts carry the same step number, so that the step runs only once; after
+// step.CodeSettledNotRun it is sent under the next number, at once.
 func (a *agent) sendUntilDone(ctx context.Context, request Request) (Response, bool) {
 	request.Program, request.Number, request.Deadline, request.Origin = a.run.Program, a.nextStep, a.shape.Deadline, a.origin
 	for attempt := range maxAttempts {
@@ -213,6 +219,7 @@
 	}
 }
 
+// sleep waits for d and reports whether it did so before ctx was done.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -15,7 +15,7 @@
 	"foxhall/internal/step"
 )
 
-// histogramMax is the longest latency that a report distinguishes, in microseconds.
+// histogramMaxMicros is the longest latency that a report records, in microseconds.
 const histogramMaxMicros = int64(10 * time.Minute / time.Microsecond)
 
 // Report sums up the programs of one shape.
@@ -26,12 +26,14 @@
 	Steps    int
 	Effects  int
 	Refused  int
-	// Unknown counts the programs that a step of unknown outcome ended.
-	Unknown    int
+	// Unknown is the number of programs that ended at a step of unknown outcome.
+	Unknown int
+	// Prompt and Completion are the total tokens of the model steps, sub-agents not counted.
 	Prompt     int
 	Completion int
-	Reasons    map[step.Code]int
-	// Codes counts the refusals by reason.
+	// Reasons counts the unfinished programs by the code of their last refusal.
+	Reasons map[step.Code]int
+	// Codes counts the refusals by code.
 	Codes      map[step.Code]int
 	EffectKeys []string
 
@@ -39,7 +41,8 @@
 	firstToken *hdrhistogram.Histogram
 }
 
-// Drive runs programs of the shape, at most concurrency at once, and sums them up.
+// Drive runs a number of programs of the shape, at most concurrency of them at once, and returns
+// a report on them. Program i has the seed seed+i.
 func Drive(ctx context.Context, client *Client, shape Shape, programs, concurrency int, seed uint64) *Report {
 	report := newReport(shape.Name)
 	var mu sync.Mutex
@@ -93,7 +96,7 @@
 	_ = r.latency.RecordValue(run.Latency.Microseconds())
 }
 
-// Latency returns the program latency at the percentile.
+// Latency returns the latency of finished programs at the percentile.
 func (r *Report) Latency(percentile float64) time.Duration {
 	return time.Duration(r.latency.ValueAtPercentile(percentile)) * time.Microsecond
 }
@@ -103,7 +106,7 @@
 	return time.Duration(r.firstToken.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// WriteTable writes one row for each report.
+// WriteTable writes one row for each report, then the number of unfinished programs by reason.
 func WriteTable(w io.Writer, reports []*Report) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "SCENARIO\tPROGRAMS\tFINISHED\tSTEPS\tEFFECTS\tREFUSALS\tP50\tP95\tFIRST TOKEN P95\tPROMPT TOKENS")
@@ -122,6 +125,7 @@
 	return nil
 }
 
+// unfinishedReasons returns a line for each reason for which programs did not finish.
 func (r *Report) unfinishedReasons() []string {
 	lines := make([]string, 0, len(r.Reasons))
 	for code, n := range r.Reasons {
