--- a/internal/fuzzing/fuzzing.go
+++ b/internal/fuzzing/fuzzing.go
@@ -1,5 +1,5 @@
-// Package fuzzing fixes the seed and the length of property tests, so that
-// every run of a package's tests has the same verdict.
+// Package fuzzing sets a fixed seed and number of checks for property tests, so that every run of
+// a package's tests has the same result.
 package fuzzing
 
 import (
@@ -10,12 +10,12 @@
 	"testing"
 
 	"go.uber.org/goleak"
-	_ "pgregory.net/rapid" // registers its flags
+	_ "pgregory.net/rapid" // registers the flags set by Fix
 )
 
-// Fix sets rapid's seed and number of checks, unless the command line gives
-// others, and parses the command line. It is called from TestMain. Inputs that
-// failed are not saved: they are told by their seed.
+// Fix sets rapid's seed and number of checks and then parses the command line, whose values take
+// precedence. It is called from TestMain. Failing inputs are not saved to files, because the seed
+// reproduces them.
 func Fix(seed, checks int) {
 	for name, value := range map[string]string{
 		"rapid.seed":       strconv.Itoa(seed),
@@ -29,8 +29,8 @@
 	flag.Parse()
 }
 
-// RunWithoutLeaks runs a package's tests and returns the exit code, which is
-// that of a failure if goroutines are left at the end.
+// RunWithoutLeaks runs a package's tests and returns the exit code. It is 1 if the tests pass but
+// goroutines are still running afterwards.
 func RunWithoutLeaks(m *testing.M) int {
 	code := m.Run()
 	if err := goleak.Find(); code == 0 && err != nil {
--- a/internal/fuzzing/race.go
+++ b/internal/fuzzing/race.go
@@ -4,8 +4,8 @@
 
 import "runtime"
 
-// Under the race detector a package's tests run on one processor. Go 1.26 gives all
-// timers of a bubble of testing/synctest one race context, and two processors that run
-// timers of a bubble at once corrupt it: the process dies in the detector's runtime with
-// no assertion failed.
+// init limits a package's tests to one processor under the race detector. In Go 1.26 all timers
+// of a testing/synctest bubble share one race context, and two processors that run timers of a
+// bubble at the same time corrupt it: the process crashes in the detector's runtime without a
+// failed assertion.
 func init() { runtime.GOMAXPROCS(1) }
