--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -25,10 +25,10 @@
 )
 
 const (
-	dataCentre = "demo"
-	instances  = 3
+	dataCentre    = "demo"
+	instanceCount = 3
 	// readyTime bounds how long the instances take to get the lists.
-	readyTime = 10 * time.Second
+	readyTimeout = 10 * time.Second
 )
 
 // Options say how much the demo runs.
@@ -40,7 +40,7 @@
 }
 
 // world is what the demo has started.
-type world struct {
+type environment struct {
 	store     *standin.Store
 	tools     map[string]*standin.Tool
 	engines   map[string]*standin.Engine
@@ -52,25 +52,25 @@
 
 // Run runs the demo and writes a table. The error tells what went wrong.
 func Run(ctx context.Context, w io.Writer, o Options) error {
-	world := &world{
+	env := &environment{
 		store:   standin.NewStore(),
 		tools:   map[string]*standin.Tool{},
 		engines: map[string]*standin.Engine{},
 	}
-	defer world.close()
-	if err := world.startStandins(); err != nil {
+	defer env.close()
+	if err := env.startStandins(); err != nil {
 		return err
 	}
-	if err := world.applyLists(ctx); err != nil {
+	if err := env.applyLists(ctx); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var group errgroup.Group
-	if err := world.startInstances(ctx, &group); err != nil {
+	if err := env.startInstances(ctx, &group); err != nil {
 		return err
 	}
-	reports, err := world.drive(ctx, o)
+	reports, err := env.runPrograms(ctx, o)
 	cancel()
 	if stopErr := group.Wait(); err == nil {
 		err = stopErr
@@ -81,17 +81,17 @@
 	if err := load.WriteTable(w, reports); err != nil {
 		return err
 	}
-	return world.judge(w, reports)
+	return env.writeSummary(w, reports)
 }
 
-func (w *world) drive(ctx context.Context, o Options) ([]*load.Report, error) {
-	if err := w.waitReady(ctx); err != nil {
+func (env *environment) runPrograms(ctx context.Context, o Options) ([]*load.Report, error) {
+	if err := env.waitReady(ctx); err != nil {
 		return nil, err
 	}
 	reports := make([]*load.Report, len(scenarios))
 	var group errgroup.Group
 	for i, s := range scenarios {
-		client := load.NewClient(w.targets(), s.key)
+		client := load.NewClient(env.targets(), s.key)
 		group.Go(func() error {
 			reports[i] = load.Drive(ctx, client, s.shape, o.Programs, o.Concurrency, o.Seed+uint64(i)<<32)
 			return nil
@@ -100,18 +100,18 @@
 	return reports, group.Wait()
 }
 
-func (w *world) targets() []string {
-	urls := make([]string, len(w.instances))
-	for i, instance := range w.instances {
+func (env *environment) targets() []string {
+	urls := make([]string, len(env.instances))
+	for i, instance := range env.instances {
 		urls[i] = instance.CallersURL()
 	}
 	return urls
 }
 
-func (w *world) waitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+func (env *environment) waitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for _, url := range w.targets() {
+	for _, url := range env.targets() {
 		for !isReady(ctx, url) {
 			select {
 			case <-time.After(20 * time.Millisecond):
@@ -137,27 +137,27 @@
 }
 
 // judge holds what the callers saw against what the stand-ins counted.
-func (w *world) judge(out io.Writer, reports []*load.Report) error {
-	done, twice, unfinished := 0, 0, 0
+func (env *environment) writeSummary(out io.Writer, reports []*load.Report) error {
+	effects, repeated, unfinished := 0, 0, 0
 	for _, r := range reports {
 		unfinished += r.Programs - r.Finished
 	}
-	for _, t := range w.tools {
+	for _, t := range env.tools {
 		for _, n := range t.Effects() {
-			done++
+			effects++
 			if n > 1 {
-				twice++
+				repeated++
 			}
 		}
 	}
 	prompt, cached := int64(0), int64(0)
-	for _, e := range w.engines {
+	for _, e := range env.engines {
 		prompt += e.Counts().PromptTokens
 		cached += e.Counts().CachedTokens
 	}
-	counts := w.store.Counts()
+	counts := env.store.Counts()
 	fmt.Fprintf(out, "engines: %d prompt tokens, %d of them cached (%.0f%%)\n", prompt, cached, 100*float64(cached)/float64(max(1, prompt)))
-	fmt.Fprintf(out, "services: %d calls with an effect, %d of them more than once\n", done, twice)
+	fmt.Fprintf(out, "services: %d calls with an effect, %d of them more than once\n", effects, repeated)
 	fmt.Fprintf(out, "object API: %d reads, %d writes, %d watches\n", counts.Reads, counts.Writes, counts.Watches)
 	if unfinished > 0 {
 		return errors.Errorf("demo: %d programs did not finish", unfinished)
@@ -165,53 +165,53 @@
 	return nil
 }
 
-func (w *world) startInstances(ctx context.Context, group *errgroup.Group) error {
+func (env *environment) startInstances(ctx context.Context, group *errgroup.Group) error {
 	var seeds []string
-	for n := range instances {
+	for n := range instanceCount {
 		s := settings.Default()
 		s.Instance, s.DataCentre = fmt.Sprintf("demo-%d", n+1), dataCentre
 		s.Listen = settings.Listen{Callers: "127.0.0.1:0", Peers: "127.0.0.1:0"}
-		s.Store.URL, s.Store.ReadsPerSecond, s.Store.WritesPerSecond = w.storeURL, 200, 100
+		s.Store.URL, s.Store.ReadsPerSecond, s.Store.WritesPerSecond = env.storeURL, 200, 100
 		s.Peers.Secret, s.Peers.Seeds = "demo-demo-demo-demo", seeds
 		i, err := instance.New(s)
 		if err != nil {
 			return err
 		}
 		seeds = append(seeds, i.PeersAddress())
-		w.instances = append(w.instances, i)
+		env.instances = append(env.instances, i)
 		group.Go(func() error { return i.Run(ctx) })
 	}
 	return nil
 }
 
-func (w *world) applyLists(ctx context.Context) error {
+func (env *environment) applyLists(ctx context.Context) error {
 	plans, err := plan.Parse(plansTOML())
 	if err != nil {
 		return err
 	}
-	uses, err := usage.Parse(append([]byte(usageTOML), w.upstreams...))
+	usageLists, err := usage.Parse(append([]byte(usageTOML), env.upstreams...))
 	if err != nil {
 		return err
 	}
-	editor := config.NewEditor(store.NewHTTP(w.storeURL, 5*time.Second))
-	_, err = editor.Apply(ctx, config.Proposal{Operator: "demo", Note: "first lists", Plans: plans, Usage: uses})
+	editor := config.NewEditor(store.NewHTTP(env.storeURL, 5*time.Second))
+	_, err = editor.Apply(ctx, config.Proposal{Operator: "demo", Note: "first lists", Plans: plans, Usage: usageLists})
 	return err
 }
 
 // serve serves a handler on a free loopback port and returns its address.
-func (w *world) serve(h http.Handler) (string, error) {
+func (env *environment) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
-	w.servers = append(w.servers, server)
+	env.servers = append(env.servers, server)
 	go func() { _ = server.Serve(l) }()
 	return l.Addr().String(), nil
 }
 
-func (w *world) close() {
-	for _, s := range w.servers {
+func (env *environment) close() {
+	for _, s := range env.servers {
 		_ = s.Close()
 	}
 }
--- a/internal/demo/lists.go
+++ b/internal/demo/lists.go
@@ -91,37 +91,37 @@
 // users' back ends were bought over years.
 var engineSpeeds = []float64{1, 0.6, 0.35}
 
-func (w *world) startStandins() error {
+func (env *environment) startStandins() error {
 	var err error
-	if w.storeURL, err = w.serve(w.store.Handler()); err != nil {
+	if env.storeURL, err = env.serve(env.store.Handler()); err != nil {
 		return err
 	}
-	w.storeURL = "http://" + w.storeURL
+	env.storeURL = "http://" + env.storeURL
 	for n, speed := range engineSpeeds {
-		if err := w.startEngine(fmt.Sprintf("engine-%d", n+1), speed); err != nil {
+		if err := env.startEngine(fmt.Sprintf("engine-%d", n+1), speed); err != nil {
 			return err
 		}
 	}
 	for _, name := range []string{"auction", "nursery"} {
-		if err := w.startTool(name); err != nil {
+		if err := env.startTool(name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *world) startEngine(name string, speed float64) error {
+func (env *environment) startEngine(name string, speed float64) error {
 	e := standin.NewEngine(standin.EngineConfig{
 		Name: name, Slots: 16, MaxQueue: 64, CacheTokens: 60000,
 		PrefillSpeed: 40000 * speed, DecodeSpeed: 1200 * speed, BatchSlowdown: 0.03,
 		LoadLag: 100 * time.Millisecond, EventLag: 50 * time.Millisecond, KVSpeed: 200000, ChunkTokens: 4,
 	})
-	address, err := w.serve(e.Handler())
+	address, err := env.serve(e.Handler())
 	if err != nil {
 		return err
 	}
-	w.engines[name] = e
-	w.upstreams = fmt.Appendf(w.upstreams, `
+	env.engines[name] = e
+	env.upstreams = fmt.Appendf(env.upstreams, `
 [[upstream]]
 name = %q
 kind = "engine"
@@ -134,15 +134,15 @@
 	return nil
 }
 
-func (w *world) startTool(name string) error {
+func (env *environment) startTool(name string) error {
 	t := standin.NewTool(name)
 	t.SetFaults(standin.ToolFaults{Delay: 5 * time.Millisecond})
-	address, err := w.serve(t.Handler())
+	address, err := env.serve(t.Handler())
 	if err != nil {
 		return err
 	}
-	w.tools[name] = t
-	w.upstreams = fmt.Appendf(w.upstreams, `
+	env.tools[name] = t
+	env.upstreams = fmt.Appendf(env.upstreams, `
 [[upstream]]
 name = "%s-1"
 kind = "service"
