--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs the whole path in one process over loopback sockets: the
-// stand-ins of the outside systems, a few instances, and programs of both
-// scenarios, with a fault or two on the way.
+// Package demo runs a complete system in one process over loopback sockets: stand-ins for the
+// external systems, a few instances, and programs of both scenarios. The engines differ in speed
+// and the tools respond with a delay.
 package demo
 
 import (
@@ -27,19 +27,22 @@
 const (
 	dataCentre    = "demo"
 	instanceCount = 3
-	// readyTime bounds how long the instances take to get the lists.
+	// readyTimeout is the longest time that the instances may take to load the lists of plans and
+	// usage.
 	readyTimeout = 10 * time.Second
 )
 
-// Options say how much the demo runs.
+// Options sets how many programs the demo runs.
 type Options struct {
-	// Programs of each scenario, at most Concurrency of them at once.
-	Programs    int
+	// Programs is the number of programs of each scenario.
+	Programs int
+	// Concurrency is the greatest number of programs of a scenario that run at once.
 	Concurrency int
-	Seed        uint64
+	// Seed selects the random numbers of the programs.
+	Seed uint64
 }
 
-// world is what the demo has started.
+// environment holds the stand-ins, servers and instances that the demo has started.
 type environment struct {
 	store     *standin.Store
 	tools     map[string]*standin.Tool
@@ -50,7 +53,8 @@
 	instances []*instance.Instance
 }
 
-// Run runs the demo and writes a table. The error tells what went wrong.
+// Run runs the demo and writes a table and a summary. It returns an error if a part can't be
+// started or a program doesn't finish.
 func Run(ctx context.Context, w io.Writer, o Options) error {
 	env := &environment{
 		store:   standin.NewStore(),
@@ -84,6 +88,7 @@
 	return env.writeSummary(w, reports)
 }
 
+// runPrograms runs the programs of all scenarios at the same time, once all instances are ready.
 func (env *environment) runPrograms(ctx context.Context, o Options) ([]*load.Report, error) {
 	if err := env.waitReady(ctx); err != nil {
 		return nil, err
@@ -100,6 +105,7 @@
 	return reports, group.Wait()
 }
 
+// targets returns the URLs at which the instances take callers' calls.
 func (env *environment) targets() []string {
 	urls := make([]string, len(env.instances))
 	for i, instance := range env.instances {
@@ -136,7 +142,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// judge holds what the callers saw against what the stand-ins counted.
+// writeSummary writes the totals counted by the stand-ins. It returns an error if callers saw
+// programs that did not finish.
 func (env *environment) writeSummary(out io.Writer, reports []*load.Report) error {
 	effects, repeated, unfinished := 0, 0, 0
 	for _, r := range reports {
@@ -165,6 +172,7 @@
 	return nil
 }
 
+// startInstances starts the instances; each has the peer addresses of the earlier ones as seeds.
 func (env *environment) startInstances(ctx context.Context, group *errgroup.Group) error {
 	var seeds []string
 	for n := range instanceCount {
@@ -184,21 +192,22 @@
 	return nil
 }
 
+// applyLists writes the plans and the usage list to the store as the first configuration.
 func (env *environment) applyLists(ctx context.Context) error {
 	plans, err := plan.Parse(plansTOML())
 	if err != nil {
 		return err
 	}
-	usageLists, err := usage.Parse(append([]byte(usageTOML), env.upstreams...))
+	usageList, err := usage.Parse(append([]byte(usageTOML), env.upstreams...))
 	if err != nil {
 		return err
 	}
 	editor := config.NewEditor(store.NewHTTP(env.storeURL, 5*time.Second))
-	_, err = editor.Apply(ctx, config.Proposal{Operator: "demo", Note: "first lists", Plans: plans, Usage: usageLists})
+	_, err = editor.Apply(ctx, config.Proposal{Operator: "demo", Note: "first lists", Plans: plans, Usage: usageList})
 	return err
 }
 
-// serve serves a handler on a free loopback port and returns its address.
+// serve starts a server for the handler on a free loopback port and returns its address.
 func (env *environment) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/demo/lists.go
+++ b/internal/demo/lists.go
@@ -9,7 +9,7 @@
 	"foxhall/internal/standin"
 )
 
-// scenario is one customer's programs.
+// scenario describes the programs, key and plan of one customer.
 type scenario struct {
 	shape load.Shape
 	key   string
@@ -21,6 +21,7 @@
 	{shape: load.Semente, key: "semente-demo-key", plan: "pledges"},
 }
 
+// plansTOML returns the list of plans, one for each scenario.
 func plansTOML() []byte {
 	var text []byte
 	for _, s := range scenarios {
@@ -87,8 +88,8 @@
 cache_weight = 1.0
 `
 
-// engineSpeeds are those of the demo's engines relative to each other: the
-// users' back ends were bought over years.
+// engineSpeeds are the relative speeds of the demo's engines. They differ because real
+// installations have engines of different ages.
 var engineSpeeds = []float64{1, 0.6, 0.35}
 
 func (env *environment) startStandins() error {
