--- a/internal/experiment/clock.go
+++ b/internal/experiment/clock.go
@@ -7,25 +7,25 @@
 
 // epoch is the moment at which each run begins. Any will do; a fixed one makes
 // runs with one seed the same.
-var epoch = time.Unix(1_700_000_000, 0)
+var simulationStart = time.Unix(1_700_000_000, 0)
 
 // clock runs events in the order of their times.
 type clock struct {
-	now    time.Time
-	events events
-	order  int
+	now      time.Time
+	events   events
+	sequence int
 }
 
 type event struct {
-	at    time.Time
-	order int
-	do    func()
+	at       time.Time
+	sequence int
+	action   func()
 }
 
 // after runs do when the time has passed.
-func (c *clock) after(d time.Duration, do func()) {
-	c.order++
-	heap.Push(&c.events, event{at: c.now.Add(d), order: c.order, do: do})
+func (c *clock) schedule(d time.Duration, do func()) {
+	c.sequence++
+	heap.Push(&c.events, event{at: c.now.Add(d), sequence: c.sequence, action: do})
 }
 
 // run goes on until nothing is left to do, or until the end.
@@ -36,7 +36,7 @@
 			return
 		}
 		c.now = e.at
-		e.do()
+		e.action()
 	}
 }
 
@@ -49,7 +49,7 @@
 	if !s[i].at.Equal(s[j].at) {
 		return s[i].at.Before(s[j].at)
 	}
-	return s[i].order < s[j].order
+	return s[i].sequence < s[j].sequence
 }
 
 func (s events) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -26,16 +26,16 @@
 
 // request is one turn at an engine.
 type request struct {
-	order  int
-	blocks []uint64
-	prompt int
+	sequence int
+	blocks   []uint64
+	prompt   int
 	// unread is what is left to prefill, toMake the tokens left to make.
-	unread, toMake int
+	toPrefill, toGenerate int
 	// cached is what the engine had of the prompt when it admitted the request.
-	cached  int
-	started bool
-	first   func()
-	done    func()
+	cached       int
+	started      bool
+	onFirstToken func()
+	onDone       func()
 }
 
 // modelEngine is one engine of the model.
@@ -43,26 +43,26 @@
 	spec  EngineSpec
 	clock *clock
 	// slow multiplies all times.
-	slow float64
+	slowdown float64
 	// cache holds prompts' blocks, the least recently used yields.
 	cache            *simplelru.LRU[uint64, struct{}]
 	waiting, running []*request
 	stepping         bool
-	gone             bool
+	draining         bool
 	// errs says that it fails at once all that it is sent.
-	errs bool
+	failing bool
 	// prefilled counts the prompt tokens that were read.
 	prefilled int
 }
 
 func newModelEngine(spec EngineSpec, c *clock, slow float64) (*modelEngine, error) {
 	cache, err := simplelru.NewLRU[uint64, struct{}](max(1, spec.CacheTokens/engine.BlockTokens), nil)
-	return &modelEngine{spec: spec, clock: c, slow: slow, cache: cache}, err
+	return &modelEngine{spec: spec, clock: c, slowdown: slow, cache: cache}, err
 }
 
 // submit takes a request in, or refuses it where the queue is full.
 func (e *modelEngine) submit(r *request) bool {
-	if e.gone || len(e.running)+len(e.waiting) >= e.spec.Slots+e.spec.Queue {
+	if e.draining || len(e.running)+len(e.waiting) >= e.spec.Slots+e.spec.Queue {
 		return false
 	}
 	e.waiting = append(e.waiting, r)
@@ -83,38 +83,38 @@
 	var decoding []*request
 	read, budget := 0, e.spec.Chunk
 	for _, r := range e.running {
-		if r.unread == 0 {
+		if r.toPrefill == 0 {
 			decoding = append(decoding, r)
 			continue
 		}
-		n := min(budget, r.unread)
-		r.unread -= n
+		n := min(budget, r.toPrefill)
+		r.toPrefill -= n
 		budget -= n
 		read += n
-		if r.unread == 0 {
+		if r.toPrefill == 0 {
 			decoding = append(decoding, r)
-			e.keep(r)
+			e.cacheBlocks(r)
 		}
 	}
 	e.prefilled += read
 	took := float64(e.spec.StepTime) + float64(e.spec.StepPerCall)*float64(len(e.running)) +
 		float64(time.Second)*float64(read)/e.spec.Prefill
-	e.clock.after(time.Duration(e.slow*took), func() { e.end(decoding) })
+	e.clock.schedule(time.Duration(e.slowdown*took), func() { e.finishStep(decoding) })
 }
 
 // end gives out the step's tokens and goes on.
-func (e *modelEngine) end(decoding []*request) {
+func (e *modelEngine) finishStep(decoding []*request) {
 	for _, r := range decoding {
-		r.toMake--
+		r.toGenerate--
 		if !r.started {
 			r.started = true
-			r.first()
+			r.onFirstToken()
 		}
-		if r.toMake > 0 {
+		if r.toGenerate > 0 {
 			continue
 		}
 		e.running = slices.DeleteFunc(e.running, func(other *request) bool { return other == r })
-		r.done()
+		r.onDone()
 	}
 	e.stepping = false
 	e.wake()
@@ -124,14 +124,14 @@
 	for len(e.running) < e.spec.Slots && len(e.waiting) > 0 {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		r.cached = min(r.prompt, e.held(r.blocks)*engine.BlockTokens)
-		r.unread = max(1, r.prompt-r.cached)
+		r.cached = min(r.prompt, e.cachedBlocks(r.blocks)*engine.BlockTokens)
+		r.toPrefill = max(1, r.prompt-r.cached)
 		e.running = append(e.running, r)
 	}
 }
 
 // held returns how many of the first blocks are cached.
-func (e *modelEngine) held(blocks []uint64) int {
+func (e *modelEngine) cachedBlocks(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := e.cache.Get(b); !ok {
 			return i
@@ -140,11 +140,11 @@
 	return len(blocks)
 }
 
-func (e *modelEngine) keep(r *request) {
+func (e *modelEngine) cacheBlocks(r *request) {
 	for _, b := range r.blocks {
 		e.cache.Add(b, struct{}{})
 	}
 }
 
 // leave ends the engine once what it has is done.
-func (e *modelEngine) leave() { e.gone = true }
+func (e *modelEngine) drain() { e.draining = true }
--- a/internal/experiment/entry.go
+++ b/internal/experiment/entry.go
@@ -17,29 +17,29 @@
 	viewBlocks = 1 << 16
 	// patience is how long an engine may show no progress before it counts as
 	// stalled; longer than any wait of the model.
-	patience = time.Minute
+	progressTimeout = time.Minute
 )
 
 // modelEntry is an instance that places turns: the product's table, view and
 // decision, fed on virtual time.
 type modelEntry struct {
-	policy placement.Policy
-	clock  *clock
-	random *rand.Rand
-	table  *upstream.Table
-	view   *cache.View
-	found  cache.Matches
-	turn   uint64
+	policy  placement.Policy
+	clock   *clock
+	random  *rand.Rand
+	table   *upstream.Table
+	view    *cache.View
+	matches cache.Matches
+	turn    uint64
 }
 
 func newModelEntry(p placement.Policy, c *clock, random *rand.Rand, engines, slots int) *modelEntry {
 	e := &modelEntry{policy: p, clock: c, random: random, table: upstream.NewTable(), view: cache.New(cache.Options{MaxBlocks: viewBlocks})}
-	e.list(engines, slots, func(int) bool { return false })
+	e.applyUpstreams(engines, slots, func(int) bool { return false })
 	return e
 }
 
 // list puts the engines in force that have not left.
-func (e *modelEntry) list(engines, slots int, left func(int) bool) {
+func (e *modelEntry) applyUpstreams(engines, slots int, left func(int) bool) {
 	var list []usage.Upstream
 	for i := range engines {
 		if !left(i) {
@@ -50,32 +50,32 @@
 }
 
 // choice is a placed turn.
-type choice struct {
+type placedTurn struct {
 	engine   int
-	cell     *upstream.Endpoint
+	endpoint *upstream.Endpoint
 	step     placement.Step
 	estimate placement.Estimate
 	trial    uint64
 	batch    int
 	cached   int
-	sent     time.Time
+	sentAt   time.Time
 }
 
 // place chooses an engine for a turn; false if none can take it.
-func (e *modelEntry) place(p *program, out int, tried []int) (*choice, bool) {
+func (e *modelEntry) place(p *program, out int, tried []int) (*placedTurn, bool) {
 	e.turn++
 	step := placement.Step{
 		PromptTokens: p.prompt, OutputTokens: out, LatencyWeight: 1, CacheWeight: 0.5,
 		ProgramHash: uint64(p.number), DecisionNumber: e.turn, Random: e.random.Uint64(),
 	}
-	cells := e.table.Snapshot().Model(modelName)
-	e.view.Lookup(p.blocks, &e.found)
-	candidates := make([]placement.Candidate, 0, len(cells))
-	for i, cell := range cells {
-		u := cell.Upstream
+	endpoints := e.table.Snapshot().Model(modelName)
+	e.view.Lookup(p.blocks, &e.matches)
+	candidates := make([]placement.Candidate, 0, len(endpoints))
+	for i, endpoint := range endpoints {
+		u := endpoint.Upstream
 		c := placement.Candidate{
-			Index: i, ID: u.ID, Slots: u.Slots, Load: u.Load(e.clock.now.UnixNano()), Speed: cell.Speed(),
-			CachedTokens: min(p.prompt, e.found.Depth(u.ID)*blockTokens),
+			Index: i, ID: u.ID, Slots: u.Slots, Load: u.Load(e.clock.now.UnixNano()), Speed: endpoint.Speed(),
+			CachedTokens: min(p.prompt, e.matches.Depth(u.ID)*blockTokens),
 		}
 		if isTried(u, tried) {
 			c.Rejection = placement.Tried
@@ -87,18 +87,18 @@
 		return nil, false
 	}
 	chosen := &candidates[d.Chosen]
-	cell := cells[chosen.Index]
-	trial, ok := cell.Upstream.TakeTrial()
+	endpoint := endpoints[chosen.Index]
+	trial, ok := endpoint.Upstream.TakeTrial()
 	if !ok {
 		return nil, false
 	}
-	c := &choice{
+	c := &placedTurn{
 		trial:  trial,
-		engine: engineOf(cell.Upstream), cell: cell, step: step, estimate: d.Estimate,
-		batch: chosen.Load.Total + 1, cached: chosen.CachedTokens, sent: e.clock.now,
+		engine: engineOf(endpoint.Upstream), endpoint: endpoint, step: step, estimate: d.Estimate,
+		batch: chosen.Load.Total + 1, cached: chosen.CachedTokens, sentAt: e.clock.now,
 	}
-	cell.Upstream.Begin(e.clock.now.UnixNano(), c.uncached(), patience)
-	e.view.RecordSent(cell.Upstream.ID, p.blocks)
+	endpoint.Upstream.Begin(e.clock.now.UnixNano(), c.uncached(), progressTimeout)
+	e.view.RecordSent(endpoint.Upstream.ID, p.blocks)
 	return c, true
 }
 
@@ -119,53 +119,53 @@
 	return false
 }
 
-func (c *choice) uncached() int { return max(0, c.step.PromptTokens-c.cached) }
+func (c *placedTurn) uncached() int { return max(0, c.step.PromptTokens-c.cached) }
 
 // began notes the first token.
-func (e *modelEntry) began(c *choice) {
-	c.cell.Upstream.Progress(e.clock.now.UnixNano())
-	c.cell.Upstream.Prefilled(c.uncached())
+func (e *modelEntry) recordFirstToken(c *placedTurn) {
+	c.endpoint.Upstream.Progress(e.clock.now.UnixNano())
+	c.endpoint.Upstream.Prefilled(c.uncached())
 }
 
 // refused notes that the engine took nothing.
-func (e *modelEntry) refused(c *choice) {
-	c.cell.Upstream.Prefilled(c.uncached())
-	c.cell.Upstream.Finish(e.clock.now.UnixNano())
+func (e *modelEntry) recordRefusal(c *placedTurn) {
+	c.endpoint.Upstream.Prefilled(c.uncached())
+	c.endpoint.Upstream.Finish(e.clock.now.UnixNano())
 }
 
 // failed notes that the engine answered with a failure.
-func (e *modelEntry) failed(c *choice) {
-	e.refused(c)
-	c.cell.Upstream.Failed(e.clock.now, upstream.Failure{Kind: upstream.Errored})
-	c.cell.Upstream.ReleaseTrial(c.trial)
+func (e *modelEntry) recordFailure(c *placedTurn) {
+	e.recordRefusal(c)
+	c.endpoint.Upstream.Failed(e.clock.now, upstream.Failure{Kind: upstream.Errored})
+	c.endpoint.Upstream.ReleaseTrial(c.trial)
 }
 
 // ended learns from a whole answer.
-func (e *modelEntry) ended(c *choice, first time.Duration, cached, made int) {
+func (e *modelEntry) recordCompletion(c *placedTurn, first time.Duration, cached, made int) {
 	now := e.clock.now
-	u := c.cell.Upstream
+	u := c.endpoint.Upstream
 	u.Finish(now.UnixNano())
 	u.Succeeded(now)
 	u.ReleaseTrial(c.trial)
-	total := now.Sub(c.sent)
+	total := now.Sub(c.sentAt)
 	u.ObserveLatency(now, total, c.estimate.ExpectedDuration(&c.step, made))
-	c.cell.Learn(upstream.Sample{
+	c.endpoint.Learn(upstream.Sample{
 		Uncached: c.step.PromptTokens - cached, Output: made, Batch: min(c.batch, u.Slots), FirstToken: first, Total: total,
 	})
 	e.view.ObserveCached(u.ID, c.cached, cached)
 }
 
 // load is what an entry tells the others.
-type load struct {
+type upstreamLoad struct {
 	calls, backlog int
-	erring         bool
+	highErrorRate  bool
 }
 
-func (e *modelEntry) loads() map[string]load {
-	loads := map[string]load{}
+func (e *modelEntry) loads() map[string]upstreamLoad {
+	loads := map[string]upstreamLoad{}
 	for _, u := range e.table.Snapshot().All {
 		l := u.Load(e.clock.now.UnixNano())
-		loads[u.Name] = load{calls: l.Own, backlog: max(0, l.OwnBacklog), erring: u.HasHighErrorRate(e.clock.now)}
+		loads[u.Name] = upstreamLoad{calls: l.Own, backlog: max(0, l.OwnBacklog), highErrorRate: u.HasHighErrorRate(e.clock.now)}
 	}
 	return loads
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -37,7 +37,7 @@
 // lengths that are often far off. Where the lengths of answers pass for slowness of
 // engines, instances differ in what they think of each engine: 0.679 of the programs
 // were on time, against 0.777.
-func TestSlowEnginesAreToldFromLongAnswers(t *testing.T) {
+func TestSlowEnginesAreDistinguishedFromLongResponses(t *testing.T) {
 	result, err := Run(options(t, Semente, "slow", 1.05))
 	is := is.New(t)
 	is.NoErr(err)
@@ -74,15 +74,15 @@
 // tokens, and a full queue refuses.
 func TestModelEngine(t *testing.T) {
 	is := is.New(t)
-	c := &clock{now: epoch}
+	c := &clock{now: simulationStart}
 	spec := EngineSpec{Slots: 2, Queue: 1, StepTime: 10 * time.Millisecond, Prefill: 10_000, Chunk: 100, CacheTokens: 1 << 16}
 	e, err := newModelEngine(spec, c, 1)
 	is.NoErr(err)
 	first := map[string]time.Duration{}
 	ask := func(name string, p *program, out int) bool {
 		return e.submit(&request{
-			blocks: p.blocks, prompt: p.prompt, toMake: out,
-			first: func() { first[name] = c.now.Sub(epoch) }, done: func() {},
+			blocks: p.blocks, prompt: p.prompt, toGenerate: out,
+			onFirstToken: func() { first[name] = c.now.Sub(simulationStart) }, onDone: func() {},
 		})
 	}
 	long := &program{}
@@ -93,22 +93,22 @@
 	is.True(ask("short", short, 50))
 	is.True(ask("third", short, 1))
 	is.True(!ask("fourth", short, 1))
-	c.run(epoch.Add(time.Hour))
+	c.run(simulationStart.Add(time.Hour))
 	// Seven steps of 100 tokens, 20 ms each; the short prompt is read in the last
 	// one's rest.
 	is.Equal(first["long"], 6*20*time.Millisecond+20*time.Millisecond)
 	is.True(first["short"] >= first["long"])
-	is.Equal(e.held(long.blocks), 10)
+	is.Equal(e.cachedBlocks(long.blocks), 10)
 	read := e.prefilled
 	is.True(ask("again", long, 1))
-	c.run(epoch.Add(2 * time.Hour))
+	c.run(simulationStart.Add(2 * time.Hour))
 	is.Equal(e.prefilled-read, 1)
 }
 
 // One engine in seven fails at once all it is sent, and stands idle with the
 // prompts it was sent, which draws more: 0.857 of the programs were on time before
 // failures counted against engines, and 1.000 after.
-func TestErringEnginesAreLeft(t *testing.T) {
+func TestFailingEnginesAreAvoided(t *testing.T) {
 	result, err := Run(options(t, Kerlouan, "err", 0.7))
 	is := is.New(t)
 	is.NoErr(err)
--- a/internal/experiment/pattern.go
+++ b/internal/experiment/pattern.go
@@ -10,8 +10,8 @@
 // length is how long programs begin; figures leave the first warmUp out, in which
 // caches and learned speeds are empty under every policy.
 const (
-	warmUp = 10 * time.Second
-	length = 50 * time.Second
+	warmUp        = 10 * time.Second
+	arrivalPeriod = 50 * time.Second
 )
 
 // Pattern is a named course of load and trouble.
@@ -22,15 +22,15 @@
 	// rate multiplies the rate of new programs at a time since the start.
 	rate func(t time.Duration) float64
 	// entry chooses among n entries by a uniform number.
-	entry func(t time.Duration, u float64, n int) int
+	chooseEntry func(t time.Duration, u float64, n int) int
 	// slow multiplies an engine's times from faultAt on, leaves says that it
 	// leaves then.
-	slow   func(engine int) float64
-	leaves func(engine int) bool
+	slowdown func(engine int) float64
+	drains   func(engine int) bool
 	// errs says that an engine fails at once all that it is sent from faultAt on.
-	errs func(engine int) bool
+	fails func(engine int) bool
 	// loops is the share of programs that never end by themselves.
-	loops float64
+	loopShare float64
 }
 
 // faultAt is when engines turn slow or leave.
@@ -48,21 +48,21 @@
 	{Name: "wave", What: "30% up and down every 11 s", rate: func(t time.Duration) float64 {
 		return 1 + 0.3*math.Sin(2*math.Pi*t.Seconds()/11)
 	}},
-	{Name: "shift", What: "half of the callers of all entries come to the first from the middle on", entry: func(t time.Duration, u float64, n int) int {
+	{Name: "shift", What: "half of the callers of all entries come to the first from the middle on", chooseEntry: func(t time.Duration, u float64, n int) int {
 		if t > faultAt && u < 0.5 {
 			return 0
 		}
 		return int(u * float64(n))
 	}},
-	{Name: "slow", What: "one engine in six takes four times as long from the middle on", slow: func(engine int) float64 {
+	{Name: "slow", What: "one engine in six takes four times as long from the middle on", slowdown: func(engine int) float64 {
 		if engine%6 == 1 {
 			return 4
 		}
 		return 1
 	}},
-	{Name: "leave", What: "half of the engines leave in the middle", leaves: func(engine int) bool { return engine%2 == 1 }},
-	{Name: "err", What: "one engine in seven fails at once all it is sent from the middle on", errs: func(engine int) bool { return engine%7 == 1 }},
-	{Name: "loop", What: "one program in ten never ends by itself", loops: 0.1},
+	{Name: "leave", What: "half of the engines leave in the middle", drains: func(engine int) bool { return engine%2 == 1 }},
+	{Name: "err", What: "one engine in seven fails at once all it is sent from the middle on", fails: func(engine int) bool { return engine%7 == 1 }},
+	{Name: "loop", What: "one program in ten never ends by itself", loopShare: 0.1},
 }
 
 // PatternOf returns the pattern of that name.
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -83,7 +83,7 @@
 			r.median(func(x *Result) float64 { return float64(x.Late) }),
 			r.median(func(x *Result) float64 { return float64(x.Failed) }),
 			r.median(func(x *Result) float64 { return x.P95 }),
-			r.median(func(x *Result) float64 { return x.Repeated }),
+			r.median(func(x *Result) float64 { return x.RepeatedPrefill }),
 			r.median(func(x *Result) float64 { return float64(x.Refused) }))
 	}
 	if err := table.Flush(); err != nil {
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -29,7 +29,7 @@
 	Pause time.Duration
 	// AimFactor times its time on idle engines is how long a program may take to
 	// be on time.
-	AimFactor float64
+	DeadlineFactor float64
 }
 
 // The two users' shapes, after their sheets.
@@ -41,7 +41,7 @@
 			Prefill: 51_100, Chunk: 4096, CacheTokens: 290_216,
 		},
 		Turns: [2]int{2, 9}, Input: [2]int{300, 1500}, Output: [2]int{12, 90}, Shared: 2560, Families: 3,
-		Pause: 250 * time.Millisecond, AimFactor: 2.4,
+		Pause: 250 * time.Millisecond, DeadlineFactor: 2.4,
 	}
 	Semente = Shape{
 		Name: "semente", Entries: 9, Engines: 18, Speeds: []float64{0.7, 0.7, 1.7},
@@ -50,7 +50,7 @@
 			Prefill: 30_600, Chunk: 2048, CacheTokens: 221_282,
 		},
 		Turns: [2]int{2, 11}, Input: [2]int{300, 1500}, Output: [2]int{20, 130}, Shared: 2560, Families: 3,
-		Pause: 300 * time.Millisecond, AimFactor: 2.7,
+		Pause: 300 * time.Millisecond, DeadlineFactor: 2.7,
 	}
 )
 
@@ -84,7 +84,7 @@
 	prompt int
 	blocks []uint64
 	// began and aim tell when it began and until when it is on time.
-	began, aim time.Time
+	startedAt, deadline time.Time
 	// failures counts how often its turn failed.
 	failures int
 	// loops says that it goes on for ever and earns nothing.
