--- a/internal/experiment/clock.go
+++ b/internal/experiment/clock.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// epoch is the moment at which each run begins. Any will do; a fixed one makes
-// runs with one seed the same.
+// simulationStart is the virtual time at which each run begins. Its value is arbitrary, but fixed,
+// so that runs with the same seed are identical.
 var simulationStart = time.Unix(1_700_000_000, 0)
 
-// clock runs events in the order of their times.
+// clock is a virtual clock that runs events in the order of their times.
 type clock struct {
 	now      time.Time
 	events   events
 	sequence int
 }
 
+// event is an action at a time; sequence is the order in which events were scheduled.
 type event struct {
 	at       time.Time
 	sequence int
 	action   func()
 }
 
-// after runs do when the time has passed.
+// schedule runs do after the duration d of virtual time.
 func (c *clock) schedule(d time.Duration, do func()) {
 	c.sequence++
 	heap.Push(&c.events, event{at: c.now.Add(d), sequence: c.sequence, action: do})
 }
 
-// run goes on until nothing is left to do, or until the end.
+// run runs events until none is left or the next one is after end.
 func (c *clock) run(end time.Time) {
 	for len(c.events) > 0 {
 		e := heap.Pop(&c.events).(event)
@@ -40,7 +41,7 @@
 	}
 }
 
-// events is a heap of events by time, first come first among equals.
+// events is a heap of events by time; events at the same time keep the order of scheduling.
 type events []event
 
 func (s events) Len() int { return len(s) }
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -11,16 +11,17 @@
 
 // EngineSpec describes an engine of speed 1.
 type EngineSpec struct {
-	// Slots is the number of requests that run at once, Queue the number that
-	// wait before others are refused.
+	// Slots is the number of requests that run at once, Queue the number that may wait; further
+	// requests are refused.
 	Slots, Queue int
-	// A step, which makes one token of each running request, takes StepTime and
-	// StepPerCall for each of them.
+	// StepTime is the fixed time of a step, which generates one token of each running request;
+	// StepPerCall is the time added for each running request.
 	StepTime, StepPerCall time.Duration
-	// Prefill is in prompt tokens a second, Chunk the most of them in one step.
+	// Prefill is the prefill speed in prompt tokens per second, Chunk the greatest number of
+	// prompt tokens in one step.
 	Prefill float64
 	Chunk   int
-	// CacheTokens is how much of prompts is kept for later requests.
+	// CacheTokens is the size of the prefix cache in tokens.
 	CacheTokens int
 }
 
@@ -29,9 +30,10 @@
 	sequence int
 	blocks   []uint64
 	prompt   int
-	// unread is what is left to prefill, toMake the tokens left to make.
+	// toPrefill is the number of prompt tokens left to prefill, toGenerate that of output tokens
+	// left to generate.
 	toPrefill, toGenerate int
-	// cached is what the engine had of the prompt when it admitted the request.
+	// cached is the number of prompt tokens in the cache when the engine admitted the request.
 	cached       int
 	started      bool
 	onFirstToken func()
@@ -42,16 +44,16 @@
 type modelEngine struct {
 	spec  EngineSpec
 	clock *clock
-	// slow multiplies all times.
+	// slowdown is the factor on all times.
 	slowdown float64
-	// cache holds prompts' blocks, the least recently used yields.
+	// cache holds blocks of prompts; the least recently used block is evicted first.
 	cache            *simplelru.LRU[uint64, struct{}]
 	waiting, running []*request
 	stepping         bool
 	draining         bool
-	// errs says that it fails at once all that it is sent.
+	// failing makes the engine fail every request at once.
 	failing bool
-	// prefilled counts the prompt tokens that were read.
+	// prefilled is the number of prompt tokens that were prefilled.
 	prefilled int
 }
 
@@ -60,7 +62,8 @@
 	return &modelEngine{spec: spec, clock: c, slowdown: slow, cache: cache}, err
 }
 
-// submit takes a request in, or refuses it where the queue is full.
+// submit queues a request and returns true, or returns false if the queue is full or the engine
+// is draining.
 func (e *modelEngine) submit(r *request) bool {
 	if e.draining || len(e.running)+len(e.waiting) >= e.spec.Slots+e.spec.Queue {
 		return false
@@ -70,13 +73,15 @@
 	return true
 }
 
+// wake starts a step if none is running and there are requests.
 func (e *modelEngine) wake() {
 	if !e.stepping && len(e.waiting)+len(e.running) > 0 {
 		e.step()
 	}
 }
 
-// step makes one token of each running request that has its prompt read.
+// step prefills at most a chunk of prompt tokens and generates one token of each running request
+// whose prompt is prefilled.
 func (e *modelEngine) step() {
 	e.stepping = true
 	e.admit()
@@ -102,7 +107,7 @@
 	e.clock.schedule(time.Duration(e.slowdown*took), func() { e.finishStep(decoding) })
 }
 
-// end gives out the step's tokens and goes on.
+// finishStep delivers the tokens of a step and starts the next one.
 func (e *modelEngine) finishStep(decoding []*request) {
 	for _, r := range decoding {
 		r.toGenerate--
@@ -120,6 +125,7 @@
 	e.wake()
 }
 
+// admit moves waiting requests to free slots, in order of arrival.
 func (e *modelEngine) admit() {
 	for len(e.running) < e.spec.Slots && len(e.waiting) > 0 {
 		r := e.waiting[0]
@@ -130,7 +136,7 @@
 	}
 }
 
-// held returns how many of the first blocks are cached.
+// cachedBlocks returns the number of leading blocks that are in the cache.
 func (e *modelEngine) cachedBlocks(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := e.cache.Get(b); !ok {
@@ -140,11 +146,12 @@
 	return len(blocks)
 }
 
+// cacheBlocks adds the blocks of a prompt to the cache.
 func (e *modelEngine) cacheBlocks(r *request) {
 	for _, b := range r.blocks {
 		e.cache.Add(b, struct{}{})
 	}
 }
 
-// leave ends the engine once what it has is done.
+// drain makes the engine refuse new requests and finish those that it has.
 func (e *modelEngine) drain() { e.draining = true }
--- a/internal/experiment/entry.go
+++ b/internal/experiment/entry.go
@@ -13,15 +13,15 @@
 
 const (
 	modelName = "model"
-	// viewBlocks bounds an entry's view of the engines' caches.
+	// viewBlocks is the maximum number of blocks in an entry's view of the engines' caches.
 	viewBlocks = 1 << 16
-	// patience is how long an engine may show no progress before it counts as
-	// stalled; longer than any wait of the model.
+	// progressTimeout is the time without progress after which an engine counts as stalled. It is
+	// longer than any wait in the model.
 	progressTimeout = time.Minute
 )
 
-// modelEntry is an instance that places turns: the product's table, view and
-// decision, fed on virtual time.
+// modelEntry is an instance that places turns with the product's upstream table, cache view and
+// placement decision, in virtual time.
 type modelEntry struct {
 	policy  placement.Policy
 	clock   *clock
@@ -38,7 +38,7 @@
 	return e
 }
 
-// list puts the engines in force that have not left.
+// applyUpstreams sets the list of engines to those that have not left.
 func (e *modelEntry) applyUpstreams(engines, slots int, left func(int) bool) {
 	var list []usage.Upstream
 	for i := range engines {
@@ -49,7 +49,7 @@
 	e.table.Apply(list, e.clock.now)
 }
 
-// choice is a placed turn.
+// placedTurn is a turn with the engine chosen for it.
 type placedTurn struct {
 	engine   int
 	endpoint *upstream.Endpoint
@@ -61,11 +61,11 @@
 	sentAt   time.Time
 }
 
-// place chooses an engine for a turn; false if none can take it.
-func (e *modelEntry) place(p *program, out int, tried []int) (*placedTurn, bool) {
+// place chooses an engine for a turn. It returns false if no engine can take it.
+func (e *modelEntry) place(p *program, output int, tried []int) (*placedTurn, bool) {
 	e.turn++
 	step := placement.Step{
-		PromptTokens: p.prompt, OutputTokens: out, LatencyWeight: 1, CacheWeight: 0.5,
+		PromptTokens: p.prompt, OutputTokens: output, LatencyWeight: 1, CacheWeight: 0.5,
 		ProgramHash: uint64(p.number), DecisionNumber: e.turn, Random: e.random.Uint64(),
 	}
 	endpoints := e.table.Snapshot().Model(modelName)
@@ -121,46 +121,47 @@
 
 func (c *placedTurn) uncached() int { return max(0, c.step.PromptTokens-c.cached) }
 
-// began notes the first token.
+// recordFirstToken records that the first token of the turn arrived.
 func (e *modelEntry) recordFirstToken(c *placedTurn) {
 	c.endpoint.Upstream.Progress(e.clock.now.UnixNano())
 	c.endpoint.Upstream.Prefilled(c.uncached())
 }
 
-// refused notes that the engine took nothing.
+// recordRefusal records that the turn does not run at the chosen engine.
 func (e *modelEntry) recordRefusal(c *placedTurn) {
 	c.endpoint.Upstream.Prefilled(c.uncached())
 	c.endpoint.Upstream.Finish(e.clock.now.UnixNano())
 }
 
-// failed notes that the engine answered with a failure.
+// recordFailure records that the engine responded with an error.
 func (e *modelEntry) recordFailure(c *placedTurn) {
 	e.recordRefusal(c)
 	c.endpoint.Upstream.Failed(e.clock.now, upstream.Failure{Kind: upstream.Errored})
 	c.endpoint.Upstream.ReleaseTrial(c.trial)
 }
 
-// ended learns from a whole answer.
-func (e *modelEntry) recordCompletion(c *placedTurn, first time.Duration, cached, made int) {
+// recordCompletion updates the table, the learned speed and the cache view from a complete response.
+func (e *modelEntry) recordCompletion(c *placedTurn, first time.Duration, cached, output int) {
 	now := e.clock.now
 	u := c.endpoint.Upstream
 	u.Finish(now.UnixNano())
 	u.Succeeded(now)
 	u.ReleaseTrial(c.trial)
 	total := now.Sub(c.sentAt)
-	u.ObserveLatency(now, total, c.estimate.ExpectedDuration(&c.step, made))
+	u.ObserveLatency(now, total, c.estimate.ExpectedDuration(&c.step, output))
 	c.endpoint.Learn(upstream.Sample{
-		Uncached: c.step.PromptTokens - cached, Output: made, Batch: min(c.batch, u.Slots), FirstToken: first, Total: total,
+		Uncached: c.step.PromptTokens - cached, Output: output, Batch: min(c.batch, u.Slots), FirstToken: first, Total: total,
 	})
 	e.view.ObserveCached(u.ID, c.cached, cached)
 }
 
-// load is what an entry tells the others.
+// upstreamLoad is the load of one engine that an entry reports to the other entries.
 type upstreamLoad struct {
 	calls, backlog int
 	highErrorRate  bool
 }
 
+// loads returns the load that this entry sees of each engine, by name.
 func (e *modelEntry) loads() map[string]upstreamLoad {
 	loads := map[string]upstreamLoad{}
 	for _, u := range e.table.Snapshot().All {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -20,7 +20,8 @@
 	return Options{Shape: s, Pattern: p, Policy: placement.Cost, Load: load, Seed: 1}
 }
 
-// A comparison says nothing if the same run differs from itself.
+// Guards against nondeterminism: policies can be compared only if the same options give the same
+// result.
 func TestRunsRepeat(t *testing.T) {
 	is := is.New(t)
 	o := options(t, Kerlouan, "burst", 0.6)
@@ -33,10 +34,9 @@
 	is.True(first.Programs > 1000)
 }
 
-// One engine in six turns four times as slow at full load, with hints of answers'
-// lengths that are often far off. Where the lengths of answers pass for slowness of
-// engines, instances differ in what they think of each engine: 0.679 of the programs
-// were on time, against 0.777.
+// One engine in six becomes four times as slow at full load, and the hints of response lengths are
+// often wrong. If long responses are taken for slow engines, instances disagree on the speed of
+// each engine: 0.679 of the programs are on time, against 0.777 otherwise.
 func TestSlowEnginesAreDistinguishedFromLongResponses(t *testing.T) {
 	result, err := Run(options(t, Semente, "slow", 1.05))
 	is := is.New(t)
@@ -45,8 +45,8 @@
 	is.True(result.InTimeShare() > 0.73)
 }
 
-// A burst at more load than the engines can take: programs on time against those
-// under the best baseline.
+// Under a burst at more load than the engines can serve, the share of programs on time must exceed
+// that of the best baseline.
 func TestBurstAgainstBaselines(t *testing.T) {
 	c, err := Compare(options(t, Kerlouan, "burst", 1.1), []placement.Policy{placement.Cost, placement.LeastInFlight, placement.PrefixOnly}, []uint64{1})
 	is := is.New(t)
@@ -69,9 +69,9 @@
 	is.New(t).True(err != nil)
 }
 
-// What the model's engines do is what the measured policies are judged by: a
-// cached prefix is not read again, a long prompt is read in chunks between others'
-// tokens, and a full queue refuses.
+// Comparisons of policies depend on the model of an engine: a cached prefix is not prefilled again,
+// a long prompt is prefilled in chunks between the tokens of other requests, and a full queue
+// refuses.
 func TestModelEngine(t *testing.T) {
 	is := is.New(t)
 	c := &clock{now: simulationStart}
@@ -94,8 +94,8 @@
 	is.True(ask("third", short, 1))
 	is.True(!ask("fourth", short, 1))
 	c.run(simulationStart.Add(time.Hour))
-	// Seven steps of 100 tokens, 20 ms each; the short prompt is read in the last
-	// one's rest.
+	// Seven steps of 100 tokens, 20 ms each; the short prompt is prefilled in the rest of the last
+	// step.
 	is.Equal(first["long"], 6*20*time.Millisecond+20*time.Millisecond)
 	is.True(first["short"] >= first["long"])
 	is.Equal(e.cachedBlocks(long.blocks), 10)
@@ -105,9 +105,9 @@
 	is.Equal(e.prefilled-read, 1)
 }
 
-// One engine in seven fails at once all it is sent, and stands idle with the
-// prompts it was sent, which draws more: 0.857 of the programs were on time before
-// failures counted against engines, and 1.000 after.
+// One engine in seven fails every request at once. It is then idle and appears to have the prompts
+// that it was sent in its cache, which attracts more turns: 0.857 of the programs are on time if
+// failures don't count against an engine, and 1.000 if they do.
 func TestFailingEnginesAreAvoided(t *testing.T) {
 	result, err := Run(options(t, Kerlouan, "err", 0.7))
 	is := is.New(t)
--- a/internal/experiment/pattern.go
+++ b/internal/experiment/pattern.go
@@ -7,33 +7,33 @@
 	"github.com/pkg/errors"
 )
 
-// length is how long programs begin; figures leave the first warmUp out, in which
-// caches and learned speeds are empty under every policy.
+// arrivalPeriod is the time during which programs start. Results leave out programs that start
+// within warmUp, when caches and learned speeds are empty under every policy.
 const (
 	warmUp        = 10 * time.Second
 	arrivalPeriod = 50 * time.Second
 )
 
-// Pattern is a named course of load and trouble.
+// Pattern is a named course of load and faults.
 type Pattern struct {
 	Name string
-	// What says what happens, for tables.
+	// What describes the pattern in tables.
 	What string
-	// rate multiplies the rate of new programs at a time since the start.
+	// rate returns the factor on the rate of new programs at a time since the start.
 	rate func(t time.Duration) float64
-	// entry chooses among n entries by a uniform number.
+	// chooseEntry selects one of n entries by a uniform number u from 0 up to 1.
 	chooseEntry func(t time.Duration, u float64, n int) int
-	// slow multiplies an engine's times from faultAt on, leaves says that it
-	// leaves then.
+	// slowdown returns the factor on an engine's times from faultAt on; drains reports whether
+	// the engine drains then.
 	slowdown func(engine int) float64
 	drains   func(engine int) bool
-	// errs says that an engine fails at once all that it is sent from faultAt on.
+	// fails reports whether an engine fails every request at once from faultAt on.
 	fails func(engine int) bool
-	// loops is the share of programs that never end by themselves.
+	// loopShare is the share of programs that never end by themselves.
 	loopShare float64
 }
 
-// faultAt is when engines turn slow or leave.
+// faultAt is the time since the start at which engines become slow, drain or fail.
 const faultAt = 25 * time.Second
 
 // Patterns lists all patterns.
@@ -65,7 +65,7 @@
 	{Name: "loop", What: "one program in ten never ends by itself", loopShare: 0.1},
 }
 
-// PatternOf returns the pattern of that name.
+// PatternOf returns the pattern with the name.
 func PatternOf(name string) (*Pattern, error) {
 	for i := range Patterns {
 		if Patterns[i].Name == name {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -16,15 +16,15 @@
 	"foxhall/internal/placement"
 )
 
-// Comparison is the product's policy against baselines on the same loads.
+// Comparison holds the results of the product's policy and of baselines under the same loads.
 type Comparison struct {
 	Options Options
 	Seeds   []uint64
-	// Rows has one row a policy, the product's first.
+	// Rows has one row per policy, the product's first.
 	Rows []Row
 }
 
-// Row is one policy over all seeds.
+// Row holds the results of one policy with each seed.
 type Row struct {
 	Policy  placement.Policy
 	Results []*Result
@@ -58,10 +58,10 @@
 	return values[len(values)/2]
 }
 
-// InTime is the median share of programs that were on time.
+// InTime returns the median share of programs that were on time.
 func (r *Row) InTime() float64 { return r.median((*Result).InTimeShare) }
 
-// Ratio is the first policy's share in time over that of the best of the others.
+// Ratio returns the first policy's share of programs on time, divided by that of the best other.
 func (c *Comparison) Ratio() float64 {
 	best := 0.0
 	for i := range c.Rows[1:] {
@@ -70,7 +70,7 @@
 	return c.Rows[0].InTime() / best
 }
 
-// WriteTable writes a row a policy, medians over the seeds, and the ratio.
+// WriteTable writes one row per policy with medians over the seeds, and the ratio.
 func (c *Comparison) WriteTable(w io.Writer) error {
 	o := &c.Options
 	fmt.Fprintf(w, "%s, pattern %s (%s), load %.2f, %d seeds\n", o.Shape.Name, o.Pattern.Name, o.Pattern.What, o.Load, len(c.Seeds))
@@ -96,14 +96,14 @@
 	return errors.Wrap(err, "experiment")
 }
 
-// The size of a plot.
+// plotWidth and plotHeight are the size of a plot.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
 )
 
-// SavePlot draws the share in time over the time of the first seed's run. The
-// file's ending gives the format: svg, png or pdf.
+// SavePlot draws the share of programs on time over the time of the first seed's run. The file
+// extension selects the format: svg, png or pdf.
 func (c *Comparison) SavePlot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, %s, load %.2f", c.Options.Shape.Name, c.Options.Pattern.Name, c.Options.Load)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// way is the time from an entry to an engine.
+	// networkDelay is the one-way delay between an entry and an engine or another entry.
 	networkDelay = time.Millisecond
-	// tellEvery is how often entries tell each other their loads, which count
-	// for tellLife.
+	// loadReportInterval is the interval at which entries report their loads to each other; a
+	// report is valid for loadReportTTL.
 	loadReportInterval = 60 * time.Millisecond
 	loadReportTTL      = 1500 * time.Millisecond
-	// triesMost bounds the engines asked for one turn; then the turn waits
-	// retryAfter, and after waitsMost such waits the program is given up.
+	// maxEnginesTried is the number of engines tried for one turn before it waits for retryDelay;
+	// after maxWaits such waits the program fails.
 	maxEnginesTried = 4
 	retryDelay      = 150 * time.Millisecond
 	maxWaits        = 20
-	// hintSpread is how far callers' hints of an answer's length are off, as the
-	// standard deviation of their logarithm: right at the median, often far off.
+	// hintSpread is the error of callers' hints of a response's length, as the standard deviation
+	// of its logarithm: the median is right, but single hints are often far off.
 	hintSpread = 0.5
-	// failuresMost is how often a turn may fail, and resendAfter the pause before
-	// it is sent again.
+	// maxFailures is the number of failures in a row at which a program fails; resendDelay is the
+	// pause before a failed turn is sent again.
 	maxFailures = 3
 	resendDelay = 250 * time.Millisecond
-	// loopTurns bounds the turns of a program that loops, as its budget does.
+	// loopTurns is the number of turns of a program that loops, as limited by its budget.
 	loopTurns = 40
-	// objective is added to each program's aim.
+	// deadlineAllowance is added to the deadline of each program.
 	deadlineAllowance = 250 * time.Millisecond
 )
 
-// Options describe one run.
+// Options describes one run.
 type Options struct {
 	Shape   Shape
 	Pattern *Pattern
@@ -44,46 +44,46 @@
 	Seed uint64
 }
 
-// Result is what one run measured, over the programs that began after warmUp.
+// Result holds the measurements of one run, over the programs that started after warmUp.
 type Result struct {
 	Policy placement.Policy
-	// Programs is the number that began, InTime, Late and Failed their ends. A
-	// late one took up to twice its time; beyond that it has failed.
+	// Programs is the number of programs that started; InTime, Late and Failed count their
+	// outcomes. A late program took up to twice its allowed time; a longer one has failed.
 	Programs, InTime, Late, Failed int
-	// P95 is the time of the 95th of 100 programs over that on idle engines.
+	// P95 is the 95th percentile of the ratio of a program's time to its time on idle engines.
 	P95 float64
-	// Repeated is the share of read prompt tokens that an engine had read before.
+	// RepeatedPrefill is the share of prefilled prompt tokens that some engine had prefilled before.
 	RepeatedPrefill float64
-	// Refused counts turns that an engine refused as full.
+	// Refused is the number of turns that an engine refused because it was full or draining.
 	Refused int
-	// Series has the share in time of the programs that began in each second.
+	// Series has, for each second, the share on time of the programs that started in it.
 	Series []float64
 }
 
-// InTimeShare is the share of programs that were on time.
+// InTimeShare returns the share of programs that were on time.
 func (r *Result) InTimeShare() float64 { return float64(r.InTime) / float64(max(1, r.Programs)) }
 
-// run is one run under way.
+// simulation is the state of one run.
 type simulation struct {
 	options Options
 	clock   *clock
-	// random draws the programs, the same for each policy; hints draws what their
-	// callers say of the answers' lengths.
+	// random draws the programs, the same for each policy; hints draws the errors of callers'
+	// hints of response lengths.
 	random, hints *rand.Rand
 	engines       []*modelEngine
 	entries       []*modelEntry
 	requestCount  int
 	result        Result
 	ratios        []float64
-	// known are the blocks that some engine has read; needed counts the tokens
-	// read that none had.
+	// readBlocks is the set of blocks that some engine has prefilled; neededTokens counts the
+	// tokens of those blocks, each block once.
 	readBlocks       map[uint64]bool
 	neededTokens     int
 	startedPerSecond []int
 	inTimePerSecond  []int
 }
 
-// Run plays one run. The same options give the same result.
+// Run simulates one run. The same options give the same result.
 func Run(o Options) (*Result, error) {
 	r := &simulation{
 		options: o, clock: &clock{now: simulationStart},
@@ -109,7 +109,7 @@
 	return r.summarize(), nil
 }
 
-// arrive begins a program and draws when the next begins.
+// arrive starts a program and draws the time at which the next one starts.
 func (r *simulation) arrive(number int) {
 	t := r.clock.now.Sub(simulationStart)
 	if t >= arrivalPeriod {
@@ -123,6 +123,7 @@
 	r.clock.schedule(time.Duration(r.random.ExpFloat64()/rate*float64(time.Second)), func() { r.arrive(number + 1) })
 }
 
+// startProgram draws a program, sets its deadline and runs its first turn.
 func (r *simulation) startProgram(number int, t time.Duration) {
 	s := &r.options.Shape
 	u := r.random.Float64()
@@ -147,7 +148,7 @@
 	r.runTurn(p, inputs, outputs, pauses, ideal)
 }
 
-// draws returns a program's turns beforehand, so that all policies meet the same.
+// drawTurns draws all turns of a program in advance, so that all policies get the same ones.
 func (r *simulation) drawTurns(p *program) (inputs, outputs []int, pauses []time.Duration) {
 	s := &r.options.Shape
 	turns := p.turns
@@ -162,7 +163,7 @@
 	return inputs, outputs, pauses
 }
 
-// turn runs the program's next turn, and then the others.
+// runTurn runs the program's next turn, and after it the remaining ones.
 func (r *simulation) runTurn(p *program, inputs, outputs []int, pauses []time.Duration, ideal time.Duration) {
 	p.grow(inputs[0], uint64(p.number)<<8|1<<63)
 	r.sendTurn(p, outputs[0], nil, 0, func(ok bool) {
@@ -175,10 +176,10 @@
 	})
 }
 
-// send places a turn until an engine takes it.
-func (r *simulation) sendTurn(p *program, out int, tried []int, waits int, done func(bool)) {
+// sendTurn places a turn and tries again until an engine takes it or maxWaits is reached.
+func (r *simulation) sendTurn(p *program, output int, tried []int, waits int, done func(bool)) {
 	entry := r.entries[p.entry]
-	hint := max(1, int(float64(out)*math.Exp(hintSpread*r.hints.NormFloat64())))
+	hint := max(1, int(float64(output)*math.Exp(hintSpread*r.hints.NormFloat64())))
 	c, ok := entry.place(p, hint, tried)
 	if !ok || len(tried) >= maxEnginesTried {
 		if ok {
@@ -188,11 +189,11 @@
 			done(false)
 			return
 		}
-		r.clock.schedule(retryDelay, func() { r.sendTurn(p, out, nil, waits+1, done) })
+		r.clock.schedule(retryDelay, func() { r.sendTurn(p, output, nil, waits+1, done) })
 		return
 	}
 	r.requestCount++
-	q := &request{sequence: r.requestCount, blocks: slices.Clone(p.blocks), prompt: p.prompt, toGenerate: out}
+	q := &request{sequence: r.requestCount, blocks: slices.Clone(p.blocks), prompt: p.prompt, toGenerate: output}
 	var first time.Duration
 	q.onFirstToken = func() {
 		first = r.clock.now.Add(networkDelay).Sub(c.sentAt)
@@ -202,13 +203,13 @@
 		p.failures = 0
 		r.countNewBlocks(q)
 		r.clock.schedule(networkDelay, func() {
-			entry.recordCompletion(c, first, q.cached, out)
+			entry.recordCompletion(c, first, q.cached, output)
 			done(true)
 		})
 	}
 	r.clock.schedule(networkDelay, func() {
 		if r.engines[c.engine].failing {
-			r.clock.schedule(networkDelay, func() { r.handleFailure(p, c, out, waits, done) })
+			r.clock.schedule(networkDelay, func() { r.handleFailure(p, c, output, waits, done) })
 			return
 		}
 		if r.engines[c.engine].submit(q) {
@@ -217,23 +218,23 @@
 		r.result.Refused++
 		r.clock.schedule(networkDelay, func() {
 			entry.recordRefusal(c)
-			r.sendTurn(p, out, append(tried, c.engine), waits, done)
+			r.sendTurn(p, output, append(tried, c.engine), waits, done)
 		})
 	})
 }
 
-// failed ends a turn that its engine failed. The caller sends it again, from its
-// start, and gives the program up after the third time in a row.
-func (r *simulation) handleFailure(p *program, c *placedTurn, out, waits int, done func(bool)) {
+// handleFailure ends a turn that its engine failed. The caller sends it again from its start, and
+// gives the program up after the third failure in a row.
+func (r *simulation) handleFailure(p *program, c *placedTurn, output, waits int, done func(bool)) {
 	r.entries[p.entry].recordFailure(c)
 	if p.failures++; p.failures >= maxFailures {
 		done(false)
 		return
 	}
-	r.clock.schedule(resendDelay, func() { r.sendTurn(p, out, nil, waits, done) })
+	r.clock.schedule(resendDelay, func() { r.sendTurn(p, output, nil, waits, done) })
 }
 
-// count adds up how much of a prompt had to be read by some engine.
+// countNewBlocks adds the tokens of a prompt that no engine had prefilled before.
 func (r *simulation) countNewBlocks(q *request) {
 	fresh := 0
 	for _, b := range q.blocks {
@@ -245,17 +246,18 @@
 	r.neededTokens += fresh * blockTokens
 }
 
-func (r *simulation) endProgram(p *program, whole bool, ideal time.Duration) {
+// endProgram records the outcome of a program, unless it started within warmUp or loops.
+func (r *simulation) endProgram(p *program, completed bool, ideal time.Duration) {
 	t := p.startedAt.Sub(simulationStart)
 	if t < warmUp || p.loops {
 		return
 	}
-	took, aim := r.clock.now.Sub(p.startedAt), p.deadline.Sub(p.startedAt)
+	took, allowed := r.clock.now.Sub(p.startedAt), p.deadline.Sub(p.startedAt)
 	r.ratios = append(r.ratios, took.Seconds()/ideal.Seconds())
 	switch {
-	case !whole || took > 2*aim:
+	case !completed || took > 2*allowed:
 		r.result.Failed++
-	case took > aim:
+	case took > allowed:
 		r.result.Late++
 	default:
 		r.result.InTime++
@@ -263,7 +265,7 @@
 	}
 }
 
-// tell passes the entries' loads on among them.
+// exchangeLoads sends the load that each entry sees to all other entries.
 func (r *simulation) exchangeLoads() {
 	sums := map[string]upstreamLoad{}
 	own := make([]map[string]upstreamLoad, len(r.entries))
@@ -277,8 +279,8 @@
 	r.clock.schedule(networkDelay, func() {
 		for i, e := range r.entries {
 			for _, u := range e.table.Snapshot().All {
-				sum, mine := sums[u.Name], own[i][u.Name]
-				u.SetRemoteLoad(sum.calls-mine.calls, sum.backlog-mine.backlog, r.clock.now.Add(loadReportTTL))
+				sum, self := sums[u.Name], own[i][u.Name]
+				u.SetRemoteLoad(sum.calls-self.calls, sum.backlog-self.backlog, r.clock.now.Add(loadReportTTL))
 				if sum.highErrorRate {
 					u.PeerReportedErrors(r.clock.now.Add(loadReportTTL))
 				}
@@ -290,7 +292,7 @@
 	}
 }
 
-// fault lets engines turn slow or leave.
+// injectFault makes engines slow, draining or failing, as the pattern demands.
 func (r *simulation) injectFault() {
 	pattern := r.options.Pattern
 	for i, e := range r.engines {
@@ -310,9 +312,10 @@
 	}
 }
 
+// summarize completes the result from the counts of the run.
 func (r *simulation) summarize() *Result {
 	result := &r.result
-	// What is still under way at the end took more than twice its time.
+	// Programs still running at the end count as failed, as they took more than twice their time.
 	result.Failed = result.Programs - result.InTime - result.Late
 	slices.Sort(r.ratios)
 	if n := len(r.ratios); n > 0 {
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -12,27 +12,28 @@
 
 const blockTokens = engine.BlockTokens
 
-// Shape is a workload of programs and the fleet that it meets.
+// Shape describes a workload of programs and the fleet that serves it.
 type Shape struct {
 	Name             string
 	Entries, Engines int
 	Engine           EngineSpec
-	// Speeds are given to the engines in turn.
+	// Speeds are the factors on engines' times, assigned to the engines in turn; a lower one is
+	// faster.
 	Speeds []float64
-	// Turns, Input and Output are the least and most of a program's turns, and of
-	// a turn's new prompt tokens and output tokens.
+	// Turns, Input and Output are the minimum and maximum of a program's turns, and of a turn's new
+	// prompt tokens and output tokens.
 	Turns, Input, Output [2]int
-	// Shared is the length of the prompt's part that all programs of a family
-	// share, Families their number.
+	// Shared is the length in tokens of the prompt prefix that all programs of a family share,
+	// Families the number of families.
 	Shared, Families int
-	// Pause is the mean pause between turns, for tools.
+	// Pause is the mean pause between turns, which stands for tool calls.
 	Pause time.Duration
-	// AimFactor times its time on idle engines is how long a program may take to
-	// be on time.
+	// DeadlineFactor times a program's time on idle engines, plus deadlineAllowance, is the time
+	// within which it is on time.
 	DeadlineFactor float64
 }
 
-// The two users' shapes, after their sheets.
+// Kerlouan and Semente are the shapes of the two users' workloads.
 var (
 	Kerlouan = Shape{
 		Name: "kerlouan", Entries: 7, Engines: 14, Speeds: []float64{0.7, 0.7, 1.7},
@@ -54,12 +55,12 @@
 	}
 )
 
-// Shapes lists them.
+// Shapes lists all shapes.
 var Shapes = []Shape{Kerlouan, Semente}
 
-// rate returns the programs a second at which the engines are loaded to the
-// share. At 1 their prefill and their steps, in batches half full, take all of
-// their time, with every earlier token found in a cache.
+// rate returns the number of programs per second that loads the engines to the share. At a share
+// of 1, prefill and steps take all of the engines' time, with batches half full and every earlier
+// token found in a cache.
 func (s *Shape) rate(share float64) float64 {
 	turns := mean(s.Turns)
 	batch := float64(s.Engine.Slots) / 2
@@ -76,28 +77,28 @@
 
 func mean(r [2]int) float64 { return float64(r[0]+r[1]) / 2 }
 
-// program is one agent program under way.
+// program is a running agent program.
 type program struct {
 	number int
 	entry  int
 	turns  int
 	prompt int
 	blocks []uint64
-	// began and aim tell when it began and until when it is on time.
+	// startedAt is the time of its start, deadline the time up to which it is on time.
 	startedAt, deadline time.Time
-	// failures counts how often its turn failed.
+	// failures is the number of failures in a row of its present turn.
 	failures int
-	// loops says that it goes on for ever and earns nothing.
+	// loops is true if the program never ends by itself and earns nothing.
 	loops bool
 }
 
-// draw returns an integer between the bounds, the lower ones more often.
+// draw returns a random integer within the bounds; lower ones are more frequent.
 func draw(random *rand.Rand, r [2]int) int {
 	return r[0] + int(math.Pow(random.Float64(), 1.5)*float64(r[1]-r[0]+1))
 }
 
-// grow adds tokens to the prompt. Blocks are chained, so that equal ones mean
-// equal prefixes; the shared part's are the family's.
+// grow adds tokens to the prompt. Block hashes are chained, so that equal hashes mean equal
+// prefixes; the blocks of the shared prefix depend on the family alone.
 func (p *program) grow(tokens int, owner uint64) {
 	p.prompt += tokens
 	for len(p.blocks) < p.prompt/blockTokens {
@@ -113,7 +114,7 @@
 	}
 }
 
-// idealTurn is a turn's time on an idle engine of speed 1.
+// idealTurn returns the time of a turn on an idle engine of speed 1.
 func (s *Shape) idealTurn(input, output int) time.Duration {
 	step := s.Engine.StepTime + s.Engine.StepPerCall
 	return time.Duration(float64(input)/s.Engine.Prefill*float64(time.Second)) + time.Duration(output)*step
