--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -17,10 +17,10 @@
 	// StepTime is the fixed time of a step, which generates one token of each running request;
 	// StepPerCall is the time added for each running request.
 	StepTime, StepPerCall time.Duration
-	// Prefill is the prefill speed in prompt tokens per second, Chunk the greatest number of
-	// prompt tokens in one step.
-	Prefill float64
-	Chunk   int
+	// PrefillSpeed is in prompt tokens per second; ChunkTokens is the greatest number of prompt
+	// tokens in one step.
+	PrefillSpeed float64
+	ChunkTokens  int
 	// CacheTokens is the size of the prefix cache in tokens.
 	CacheTokens int
 }
@@ -86,7 +86,7 @@
 	e.stepping = true
 	e.admit()
 	var decoding []*request
-	read, budget := 0, e.spec.Chunk
+	read, budget := 0, e.spec.ChunkTokens
 	for _, r := range e.running {
 		if r.toPrefill == 0 {
 			decoding = append(decoding, r)
@@ -103,7 +103,7 @@
 	}
 	e.prefilled += read
 	took := float64(e.spec.StepTime) + float64(e.spec.StepPerCall)*float64(len(e.running)) +
-		float64(time.Second)*float64(read)/e.spec.Prefill
+		float64(time.Second)*float64(read)/e.spec.PrefillSpeed
 	e.clock.schedule(time.Duration(e.slowdown*took), func() { e.finishStep(decoding) })
 }
 
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -75,7 +75,7 @@
 func TestModelEngine(t *testing.T) {
 	is := is.New(t)
 	c := &clock{now: simulationStart}
-	spec := EngineSpec{Slots: 2, Queue: 1, StepTime: 10 * time.Millisecond, Prefill: 10_000, Chunk: 100, CacheTokens: 1 << 16}
+	spec := EngineSpec{Slots: 2, Queue: 1, StepTime: 10 * time.Millisecond, PrefillSpeed: 10_000, ChunkTokens: 100, CacheTokens: 1 << 16}
 	e, err := newModelEngine(spec, c, 1)
 	is.NoErr(err)
 	first := map[string]time.Duration{}
--- a/internal/experiment/pattern.go
+++ b/internal/experiment/pattern.go
@@ -17,8 +17,8 @@
 // Pattern is a named course of load and faults.
 type Pattern struct {
 	Name string
-	// What describes the pattern in tables.
-	What string
+	// Description describes the pattern in tables.
+	Description string
 	// rate returns the factor on the rate of new programs at a time since the start.
 	rate func(t time.Duration) float64
 	// chooseEntry selects one of n entries by a uniform number u from 0 up to 1.
@@ -38,31 +38,31 @@
 
 // Patterns lists all patterns.
 var Patterns = []Pattern{
-	{Name: "steady", What: "even load"},
-	{Name: "burst", What: "1.8 times the programs for 8 s", rate: func(t time.Duration) float64 {
+	{Name: "steady", Description: "even load"},
+	{Name: "burst", Description: "1.8 times the programs for 8 s", rate: func(t time.Duration) float64 {
 		if t > 22*time.Second && t < 30*time.Second {
 			return 1.8
 		}
 		return 1
 	}},
-	{Name: "wave", What: "30% up and down every 11 s", rate: func(t time.Duration) float64 {
+	{Name: "wave", Description: "30% up and down every 11 s", rate: func(t time.Duration) float64 {
 		return 1 + 0.3*math.Sin(2*math.Pi*t.Seconds()/11)
 	}},
-	{Name: "shift", What: "half of the callers of all entries come to the first from the middle on", chooseEntry: func(t time.Duration, u float64, n int) int {
+	{Name: "shift", Description: "half of the callers of all entries come to the first from the middle on", chooseEntry: func(t time.Duration, u float64, n int) int {
 		if t > faultAt && u < 0.5 {
 			return 0
 		}
 		return int(u * float64(n))
 	}},
-	{Name: "slow", What: "one engine in six takes four times as long from the middle on", slowdown: func(engine int) float64 {
+	{Name: "slow", Description: "one engine in six takes four times as long from the middle on", slowdown: func(engine int) float64 {
 		if engine%6 == 1 {
 			return 4
 		}
 		return 1
 	}},
-	{Name: "leave", What: "half of the engines leave in the middle", drains: func(engine int) bool { return engine%2 == 1 }},
-	{Name: "err", What: "one engine in seven fails at once all it is sent from the middle on", fails: func(engine int) bool { return engine%7 == 1 }},
-	{Name: "loop", What: "one program in ten never ends by itself", loopShare: 0.1},
+	{Name: "leave", Description: "half of the engines leave in the middle", drains: func(engine int) bool { return engine%2 == 1 }},
+	{Name: "err", Description: "one engine in seven fails at once all it is sent from the middle on", fails: func(engine int) bool { return engine%7 == 1 }},
+	{Name: "loop", Description: "one program in ten never ends by itself", loopShare: 0.1},
 }
 
 // PatternOf returns the pattern with the name.
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -73,7 +73,7 @@
 // WriteTable writes one row per policy with medians over the seeds, and the ratio.
 func (c *Comparison) WriteTable(w io.Writer) error {
 	o := &c.Options
-	fmt.Fprintf(w, "%s, pattern %s (%s), load %.2f, %d seeds\n", o.Shape.Name, o.Pattern.Name, o.Pattern.What, o.Load, len(c.Seeds))
+	fmt.Fprintf(w, "%s, pattern %s (%s), load %.2f, %d seeds\n", o.Shape.Name, o.Pattern.Name, o.Pattern.Description, o.Load, len(c.Seeds))
 	table := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "policy\tprograms\tin time\tlate\tfailed\tp95 x idle\tprompt read again\trefused turns")
 	for i := range c.Rows {
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -39,7 +39,7 @@
 		Name: "kerlouan", Entries: 7, Engines: 14, Speeds: []float64{0.7, 0.7, 1.7},
 		Engine: EngineSpec{
 			Slots: 24, Queue: 72, StepTime: 5090 * time.Microsecond, StepPerCall: 30 * time.Microsecond,
-			Prefill: 51_100, Chunk: 4096, CacheTokens: 290_216,
+			PrefillSpeed: 51_100, ChunkTokens: 4096, CacheTokens: 290_216,
 		},
 		Turns: [2]int{2, 9}, Input: [2]int{300, 1500}, Output: [2]int{12, 90}, Shared: 2560, Families: 3,
 		Pause: 250 * time.Millisecond, DeadlineFactor: 2.4,
@@ -48,7 +48,7 @@
 		Name: "semente", Entries: 9, Engines: 18, Speeds: []float64{0.7, 0.7, 1.7},
 		Engine: EngineSpec{
 			Slots: 64, Queue: 192, StepTime: 6730 * time.Microsecond, StepPerCall: 40 * time.Microsecond,
-			Prefill: 30_600, Chunk: 2048, CacheTokens: 221_282,
+			PrefillSpeed: 30_600, ChunkTokens: 2048, CacheTokens: 221_282,
 		},
 		Turns: [2]int{2, 11}, Input: [2]int{300, 1500}, Output: [2]int{20, 130}, Shared: 2560, Families: 3,
 		Pause: 300 * time.Millisecond, DeadlineFactor: 2.7,
@@ -65,7 +65,7 @@
 	turns := mean(s.Turns)
 	batch := float64(s.Engine.Slots) / 2
 	step := s.Engine.StepTime.Seconds() + batch*s.Engine.StepPerCall.Seconds()
-	perTurn := mean(s.Input)/s.Engine.Prefill + mean(s.Output)*step/batch
+	perTurn := mean(s.Input)/s.Engine.PrefillSpeed + mean(s.Output)*step/batch
 	capacity := 0.0
 	for i := range s.Engines {
 		capacity += s.speed(i)
@@ -117,5 +117,5 @@
 // idealTurn returns the time of a turn on an idle engine of speed 1.
 func (s *Shape) idealTurn(input, output int) time.Duration {
 	step := s.Engine.StepTime + s.Engine.StepPerCall
-	return time.Duration(float64(input)/s.Engine.Prefill*float64(time.Second)) + time.Duration(output)*step
+	return time.Duration(float64(input)/s.Engine.PrefillSpeed*float64(time.Second)) + time.Duration(output)*step
 }
