--- a/internal/experiment/clock.go
+++ b/internal/experiment/clock.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// epoch is the moment at which each run begins. Any will do; a fixed one makes
-// runs with one seed the same.
-var epoch = time.Unix(1_700_000_000, 0)
+// simulationStart is the virtual time at which each run begins. Its value is arbitrary, but fixed,
+// so that runs with the same seed are identical.
+var simulationStart = time.Unix(1_700_000_000, 0)
 
-// clock runs events in the order of their times.
+// clock is a virtual clock that runs events in the order of their times.
 type clock struct {
-	now    time.Time
-	events events
-	order  int
+	now      time.Time
+	events   events
+	sequence int
 }
 
+// event is an action at a time; sequence is the order in which events were scheduled.
 type event struct {
-	at    time.Time
-	order int
-	do    func()
+	at       time.Time
+	sequence int
+	action   func()
 }
 
-// after runs do when the time has passed.
-func (c *clock) after(d time.Duration, do func()) {
-	c.order++
-	heap.Push(&c.events, event{at: c.now.Add(d), order: c.order, do: do})
+// schedule runs do after the duration d of virtual time.
+func (c *clock) schedule(d time.Duration, do func()) {
+	c.sequence++
+	heap.Push(&c.events, event{at: c.now.Add(d), sequence: c.sequence, action: do})
 }
 
-// run goes on until nothing is left to do, or until the end.
+// run runs events until none is left or the next one is after end.
 func (c *clock) run(end time.Time) {
 	for len(c.events) > 0 {
 		e := heap.Pop(&c.events).(event)
@@ -36,11 +37,11 @@
 			return
 		}
 		c.now = e.at
-		e.do()
+		e.action()
 	}
 }
 
-// events is a heap of events by time, first come first among equals.
+// events is a heap of events by time; events at the same time keep the order of scheduling.
 type events []event
 
 func (s events) Len() int { return len(s) }
@@ -49,7 +50,7 @@
 	if !s[i].at.Equal(s[j].at) {
 		return s[i].at.Before(s[j].at)
 	}
-	return s[i].order < s[j].order
+	return s[i].sequence < s[j].sequence
 }
 
 func (s events) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -11,58 +11,61 @@
 
 // EngineSpec describes an engine of speed 1.
 type EngineSpec struct {
-	// Slots is the number of requests that run at once, Queue the number that
-	// wait before others are refused.
+	// Slots is the number of requests that run at once, Queue the number that may wait; further
+	// requests are refused.
 	Slots, Queue int
-	// A step, which makes one token of each running request, takes StepTime and
-	// StepPerCall for each of them.
+	// StepTime is the fixed time of a step, which generates one token of each running request;
+	// StepPerCall is the time added for each running request.
 	StepTime, StepPerCall time.Duration
-	// Prefill is in prompt tokens a second, Chunk the most of them in one step.
-	Prefill float64
-	Chunk   int
-	// CacheTokens is how much of prompts is kept for later requests.
+	// PrefillSpeed is in prompt tokens per second; ChunkTokens is the greatest number of prompt
+	// tokens in one step.
+	PrefillSpeed float64
+	ChunkTokens  int
+	// CacheTokens is the size of the prefix cache in tokens.
 	CacheTokens int
 }
 
 // request is one turn at an engine.
 type request struct {
-	order  int
-	blocks []uint64
-	prompt int
-	// unread is what is left to prefill, toMake the tokens left to make.
-	unread, toMake int
-	// cached is what the engine had of the prompt when it admitted the request.
-	cached  int
-	started bool
-	first   func()
-	done    func()
+	sequence int
+	blocks   []uint64
+	prompt   int
+	// toPrefill is the number of prompt tokens left to prefill, toGenerate that of output tokens
+	// left to generate.
+	toPrefill, toGenerate int
+	// cached is the number of prompt tokens in the cache when the engine admitted the request.
+	cached       int
+	started      bool
+	onFirstToken func()
+	onDone       func()
 }
 
 // modelEngine is one engine of the model.
 type modelEngine struct {
 	spec  EngineSpec
 	clock *clock
-	// slow multiplies all times.
-	slow float64
-	// cache holds prompts' blocks, the least recently used yields.
+	// slowdown is the factor on all times.
+	slowdown float64
+	// cache holds blocks of prompts; the least recently used block is evicted first.
 	cache            *simplelru.LRU[uint64, struct{}]
 	waiting, running []*request
 	stepping         bool
-	gone             bool
-	// errs says that it fails at once all that it is sent.
-	errs bool
-	// prefilled counts the prompt tokens that were read.
+	draining         bool
+	// failing makes the engine fail every request at once.
+	failing bool
+	// prefilled is the number of prompt tokens that were prefilled.
 	prefilled int
 }
 
 func newModelEngine(spec EngineSpec, c *clock, slow float64) (*modelEngine, error) {
 	cache, err := simplelru.NewLRU[uint64, struct{}](max(1, spec.CacheTokens/engine.BlockTokens), nil)
-	return &modelEngine{spec: spec, clock: c, slow: slow, cache: cache}, err
+	return &modelEngine{spec: spec, clock: c, slowdown: slow, cache: cache}, err
 }
 
-// submit takes a request in, or refuses it where the queue is full.
+// submit queues a request and returns true, or returns false if the queue is full or the engine
+// is draining.
 func (e *modelEngine) submit(r *request) bool {
-	if e.gone || len(e.running)+len(e.waiting) >= e.spec.Slots+e.spec.Queue {
+	if e.draining || len(e.running)+len(e.waiting) >= e.spec.Slots+e.spec.Queue {
 		return false
 	}
 	e.waiting = append(e.waiting, r)
@@ -70,68 +73,71 @@
 	return true
 }
 
+// wake starts a step if none is running and there are requests.
 func (e *modelEngine) wake() {
 	if !e.stepping && len(e.waiting)+len(e.running) > 0 {
 		e.step()
 	}
 }
 
-// step makes one token of each running request that has its prompt read.
+// step prefills at most a chunk of prompt tokens and generates one token of each running request
+// whose prompt is prefilled.
 func (e *modelEngine) step() {
 	e.stepping = true
 	e.admit()
 	var decoding []*request
-	read, budget := 0, e.spec.Chunk
+	read, budget := 0, e.spec.ChunkTokens
 	for _, r := range e.running {
-		if r.unread == 0 {
+		if r.toPrefill == 0 {
 			decoding = append(decoding, r)
 			continue
 		}
-		n := min(budget, r.unread)
-		r.unread -= n
+		n := min(budget, r.toPrefill)
+		r.toPrefill -= n
 		budget -= n
 		read += n
-		if r.unread == 0 {
+		if r.toPrefill == 0 {
 			decoding = append(decoding, r)
-			e.keep(r)
+			e.cacheBlocks(r)
 		}
 	}
 	e.prefilled += read
 	took := float64(e.spec.StepTime) + float64(e.spec.StepPerCall)*float64(len(e.running)) +
-		float64(time.Second)*float64(read)/e.spec.Prefill
-	e.clock.after(time.Duration(e.slow*took), func() { e.end(decoding) })
+		float64(time.Second)*float64(read)/e.spec.PrefillSpeed
+	e.clock.schedule(time.Duration(e.slowdown*took), func() { e.finishStep(decoding) })
 }
 
-// end gives out the step's tokens and goes on.
-func (e *modelEngine) end(decoding []*request) {
+// finishStep delivers the tokens of a step and starts the next one.
+func (e *modelEngine) finishStep(decoding []*request) {
 	for _, r := range decoding {
-		r.toMake--
+		r.toGenerate--
 		if !r.started {
 			r.started = true
-			r.first()
+			r.onFirstToken()
 		}
-		if r.toMake > 0 {
+		if r.toGenerate > 0 {
 			continue
 		}
 		e.running = slices.DeleteFunc(e.running, func(other *request) bool { return other == r })
-		r.done()
+		r.onDone()
 	}
 	e.stepping = false
 	e.wake()
 }
 
+// admit moves waiting requests to free slots, in order of arrival.
 func (e *modelEngine) admit() {
 	for len(e.running) < e.spec.Slots && len(e.waiting) > 0 {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		r.cached = min(r.prompt, e.held(r.blocks)*engine.BlockTokens)
-		r.unread = max(1, r.prompt-r.cached)
+		r.cached = min(r.prompt, e.cachedBlocks(r.blocks)*engine.BlockTokens)
+		r.toPrefill = max(1, r.prompt-r.cached)
 		e.running = append(e.running, r)
 	}
 }
 
-// held returns how many of the first blocks are cached.
-func (e *modelEngine) held(blocks []uint64) int {
+// cachedBlocks returns the number of leading blocks that are in the cache.
+func (e *modelEngine) cachedBlocks(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := e.cache.Get(b); !ok {
 			return i
@@ -140,11 +146,12 @@
 	return len(blocks)
 }
 
-func (e *modelEngine) keep(r *request) {
+// cacheBlocks adds the blocks of a prompt to the cache.
+func (e *modelEngine) cacheBlocks(r *request) {
 	for _, b := range r.blocks {
 		e.cache.Add(b, struct{}{})
 	}
 }
 
-// leave ends the engine once what it has is done.
-func (e *modelEngine) leave() { e.gone = true }
+// drain makes the engine refuse new requests and finish those that it has.
+func (e *modelEngine) drain() { e.draining = true }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-const lines = `
+const logText = `
   -9.99 entry-1 {"time":"2026-03-02T21:07:05.1Z","level":"info","message":"start","fields":{"instance":"entry-1","data_centre":"north"}}
 {"time":"2026-03-02T21:07:07.2Z","level":"info","message":"call","fields":{"instance":"entry-1","outcome":"not-run","reason":"turns_unreached","request":"r2","program":"p","reserving_ms":1800,"cause":"slice 3 in epoch 7"}}
 {"time":"2026-03-02T21:07:06.1Z","level":"info","message":"call","fields":{"instance":"entry-1","outcome":"answered","request":"r1","program":"p","placing_ms":4}}
@@ -19,14 +19,14 @@
 {"broken":`
 
 func read(t *testing.T) *Log {
-	l, err := Read(strings.NewReader(lines))
+	l, err := Read(strings.NewReader(logText))
 	is.New(t).NoErr(err)
 	return l
 }
 
-// An engineer sees neither when calls failed nor for what: the table has one row a
-// second and data centre, with the mean time in each stage and the reasons.
-func TestTableTellsWhenAndWhy(t *testing.T) {
+// Guards against a table that hides when or why calls failed: it has one row per second and
+// data centre, with the mean time in each stage and the reasons.
+func TestTableShowsFailuresByTimeAndReason(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(read(t).Table(time.Second).Write(&out))
@@ -36,8 +36,8 @@
 	is.Equal(strings.Fields(rows[2]), []string{"2.0", "north", "1", "1800.0", "0.0", "0.0", "0.0", "1", "not-run", "turns_unreached", "p"})
 }
 
-// The story of a program has its lines of all instances in the order of time.
-func TestStoryIsInOrder(t *testing.T) {
+// The story of a program has the lines of all instances in order of time.
+func TestStoryIsInTimeOrder(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(WriteStory(&out, read(t).Story("p")))
@@ -48,7 +48,7 @@
 	is.True(strings.Contains(rows[2], "cause=slice 3 in epoch 7"))
 }
 
-// What is no line of an instance is counted and passed over.
+// Text that is not a log line of an instance is counted and skipped.
 func TestOtherTextIsSkipped(t *testing.T) {
 	is := is.New(t)
 	l := read(t)
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// WriteStory prints the lines about a request or a program, each with the time
-// since the first.
-func WriteStory(w io.Writer, story []Line) error {
-	for i := range story {
-		line := &story[i]
+// WriteStory prints the lines about a request or a program, each with the time in seconds
+// since the first line.
+func WriteStory(w io.Writer, lines []Line) error {
+	for i := range lines {
+		line := &lines[i]
 		_, err := fmt.Fprintf(w, "%+8.3f s  %-20s %s  %s\n",
-			line.Time.Sub(story[0].Time).Seconds(), line.Text("instance"), line.Message, fieldsOf(line))
+			line.Time.Sub(lines[0].Time).Seconds(), line.Text("instance"), line.Message, fieldsOf(line))
 		if err != nil {
 			return err
 		}
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// fieldsOf returns a line's fields in the order of their names.
+// fieldsOf formats the fields of a line, sorted by name; the instance is left out.
 func fieldsOf(line *Line) string {
 	var names []string
 	for name := range line.Fields {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -15,8 +15,8 @@
 	"foxhall/internal/step"
 )
 
-// histogramMax is the longest latency that a report distinguishes, in microseconds.
-const histogramMax = int64(10 * time.Minute / time.Microsecond)
+// histogramMaxMicros is the longest latency that a report records, in microseconds.
+const histogramMaxMicros = int64(10 * time.Minute / time.Microsecond)
 
 // Report sums up the programs of one shape.
 type Report struct {
@@ -26,20 +26,23 @@
 	Steps    int
 	Effects  int
 	Refused  int
-	// Unknown counts the programs that a step of unknown outcome ended.
-	Unknown    int
+	// Unknown is the number of programs that ended at a step of unknown outcome.
+	Unknown int
+	// Prompt and Completion are the total tokens of the model steps, sub-agents not counted.
 	Prompt     int
 	Completion int
-	Reasons    map[step.Code]int
-	// Codes counts the refusals by reason.
+	// Reasons counts the unfinished programs by the code of their last refusal.
+	Reasons map[step.Code]int
+	// Codes counts the refusals by code.
 	Codes      map[step.Code]int
 	EffectKeys []string
 
-	latency *hdrhistogram.Histogram
-	first   *hdrhistogram.Histogram
+	latency    *hdrhistogram.Histogram
+	firstToken *hdrhistogram.Histogram
 }
 
-// Drive runs programs of the shape, at most concurrency at once, and sums them up.
+// Drive runs a number of programs of the shape, at most concurrency of them at once, and returns
+// a report on them. Program i has the seed seed+i.
 func Drive(ctx context.Context, client *Client, shape Shape, programs, concurrency int, seed uint64) *Report {
 	report := newReport(shape.Name)
 	var mu sync.Mutex
@@ -60,11 +63,11 @@
 
 func newReport(shape string) *Report {
 	return &Report{
-		Shape:   shape,
-		Reasons: map[step.Code]int{},
-		Codes:   map[step.Code]int{},
-		latency: hdrhistogram.New(1, histogramMax, 3),
-		first:   hdrhistogram.New(1, histogramMax, 3),
+		Shape:      shape,
+		Reasons:    map[step.Code]int{},
+		Codes:      map[step.Code]int{},
+		latency:    hdrhistogram.New(1, histogramMaxMicros, 3),
+		firstToken: hdrhistogram.New(1, histogramMaxMicros, 3),
 	}
 }
 
@@ -80,7 +83,7 @@
 	r.Completion += run.Usage.CompletionTokens
 	r.EffectKeys = append(r.EffectKeys, run.EffectKeys...)
 	for _, first := range run.First {
-		_ = r.first.RecordValue(first.Microseconds())
+		_ = r.firstToken.RecordValue(first.Microseconds())
 	}
 	if !run.Finished {
 		r.Reasons[run.Reason]++
@@ -93,17 +96,17 @@
 	_ = r.latency.RecordValue(run.Latency.Microseconds())
 }
 
-// Latency returns the program latency at the percentile.
+// Latency returns the latency of finished programs at the percentile.
 func (r *Report) Latency(percentile float64) time.Duration {
 	return time.Duration(r.latency.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
 // FirstToken returns the time to a step's first token at the percentile.
 func (r *Report) FirstToken(percentile float64) time.Duration {
-	return time.Duration(r.first.ValueAtPercentile(percentile)) * time.Microsecond
+	return time.Duration(r.firstToken.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// WriteTable writes one row for each report.
+// WriteTable writes one row for each report, then the number of unfinished programs by reason.
 func WriteTable(w io.Writer, reports []*Report) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "SCENARIO\tPROGRAMS\tFINISHED\tSTEPS\tEFFECTS\tREFUSALS\tP50\tP95\tFIRST TOKEN P95\tPROMPT TOKENS")
@@ -115,14 +118,15 @@
 		return err
 	}
 	for _, r := range reports {
-		for _, line := range r.unfinished() {
+		for _, line := range r.unfinishedReasons() {
 			fmt.Fprintln(w, line)
 		}
 	}
 	return nil
 }
 
-func (r *Report) unfinished() []string {
+// unfinishedReasons returns a line for each reason for which programs did not finish.
+func (r *Report) unfinishedReasons() []string {
 	lines := make([]string, 0, len(r.Reasons))
 	for code, n := range r.Reasons {
 		lines = append(lines, fmt.Sprintf("%s: %d programs ended unfinished: %s", r.Shape, n, code))
