--- a/command/apply.go
+++ b/command/apply.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	pair := config.Pair{}
+	pair := config.Lists{}
 	if err := l.parse(file.text, &pair); err != nil {
 		return nil, nil, err
 	}
--- a/command/explain.go
+++ b/command/explain.go
@@ -45,11 +45,11 @@
 	if id == "" {
 		return l.Table(c.Duration("span")).Write(c.Root().Writer)
 	}
-	story := l.Story(id)
+	story := l.Trace(id)
 	if len(story) == 0 {
 		return cli.Exit("explain: --id: no log line refers to "+id, ExitFailure)
 	}
-	return explain.WriteStory(c.Root().Writer, story)
+	return explain.WriteTrace(c.Root().Writer, story)
 }
 
 // readLogs reads the named files, or the standard input if none is named.
--- a/command/lists.go
+++ b/command/lists.go
@@ -94,8 +94,8 @@
 	return config.NewCachedEditor(store.NewHTTP(c.String("store"), storeCallTimeout), c.String("cache"))
 }
 
-// defaultCacheFolder returns a folder in the operating system's cache folder of the user, or the empty
-// string (no cache) if the system has none.
+// defaultCacheFolder returns a folder in the operating system's cache folder of the user, or the
+// empty string (no cache) if the system has none.
 func defaultCacheFolder() string {
 	folder, err := os.UserCacheDir()
 	if err != nil {
@@ -167,7 +167,7 @@
 	return nil
 }
 
-func (l listCommands) format(pair config.Pair) ([]byte, error) {
+func (l listCommands) format(pair config.Lists) ([]byte, error) {
 	if l.name == plan.ListName {
 		return pair.Plans.Format()
 	}
@@ -175,7 +175,7 @@
 }
 
 // parse parses the text of this list into the pair.
-func (l listCommands) parse(text []byte, pair *config.Pair) (err error) {
+func (l listCommands) parse(text []byte, pair *config.Lists) (err error) {
 	if l.name == plan.ListName {
 		pair.Plans, err = plan.Parse(text)
 		return err
@@ -192,12 +192,13 @@
 	return listCommands{name: plan.ListName}
 }
 
-// selectFrom returns a pair with only this list set, which is the form that a proposal of one list has.
-func (l listCommands) selectFrom(pair config.Pair) config.Pair {
+// selectFrom returns a pair with only this list set, which is the form that a proposal of one list
+// has.
+func (l listCommands) selectFrom(pair config.Lists) config.Lists {
 	if l.name == plan.ListName {
-		return config.Pair{Plans: pair.Plans}
+		return config.Lists{Plans: pair.Plans}
 	}
-	return config.Pair{Usage: pair.Usage}
+	return config.Lists{Usage: pair.Usage}
 }
 
 // listFile is a file edited by an operator that contains one list.
@@ -249,7 +250,8 @@
 	}
 }
 
-// withExitCode gives conflicts and invalid lists their exit codes; other errors are returned unchanged.
+// withExitCode gives conflicts and invalid lists their exit codes; other errors are returned
+// unchanged.
 func withExitCode(err error) error {
 	var conflict *config.ConflictError
 	var problems listfile.Problems
--- a/command/status.go
+++ b/command/status.go
@@ -71,7 +71,7 @@
 // configuration is older than the newest version.
 func writeStatus(w io.Writer, s *control.Status) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(table, "answered by %s, newest configuration %d\n", s.Answered, s.ConfigVersion)
+	fmt.Fprintf(table, "answered by %s, newest configuration %d\n", s.Responder, s.ConfigVersion)
 	if s.Isolated {
 		fmt.Fprintln(table, "ISOLATED: this instance has lost most of its data centre; ask another one")
 	}
@@ -83,7 +83,7 @@
 	for _, i := range s.Instances {
 		writeInstance(table, i, s.ConfigVersion)
 	}
-	for _, i := range s.Gone {
+	for _, i := range s.Ended {
 		writeInstance(table, i, 0)
 	}
 	fmt.Fprintln(table, "\nDUTY\tHOLDER\tEPOCH")
--- a/command/status_test.go
+++ b/command/status_test.go
@@ -40,7 +40,7 @@
 			{Instance: "a", DataCentre: "bzh1", State: "live", ConfigVersion: 12, Store: "healthy", Reachable: true},
 			{Instance: "b", DataCentre: "bzh1", State: "live", ConfigVersion: 11, Store: "unhealthy"},
 		},
-		Gone: []control.StatusInstance{{Instance: "c", DataCentre: "bzh1", State: "dead", LeftGracefully: true, ConfigVersion: 4}},
+		Ended: []control.StatusInstance{{Instance: "c", DataCentre: "bzh1", State: "dead", LeftGracefully: true, ConfigVersion: 4}},
 	}
 	text := runStatus(t, status)
 	is.Equal(strings.Count(text, "behind"), 1)
--- a/internal/budget/joint_fuzz_test.go
+++ b/internal/budget/joint_fuzz_test.go
@@ -42,7 +42,7 @@
 func (d direct) Offer(_ context.Context, u config.Update) ([]config.Digest, error) {
 	return d.site.Source.Offer(u)
 }
-func (d direct) Export(_ context.Context, h config.Have) (config.Update, error) {
+func (d direct) Export(_ context.Context, h config.ChunkInventory) (config.Update, error) {
 	return d.site.Source.Export(h), nil
 }
 
--- a/internal/chat/chunk.go
+++ b/internal/chat/chunk.go
@@ -6,9 +6,10 @@
 	"github.com/pkg/errors"
 )
 
-// ChunkOf converts a complete chat completion to a single chunk of a stream with the same content.
-// It serves callers that request a stream for a response that has already been recorded.
-func ChunkOf(completion []byte) ([]byte, error) {
+// ChunkFromCompletion converts a complete chat completion to a single chunk of a stream with the
+// same content. It serves callers that request a stream for a response that has already been
+// recorded.
+func ChunkFromCompletion(completion []byte) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(completion, &fields); err != nil {
 		return nil, errors.Wrap(err, "chat: completion")
--- a/internal/chat/compare.go
+++ b/internal/chat/compare.go
@@ -79,8 +79,8 @@
 	return true
 }
 
-// AsksTool reports whether a response contains a tool call for its program.
-func AsksTool(response Message) bool {
+// HasToolCalls reports whether a response contains a tool call for its program.
+func HasToolCalls(response Message) bool {
 	var body struct {
 		ToolCalls []json.RawMessage `json:"tool_calls"`
 	}
--- a/internal/chat/compare_test.go
+++ b/internal/chat/compare_test.go
@@ -29,8 +29,8 @@
 	is.True(Equivalent(parse(string(raw)), message))
 	is.True(!Equivalent(parse(`{"role":"assistant","content":"Olá <4"}`), message))
 	is.True(!Equivalent(parse(`{"role":"user","content":"x"}`), parse(`{"role":"assistant","content":"x"}`)))
-	is.True(AsksTool(message))
-	is.True(!AsksTool(parse(`{"role":"assistant","content":"\"tool_calls\""}`)))
+	is.True(HasToolCalls(message))
+	is.True(!HasToolCalls(parse(`{"role":"assistant","content":"\"tool_calls\""}`)))
 }
 
 // A list without a response and without a system message is a continuation.
--- a/internal/chat/request.go
+++ b/internal/chat/request.go
@@ -84,8 +84,8 @@
 	return json.Marshal(fields)
 }
 
-// AnswerBound returns the largest number of output tokens that the request allows.
-func (r *Request) AnswerBound() int {
+// MaxOutputTokens returns the largest number of output tokens that the request allows.
+func (r *Request) MaxOutputTokens() int {
 	if r.MaxTokens > 0 {
 		return r.MaxTokens
 	}
--- a/internal/chat/request_test.go
+++ b/internal/chat/request_test.go
@@ -55,7 +55,7 @@
 		if decoded.Model != r.Model || decoded.MaxTokens != r.MaxTokens || decoded.Stream != r.Stream || len(decoded.Messages) != len(r.Messages) {
 			t.Fatalf("accepted %q, but its encoding %q differs", body, encoded)
 		}
-		if ChunkOf(body); EstimateTokens(r.Messages) <= 0 {
+		if ChunkFromCompletion(body); EstimateTokens(r.Messages) <= 0 {
 			t.Fatal("expected a token estimate above 0 for the messages")
 		}
 	})
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -18,12 +18,12 @@
 
 // newBenchPair returns lists with the given number of plans, as many grants, 16 models and two
 // upstreams for every five plans.
-func newBenchPair(plans int) Pair {
+func newBenchPair(plans int) Lists {
 	list := make([]plan.Plan, plans)
 	for i := range list {
 		list[i] = testPlan(fmt.Sprintf("plan-%05d", i), 1_000_000)
 	}
-	pair := Pair{Plans: plan.Restore(list)}
+	pair := Lists{Plans: plan.Restore(list)}
 	pair.Usage = testUsage(pair.Plans)
 	for i := range 14 {
 		pair.Usage.Models = append(pair.Usage.Models, usage.Model{Name: fmt.Sprintf("model-%02d", i)})
@@ -39,7 +39,7 @@
 }
 
 // acceptFirst makes the pair the first accepted version.
-func acceptFirst(b *testing.B, client store.Client, pair Pair) {
+func acceptFirst(b *testing.B, client store.Client, pair Lists) {
 	b.Helper()
 	if _, err := NewEditor(client).Apply(context.Background(), Proposal{Operator: "bench", Plans: pair.Plans, Usage: pair.Usage}); err != nil {
 		b.Fatal(err)
@@ -47,7 +47,7 @@
 }
 
 // editOne sets one plan's token budget and returns the stored manifest as an update.
-func editOne(b *testing.B, client store.Client, cache string, pair Pair, tokens int64) Update {
+func editOne(b *testing.B, client store.Client, cache string, pair Lists, tokens int64) Update {
 	b.Helper()
 	editor := NewCachedEditor(client, cache)
 	_, base, err := editor.Get(context.Background(), 0)
--- a/internal/config/collect.go
+++ b/internal/config/collect.go
@@ -8,9 +8,9 @@
 	"foxhall/internal/store"
 )
 
-// DefaultKeep is the number of past versions that Collect keeps: about three hours of history at
-// 7,800 edits a day, in some 10 MB.
-const DefaultKeep = 1000
+// DefaultHistoryVersions is the number of past versions that Collect keeps: about three hours of
+// history at 7,800 edits a day, in some 10 MB.
+const DefaultHistoryVersions = 1000
 
 // Collection is the result of one garbage collection of chunks.
 type Collection struct {
--- a/internal/config/config_fuzz_test.go
+++ b/internal/config/config_fuzz_test.go
@@ -136,7 +136,7 @@
 func (r *modelRun) collect(*rapid.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_, _ = NewEditor(r.operators[2]).Collect(ctx, DefaultKeep)
+	_, _ = NewEditor(r.operators[2]).Collect(ctx, DefaultHistoryVersions)
 }
 
 func (r *modelRun) setStoreFaults(rt *rapid.T) {
--- a/internal/config/current.go
+++ b/internal/config/current.go
@@ -31,8 +31,9 @@
 	Chunks   Chunks
 }
 
-// Have lists the version and the chunks that a peer has, so that only the missing chunks are sent.
-type Have struct {
+// ChunkInventory lists the version and the chunks that a peer has, so that only the missing chunks
+// are sent.
+type ChunkInventory struct {
 	Version uint64
 	Chunks  []Digest
 }
@@ -62,7 +63,8 @@
 	return next, nil, err
 }
 
-// selectChunks returns the chunks that the sections reference, each from the first source that has it.
+// selectChunks returns the chunks that the sections reference, each from the first source that has
+// it.
 func selectChunks(sections *Sections, sources ...Chunks) Chunks {
 	chunks := Chunks{}
 	sections.digests(func(d Digest) {
@@ -77,7 +79,7 @@
 }
 
 // export returns the configuration as an update, without the chunks that the peer has.
-func (c *Current) export(have Have) Update {
+func (c *Current) export(have ChunkInventory) Update {
 	update := Update{Version: c.Version, Manifest: c.manifest, Chunks: Chunks{}}
 	known := make(map[Digest]struct{}, len(have.Chunks))
 	for _, digest := range have.Chunks {
@@ -92,8 +94,8 @@
 }
 
 // have returns the version and the digests of the chunks of this configuration.
-func (c *Current) have() Have {
-	have := Have{Version: c.Version}
+func (c *Current) have() ChunkInventory {
+	have := ChunkInventory{Version: c.Version}
 	for digest := range c.chunks {
 		have.Chunks = append(have.Chunks, digest)
 	}
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -57,20 +57,20 @@
 	return text
 }
 
-// Pair holds both lists. They are validated and accepted together.
-type Pair struct {
+// Lists holds both lists. They are validated and accepted together.
+type Lists struct {
 	Plans *plan.List
 	Usage *usage.List
 }
 
-func emptyPair() Pair {
+func emptyPair() Lists {
 	list := &usage.List{}
 	list.Index()
-	return Pair{Plans: plan.Restore(nil), Usage: list}
+	return Lists{Plans: plan.Restore(nil), Usage: list}
 }
 
 // Diff returns the changes between two pairs, ordered by list, table and name.
-func Diff(from, to Pair) []Change {
+func Diff(from, to Lists) []Change {
 	var changes []Change
 	changes = append(changes, diffTable(plan.ListName, "plan", from.Plans.Plans, to.Plans.Plans)...)
 	changes = append(changes, diffTable(usage.ListName, "model", from.Usage.Models, to.Usage.Models)...)
@@ -143,9 +143,9 @@
 	return len(diffKeys(a, b)) == 0
 }
 
-// merge performs a three-way merge of one table: it returns theirs with the changes that lead from base
-// to ours. An entry that both sides changed in different ways is a conflict; conflicts lists the
-// changes that lead from base to theirs for such entries.
+// merge performs a three-way merge of one table: it returns theirs with the changes that lead from
+// base to ours. An entry that both sides changed in different ways is a conflict; conflicts lists
+// the changes that lead from base to theirs for such entries.
 func merge[T named](list, table string, base, ours, theirs []T) (merged []T, conflicts []Change) {
 	baseEntries, ourEntries, theirEntries := byName(base), byName(ours), byName(theirs)
 	for _, name := range unionOfNames(ourEntries, theirEntries) {
@@ -165,7 +165,7 @@
 }
 
 // mergePairs performs a three-way merge of each table of both lists.
-func mergePairs(base, ours, theirs Pair) (Pair, []Change) {
+func mergePairs(base, ours, theirs Lists) (Lists, []Change) {
 	var conflicts []Change
 	addConflicts := func(found []Change) { conflicts = append(conflicts, found...) }
 	plans, found := merge(plan.ListName, "plan", base.Plans.Plans, ours.Plans.Plans, theirs.Plans.Plans)
@@ -180,7 +180,7 @@
 	list.Grants, found = merge(usage.ListName, "grant", base.Usage.Grants, ours.Usage.Grants, theirs.Usage.Grants)
 	addConflicts(found)
 	list.Index()
-	return Pair{Plans: plan.Restore(plans), Usage: list}, conflicts
+	return Lists{Plans: plan.Restore(plans), Usage: list}, conflicts
 }
 
 func asSlice[T named](entry *T) []T {
--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -157,7 +157,7 @@
 }
 
 // accept writes the new chunks and then the manifest, on the condition that it is still current.
-func (e *Editor) accept(ctx context.Context, current *head, merged Pair, edit Edit) (Accepted, error) {
+func (e *Editor) accept(ctx context.Context, current *head, merged Lists, edit Edit) (Accepted, error) {
 	sections, chunks, err := pack(merged.Plans, merged.Usage, &current.manifest.Sections)
 	if err != nil {
 		return Accepted{}, err
@@ -190,7 +190,7 @@
 }
 
 // pair returns the proposed lists; a list that the proposal does not set is taken from base.
-func (p *Proposal) pair(base Pair) Pair {
+func (p *Proposal) pair(base Lists) Lists {
 	pair := base
 	if p.Plans != nil {
 		pair.Plans = p.Plans
--- a/internal/config/exchange.go
+++ b/internal/config/exchange.go
@@ -14,7 +14,7 @@
 	// Version returns the version in force on the peer.
 	Version(ctx context.Context) (uint64, error)
 	// Export calls Source.Export on the peer, Offer calls Source.Offer.
-	Export(ctx context.Context, have Have) (Update, error)
+	Export(ctx context.Context, have ChunkInventory) (Update, error)
 	Offer(ctx context.Context, update Update) ([]Digest, error)
 }
 
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// exchangeWith exchanges versions with several peers concurrently. The timeout peerCallTimeout applies
-// to all of them together. Errors are recorded only while there is no configuration.
+// exchangeWith exchanges versions with several peers concurrently. The timeout peerCallTimeout
+// applies to all of them together. Errors are recorded only while there is no configuration.
 func (s *Source) exchangeWith(ctx context.Context, peers []Peer) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
--- a/internal/config/floor.go
+++ b/internal/config/floor.go
@@ -14,10 +14,10 @@
 
 // loadSaved installs the configuration that an earlier run of the instance saved on disk, if any.
 func (s *Source) loadSaved() {
-	if s.options.Folder == "" {
+	if s.options.DataFolder == "" {
 		return
 	}
-	update, err := readSaved(filepath.Join(s.options.Folder, savedFile))
+	update, err := readSaved(filepath.Join(s.options.DataFolder, savedFile))
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
@@ -32,11 +32,11 @@
 // saveToDisk saves a configuration before it is in force. An error is only logged, because the
 // instance must not stay at an older version when its disk fails.
 func (s *Source) saveToDisk(c *Current) {
-	if s.options.Folder == "" {
+	if s.options.DataFolder == "" {
 		return
 	}
 	update := Update{Version: c.Version, Manifest: c.manifest, Chunks: c.chunks}
-	if err := writeSaved(filepath.Join(s.options.Folder, savedFile), update); err != nil {
+	if err := writeSaved(filepath.Join(s.options.DataFolder, savedFile), update); err != nil {
 		s.options.Log.WithError(err).Warn("configuration not saved on disk; a restart may begin with an older version")
 	}
 }
--- a/internal/config/head.go
+++ b/internal/config/head.go
@@ -106,12 +106,12 @@
 }
 
 // pair returns the lists that the sections reference, and fetches their chunks where needed.
-func (h *head) pair(ctx context.Context, sections *Sections) (Pair, error) {
+func (h *head) pair(ctx context.Context, sections *Sections) (Lists, error) {
 	if err := h.fetch(ctx, h.chunks.missing(sections)); err != nil {
-		return Pair{}, err
+		return Lists{}, err
 	}
 	plans, list, _, err := unpack(sections, h.chunks, &decodedShards{})
-	return Pair{Plans: plans, Usage: list}, err
+	return Lists{Plans: plans, Usage: list}, err
 }
 
 // editHistory is the part of the history from the current version back to a base version.
@@ -175,10 +175,10 @@
 
 // Get returns the lists at a version of the history, and the version of the edit that produced them.
 // Version 0 selects the last accepted version.
-func (e *Editor) Get(ctx context.Context, version uint64) (Pair, uint64, error) {
+func (e *Editor) Get(ctx context.Context, version uint64) (Lists, uint64, error) {
 	h, err := e.head(ctx)
 	if err != nil {
-		return Pair{}, 0, err
+		return Lists{}, 0, err
 	}
 	if h.version == 0 && version == 0 {
 		return emptyPair(), 0, nil
@@ -189,7 +189,7 @@
 	record := h.manifest.record(h.version)
 	for record.Version > version {
 		if record, err = h.parent(ctx, record); err != nil {
-			return Pair{}, 0, err
+			return Lists{}, 0, err
 		}
 	}
 	pair, err := h.pair(ctx, &record.Sections)
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -47,13 +47,13 @@
 type Options struct {
 	// Peers are the other instances; nil if there are none.
 	Peers Peers
-	// Folder is the data folder; empty on an instance without a disk.
-	Folder       string
-	PeerInterval time.Duration
-	PollInterval time.Duration
-	StoreRate    float64
-	Registry     metrics.Registry
-	Log          log.Interface
+	// DataFolder is the data folder; empty on an instance without a disk.
+	DataFolder          string
+	PeerInterval        time.Duration
+	PollInterval        time.Duration
+	StoreCallsPerSecond float64
+	Registry            metrics.Registry
+	Log                 log.Interface
 }
 
 // Source provides the configuration in force on an instance. It watches the manifest, exchanges
@@ -73,7 +73,8 @@
 	// ended, successfully or not.
 	storeQueried atomic.Bool
 	peersQueried atomic.Bool
-	// startFinished indicates that the store and the peers have been queried or startupTimeout passed.
+	// startFinished indicates that the store and the peers have been queried or startupTimeout
+	// passed.
 	startFinished atomic.Bool
 	// lastError is the reason for which the last attempt to get a version failed.
 	lastError atomic.Pointer[string]
@@ -92,7 +93,7 @@
 	counter := func(name string) metrics.Counter {
 		return metrics.GetOrRegisterCounter("config."+name, options.Registry)
 	}
-	limiter := rate.NewLimiter(rate.Limit(options.StoreRate), DefaultStoreBurst)
+	limiter := rate.NewLimiter(rate.Limit(options.StoreCallsPerSecond), DefaultStoreBurst)
 	s := &Source{
 		client: store.LimitShared(client, limiter, options.Registry, "config.store"), options: options,
 		stale: counter("stale"), refused: counter("refused"), installs: counter("installs"),
@@ -111,8 +112,8 @@
 	if o.PollInterval == 0 {
 		o.PollInterval = DefaultPollInterval
 	}
-	if o.StoreRate == 0 {
-		o.StoreRate = DefaultStoreRate
+	if o.StoreCallsPerSecond == 0 {
+		o.StoreCallsPerSecond = DefaultStoreRate
 	}
 	if o.Registry == nil {
 		o.Registry = metrics.NewRegistry()
@@ -212,8 +213,8 @@
 	return fmt.Sprintf("config: %d chunks of the update are missing", len(e.digests))
 }
 
-// install puts an update in force if it is newer than the present configuration. from names the origin
-// of the update in the log: the store, the disk or a peer.
+// install puts an update in force if it is newer than the present configuration. from names the
+// origin of the update in the log: the store, the disk or a peer.
 func (s *Source) install(update Update, from string) error {
 	s.installing.Lock()
 	defer s.installing.Unlock()
@@ -260,6 +261,6 @@
 }
 
 // Export returns the configuration in force, without the chunks that the peer has.
-func (s *Source) Export(have Have) Update {
+func (s *Source) Export(have ChunkInventory) Update {
 	return s.current.Load().export(have)
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -16,8 +16,8 @@
 	for i := range list.Grants {
 		name := list.Grants[i].Plan
 		if plans.Lookup(name) == nil {
-			checker.Enter("grant", i, name)
-			checker.Add("plan", "a plan of the plans list", "%q", name)
+			checker.BeginEntry("grant", i, name)
+			checker.AddProblem("plan", "a plan of the plans list", "%q", name)
 		}
 	}
 	return append(problems, checker.Problems...).Err()
--- a/internal/config/world_test.go
+++ b/internal/config/world_test.go
@@ -27,7 +27,8 @@
 	os.Exit(m.Run())
 }
 
-// firstReads stores the first object that any client read for each key, to be returned by stale reads.
+// firstReads stores the first object that any client read for each key, to be returned by stale
+// reads.
 type firstReads struct {
 	mu      sync.Mutex
 	objects map[store.Key]store.Object
@@ -44,8 +45,8 @@
 	cancels     []context.CancelFunc
 }
 
-// setFaults replaces the client's faults and ends its watches. While unreachable, all calls fail except
-// Delete and List; with staleReads, reads return the first object read.
+// setFaults replaces the client's faults and ends its watches. While unreachable, all calls fail
+// except Delete and List; with staleReads, reads return the first object read.
 func (c *faultyClient) setFaults(unreachable, staleReads bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,7 +153,7 @@
 
 // newSource returns a source for the next run of the instance.
 func (n *node) newSource() *Source {
-	return NewSource(n.client, Options{Peers: n, Folder: n.dataFolder, PollInterval: 30 * time.Second})
+	return NewSource(n.client, Options{Peers: n, DataFolder: n.dataFolder, PollInterval: 30 * time.Second})
 }
 
 func (n *node) start() {
@@ -201,7 +202,7 @@
 	return p.to.source.Load().Version(), p.checkReachable()
 }
 
-func (p peerLink) Export(_ context.Context, have Have) (Update, error) {
+func (p peerLink) Export(_ context.Context, have ChunkInventory) (Update, error) {
 	return p.to.source.Load().Export(have), p.checkReachable()
 }
 
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -25,16 +25,16 @@
 
 // Status is the state of the fleet as one instance sees it, for operators.
 type Status struct {
-	// Answered is the cohort of the responding instance.
-	Answered string `json:"answered"`
+	// Responder is the cohort of the responding instance.
+	Responder string `json:"answered"`
 	// Isolated reports whether the responding instance has lost contact with most
 	// of its data centre and defers actions.
 	Isolated      bool               `json:"isolated"`
 	ConfigVersion uint64             `json:"config_version"`
 	DataCentres   []StatusDataCentre `json:"data_centres"`
 	Instances     []StatusInstance   `json:"instances"`
-	// Gone lists the instances that were recently declared dead or left.
-	Gone   []StatusInstance `json:"gone"`
+	// Ended lists the instances that were recently declared dead or left.
+	Ended  []StatusInstance `json:"gone"`
 	Leases []StatusLease    `json:"leases"`
 }
 
@@ -138,12 +138,12 @@
 
 func newStatus(view *membership.View, s *Snapshot, now time.Time) Status {
 	status := Status{
-		Answered:      string(view.Self.Cohort),
+		Responder:     string(view.Self.Cohort),
 		Isolated:      view.Isolated,
 		ConfigVersion: newestVersion(view),
 		DataCentres:   []StatusDataCentre{},
 		Instances:     []StatusInstance{},
-		Gone:          []StatusInstance{},
+		Ended:         []StatusInstance{},
 		Leases:        []StatusLease{},
 	}
 	dataCentres := map[string]*StatusDataCentre{}
@@ -152,7 +152,7 @@
 	}
 	for _, m := range view.Members() {
 		if m.State == membership.Dead {
-			status.Gone = append(status.Gone, newStatusInstance(m, now))
+			status.Ended = append(status.Ended, newStatusInstance(m, now))
 			continue
 		}
 		status.Instances = append(status.Instances, newStatusInstance(m, now))
--- a/internal/control/operator_test.go
+++ b/internal/control/operator_test.go
@@ -87,7 +87,7 @@
 	is.Equal(code, http.StatusOK)
 	is.Equal(f.asked, 1)
 	is.Equal(len(s.Instances), 3)
-	is.Equal(len(s.Gone), 1)
+	is.Equal(len(s.Ended), 1)
 	for _, i := range s.Instances {
 		is.Equal(i.ConfigVersion, uint64(9))
 	}
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -58,7 +58,7 @@
 	}
 	r.Model = w.Call.Model.Model
 	r.Messages = w.History
-	r.MaxTokens = w.Call.Model.AnswerBound()
+	r.MaxOutputTokens = w.Call.Model.MaxOutputTokens()
 	return r
 }
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -38,7 +38,7 @@
 	reserved int
 	settled  []Cost
 	sent     []string
-	tool     func(ctx context.Context, address string) (tool.Answer, error)
+	tool     func(ctx context.Context, address string) (tool.Response, error)
 	engine   func(ctx context.Context, address string, onChunk func(engine.Chunk) error) (*engine.Response, error)
 	noBudget bool
 }
@@ -81,7 +81,7 @@
 	return fakeReservation{f}, nil
 }
 
-func (f *fakes) Call(ctx context.Context, c tool.Call) (tool.Answer, error) {
+func (f *fakes) Call(ctx context.Context, c tool.Call) (tool.Response, error) {
 	f.recordSent(c.Address)
 	return f.tool(ctx, c.Address)
 }
@@ -157,7 +157,7 @@
 	}{
 		{"nothing sent", tool.ErrNotSent, false, 2, step.Done},
 		{"refused by the service", tool.ErrRefused, false, 2, step.Done},
-		{"draining", tool.ErrLeaving, false, 2, step.Done},
+		{"draining", tool.ErrDraining, false, 2, step.Done},
 		{"may have run", tool.ErrUnknown, false, 1, step.Unknown},
 		{"may have run, repeatable", tool.ErrUnknown, true, 2, step.Done},
 	} {
@@ -165,12 +165,12 @@
 			is := is.New(t)
 			f, e := newFakes(t)
 			failed := false
-			f.tool = func(context.Context, string) (tool.Answer, error) {
+			f.tool = func(context.Context, string) (tool.Response, error) {
 				if !failed {
 					failed = true
-					return tool.Answer{}, test.failure
+					return tool.Response{}, test.failure
 				}
-				return tool.Answer{Status: 200, Body: []byte("ok")}, nil
+				return tool.Response{Status: 200, Body: []byte("ok")}, nil
 			}
 			r := f.run(e, toolWork(test.repeatable), nil)
 			is.Equal(r.Outcome, test.outcome)
@@ -190,7 +190,7 @@
 	for outcome, w := range map[step.Outcome]*owner.Work{step.NotRun: toolWork(false), step.Unknown: modelWork()} {
 		is := is.New(t)
 		f, e := newFakes(t)
-		f.tool = func(context.Context, string) (tool.Answer, error) { return tool.Answer{}, tool.ErrNotSent }
+		f.tool = func(context.Context, string) (tool.Response, error) { return tool.Response{}, tool.ErrNotSent }
 		f.engine = func(context.Context, string, func(engine.Chunk) error) (*engine.Response, error) {
 			return nil, &engine.Error{Class: engine.ErrUnknown}
 		}
@@ -206,7 +206,7 @@
 func TestRefusedByAllReplicasIsNotRun(t *testing.T) {
 	is := is.New(t)
 	f, e := newFakes(t)
-	f.tool = func(context.Context, string) (tool.Answer, error) { return tool.Answer{}, tool.ErrRefused }
+	f.tool = func(context.Context, string) (tool.Response, error) { return tool.Response{}, tool.ErrRefused }
 	r := f.run(e, toolWork(false), nil)
 	is.Equal(r.Outcome, step.NotRun)
 	is.True(r.RetryAfter > 0)
@@ -282,13 +282,13 @@
 		is := is.New(t)
 		f, e := newFakes(t)
 		var calls atomic.Int32
-		f.tool = func(context.Context, string) (tool.Answer, error) {
+		f.tool = func(context.Context, string) (tool.Response, error) {
 			if calls.Add(1) == 1 {
 				time.Sleep(20 * time.Second)
-				return tool.Answer{}, tool.ErrUnknown
+				return tool.Response{}, tool.ErrUnknown
 			}
 			time.Sleep(30 * time.Second)
-			return tool.Answer{}, tool.ErrNotSent
+			return tool.Response{}, tool.ErrNotSent
 		}
 		r := f.run(e, toolWork(true), nil)
 		is.Equal(r.Outcome, step.Unknown)
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -61,7 +61,7 @@
 
 // Tools sends calls to tool services.
 type Tools interface {
-	Call(ctx context.Context, call tool.Call) (tool.Answer, error)
+	Call(ctx context.Context, call tool.Call) (tool.Response, error)
 }
 
 // Options are the dependencies of an Executor.
@@ -97,7 +97,7 @@
 
 // Admit implements owner.Executor. If a later check refuses the step, the resources acquired so far
 // are released in reverse order.
-func (e *Executor) Admit(ctx context.Context, w *owner.Work) (owner.Placed, *step.Result) {
+func (e *Executor) Admit(ctx context.Context, w *owner.Work) (owner.PlacedStep, *step.Result) {
 	_, lists := e.opt.Lists.Lists()
 	grant := lists.Grant(w.Call.Plan.Name)
 	price, refusal := e.price(w, lists, grant)
@@ -128,12 +128,12 @@
 // price checks that the plan may make the call and returns its price.
 func (e *Executor) price(w *owner.Work, lists *usage.List, grant *usage.Grant) (price, *step.Result) {
 	if grant == nil {
-		return price{}, refuse(http.StatusForbidden, step.CodeForbidden, "the plan may use nothing at present")
+		return price{}, refuse(http.StatusForbidden, step.CodeNotInPlan, "the plan may use nothing at present")
 	}
 	if t := w.Call.Tool; t != nil {
 		service := lists.Service(t.Service)
 		if service == nil || !grant.AllowsService(t.Service) {
-			return price{}, refuse(http.StatusForbidden, step.CodeForbidden, "the plan may not use the service "+t.Service)
+			return price{}, refuse(http.StatusForbidden, step.CodeNotInPlan, "the plan may not use the service "+t.Service)
 		}
 		return price{call: service.CallPrice}, nil
 	}
@@ -142,13 +142,14 @@
 		return price{}, refuse(http.StatusNotFound, step.CodeModelNotFound, "no model "+w.Call.Model.Model)
 	}
 	if !grant.AllowsModel(model.Name) {
-		return price{}, refuse(http.StatusForbidden, step.CodeForbidden, "the plan may not use the model "+model.Name)
+		return price{}, refuse(http.StatusForbidden, step.CodeNotInPlan, "the plan may not use the model "+model.Name)
 	}
 	p := price{prompt: model.PromptPrice, output: model.OutputPrice}
 	return p, checkContext(w, model)
 }
 
-// checkContext refuses a model call if its history and the requested output exceed the model's context.
+// checkContext refuses a model call if its history and the requested output exceed the model's
+// context.
 func checkContext(w *owner.Work, model *usage.Model) *step.Result {
 	need := chat.EstimateTokens(w.History) + w.Call.Model.MaxTokens
 	if model.ContextTokens == 0 || need <= model.ContextTokens {
@@ -189,7 +190,7 @@
 		return Cost{Money: p.call}
 	}
 	prompt := estimateMargin * chat.EstimateTokens(w.History)
-	output := w.Call.Model.AnswerBound()
+	output := w.Call.Model.MaxOutputTokens()
 	return Cost{Money: p.total(prompt, output), Tokens: int64(prompt + output)}
 }
 
--- a/internal/dispatch/model.go
+++ b/internal/dispatch/model.go
@@ -87,7 +87,7 @@
 	call := m.work.Call.Model
 	return &engine.Request{
 		Chat: &chat.Request{
-			Model: call.Model, Messages: m.work.History, Stream: true, MaxTokens: call.AnswerBound(), Extra: call.Extra,
+			Model: call.Model, Messages: m.work.History, Stream: true, MaxTokens: call.MaxOutputTokens(), Extra: call.Extra,
 		},
 		Model:    m.grant.Model,
 		Priority: m.grant.Priority,
@@ -127,14 +127,14 @@
 	cost := m.price.actual(response.Usage)
 	m.finish(cost)
 	return step.Result{
-		Outcome:      step.Done,
-		Status:       http.StatusOK,
-		Upstream:     upstream,
-		Usage:        response.Usage,
-		Answer:       response.Message,
-		Model:        m.work.Call.Model.Model,
-		FinishReason: response.FinishReason,
-		Price:        cost.Money,
+		Outcome:          step.Done,
+		Status:           http.StatusOK,
+		Upstream:         upstream,
+		Usage:            response.Usage,
+		AssistantMessage: response.Message,
+		Model:            m.work.Call.Model.Model,
+		FinishReason:     response.FinishReason,
+		Price:            cost.Money,
 	}
 }
 
--- a/internal/dispatch/tool.go
+++ b/internal/dispatch/tool.go
@@ -20,7 +20,7 @@
 // attempt is the result of one attempt to run a call.
 type attempt struct {
 	grant    *scheduler.Grant
-	response tool.Answer
+	response tool.Response
 	err      error
 	// mayHaveRun reports whether this attempt, or the one that it hedges, may have run.
 	mayHaveRun bool
@@ -146,10 +146,10 @@
 	if err == nil {
 		return nil
 	}
-	return &upstream.Failure{Kind: kindOf(err), Draining: errors.Is(err, tool.ErrLeaving)}
+	return &upstream.Failure{Kind: kindOf(err), Draining: errors.Is(err, tool.ErrDraining)}
 }
 
-func kindOf(err error) upstream.Kind {
+func kindOf(err error) upstream.FailureKind {
 	switch {
 	case errors.Is(err, tool.ErrRefused):
 		return upstream.Refused
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -57,13 +57,13 @@
 
 var _ Engines = (*engine.Client)(nil)
 
-// Living finds the programs that do not exist any more: those that ended, expired
+// ProgramLookup finds the programs that do not exist any more: those that ended, expired
 // or were never known. A program whose owner can't be asked counts as existing.
-type Living interface {
-	Gone(ctx context.Context, programs []string) ([]string, error)
+type ProgramLookup interface {
+	FindEnded(ctx context.Context, programs []string) ([]string, error)
 }
 
-// Settings configure a Keeper.
+// Settings configure a Manager.
 type Settings struct {
 	DataCentre string
 	// MaxModels is the maximum number of models loaded on one engine; 0 means 2.
@@ -73,12 +73,12 @@
 	Models func() []usage.Model
 	// Demand returns the number of steps per model that run or wait, summed over
 	// the instances of the data centre.
-	Demand func() map[string]int
-	Living Living
+	Demand   func() map[string]int
+	Programs ProgramLookup
 }
 
-// Keeper performs the duty.
-type Keeper struct {
+// Manager performs the duty.
+type Manager struct {
 	settings       Settings
 	table          *upstream.Table
 	engines        Engines
@@ -95,11 +95,11 @@
 }
 
 // New returns a keeper.
-func New(settings Settings, table *upstream.Table, engines Engines, lease Lease) *Keeper {
+func New(settings Settings, table *upstream.Table, engines Engines, lease Lease) *Manager {
 	if settings.MaxModels == 0 {
 		settings.MaxModels = 2
 	}
-	return &Keeper{
+	return &Manager{
 		settings:     settings,
 		table:        table,
 		engines:      engines,
@@ -111,7 +111,7 @@
 
 // Run performs rounds until ctx ends. Every instance runs it: without the lease, a
 // round only observes, so that the instance knows what each engine serves.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(roundInterval)
 	defer ticker.Stop()
 	for {
@@ -125,7 +125,7 @@
 }
 
 // Round performs one round.
-func (k *Keeper) Round(ctx context.Context) {
+func (k *Manager) Round(ctx context.Context) {
 	token, valid, ok := k.lease.Held(Name)
 	observations := k.observe(ctx, ok)
 	k.publishServing(observations)
@@ -152,7 +152,7 @@
 
 // observe reads the state of all engines of the data centre, or of the next few if
 // all is false. An engine that does not respond is left out.
-func (k *Keeper) observe(ctx context.Context, all bool) []observed {
+func (k *Manager) observe(ctx context.Context, all bool) []observed {
 	var mu sync.Mutex
 	var observations []observed
 	var group errgroup.Group
@@ -176,7 +176,7 @@
 }
 
 // enginesToObserve returns the engines whose state is read in this round.
-func (k *Keeper) enginesToObserve(all bool) []*upstream.Upstream {
+func (k *Manager) enginesToObserve(all bool) []*upstream.Upstream {
 	var engines []*upstream.Upstream
 	for _, u := range k.table.Snapshot().All {
 		if u.DataCentre == k.settings.DataCentre && u.Service == "" {
@@ -196,7 +196,7 @@
 
 // sendOrders sends orders while the lease is valid. It does not retry a failed
 // order: a later round orders what is still wanted.
-func (k *Keeper) sendOrders(ctx context.Context, actions []Action, valid func() bool) {
+func (k *Manager) sendOrders(ctx context.Context, actions []Action, valid func() bool) {
 	for _, a := range actions {
 		u := k.table.Snapshot().Upstream(a.Engine)
 		if u == nil {
@@ -212,7 +212,7 @@
 	}
 }
 
-func (k *Keeper) logOrder(a Action, err error) {
+func (k *Manager) logOrder(a Action, err error) {
 	if k.settings.Logger == nil {
 		return
 	}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -41,7 +41,7 @@
 
 type fakePrograms map[string]bool
 
-func (f fakePrograms) Gone(_ context.Context, programs []string) ([]string, error) {
+func (f fakePrograms) FindEnded(_ context.Context, programs []string) ([]string, error) {
 	var gone []string
 	for _, p := range programs {
 		if !f[p] {
@@ -57,7 +57,7 @@
 	fleet   standin.Fleet
 	table   *upstream.Table
 	sched   *scheduler.Scheduler
-	keeper  *Keeper
+	keeper  *Manager
 	lease   *fakeLease
 	weights *standin.Weights
 	living  fakePrograms
@@ -77,7 +77,7 @@
 	}
 	s.table.Apply(listed, time.Now())
 	s.sched = scheduler.New(scheduler.Settings{DataCentre: "a"}, s.table, cache.New(cache.DefaultOptions))
-	settings := Settings{DataCentre: "a", Models: s.getModels, Demand: s.sched.Demand, Living: s.living}
+	settings := Settings{DataCentre: "a", Models: s.getModels, Demand: s.sched.Demand, Programs: s.living}
 	s.keeper = New(settings, s.table, s.fleet, s.lease)
 	return s
 }
@@ -120,7 +120,7 @@
 	is.NoErr(err)
 	var got struct{ Content string }
 	is.NoErr(json.Unmarshal(response.Message.Raw, &got))
-	is.True(strings.HasPrefix(got.Content, standin.AnswerText(g.Model, messages, 1))) // one version from start to end
+	is.True(strings.HasPrefix(got.Content, standin.GeneratedText(g.Model, messages, 1))) // one version from start to end
 	return g.Model, nil
 }
 
@@ -192,7 +192,7 @@
 	is := is.New(t)
 	oak := usage.Model{Name: "oak", Version: "2"}
 	plan := func(newReady bool, running int) int {
-		return len(Plan([]Engine{{Name: "e", Allowed: []string{"oak"}, Usable: true, Loaded: []engine.Loaded{
+		return len(Plan([]Engine{{Name: "e", Allowed: []string{"oak"}, Usable: true, Loaded: []engine.LoadedModel{
 			{Served: "oak@1#1", Model: "oak", Version: "1", Ready: true, Running: running},
 			{Served: "oak@2#1", Model: "oak", Version: "2", Ready: newReady},
 		}}}, []ModelTarget{{oak, 1}}, 1, 2))
--- a/internal/duty/models.go
+++ b/internal/duty/models.go
@@ -15,7 +15,7 @@
 // publishServing records in the table the name under which each engine serves each
 // model: that of the wanted version if it is ready, otherwise that of another
 // ready version.
-func (k *Keeper) publishServing(observations []observed) {
+func (k *Manager) publishServing(observations []observed) {
 	snapshot := k.table.Snapshot()
 	for _, m := range k.settings.Models() {
 		for _, endpoint := range snapshot.Model(m.Name) {
@@ -30,7 +30,7 @@
 
 // chooseServing chooses one of the names under which an engine has loaded a model.
 // An engine that lists no loaded models serves any model under the model's name.
-func chooseServing(m *usage.Model, loaded []engine.Loaded) upstream.Serving {
+func chooseServing(m *usage.Model, loaded []engine.LoadedModel) upstream.Serving {
 	if len(loaded) == 0 {
 		return upstream.Serving{Name: m.Name, Ready: true}
 	}
@@ -48,7 +48,7 @@
 	return best
 }
 
-func (k *Keeper) planModels(observations []observed, token uint64, now time.Time) []Action {
+func (k *Manager) planModels(observations []observed, token uint64, now time.Time) []Action {
 	engines := make([]Engine, 0, len(observations))
 	for _, o := range observations {
 		if len(o.state.Models) == 0 && len(o.upstream.Models) == 1 {
@@ -64,7 +64,7 @@
 	return k.limitLoads(Plan(engines, k.modelTargets(observations, now), token, k.settings.MaxModels), token, now)
 }
 
-func (k *Keeper) modelTargets(observations []observed, now time.Time) []ModelTarget {
+func (k *Manager) modelTargets(observations []observed, now time.Time) []ModelTarget {
 	demand := k.settings.Demand()
 	var targets []ModelTarget
 	for _, m := range k.settings.Models() {
@@ -135,7 +135,7 @@
 // the remaining orders. Loads of the same model and version count once and are
 // ordered together: engines that request the same weights at the same time share
 // one fetch.
-func (k *Keeper) limitLoads(actions []Action, token uint64, now time.Time) []Action {
+func (k *Manager) limitLoads(actions []Action, token uint64, now time.Time) []Action {
 	allowed := map[string]bool{}
 	var remaining []Action
 	for _, a := range actions {
--- a/internal/duty/plan.go
+++ b/internal/duty/plan.go
@@ -24,7 +24,7 @@
 	// Usable reports whether the engine may get work. No model is loaded on an
 	// engine that is not usable.
 	Usable bool
-	Loaded []engine.Loaded
+	Loaded []engine.LoadedModel
 }
 
 // ModelTarget is the number of engines that should have a model loaded.
@@ -96,11 +96,11 @@
 	return actions
 }
 
-func isCurrent(l *engine.Loaded, m *usage.Model) bool {
+func isCurrent(l *engine.LoadedModel, m *usage.Model) bool {
 	return l.Model == m.Name && l.Version == m.Version && l.Adapter == m.Adapter
 }
 
-func (e *Engine) findCurrent(m *usage.Model) *engine.Loaded {
+func (e *Engine) findCurrent(m *usage.Model) *engine.LoadedModel {
 	for i := range e.Loaded {
 		if isCurrent(&e.Loaded[i], m) {
 			return &e.Loaded[i]
@@ -140,7 +140,7 @@
 // that the same plan does not order it twice.
 func (e *Engine) planLoad(m *usage.Model, token uint64) Action {
 	served := engine.ServedName(m.Name, m.Version, m.Adapter, token)
-	e.Loaded = append(e.Loaded, engine.Loaded{Served: served, Model: m.Name, Version: m.Version, Adapter: m.Adapter})
+	e.Loaded = append(e.Loaded, engine.LoadedModel{Served: served, Model: m.Name, Version: m.Version, Adapter: m.Adapter})
 	order := engine.Order{Kind: engine.OrderLoad, Token: token, Served: served, Model: m.Name, Version: m.Version, Adapter: m.Adapter}
 	return Action{Engine: e.Name, Order: order, Reason: "wanted"}
 }
--- a/internal/duty/release.go
+++ b/internal/duty/release.go
@@ -34,8 +34,8 @@
 // this sweep and the last one found gone. Program IDs are never reused, so a
 // program that is gone may be released at any later time: a late order does no
 // harm, even at an engine that does not check fencing tokens.
-func (k *Keeper) planReleases(ctx context.Context, observations []observed, token uint64, now time.Time) []Action {
-	if k.settings.Living == nil || now.Sub(k.sweeper.lastSweep) < sweepInterval {
+func (k *Manager) planReleases(ctx context.Context, observations []observed, token uint64, now time.Time) []Action {
+	if k.settings.Programs == nil || now.Sub(k.sweeper.lastSweep) < sweepInterval {
 		return nil
 	}
 	k.sweeper.lastSweep = now
@@ -45,7 +45,7 @@
 			loaded[program] = true
 		}
 	}
-	gone, err := k.settings.Living.Gone(ctx, slices.Sorted(maps.Keys(loaded)))
+	gone, err := k.settings.Programs.FindEnded(ctx, slices.Sorted(maps.Keys(loaded)))
 	if err != nil {
 		return nil
 	}
@@ -96,9 +96,9 @@
 	return &Releaser{engines: engines, token: token, pending: map[string][]string{}, wake: make(chan struct{}, 1)}
 }
 
-// Release queues an order to the engine at the address to release the program's
+// Enqueue queues an order to the engine at the address to release the program's
 // memory. It does not block.
-func (r *Releaser) Release(address, program string) {
+func (r *Releaser) Enqueue(address, program string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.pendingCount >= maxPending {
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -13,7 +13,8 @@
 	"foxhall/internal/step"
 )
 
-// shape returns the shape of programs with several turns and with repeatable and non-repeatable steps.
+// shape returns the shape of programs with several turns and with repeatable and non-repeatable
+// steps.
 func shape() load.Shape {
 	s := load.Kerlouan
 	s.Turns = [2]int{4, 6}
@@ -70,9 +71,9 @@
 	c.checkReport(report)
 }
 
-// Guards against programs lost, or steps run twice, after a kill. An instance is killed while programs
-// run on it. The others detect the failure, seal its log and adopt its programs. A step that was in
-// flight gets the recorded response or the outcome unknown; no step takes effect twice.
+// Guards against programs lost, or steps run twice, after a kill. An instance is killed while
+// programs run on it. The others detect the failure, seal its log and adopt its programs. A step
+// that was in flight gets the recorded response or the outcome unknown; no step takes effect twice.
 func TestProgramsOfKilledInstanceAreTakenOver(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
@@ -81,12 +82,12 @@
 	c.instances[0].signal(t, os.Kill)
 	report := <-reports
 	c.checkReport(report)
-	is.True(report.Finished >= report.Programs-report.Unknown)
+	is.True(report.Finished >= report.Programs-report.OutcomeUnknown)
 }
 
-// Guards against an instance that continues its programs after their take-over. An instance is stopped
-// with SIGSTOP until others have taken its programs over, and then continued. Its next append finds
-// the seal, so it must send none of its pending steps and respond "moved".
+// Guards against an instance that continues its programs after their take-over. An instance is
+// stopped with SIGSTOP until others have taken its programs over, and then continued. Its next
+// append finds the seal, so it must send none of its pending steps and respond "moved".
 func TestPauseBeyondTakeOverRepeatsNoStep(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
@@ -97,7 +98,7 @@
 	c.instances[0].signal(t, syscall.SIGCONT)
 	report := <-reports
 	c.checkReport(report)
-	is.True(report.Finished >= report.Programs-report.Unknown)
+	is.True(report.Finished >= report.Programs-report.OutcomeUnknown)
 }
 
 // Guards against an edit that overwrites a concurrent one. Two operators edit the same entry based on
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -41,9 +41,9 @@
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// DialThrough replaces the client's dial function. It must be called before the first call. Tests
+// SetDialer replaces the client's dial function. It must be called before the first call. Tests
 // use it to run the client on a simulated network with faults.
-func (c *Client) DialThrough(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
+func (c *Client) SetDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.http.Transport.(*http.Transport).DialContext = dial
 }
 
@@ -154,7 +154,7 @@
 		Class:      ErrUnknown,
 		Status:     resp.StatusCode,
 		RetryAfter: retryAfter(resp.Header),
-		Draining:   resp.Header.Get(HeaderLeaving) == "true",
+		Draining:   resp.Header.Get(HeaderDraining) == "true",
 		Cause:      errors.New(strings.TrimSpace(string(message))),
 	}
 	switch {
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -24,8 +24,8 @@
 const (
 	// HeaderNotRun with value "true" indicates that the engine did not run the call.
 	HeaderNotRun = "Engine-Not-Run"
-	// HeaderLeaving with value "true" indicates that the engine drains and accepts no new calls.
-	HeaderLeaving = "Engine-Leaving"
+	// HeaderDraining with value "true" indicates that the engine drains and accepts no new calls.
+	HeaderDraining = "Engine-Leaving"
 )
 
 // Request is one completion for an engine.
@@ -150,8 +150,8 @@
 	Programs []string `json:"programs,omitempty"`
 }
 
-// Loaded is a model that an engine has loaded or is loading.
-type Loaded struct {
+// LoadedModel is a model that an engine has loaded or is loading.
+type LoadedModel struct {
 	Served  string `json:"served"`
 	Model   string `json:"model"`
 	Version string `json:"version,omitempty"`
@@ -166,9 +166,9 @@
 	// Boot identifies the boot of the engine.
 	Boot string `json:"boot"`
 	// Seq is the sequence number of the last cache event included in Blocks.
-	Seq    uint64   `json:"seq"`
-	Role   string   `json:"role"`
-	Models []Loaded `json:"models"`
+	Seq    uint64        `json:"seq"`
+	Role   string        `json:"role"`
+	Models []LoadedModel `json:"models"`
 	// Programs maps each program to the size of its memory in tokens.
 	Programs map[string]int `json:"programs"`
 	Blocks   []uint64       `json:"blocks,omitempty"`
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -76,9 +76,9 @@
 	limits.MaxBodyBytes = 4096
 	server := New(Options{
 		Limits: limits, Programs: programs, Directory: directory, Config: testLists(t),
-		Ready: func() string { return "" }, PeerSecret: testSecret, Metrics: metrics.NewRegistry(),
+		NotReadyReason: func() string { return "" }, PeerSecret: testSecret, Metrics: metrics.NewRegistry(),
 	})
-	callers, _ := server.Callers()
+	callers, _ := server.CallersHandler()
 	peers := echo.New()
 	server.RegisterRelay(peers)
 	callersServer := httptest.NewServer(callers)
@@ -95,7 +95,7 @@
 	return fmt.Appendf(nil, `{"id":"x","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,"delta":{"content":%q}}]}`, text)
 }
 
-var localDirectory = &fakeDirectory{owner: Owner{Local: true}}
+var localDirectory = &fakeDirectory{owner: Owner{IsSelf: true}}
 
 // Each refusal has an error code of the API and the outcome "not run"; a call that ran has the
 // outcome "done".
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -119,7 +119,7 @@
 	if r.Code != "" || len(r.Body) == 0 {
 		return s.respond(c, r)
 	}
-	chunk, err := chat.ChunkOf(r.Body)
+	chunk, err := chat.ChunkFromCompletion(r.Body)
 	if err != nil {
 		return s.respond(c, r)
 	}
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -39,7 +39,7 @@
 // parseHeaders returns a call with the fields that are sent in headers. A call that names no
 // program is a program of one step.
 func parseHeaders(h http.Header, now time.Time, defaultDeadline time.Duration) (step.Call, error) {
-	call := step.Call{IdempotencyKey: h.Get(HeaderIdempotencyKey), After: h.Get(HeaderAfter)}
+	call := step.Call{IdempotencyKey: h.Get(HeaderIdempotencyKey), AfterTurn: h.Get(HeaderAfter)}
 	if len(call.IdempotencyKey) > maxKeyBytes {
 		return call, errors.Errorf("%s: expected at most %d bytes", HeaderIdempotencyKey, maxKeyBytes)
 	}
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -70,7 +70,7 @@
 		r.Program, r.RetryAfter = id, movedRetryAfter
 		return true, s.respond(c, r)
 	}
-	if owner.Local {
+	if owner.IsSelf {
 		return false, nil
 	}
 	hops, _ := strconv.Atoi(c.Request().Header.Get(HeaderHops))
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -34,8 +34,8 @@
 	Instance string
 	// Address is the owner's peer address, host:port.
 	Address string
-	// Local reports whether the owner is this instance.
-	Local bool
+	// IsSelf reports whether the owner is this instance.
+	IsSelf bool
 }
 
 // Directory looks up the owner of a program.
@@ -54,8 +54,8 @@
 	Programs  Programs
 	Directory Directory
 	Config    Config
-	// Ready returns the reason why this instance should get no calls, or an empty string.
-	Ready func() string
+	// NotReadyReason returns the reason why this instance should get no calls, or an empty string.
+	NotReadyReason func() string
 	// PeerSecret authenticates relayed calls.
 	PeerSecret string
 	Operators  settings.Operators
@@ -89,9 +89,9 @@
 // Close closes the idle connections to owners.
 func (s *Server) Close() { s.relayClient.CloseIdleConnections() }
 
-// Callers returns the handler of the callers' listener and the group to which the endpoints for
-// operators are added.
-func (s *Server) Callers() (*echo.Echo, *echo.Group) {
+// CallersHandler returns the handler of the callers' listener and the group to which the endpoints
+// for operators are added.
+func (s *Server) CallersHandler() (*echo.Echo, *echo.Group) {
 	e := echo.New()
 	e.HTTPErrorHandler = s.handleEchoError
 	e.GET("/healthz", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
@@ -131,7 +131,7 @@
 }
 
 func (s *Server) handleReady(c echo.Context) error {
-	if reason := s.opt.Ready(); reason != "" {
+	if reason := s.opt.NotReadyReason(); reason != "" {
 		return c.String(http.StatusServiceUnavailable, reason+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
--- a/internal/experiment/entry.go
+++ b/internal/experiment/entry.go
@@ -123,20 +123,20 @@
 
 // recordFirstToken records that the first token of the turn arrived.
 func (e *modelEntry) recordFirstToken(c *placedTurn) {
-	c.endpoint.Upstream.Progress(e.clock.now.UnixNano())
-	c.endpoint.Upstream.Prefilled(c.uncached())
+	c.endpoint.Upstream.RecordProgress(e.clock.now.UnixNano())
+	c.endpoint.Upstream.RecordPrefilled(c.uncached())
 }
 
 // recordRefusal records that the turn does not run at the chosen engine.
 func (e *modelEntry) recordRefusal(c *placedTurn) {
-	c.endpoint.Upstream.Prefilled(c.uncached())
+	c.endpoint.Upstream.RecordPrefilled(c.uncached())
 	c.endpoint.Upstream.Finish(e.clock.now.UnixNano())
 }
 
 // recordFailure records that the engine responded with an error.
 func (e *modelEntry) recordFailure(c *placedTurn) {
 	e.recordRefusal(c)
-	c.endpoint.Upstream.Failed(e.clock.now, upstream.Failure{Kind: upstream.Errored})
+	c.endpoint.Upstream.RecordFailure(e.clock.now, upstream.Failure{Kind: upstream.Errored})
 	c.endpoint.Upstream.ReleaseTrial(c.trial)
 }
 
@@ -145,7 +145,7 @@
 	now := e.clock.now
 	u := c.endpoint.Upstream
 	u.Finish(now.UnixNano())
-	u.Succeeded(now)
+	u.RecordSuccess(now)
 	u.ReleaseTrial(c.trial)
 	total := now.Sub(c.sentAt)
 	u.ObserveLatency(now, total, c.estimate.ExpectedDuration(&c.step, output))
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -89,8 +89,8 @@
 	return centres
 }
 
-// Story returns all lines that name the request or program with this ID, in order of time.
-func (l *Log) Story(id string) []Line {
+// Trace returns all lines that name the request or program with this ID, in order of time.
+func (l *Log) Trace(id string) []Line {
 	var lines []Line
 	for _, line := range l.Lines {
 		if line.Text("request") == id || line.Text("program") == id || line.Text("previous") == id {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -40,7 +40,7 @@
 func TestStoryIsInTimeOrder(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	is.NoErr(WriteStory(&out, read(t).Story("p")))
+	is.NoErr(WriteTrace(&out, read(t).Trace("p")))
 	rows := strings.Split(strings.TrimSpace(out.String()), "\n")
 	is.Equal(len(rows), 3)
 	is.True(strings.Contains(rows[0], "placed"))
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// WriteStory prints the lines about a request or a program, each with the time in seconds
+// WriteTrace prints the lines about a request or a program, each with the time in seconds
 // since the first line.
-func WriteStory(w io.Writer, lines []Line) error {
+func WriteTrace(w io.Writer, lines []Line) error {
 	for i := range lines {
 		line := &lines[i]
 		_, err := fmt.Fprintf(w, "%+8.3f s  %-20s %s  %s\n",
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -43,8 +43,9 @@
 	Key     *routing.KeyDigest
 	Program Program
 	Prompt  []Part
-	// PromptTokens and MaxOutput are the size of a model call in tokens, as stated by the caller.
-	PromptTokens, MaxOutput int
+	// PromptTokens and MaxOutputTokens are the size of a model call in tokens, as stated by the
+	// caller.
+	PromptTokens, MaxOutputTokens int
 	// OutputHint is the caller's estimate of the output in tokens; 0 for none.
 	OutputHint int
 	// Previous is the ID of the turn that the call continues; empty at the start of a chain.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -301,7 +301,7 @@
 }
 
 func turnCall() Call {
-	return Call{ID: "t2", Body: []byte("new"), Previous: "t1", MaxOutput: 20, Program: Program{ID: "p", Budget: 100}}
+	return Call{ID: "t2", Body: []byte("new"), Previous: "t1", MaxOutputTokens: 20, Program: Program{ID: "p", Budget: 100}}
 }
 
 var turnRoute = routing.Route{Kind: routing.Stream, Attempts: 1, RetainsTurns: true, Retention: time.Minute}
--- a/internal/gateway/turn.go
+++ b/internal/gateway/turn.go
@@ -33,7 +33,7 @@
 		Program:         f.call.Program.ID,
 		Turn:            f.call.ID,
 		Previous:        f.call.Previous,
-		MaxOutputTokens: f.call.MaxOutput,
+		MaxOutputTokens: f.call.MaxOutputTokens,
 		Budget:          f.call.Program.Budget,
 		Deadline:        f.deadline,
 
--- a/internal/history/witness.go
+++ b/internal/history/witness.go
@@ -30,8 +30,8 @@
 
 // Witness is an entry's report on its contact with a keeper.
 type Witness struct {
-	DataCentre  string
-	HearsKeeper bool
+	DataCentre string
+	HasContact bool
 }
 
 // lossEvidence is the evidence of a keeper's loss.
@@ -113,7 +113,7 @@
 
 func anyHasContact(witnesses []Witness) bool {
 	for _, w := range witnesses {
-		if w.HearsKeeper {
+		if w.HasContact {
 			return true
 		}
 	}
--- a/internal/history/world_test.go
+++ b/internal/history/world_test.go
@@ -427,7 +427,7 @@
 		if cl.entriesUnresponsive(dc) || cl.isLinkDown(m.name, entryIn(dc)) {
 			continue
 		}
-		witnesses = append(witnesses, Witness{DataCentre: dc, HearsKeeper: cl.isRunning(name) && !cl.isLinkDown(name, entryIn(dc))})
+		witnesses = append(witnesses, Witness{DataCentre: dc, HasContact: cl.isRunning(name) && !cl.isLinkDown(name, entryIn(dc))})
 	}
 	return witnesses
 }
--- a/internal/instance/adapter.go
+++ b/internal/instance/adapter.go
@@ -47,9 +47,9 @@
 	return ownerLogError(c.log.Append(ctx, toLedger(records)...))
 }
 
-// AppendOrHold implements owner.Log.
-func (c cohortLog) AppendOrHold(ctx context.Context, records ...owner.Record) error {
-	return ownerLogError(c.log.AppendOrHold(ctx, toLedger(records)...))
+// AppendOrReplicate implements owner.Log.
+func (c cohortLog) AppendOrReplicate(ctx context.Context, records ...owner.Record) error {
+	return ownerLogError(c.log.AppendOrReplicate(ctx, toLedger(records)...))
 }
 
 // Available implements owner.Log.
@@ -65,7 +65,7 @@
 
 // ownerLogError maps an error of the ledger to one of package owner. Only errors after which the
 // ledger guarantees that nothing was written map to a definite failure; any other error maps to
-// owner.ErrUnsettled.
+// owner.ErrOutcomeUnknown.
 func ownerLogError(err error) error {
 	switch {
 	case err == nil:
@@ -77,7 +77,7 @@
 	case errors.Is(err, ledger.ErrTooLarge):
 		return errors.Wrap(owner.ErrTooLarge, err.Error())
 	default:
-		return errors.Wrap(owner.ErrUnsettled, err.Error())
+		return errors.Wrap(owner.ErrOutcomeUnknown, err.Error())
 	}
 }
 
@@ -114,7 +114,7 @@
 }
 
 // toLookupResult returns nil unless the service reports the call as done.
-func toLookupResult(f tool.Finding) *owner.LookupResult {
+func toLookupResult(f tool.LookupResponse) *owner.LookupResult {
 	if f.State != tool.StateDone {
 		return nil
 	}
--- a/internal/instance/budget.go
+++ b/internal/instance/budget.go
@@ -59,7 +59,7 @@
 	case budget.StoreUnavailable:
 		return http.StatusServiceUnavailable, step.CodeStoreUnavailable
 	case budget.Removed:
-		return http.StatusForbidden, step.CodeForbidden
+		return http.StatusForbidden, step.CodeNotInPlan
 	case budget.Closed:
 		return http.StatusServiceUnavailable, step.CodeShuttingDown
 	default:
--- a/internal/instance/copies.go
+++ b/internal/instance/copies.go
@@ -194,7 +194,7 @@
 func handOffHeld(ctx context.Context, held *ledger.HeldCopies, hold func(context.Context, ledger.Copy) (int, error)) error {
 	var lastErr error
 	for _, cohort := range held.Cohorts() {
-		for part := range held.Parts(cohort) {
+		for part := range held.Batches(cohort) {
 			holders, err := hold(ctx, part)
 			if holders < ledger.RequiredCopies {
 				lastErr = errors.Errorf("instance: too few peers (%d) accepted the copies held for %s: %v", holders, cohort, err)
@@ -204,8 +204,8 @@
 	return lastErr
 }
 
-// Forget implements ownership.Copies.
-func (c *copies) Forget(ctx context.Context, cohort program.Cohort) {
+// DropAll implements ownership.Copies.
+func (c *copies) DropAll(ctx context.Context, cohort program.Cohort) {
 	_ = c.held.Release(cohort, ^uint64(0))
 	c.Release(ctx, cohort, ^uint64(0))
 }
--- a/internal/instance/copies_test.go
+++ b/internal/instance/copies_test.go
@@ -48,7 +48,7 @@
 		c, attempts := &copies{}, 0
 		c.replicateHeld(func(context.Context) error {
 			if attempts++; attempts < 3 {
-				return ledger.ErrUnsettled
+				return ledger.ErrOutcomeUnknown
 			}
 			if attempts == 3 {
 				c.replicateHeld(nil)
--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -26,7 +26,7 @@
 type duties struct {
 	instance *Instance
 	lease    *lease.Manager
-	engines  *duty.Keeper
+	engines  *duty.Manager
 	releases *duty.Releaser
 	// demand is the latest demand of the data centre, summed over its instances, by model.
 	demand atomic.Pointer[map[string]int]
@@ -45,7 +45,7 @@
 	}
 	d.lease = manager
 	d.engines = duty.New(duty.Settings{
-		DataCentre: i.settings.DataCentre, Logger: log.Log, Models: d.models, Demand: d.totalDemand, Living: living{i},
+		DataCentre: i.settings.DataCentre, Logger: log.Log, Models: d.models, Demand: d.totalDemand, Programs: living{i},
 	}, i.table, i.engines, d)
 	d.releases = duty.NewReleaser(i.engines, d.latestEpoch)
 	i.duties = d
@@ -103,7 +103,7 @@
 		if _, ok := d.lease.Held(lease.EngineOrders); !ok {
 			continue
 		}
-		if _, err := editor.Collect(ctx, config.DefaultKeep); err != nil {
+		if _, err := editor.Collect(ctx, config.DefaultHistoryVersions); err != nil {
 			log.WithError(err).Warn("unreferenced configuration chunks not removed")
 		}
 	}
--- a/internal/instance/gate.go
+++ b/internal/instance/gate.go
@@ -50,7 +50,7 @@
 
 // RequestShares implements limit.Arbiters.
 func (a arbiters) RequestShares(ctx context.Context, instanceName string, demands []limit.Demand) ([]limit.Share, error) {
-	for _, m := range a.instance.view().Living(a.instance.settings.DataCentre) {
+	for _, m := range a.instance.view().Available(a.instance.settings.DataCentre) {
 		if m.Instance() != instanceName {
 			continue
 		}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -81,10 +81,10 @@
 
 // New opens the listeners and builds an instance; Run serves them. Port 0 in the settings selects
 // any free port.
-func New(s settings.Settings) (*Instance, error) { return NewOn(nil, s) }
+func New(s settings.Settings) (*Instance, error) { return NewWithNetwork(nil, s) }
 
-// NewOn is New with the given network in place of TCP, for fault-injection tests.
-func NewOn(network Network, s settings.Settings) (*Instance, error) {
+// NewWithNetwork is New with the given network in place of TCP, for fault-injection tests.
+func NewWithNetwork(network Network, s settings.Settings) (*Instance, error) {
 	i := &Instance{
 		settings: s,
 		network:  network,
@@ -126,14 +126,14 @@
 func (i *Instance) build() error {
 	s := i.settings
 	i.storeHTTP = store.NewHTTP(s.Store.URL, s.Store.Timeout.Std())
-	i.store = store.Track(store.Limit(i.storeHTTP, store.Rates{Reads: s.Store.ReadsPerSecond, Writes: s.Store.WritesPerSecond}, i.registry), i.registry)
+	i.store = store.Track(store.Limit(i.storeHTTP, store.Rates{ReadsPerSecond: s.Store.ReadsPerSecond, WritesPerSecond: s.Store.WritesPerSecond}, i.registry), i.registry)
 	i.peers = peer.NewClient(s.Peers.Secret, s.Peers.Timeout.Std(), i.registry)
 	i.control = control.NewLoop(control.DefaultCapacity, i.registry)
 	i.setDialers()
 	i.members = i.newMembers()
 	i.gate = limit.NewGate(limit.Options{Members: gateMembers{i}, Arbiters: arbiters{i}, Registry: i.registry})
 	i.config = config.NewSource(i.store, config.Options{
-		Peers: configPeers{i}, Folder: s.DataFolder, Registry: i.registry, Log: log.Log,
+		Peers: configPeers{i}, DataFolder: s.DataFolder, Registry: i.registry, Log: log.Log,
 	})
 	i.budget = budget.NewAllocator(i.store, plansInForce{i.config}, budget.Options{Registry: i.registry, Log: log.Log})
 	if err := i.newDuties(); err != nil {
@@ -155,10 +155,10 @@
 	if dial == nil {
 		return
 	}
-	i.storeHTTP.DialThrough(dial)
-	i.peers.DialThrough(dial)
-	i.engines.DialThrough(dial)
-	i.tools.DialThrough(dial)
+	i.storeHTTP.SetDialer(dial)
+	i.peers.SetDialer(dial)
+	i.engines.SetDialer(dial)
+	i.tools.SetDialer(dial)
 }
 
 func (i *Instance) dial() func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -170,7 +170,7 @@
 
 // setHandlers sets the handlers of both listeners.
 func (i *Instance) setHandlers() {
-	callers, operators := i.entry.Callers()
+	callers, operators := i.entry.CallersHandler()
 	i.owner.Register(operators)
 	control.NewOperator(i.control, i.members).Register(operators)
 	peers := echo.New()
@@ -221,7 +221,7 @@
 	}
 	// A single instance may lose the object API and rely on peers' copies while the others still
 	// reach it. Its successor must then know to ask for those copies.
-	r.StoreHealthy = !i.store.Down() && (i.log == nil || !i.log.Holding())
+	r.StoreHealthy = !i.store.Down() && (i.log == nil || !i.log.ReliesOnCopies())
 	return r
 }
 
@@ -229,13 +229,13 @@
 	return scheduler.New(scheduler.Settings{
 		DataCentre:    i.settings.DataCentre,
 		QueueLimit:    i.settings.Placement.QueueLimit,
-		DataCentreRTT: i.dataCentreRTTs(),
+		RemoteCosts:   i.dataCentreRTTs(),
 		RemoteViewAge: i.remote.age,
 		Policy:        placement.Policy(i.settings.Placement.Policy),
 		Logger:        log.Log,
 		Random:        rand.Uint64,
 		Mover:         i.engines,
-		ReleaseCache:  i.duties.releases.Release,
+		ReleaseCache:  i.duties.releases.Enqueue,
 	}, i.table, cache.New(cache.DefaultOptions))
 }
 
@@ -257,7 +257,7 @@
 	i.log, err = ledger.Open(context.Background(), ledger.Options{
 		Cohort: i.cohort, Address: i.settings.Listen.Peers, Store: i.store,
 		Holders: i.copies, Successors: successors{i}, Snapshots: snapshots{i},
-		Writes: i.settings.Store.WritesPerSecond, WriteTimeout: i.settings.Store.Timeout.Std(),
+		WritesPerSecond: i.settings.Store.WritesPerSecond, WriteTimeout: i.settings.Store.Timeout.Std(),
 		Logger: log.Log, Registry: i.registry,
 	})
 	if err != nil {
@@ -267,8 +267,8 @@
 	i.pauses = newPauseGuard(i)
 	i.owner, err = owner.New(owner.Options{
 		Cohort: i.cohort, Log: cohortLog{i.log}, Executor: i.newExecutor(), Catalogue: catalogue{i.config},
-		Lookup: lookup{i}, Successor: successors{i}, Residency: i.ownership, Lease: i.pauses, Released: []owner.ReleaseHook{i.releaseEngineState},
-		GapWait: i.settings.Programs.GapWait.Std(), IdleExpiry: i.settings.Programs.IdleExpiry.Std(),
+		Lookup: lookup{i}, Successor: successors{i}, Residency: i.ownership, Lease: i.pauses, ReleaseHooks: []owner.ReleaseHook{i.releaseEngineState},
+		MissingStepTimeout: i.settings.Programs.GapWait.Std(), IdleExpiry: i.settings.Programs.IdleExpiry.Std(),
 		Logger: log.Log, Registry: i.registry,
 	})
 	return err
@@ -294,7 +294,7 @@
 func (i *Instance) newEntry() {
 	i.entry = entry.New(entry.Options{
 		Limits: i.settings.Callers, Programs: i.owner, Directory: directory{i}, Config: lists{i.config},
-		Ready: i.notReadyReason, Dial: i.dial(), PeerSecret: i.settings.Peers.Secret, Operators: i.settings.Operators, Metrics: i.registry,
+		NotReadyReason: i.notReadyReason, Dial: i.dial(), PeerSecret: i.settings.Peers.Secret, Operators: i.settings.Operators, Metrics: i.registry,
 	})
 }
 
--- a/internal/instance/members.go
+++ b/internal/instance/members.go
@@ -61,7 +61,7 @@
 // Weights implements limit.Members.
 func (g gateMembers) Weights() map[string]float64 {
 	weights := map[string]float64{g.Self(): g.instance.settings.Size * sizeUnit}
-	for _, m := range g.instance.view().Living(g.instance.settings.DataCentre) {
+	for _, m := range g.instance.view().Available(g.instance.settings.DataCentre) {
 		weights[m.Instance()] = float64(m.Report.Size)
 	}
 	return weights
@@ -87,7 +87,7 @@
 		return nil
 	}
 	var living []ownership.Member
-	for _, m := range view.Living(o.instance.settings.DataCentre) {
+	for _, m := range view.Available(o.instance.settings.DataCentre) {
 		living = append(living, o.member(m))
 	}
 	return living
@@ -126,10 +126,10 @@
 	if errors.Is(err, ownership.ErrUnknownCohort) {
 		// No such program. The owner service answers as for any unknown id, so that the response
 		// does not reveal to other callers whether an id exists.
-		return entry.Owner{Local: true}, nil
+		return entry.Owner{IsSelf: true}, nil
 	}
 	if err != nil {
 		return entry.Owner{}, err
 	}
-	return entry.Owner{Instance: owner.Instance, Address: owner.Addr, Local: owner.IsSelf}, nil
+	return entry.Owner{Instance: owner.Instance, Address: owner.Addr, IsSelf: owner.IsSelf}, nil
 }
--- a/internal/instance/memory.go
+++ b/internal/instance/memory.go
@@ -15,9 +15,9 @@
 // living implements duty.Living. It asks the owners of programs which of them have ended.
 type living struct{ instance *Instance }
 
-// Gone implements duty.Living. A program whose owner can't be located or reached is not returned: a
-// running program that was reported as ended would lose its cache.
-func (l living) Gone(ctx context.Context, programs []string) ([]string, error) {
+// FindEnded implements duty.Living. A program whose owner can't be located or reached is not
+// returned: a running program that was reported as ended would lose its cache.
+func (l living) FindEnded(ctx context.Context, programs []string) ([]string, error) {
 	var ended []string
 	byAddress := map[string][]string{}
 	for _, programID := range programs {
@@ -28,7 +28,7 @@
 		owner, err := directory(l).Locate(ctx, id)
 		switch {
 		case err != nil:
-		case !owner.Local:
+		case !owner.IsSelf:
 			byAddress[owner.Address] = append(byAddress[owner.Address], programID)
 		case l.instance.hasEnded(id):
 			ended = append(ended, programID)
@@ -51,7 +51,7 @@
 	if err == nil && owner.IsSelf && !i.ownership.Adopted(id) {
 		return false
 	}
-	return !i.owner.Has(id)
+	return !i.owner.Owns(id)
 }
 
 // programService serves peers' queries about the programs resident on this instance.
@@ -68,7 +68,7 @@
 			return nil, peer.Invalid("malformed program id")
 		}
 		owner, err := directory(s).Locate(ctx, id)
-		if err == nil && owner.Local && s.instance.hasEnded(id) {
+		if err == nil && owner.IsSelf && s.instance.hasEnded(id) {
 			response.Gone = append(response.Gone, programID)
 		}
 	}
--- a/internal/instance/pause_test.go
+++ b/internal/instance/pause_test.go
@@ -25,7 +25,7 @@
 		defer i.store.Close()
 		i.settings.Store.Timeout = settings.Duration(time.Second)
 		var err error
-		i.log, err = ledger.Open(t.Context(), ledger.Options{Cohort: i.cohort, Store: i.store, Writes: 100})
+		i.log, err = ledger.Open(t.Context(), ledger.Options{Cohort: i.cohort, Store: i.store, WritesPerSecond: 100})
 		is.NoErr(err)
 		defer i.log.Close()
 		synctest.Wait()
--- a/internal/instance/peers.go
+++ b/internal/instance/peers.go
@@ -37,7 +37,7 @@
 }
 
 // Export implements config.Peer.
-func (c configPeer) Export(ctx context.Context, have config.Have) (config.Update, error) {
+func (c configPeer) Export(ctx context.Context, have config.ChunkInventory) (config.Update, error) {
 	request := &peerpb.ConfigFetchRequest{HaveVersion: have.Version}
 	for _, d := range have.Chunks {
 		request.HaveChunkHashes = append(request.HaveChunkHashes, d.String())
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, peer.Invalid("malformed chunk hash")
 	}
-	update := c.source.Export(config.Have{Version: r.GetHaveVersion(), Chunks: chunks})
+	update := c.source.Export(config.ChunkInventory{Version: r.GetHaveVersion(), Chunks: chunks})
 	return &peerpb.ConfigFetchResponse{Version: update.Version, Manifest: update.Manifest, Chunks: chunksToWire(update.Chunks)}, nil
 }
 
--- a/internal/instance/remote.go
+++ b/internal/instance/remote.go
@@ -114,7 +114,7 @@
 		if u == nil || u.DataCentre != dc {
 			continue
 		}
-		u.Report(time.Now(), engine.Load{Running: int(load.GetCalls()), Draining: load.GetLeaving()})
+		u.ApplyReport(time.Now(), engine.Load{Running: int(load.GetCalls()), Draining: load.GetLeaving()})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/instance/run.go
+++ b/internal/instance/run.go
@@ -94,10 +94,10 @@
 	log.WithField("cohort", i.cohort).Warn("fenced: another instance owns the programs of this incarnation")
 	i.stopping.Store(true)
 	i.members.Fence()
-	i.owner.HandedOver()
+	i.owner.MarkMoved()
 	i.runWithTimeout(i.settings.Shutdown.Grace.Std(), func(ctx context.Context) {
 		warnOnError(i.callerListener.shutdown(ctx), "responses to callers still in flight at the timeout; connections closed")
-		warnOnError(i.owner.Settle(ctx), "outcomes not reported to the programs' owners within the grace period")
+		warnOnError(i.owner.AwaitReports(ctx), "outcomes not reported to the programs' owners within the grace period")
 		warnOnError(i.waitUntilOffered(ctx), "turns held by peers for this incarnation not accepted by the programs' owners")
 	})
 	i.runWithTimeout(shutdownStepTimeout, func(ctx context.Context) { _ = i.peerListener.shutdown(ctx) })
@@ -110,7 +110,7 @@
 // waitUntilOffered waits until the successors have accepted the turns that peers hold for this
 // incarnation.
 func (i *Instance) waitUntilOffered(ctx context.Context) error {
-	for i.log.Holding() {
+	for i.log.ReliesOnCopies() {
 		select {
 		case <-time.After(offerCheckInterval):
 		case <-ctx.Done():
@@ -199,7 +199,7 @@
 func (i *Instance) shutdown() {
 	log.Info("stopping")
 	i.stopping.Store(true)
-	i.runWithTimeout(shutdownStepTimeout, i.members.Leave)
+	i.runWithTimeout(shutdownStepTimeout, i.members.AnnounceStop)
 	time.Sleep(unreadyDelay)
 	i.runWithTimeout(i.settings.Shutdown.Grace.Std(), func(ctx context.Context) {
 		warnOnError(i.owner.Drain(ctx), "steps still in flight at the end of the grace period")
@@ -221,7 +221,7 @@
 		log.WithError(err).Warn("copies held for other instances not handed off; departure not announced")
 		return
 	}
-	warnOnError(i.members.Depart(ctx), "departure not recorded")
+	warnOnError(i.members.AnnounceEnd(ctx), "departure not recorded")
 }
 
 // runWithTimeout runs one part of a stop with a timeout.
@@ -247,7 +247,7 @@
 // handOverPrograms hands this incarnation's programs over to other instances.
 func (i *Instance) handOverPrograms(ctx context.Context) {
 	warnOnError(i.ownership.HandOver(ctx), "programs not handed over; they are taken over once this instance is known to have stopped")
-	i.owner.HandedOver()
+	i.owner.MarkMoved()
 }
 
 func (i *Instance) close() {
--- a/internal/instance/upstreams.go
+++ b/internal/instance/upstreams.go
@@ -30,9 +30,9 @@
 
 // Endpoints is the platform's endpoint list for one data centre.
 type Endpoints struct {
-	// Live and Leaving are the names of running and draining upstreams, as in the usage list.
-	Live    []string `json:"live"`
-	Leaving []string `json:"leaving"`
+	// Live and Draining are the names of running and draining upstreams, as in the usage list.
+	Live     []string `json:"live"`
+	Draining []string `json:"leaving"`
 	// Instances maps the peer address of each instance to whether it is stopping.
 	Instances map[string]bool `json:"instances"`
 }
@@ -155,7 +155,7 @@
 		log.WithError(err).Error("the platform's endpoint list is malformed; ignored")
 		return
 	}
-	i.table.ApplyList(i.settings.DataCentre, list.Live, list.Leaving, time.Now())
+	i.table.ApplyList(i.settings.DataCentre, list.Live, list.Draining, time.Now())
 	if list.Instances != nil {
 		i.members.ObserveList(list.Instances)
 	}
--- a/internal/joined/agent_test.go
+++ b/internal/joined/agent_test.go
@@ -19,7 +19,8 @@
 // maxAttempts bounds how often an agent sends one step.
 const maxAttempts = 60
 
-// oracle records the responses that callers received and compares them with what the stand-ins counted.
+// oracle records the responses that callers received and compares them with what the stand-ins
+// counted.
 type oracle struct {
 	mu         sync.Mutex
 	violations []string
@@ -79,7 +80,8 @@
 )
 
 // run runs a program with the given number of turns and ends it. Each turn but the last is followed
-// by a repeatable and a non-repeatable step. Some programs start a sub-agent, which runs concurrently.
+// by a repeatable and a non-repeatable step. Some programs start a sub-agent, which runs
+// concurrently.
 func (a *agent) run(ctx context.Context, id, turns int) {
 	a.origin, a.next = id, 1
 	a.oracle.mu.Lock()
@@ -121,7 +123,7 @@
 	a.program = r.Program
 	a.next++
 	a.history = append(a.history, message)
-	want := standin.AnswerText(a.model, a.history, 24)
+	want := standin.GeneratedText(a.model, a.history, 24)
 	if r.Text != want {
 		promise := promiseHistory
 		if strings.HasPrefix(want, r.Text) {
--- a/internal/joined/caller_test.go
+++ b/internal/joined/caller_test.go
@@ -25,7 +25,7 @@
 		w, _ := newWorld()
 		_ = w.start("a", 1)
 		time.Sleep(15 * time.Second)
-		client := load.NewClientOn(w.network.Host("caller").DialContext, []string{"http://" + callersAddress("a", 1)}, kerlouanKey)
+		client := load.NewClientWithDialer(w.network.Host("caller").DialContext, []string{"http://" + callersAddress("a", 1)}, kerlouanKey)
 		message := chat.Message{Role: "user", Raw: []byte(`{"role":"user","content":"oak"}`)}
 		ask := func(ctx context.Context, model string) load.Response {
 			r, _ := client.Send(ctx, load.Request{Chat: &chat.Request{Model: model, Messages: []chat.Message{message}, Stream: true, MaxTokens: 4000}})
--- a/internal/joined/capacity_test.go
+++ b/internal/joined/capacity_test.go
@@ -56,7 +56,7 @@
 	allocated uint64
 }
 
-func (w *world) snapshot(t *standin.Tally) usageSnapshot {
+func (w *world) snapshot(t *standin.TrafficCounter) usageSnapshot {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	var memory runtime.MemStats
@@ -77,7 +77,7 @@
 	instanceSeconds := b.at.Sub(a.at).Seconds() * float64(instances)
 	bytes := int64(0)
 	for kind, g := range b.flows {
-		bytes += g.In + g.Out - a.flows[kind].In - a.flows[kind].Out
+		bytes += g.BytesReceived + g.BytesSent - a.flows[kind].BytesReceived - a.flows[kind].BytesSent
 	}
 	t.Logf("%s: %.2f KB/s on own connections, processor %.3f%% of a core (stand-ins included), %.0f KB/s allocated, store %.2f reads/s %.2f writes/s",
 		state, float64(bytes)/instanceSeconds/1000, 100*(b.processor-a.processor).Seconds()/instanceSeconds, float64(b.allocated-a.allocated)/instanceSeconds/1000,
@@ -88,12 +88,12 @@
 			continue
 		}
 		t.Logf("%s: %-40s %8.3f calls/s %9.0f B/s out %9.0f B/s in", state, kind,
-			float64(g.Calls-f.Calls)/instanceSeconds, float64(g.Out-f.Out)/instanceSeconds, float64(g.In-f.In)/instanceSeconds)
+			float64(g.Calls-f.Calls)/instanceSeconds, float64(g.BytesSent-f.BytesSent)/instanceSeconds, float64(g.BytesReceived-f.BytesReceived)/instanceSeconds)
 	}
 }
 
 // newCapacityWorld starts engines and instances in data centre "a".
-func newCapacityWorld(t *standin.Tally, instances, engines int) (*world, error) {
+func newCapacityWorld(t *standin.TrafficCounter, instances, engines int) (*world, error) {
 	w := &world{
 		network: standin.NewNetwork(), store: standin.NewStore(),
 		engines: map[string]*standin.Engine{}, nodes: map[string]*node{}, faultChanges: map[*standin.Engine]int{}, calls: newCallOrder(),
@@ -129,7 +129,7 @@
 	return w, nil
 }
 
-func (w *world) startCountedInstance(t *standin.Tally, number int) error {
+func (w *world) startCountedInstance(t *standin.TrafficCounter, number int) error {
 	name := fmt.Sprintf("a/%d", number)
 	s := settings.Default()
 	s.Instance, s.DataCentre = fmt.Sprintf("a-%d", number), "a"
@@ -137,7 +137,7 @@
 	s.Store.URL = "http://" + storeAddress
 	s.Peers.Secret = "joined-joined-joined"
 	s.Peers.Seeds = []string{peersAddress("a", 1), peersAddress("a", 2), peersAddress("a", 3)}
-	i, err := instance.NewOn(standin.CountedHost{Host: w.network.Host(name), Tally: t}, s)
+	i, err := instance.NewWithNetwork(standin.CountedHost{Host: w.network.Host(name), Traffic: t}, s)
 	if err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 	for n := range instances {
 		targets = append(targets, "http://"+callersAddress("a", n+1))
 	}
-	client := load.NewClientOn(w.network.Host("caller").DialContext, targets, kerlouanKey)
+	client := load.NewClientWithDialer(w.network.Host("caller").DialContext, targets, kerlouanKey)
 	defer client.Close()
 	random := rand.New(rand.NewPCG(1, 2))
 	var programs sync.WaitGroup
@@ -193,7 +193,7 @@
 func TestCapacity(t *testing.T) {
 	is := is.New(t)
 	instances, engines := *capacityInstances, *capacityEngines
-	o, counts := newOracle(), standin.NewTally()
+	o, counts := newOracle(), standin.NewTrafficCounter()
 	before := memoryInUse()
 	var want int
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/joined/remote_test.go
+++ b/internal/joined/remote_test.go
@@ -40,7 +40,7 @@
 			var callers sync.WaitGroup
 			for id := range 6 {
 				callers.Go(func() {
-					client := load.NewClientOn(w.network.Host("caller").DialContext, targets, kerlouanKey)
+					client := load.NewClientWithDialer(w.network.Host("caller").DialContext, targets, kerlouanKey)
 					defer client.Close()
 					(&agent{oracle: o, client: client, model: "oak"}).run(context.Background(), first+id, 3)
 				})
--- a/internal/joined/watch_test.go
+++ b/internal/joined/watch_test.go
@@ -69,8 +69,8 @@
 // expect a few seconds.
 const drainingTimeout = 4 * time.Second
 
-// waitOut waits for the duration of the event. If an engine drains, it checks that no call reaches the
-// engine after drainingTimeout, unless another event changed the engine's faults meanwhile.
+// waitOut waits for the duration of the event. If an engine drains, it checks that no call reaches
+// the engine after drainingTimeout, unless another event changed the engine's faults meanwhile.
 func (w *world) waitOut(o *oracle, ev event, e *standin.Engine) {
 	if ev.Kind != "engine-leaves" || ev.For <= drainingTimeout {
 		time.Sleep(ev.For)
@@ -175,7 +175,7 @@
 	var endpoints instance.Endpoints
 	for _, name := range []string{"-fast", "-slow", "-thrift", "-auction"} {
 		if dc+name == leaving {
-			endpoints.Leaving = append(endpoints.Leaving, leaving)
+			endpoints.Draining = append(endpoints.Draining, leaving)
 			continue
 		}
 		endpoints.Live = append(endpoints.Live, dc+name)
--- a/internal/joined/world_test.go
+++ b/internal/joined/world_test.go
@@ -26,8 +26,8 @@
 
 func TestMain(m *testing.M) {
 	fuzzing.Fix(20261202, 12)
-	// go-metrics starts a goroutine with its first meter that never ends, so it must start outside the
-	// synctest bubble of a test.
+	// go-metrics starts a goroutine with its first meter that never ends, so it must start outside
+	// the synctest bubble of a test.
 	metrics.NewMeter()
 	log.SetHandler(discard.New())
 	os.Exit(m.Run())
@@ -49,8 +49,8 @@
 	instances  int
 }{{"a", 3}, {"b", 2}}
 
-// world holds instances in two data centres and the stand-ins that they share, on an in-memory network.
-// Hosts are named "a/1#2": data centre, number of the instance, count of starts.
+// world holds instances in two data centres and the stand-ins that they share, on an in-memory
+// network. Hosts are named "a/1#2": data centre, number of the instance, count of starts.
 type world struct {
 	network *standin.Network
 	store   *standin.Store
@@ -220,7 +220,7 @@
 			s.Peers.Seeds = append(s.Peers.Seeds, peersAddress(other.dataCentre, n+1))
 		}
 	}
-	i, err := instance.NewOn(w.network.Host(host), s)
+	i, err := instance.NewWithNetwork(w.network.Host(host), s)
 	if err != nil {
 		return err
 	}
@@ -231,14 +231,15 @@
 	return nil
 }
 
-// run runs the instance as the serve command does: after an incarnation is fenced, it starts a new one.
+// run runs the instance as the serve command does: after an incarnation is fenced, it starts a new
+// one.
 func (w *world) run(ctx context.Context, n *node, s settings.Settings) {
 	defer close(n.ended)
 	for {
 		if err := n.instance.Run(ctx); err == nil || ctx.Err() != nil {
 			return
 		}
-		next, err := instance.NewOn(w.network.Host(n.host), s)
+		next, err := instance.NewWithNetwork(w.network.Host(n.host), s)
 		if err != nil {
 			return
 		}
@@ -264,7 +265,7 @@
 			targets = append(targets, "http://"+callersAddress(s.dataCentre, n+1))
 		}
 	}
-	return load.NewClientOn(w.network.Host("caller").DialContext, targets, key)
+	return load.NewClientWithDialer(w.network.Host("caller").DialContext, targets, key)
 }
 
 // effects returns how often each key took effect, summed over all services.
--- a/internal/ledger/appender.go
+++ b/internal/ledger/appender.go
@@ -371,7 +371,7 @@
 func (l *Log) abortBatch(b *batch, mayBeWritten bool) {
 	outcome := ErrClosed
 	if mayBeWritten {
-		outcome = ErrUnsettled
+		outcome = ErrOutcomeUnknown
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -38,7 +38,7 @@
 	standIn.SetFaults(standin.StoreFaults{Delay: benchDelay})
 	tracked := store.Track(standIn, nil)
 	defer tracked.Close()
-	l, err := Open(b.Context(), Options{Cohort: testCohort, Store: tracked, Writes: writes})
+	l, err := Open(b.Context(), Options{Cohort: testCohort, Store: tracked, WritesPerSecond: writes})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/ledger/compact_test.go
+++ b/internal/ledger/compact_test.go
@@ -148,7 +148,7 @@
 		r.standIn.SetFaults(standin.StoreFaults{Delay: 3 * time.Second, LateWrites: true})
 		go func() { _, _, _ = r.log.Seal(t.Context(), [program.ShardCount]program.Cohort{}) }()
 		time.Sleep(2500 * time.Millisecond)
-		err := r.log.AppendOrHold(t.Context(), event(program.NewID(testCohort), "turn"))
+		err := r.log.AppendOrReplicate(t.Context(), event(program.NewID(testCohort), "turn"))
 		is.True(errors.Is(err, ErrUnavailable))
 		is.Equal(len(r.holders.copies), 0)
 		r.standIn.SetFaults(standin.StoreFaults{})
--- a/internal/ledger/copies.go
+++ b/internal/ledger/copies.go
@@ -92,8 +92,8 @@
 	return Copy{Cohort: c, Records: slices.Clone(h.cohorts[c])}
 }
 
-// Parts returns the records held for the cohort, split into parts that each fit into an entry.
-func (h *HeldCopies) Parts(c program.Cohort) iter.Seq[Copy] { return splitCopy(h.Held(c)) }
+// Batches returns the records held for the cohort, split into parts that each fit into an entry.
+func (h *HeldCopies) Batches(c program.Cohort) iter.Seq[Copy] { return splitCopy(h.Held(c)) }
 
 // Cohorts returns the cohorts for which records are held, sorted by name.
 func (h *HeldCopies) Cohorts() []program.Cohort {
--- a/internal/ledger/hold.go
+++ b/internal/ledger/hold.go
@@ -19,7 +19,7 @@
 	}
 	l.meters.unknownOutcomes.Inc(1)
 	l.log.WithError(err).WithField("copies", n).Warn("too few peers hold copies; outcome of the append unknown")
-	return errors.Wrapf(ErrUnsettled, "%d peers hold a copy, too few", n)
+	return errors.Wrapf(ErrOutcomeUnknown, "%d peers hold a copy, too few", n)
 }
 
 // heldCopy returns a copy with all held records. The caller holds the lock.
@@ -65,7 +65,7 @@
 	for batch := range splitCopy(c) {
 		n, err := l.options.Holders.Hold(ctx, batch)
 		if n < RequiredCopies {
-			return errors.Wrapf(ErrUnsettled, "%d peers hold a copy, too few: %v", n, err)
+			return errors.Wrapf(ErrOutcomeUnknown, "%d peers hold a copy, too few: %v", n, err)
 		}
 	}
 	return nil
--- a/internal/ledger/log.go
+++ b/internal/ledger/log.go
@@ -83,7 +83,7 @@
 	outcome chan error
 }
 
-// errHoldByPeers is the outcome of a request of AppendOrHold whose records have to be held by
+// errHoldByPeers is the outcome of a request of AppendOrReplicate whose records have to be held by
 // peers.
 var errHoldByPeers = errors.New("ledger: records to be held by peers")
 
@@ -98,7 +98,7 @@
 	l := &Log{
 		options:      o,
 		log:          o.Logger.WithField("cohort", string(o.Cohort)),
-		limiter:      rate.NewLimiter(rate.Limit(o.Writes), max(1, int(o.Writes/burstDivisor))),
+		limiter:      rate.NewLimiter(rate.Limit(o.WritesPerSecond), max(1, int(o.WritesPerSecond/burstDivisor))),
 		meters:       newMeters(o.Registry),
 		done:         make(chan struct{}),
 		appenderWake: make(chan struct{}, 1),
@@ -136,10 +136,10 @@
 	return l.created
 }
 
-// Holding reports whether this owner relies on peers' copies, or may start to at any moment. An
-// instance reports it in its heartbeat (see ownership.Dead.StoreDown), since it may be the only
+// ReliesOnCopies reports whether this owner relies on peers' copies, or may start to at any moment.
+// An instance reports it in its heartbeat (see ownership.Dead.StoreDown), since it may be the only
 // one that can't reach the object API.
-func (l *Log) Holding() bool {
+func (l *Log) ReliesOnCopies() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.held) > 0 || l.suspended || l.options.Store.Down()
@@ -155,17 +155,17 @@
 
 // Append writes the records, in order and in one entry, and returns nil once they are in the log.
 // After ErrUnavailable, ErrFenced, ErrTooLarge or ErrClosed they are not in the log and never will
-// be. After ErrUnsettled they may be: ctx ended, or the log was closed, before the outcome was
+// be. After ErrOutcomeUnknown they may be: ctx ended, or the log was closed, before the outcome was
 // known.
 func (l *Log) Append(ctx context.Context, records ...Record) error {
 	return l.submit(ctx, &request{records: records})
 }
 
-// AppendOrHold is like Append, but while the object API is down it returns nil once two peers hold
-// copies. The records are written to the log when the API is back, or offered to the successors if
-// the log was sealed before. It is meant for turns of history; a record that must be in the log
-// before something is sent needs Append.
-func (l *Log) AppendOrHold(ctx context.Context, records ...Record) error {
+// AppendOrReplicate is like Append, but while the object API is down it returns nil once two peers
+// hold copies. The records are written to the log when the API is back, or offered to the
+// successors if the log was sealed before. It is meant for turns of history; a record that must be
+// in the log before something is sent needs Append.
+func (l *Log) AppendOrReplicate(ctx context.Context, records ...Record) error {
 	r := &request{records: records, mayHold: l.options.Holders != nil}
 	err := l.submit(ctx, r)
 	if !errors.Is(err, errHoldByPeers) {
@@ -188,7 +188,7 @@
 }
 
 // Close stops the appender. Queued requests fail with ErrClosed, and requests whose write has an
-// unknown outcome with ErrUnsettled. Close does not seal the log.
+// unknown outcome with ErrOutcomeUnknown. Close does not seal the log.
 func (l *Log) Close() {
 	l.cancel()
 	<-l.done
@@ -304,7 +304,7 @@
 	case writing:
 		r.state = finished
 		l.meters.unknownOutcomes.Inc(1)
-		return errors.Wrap(ErrUnsettled, ctx.Err().Error())
+		return errors.Wrap(ErrOutcomeUnknown, ctx.Err().Error())
 	}
 	for i, other := range l.queue {
 		if other == r {
--- a/internal/ledger/log_test.go
+++ b/internal/ledger/log_test.go
@@ -66,7 +66,7 @@
 	t.Helper()
 	r := &harness{standIn: standin.NewStore(), holders: &fakeHolders{confirm: RequiredCopies}, successors: &fakeSuccessors{}}
 	r.tracked = store.Track(r.standIn, nil)
-	o := Options{Cohort: testCohort, Store: r.tracked, Holders: r.holders, Successors: r.successors, Writes: 1000}
+	o := Options{Cohort: testCohort, Store: r.tracked, Holders: r.holders, Successors: r.successors, WritesPerSecond: 1000}
 	if change != nil {
 		change(&o)
 	}
@@ -169,8 +169,8 @@
 		started := time.Now()
 		is.True(errors.Is(r.log.Append(t.Context(), event(id, "y")), ErrUnavailable))
 		is.Equal(time.Since(started), time.Duration(0))
-		is.NoErr(r.log.AppendOrHold(t.Context(), event(id, "turn 1")))
-		is.NoErr(r.log.AppendOrHold(t.Context(), event(id, "turn 2")))
+		is.NoErr(r.log.AppendOrReplicate(t.Context(), event(id, "turn 1")))
+		is.NoErr(r.log.AppendOrReplicate(t.Context(), event(id, "turn 2")))
 		is.Equal(len(r.holders.copies), 2)
 		r.standIn.SetFaults(standin.StoreFaults{})
 		time.Sleep(10 * time.Second)
@@ -184,8 +184,8 @@
 }
 
 // The store goes down after a write was sent and before its response: the write may or may not have
-// taken effect. A caller whose deadline passes must get ErrUnsettled, and nobody may be told that the
-// record was not written.
+// taken effect. A caller whose deadline passes must get ErrOutcomeUnknown, and nobody may be told
+// that the record was not written.
 func TestUnknownOutcomeAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -199,7 +199,7 @@
 		}()
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		is.True(errors.Is(r.log.Append(ctx, event(id, "intent")), ErrUnsettled))
+		is.True(errors.Is(r.log.Append(ctx, event(id, "intent")), ErrOutcomeUnknown))
 		is.True(errors.Is(r.log.Append(t.Context(), event(id, "other")), ErrUnavailable))
 		r.standIn.SetFaults(standin.StoreFaults{})
 		time.Sleep(10 * time.Second)
@@ -218,8 +218,8 @@
 		defer r.close()
 		id := program.NewID(testCohort)
 		r.standIn.SetFaults(standin.StoreFaults{Down: true})
-		is.NoErr(r.log.AppendOrHold(t.Context(), event(id, "turn")))
-		is.NoErr(r.log.AppendOrHold(t.Context(), event(id, "turn 2")))
+		is.NoErr(r.log.AppendOrReplicate(t.Context(), event(id, "turn")))
+		is.NoErr(r.log.AppendOrReplicate(t.Context(), event(id, "turn 2")))
 		r.standIn.SetFaults(standin.StoreFaults{})
 		r.seal(t)
 		time.Sleep(10 * time.Second)
@@ -266,7 +266,7 @@
 		var blip *flickeringStore
 		r := newHarness(t, func(o *Options) {
 			blip = &flickeringStore{Store: o.Store}
-			o.Store, o.Writes = blip, 1
+			o.Store, o.WritesPerSecond = blip, 1
 		})
 		defer r.close()
 		id := program.NewID(testCohort)
@@ -274,7 +274,7 @@
 		var callers sync.WaitGroup
 		for _, turn := range []string{"2", "3", "4"} {
 			blip.down.Store(turn == "4")
-			callers.Go(func() { is.NoErr(r.log.AppendOrHold(t.Context(), event(id, turn))) })
+			callers.Go(func() { is.NoErr(r.log.AppendOrReplicate(t.Context(), event(id, turn))) })
 			synctest.Wait()
 		}
 		blip.down.Store(false)
--- a/internal/ledger/options.go
+++ b/internal/ledger/options.go
@@ -65,9 +65,9 @@
 	Holders    Holders
 	Successors Successors
 	Snapshots  Snapshotter
-	// Writes is the log's share of the object API's writes, in writes per second. If records
+	// WritesPerSecond is the log's share of the object API's writes, in writes per second. If records
 	// arrive faster, more of them are put into one entry. Default 20.
-	Writes float64
+	WritesPerSecond float64
 	// WriteTimeout is the timeout of one call to the object API. Default 2 s.
 	WriteTimeout time.Duration
 	// MaxPending is the maximum number of bytes that are queued for the log or held by peers.
@@ -85,8 +85,8 @@
 )
 
 func (o Options) withDefaults() Options {
-	if o.Writes == 0 {
-		o.Writes = defaultWrites
+	if o.WritesPerSecond == 0 {
+		o.WritesPerSecond = defaultWrites
 	}
 	if o.WriteTimeout == 0 {
 		o.WriteTimeout = defaultWriteTimeout
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -24,10 +24,10 @@
 	ErrUnavailable = errors.New("ledger: store unavailable, not written")
 	// ErrFenced indicates that the log is sealed. The records were not written and never will be.
 	ErrFenced = errors.New("ledger: log sealed by a successor, not written")
-	// ErrUnsettled indicates that it is not known whether the records are in the log or will be
+	// ErrOutcomeUnknown indicates that it is not known whether the records are in the log or will be
 	// later. The caller must not send anything that depends on them, and has to record the
 	// outcome as not run.
-	ErrUnsettled = errors.New("ledger: outcome of append unknown")
+	ErrOutcomeUnknown = errors.New("ledger: outcome of append unknown")
 	// ErrTooLarge indicates that the records of one call exceed MaxBatch and were not written.
 	ErrTooLarge = errors.New("ledger: records too large for one entry, not written")
 	// ErrClosed indicates that the log was closed before the records were written.
@@ -60,7 +60,7 @@
 	// Snapshot replaces all earlier records of the program.
 	Snapshot
 	// Tombstone deletes the program: its records are ignored, earlier and later ones. If the
-	// append of a tombstone returns ErrUnsettled, nothing more may be appended to the program.
+	// append of a tombstone returns ErrOutcomeUnknown, nothing more may be appended to the program.
 	Tombstone
 	// adoptionMark completes the adoption of a shard. It belongs to no program.
 	adoptionMark
--- a/internal/listfile/rule.go
+++ b/internal/listfile/rule.go
@@ -16,7 +16,7 @@
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/+@-]*$`)
 
 // Checker validates the entries of a list and collects their problems. Its methods apply to the
-// current entry, which Enter sets; key is the dotted key of the checked value in that entry.
+// current entry, which BeginEntry sets; key is the dotted key of the checked value in that entry.
 type Checker struct {
 	Problems  Problems
 	list      string
@@ -32,8 +32,8 @@
 	return &Checker{list: list, positions: positions}
 }
 
-// Enter makes an entry of a table the current one. The index counts from 0; name may be empty.
-func (c *Checker) Enter(table string, index int, name string) {
+// BeginEntry makes an entry of a table the current one. The index counts from 0; name may be empty.
+func (c *Checker) BeginEntry(table string, index int, name string) {
 	c.table, c.index, c.name = table, index, name
 	c.entry = table + " " + strconv.Quote(name)
 	if name == "" {
@@ -41,8 +41,8 @@
 	}
 }
 
-// Add adds a problem of the current entry. The format and its arguments tell what was found.
-func (c *Checker) Add(key, expected, format string, args ...any) {
+// AddProblem adds a problem of the current entry. The format and its arguments tell what was found.
+func (c *Checker) AddProblem(key, expected, format string, args ...any) {
 	c.Problems = append(c.Problems, Problem{
 		List: c.list, Entry: c.entry, Table: c.table, Name: c.name, Key: key,
 		Line:  c.positions.Line(c.table, c.index, key),
@@ -50,38 +50,38 @@
 	})
 }
 
-// Name checks that a required name has a valid length and characters.
-func (c *Checker) Name(key, value string) {
+// ValidName checks that a required name has a valid length and characters.
+func (c *Checker) ValidName(key, value string) {
 	if len(value) > maxNameLength || !namePattern.MatchString(value) {
-		c.Add(key, expectedNameFormat, "%q", value)
+		c.AddProblem(key, expectedNameFormat, "%q", value)
 	}
 }
 
-// Range checks that an integer is between low and high, both inclusive.
-func (c *Checker) Range(key string, value, low, high int64) {
+// IntRange checks that an integer is between low and high, both inclusive.
+func (c *Checker) IntRange(key string, value, low, high int64) {
 	if value < low || value > high {
-		c.Add(key, fmt.Sprintf("%d to %d", low, high), "%d", value)
+		c.AddProblem(key, fmt.Sprintf("%d to %d", low, high), "%d", value)
 	}
 }
 
 // NotNegative checks that an integer is 0 or above.
 func (c *Checker) NotNegative(key string, value int64) {
 	if value < 0 {
-		c.Add(key, "0 or more", "%d", value)
+		c.AddProblem(key, "0 or more", "%d", value)
 	}
 }
 
-// Number checks that a floating-point number is finite and between 0 and high, both inclusive.
-func (c *Checker) Number(key string, value, high float64) {
+// FloatRange checks that a floating-point number is finite and between 0 and high, both inclusive.
+func (c *Checker) FloatRange(key string, value, high float64) {
 	if math.IsNaN(value) || value < 0 || value > high {
-		c.Add(key, fmt.Sprintf("0 to %g", high), "%g", value)
+		c.AddProblem(key, fmt.Sprintf("0 to %g", high), "%g", value)
 	}
 }
 
 // Unique checks that name is not in seen, and adds it.
 func (c *Checker) Unique(key string, seen map[string]bool, name string) {
 	if seen[name] {
-		c.Add(key, "each name once", "%q is listed twice", name)
+		c.AddProblem(key, "each name once", "%q is listed twice", name)
 	}
 	seen[name] = true
 }
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -32,10 +32,10 @@
 }
 
 // NewClient returns a client of the instances at the URLs in targets, over TCP.
-func NewClient(targets []string, key string) *Client { return NewClientOn(nil, targets, key) }
+func NewClient(targets []string, key string) *Client { return NewClientWithDialer(nil, targets, key) }
 
-// NewClientOn is like NewClient, with connections opened by dial; nil stands for TCP.
-func NewClientOn(dial func(ctx context.Context, network, address string) (net.Conn, error), targets []string, key string) *Client {
+// NewClientWithDialer is like NewClient, with connections opened by dial; nil stands for TCP.
+func NewClientWithDialer(dial func(ctx context.Context, network, address string) (net.Conn, error), targets []string, key string) *Client {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 256}
 	return &Client{targets: targets, key: key, http: &http.Client{Transport: transport}}
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -26,11 +26,12 @@
 	Steps    int
 	Effects  int
 	Refused  int
-	// Unknown is the number of programs that ended at a step of unknown outcome.
-	Unknown int
-	// Prompt and Completion are the total tokens of the model steps, sub-agents not counted.
-	Prompt     int
-	Completion int
+	// OutcomeUnknown is the number of programs that ended at a step of unknown outcome.
+	OutcomeUnknown int
+	// PromptTokens and CompletionTokens are the total tokens of the model steps, sub-agents not
+	// counted.
+	PromptTokens     int
+	CompletionTokens int
 	// Reasons counts the unfinished programs by the code of their last refusal.
 	Reasons map[step.Code]int
 	// Codes counts the refusals by code.
@@ -79,8 +80,8 @@
 	for code, n := range run.Codes {
 		r.Codes[code] += n
 	}
-	r.Prompt += run.Usage.PromptTokens
-	r.Completion += run.Usage.CompletionTokens
+	r.PromptTokens += run.Usage.PromptTokens
+	r.CompletionTokens += run.Usage.CompletionTokens
 	r.EffectKeys = append(r.EffectKeys, run.EffectKeys...)
 	for _, first := range run.First {
 		_ = r.firstToken.RecordValue(first.Microseconds())
@@ -88,7 +89,7 @@
 	if !run.Finished {
 		r.Reasons[run.Reason]++
 		if run.Reason == step.CodeOutcomeUnknown {
-			r.Unknown++
+			r.OutcomeUnknown++
 		}
 		return
 	}
@@ -112,7 +113,7 @@
 	fmt.Fprintln(table, "SCENARIO\tPROGRAMS\tFINISHED\tSTEPS\tEFFECTS\tREFUSALS\tP50\tP95\tFIRST TOKEN P95\tPROMPT TOKENS")
 	for _, r := range reports {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%d\n", r.Shape, r.Programs, r.Finished, r.Steps, r.Effects, r.Refused,
-			r.Latency(50).Round(time.Millisecond), r.Latency(95).Round(time.Millisecond), r.FirstToken(95).Round(time.Millisecond), r.Prompt)
+			r.Latency(50).Round(time.Millisecond), r.Latency(95).Round(time.Millisecond), r.FirstToken(95).Round(time.Millisecond), r.PromptTokens)
 	}
 	if err := table.Flush(); err != nil {
 		return err
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -124,7 +124,7 @@
 
 func awaitAll(runners []*Runner, n int) {
 	for _, r := range runners {
-		for len(r.View().Living("")) < n {
+		for len(r.View().Available("")) < n {
 			time.Sleep(benchPeriod)
 		}
 	}
@@ -164,7 +164,7 @@
 func periodsUntil(net *network, member *Runner, state State) float64 {
 	started := time.Now()
 	if state == Leaving {
-		member.Leave(context.Background())
+		member.AnnounceStop(context.Background())
 	}
 	for _, nd := range net.nodes {
 		for nd.stateOf(&node{cohort: member.options.Self}) != state {
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -32,7 +32,7 @@
 		time.Sleep(deathBound)
 		for _, nd := range nodes[1:] {
 			is.Equal(nd.stateOf(nodes[0]), Dead)
-			is.Equal(len(nd.runner.View().Living("")), len(nodes)-1)
+			is.Equal(len(nd.runner.View().Available("")), len(nodes)-1)
 		}
 	})
 }
@@ -139,12 +139,12 @@
 		nodes := net.startFleet(3, 8)
 		defer net.stop()
 		ctx := context.Background()
-		nodes[0].runner.Leave(ctx)
+		nodes[0].runner.AnnounceStop(ctx)
 		time.Sleep(leaveBound)
 		for _, nd := range nodes {
 			is.Equal(nd.stateOf(nodes[0]), Leaving)
 		}
-		is.NoErr(nodes[0].runner.Depart(ctx))
+		is.NoErr(nodes[0].runner.AnnounceEnd(ctx))
 		nodes[0].kill()
 		time.Sleep(leaveBound)
 		for _, nd := range nodes[1:] {
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -104,8 +104,8 @@
 		nd.kill()
 		return
 	}
-	nd.runner.Leave(context.Background())
-	_ = nd.runner.Depart(context.Background())
+	nd.runner.AnnounceStop(context.Background())
+	_ = nd.runner.AnnounceEnd(context.Background())
 	nd.kill()
 }
 
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -33,7 +33,7 @@
 			for _, centre := range nd.runner.View().DataCentres() {
 				is.True(centre.Reachable)
 			}
-			is.Equal(len(nd.runner.View().Living("")), len(nodes))
+			is.Equal(len(nd.runner.View().Available("")), len(nodes))
 			nd.checkNoneDeclaredDead(is, nodes)
 		}
 	})
@@ -69,7 +69,7 @@
 		time.Sleep(3 * time.Minute)
 		for _, nd := range nodes {
 			is.True(!nd.runner.View().Isolated)
-			is.Equal(len(nd.runner.View().Living("")), len(nodes))
+			is.Equal(len(nd.runner.View().Available("")), len(nodes))
 		}
 	})
 }
@@ -123,7 +123,7 @@
 			a.checkNoneDeclaredDead(is, rest)
 		}
 		for _, b := range rest {
-			is.Equal(len(b.runner.View().Living("")), len(rest))
+			is.Equal(len(b.runner.View().Available("")), len(rest))
 		}
 	})
 }
@@ -143,7 +143,7 @@
 		}
 		time.Sleep(2 * deathBound)
 		for _, b := range rest {
-			is.Equal(len(b.runner.View().Living("")), len(rest))
+			is.Equal(len(b.runner.View().Available("")), len(rest))
 			b.checkNoneDeclaredDead(is, rest)
 		}
 	})
@@ -193,7 +193,7 @@
 		net.heal()
 		time.Sleep(3 * time.Minute)
 		for _, nd := range nodes {
-			is.Equal(len(nd.runner.View().Living("")), len(nodes))
+			is.Equal(len(nd.runner.View().Available("")), len(nodes))
 		}
 	})
 }
@@ -240,7 +240,7 @@
 		time.Sleep(10 * time.Second)
 		for _, nd := range nodes[3:] {
 			is.Equal(nd.stateOf(nodes[0]), Dead)
-			is.Equal(len(nd.runner.View().Living("")), 3)
+			is.Equal(len(nd.runner.View().Available("")), 3)
 		}
 	})
 }
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -183,16 +183,16 @@
 	r.update(func(t *Table, _ time.Time) { t.ObserveList(leaving) })
 }
 
-// Leave announces this instance's planned stop and notifies some members
+// AnnounceStop announces this instance's planned stop and notifies some members
 // immediately.
-func (r *Runner) Leave(ctx context.Context) {
+func (r *Runner) AnnounceStop(ctx context.Context) {
 	r.update(func(t *Table, now time.Time) { t.Announce(Leaving, now) })
 	r.notifyMembers(ctx)
 }
 
-// Depart announces this instance's end and deletes its object. It is to be
+// AnnounceEnd announces this instance's end and deletes its object. It is to be
 // called after the instance's last step has ended.
-func (r *Runner) Depart(ctx context.Context) error {
+func (r *Runner) AnnounceEnd(ctx context.Context) error {
 	r.update(func(t *Table, now time.Time) { t.Leave(now) })
 	r.notifyMembers(ctx)
 	if r.options.Store == nil {
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -136,7 +136,7 @@
 	is := is.New(t)
 	table := tableOf("a.m.1", "a.x.1", "a.y.1")
 	table.ObserveList(map[string]bool{"a.m.1": true, "a-self": false})
-	is.Equal(len(table.View(start).Living("a")), 3) // m is about to be stopped; x and y are not listed
+	is.Equal(len(table.View(start).Available("a")), 3) // m is about to be stopped; x and y are not listed
 	table.Tick(start.Add(time.Hour))
 	is.Equal(stateIn(table, "a.x.1"), Live)
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -55,9 +55,9 @@
 	return v.members[i], true
 }
 
-// Living returns the members of a data centre that accept new work, or those of
+// Available returns the members of a data centre that accept new work, or those of
 // all data centres if dataCentre is empty.
-func (v *View) Living(dataCentre string) []Member {
+func (v *View) Available(dataCentre string) []Member {
 	var living []Member
 	for _, m := range v.members {
 		if m.Available() && (dataCentre == "" || m.DataCentre() == dataCentre) {
@@ -83,7 +83,7 @@
 // member ranks first for a share of the keys in proportion to its size, and a
 // member that joins or leaves moves only its own share.
 func (v *View) Ranked(dataCentre, key string) []Member {
-	living := v.Living(dataCentre)
+	living := v.Available(dataCentre)
 	slices.SortFunc(living, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(score(b, key), score(a, key)), cmp.Compare(a.Cohort, b.Cohort))
 	})
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -301,7 +301,7 @@
 // listeners see with the change. The first response to a process does not count as the end of an
 // outage; otherwise a rolling restart of instances would retain removed replicas indefinitely.
 func (f *Follower) detectOutageEnd(k Kind) {
-	if now := time.Now(); k == Replicas && f.mirror.AfterOutage(k, now) && f.mirror.Age(k, now) >= outageThreshold {
+	if now := time.Now(); k == Replicas && f.mirror.EntriesMayHaveExpired(k, now) && f.mirror.Age(k, now) >= outageThreshold {
 		f.mirror.SetRegistrationGrace(now.Add(registrationTime))
 	}
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -120,9 +120,9 @@
 	c.confirmedAt = at
 }
 
-// AfterOutage reports whether entries may have expired because the store is unresponsive, or was
-// until less than registrationTime ago.
-func (m *Mirror) AfterOutage(k Kind, now time.Time) bool {
+// EntriesMayHaveExpired reports whether entries may have expired because the store is unresponsive,
+// or was until less than registrationTime ago.
+func (m *Mirror) EntriesMayHaveExpired(k Kind, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.kinds[k]
--- a/internal/mirror/relay.go
+++ b/internal/mirror/relay.go
@@ -307,7 +307,7 @@
 	// An instance that was isolated mistakes its own return for the end of a store outage, and
 	// announces a registration grace. Instances that kept contact with the store must not retain
 	// removed replicas because of that.
-	if graceMs > 0 && r.mirror.AfterOutage(Replicas, time.Now()) {
+	if graceMs > 0 && r.mirror.EntriesMayHaveExpired(Replicas, time.Now()) {
 		r.mirror.SetRegistrationGrace(time.Now().Add(time.Duration(graceMs) * time.Millisecond))
 	}
 	for _, d := range deltas {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -393,12 +393,12 @@
 	if !errors.As(err, &conflict) {
 		return a, version, err
 	}
-	present, decodeErr := history.DecodeAssignment(conflict.Present.Value)
+	present, decodeErr := history.DecodeAssignment(conflict.Current.Value)
 	if decodeErr != nil {
 		f.logger.WithError(decodeErr).Error("assignment of shards can't be decoded; ignored")
 		return history.Assignment{}, 0, err
 	}
-	return present, conflict.Present.Version, err
+	return present, conflict.Current.Version, err
 }
 
 // assignment returns the newest assignment in the mirror.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -179,7 +179,7 @@
 func (n *Node) openGateway() {
 	sched := scheduler.New(scheduler.Settings{
 		DataCentre:        n.settings.DataCentre,
-		DataCentreRTT:     n.settings.remoteCosts(),
+		RemoteCosts:       n.settings.remoteCosts(),
 		Logger:            n.logger,
 		Random:            rand.Uint64,
 		HasIdleConnection: n.adapter.Replicas.Idle,
--- a/internal/node/witness.go
+++ b/internal/node/witness.go
@@ -45,7 +45,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			witnesses = append(witnesses, history.Witness{DataCentre: response.DataCentre, HearsKeeper: response.Hears})
+			witnesses = append(witnesses, history.Witness{DataCentre: response.DataCentre, HasContact: response.Hears})
 		})
 	}
 	group.Wait()
--- a/internal/owner/adopt.go
+++ b/internal/owner/adopt.go
@@ -11,7 +11,7 @@
 	"foxhall/internal/program"
 )
 
-// Tail contains the records of an adopted log that only peers held (see Log.AppendOrHold).
+// Tail contains the records of an adopted log that only peers held (see Log.AppendOrReplicate).
 type Tail struct {
 	Records []Record
 	// Uncertain indicates that unreachable instances may hold more records.
@@ -205,14 +205,14 @@
 		}
 	}
 	if errors.Is(failure, ErrFenced) {
-		s.HandedOver()
+		s.MarkMoved()
 	}
 	return failure
 }
 
 func (s *Service) writeSnapshot(ctx context.Context, r *resident) error {
 	r.mu.Lock()
-	if recovery := r.state.Recover(); recovery != nil {
+	if recovery := r.state.MarkPendingUnknown(); recovery != nil {
 		r.apply(r.state.NumberEvents(time.Now(), recovery))
 	}
 	event := r.state.Snapshot(time.Now())
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -20,16 +20,16 @@
 // in which only "search" may be repeated.
 type nullBackend struct{ answer chat.Message }
 
-func (nullBackend) Append(context.Context, ...Record) error       { return nil }
-func (nullBackend) AppendOrHold(context.Context, ...Record) error { return nil }
-func (nullBackend) Available() bool                               { return true }
-func (nullBackend) Cancel()                                       {}
-func (nullBackend) MayRepeat(service, _, _ string) bool           { return service == "search" }
+func (nullBackend) Append(context.Context, ...Record) error            { return nil }
+func (nullBackend) AppendOrReplicate(context.Context, ...Record) error { return nil }
+func (nullBackend) Available() bool                                    { return true }
+func (nullBackend) Cancel()                                            {}
+func (nullBackend) MayRepeat(service, _, _ string) bool                { return service == "search" }
 
-func (n nullBackend) Admit(context.Context, *Work) (Placed, *step.Result) { return n, nil }
+func (n nullBackend) Admit(context.Context, *Work) (PlacedStep, *step.Result) { return n, nil }
 
 func (n nullBackend) Run(context.Context, step.Sink) step.Result {
-	return step.Result{Outcome: step.Done, Status: 200, Answer: n.answer, Model: "m", FinishReason: "stop", Price: 1}
+	return step.Result{Outcome: step.Done, Status: 200, AssistantMessage: n.answer, Model: "m", FinishReason: "stop", Price: 1}
 }
 
 func nullService() *Service {
@@ -162,6 +162,6 @@
 	return nil
 }
 
-func (k *recordingLog) AppendOrHold(ctx context.Context, records ...Record) error {
+func (k *recordingLog) AppendOrReplicate(ctx context.Context, records ...Record) error {
 	return k.Append(ctx, records...)
 }
--- a/internal/owner/do.go
+++ b/internal/owner/do.go
@@ -98,7 +98,7 @@
 // newAttempt returns the identity of the call's step. The hash covers the call's content, with the
 // fields of Extra in sorted order.
 func newAttempt(call step.Call) program.Attempt {
-	a := program.Attempt{Number: call.Number, Key: call.IdempotencyKey, After: call.After}
+	a := program.Attempt{Number: call.Number, Key: call.IdempotencyKey, After: call.AfterTurn}
 	if t := call.Tool; t != nil {
 		a.Hash = program.HashBody([]byte(t.Service), []byte(t.Method), []byte(t.Path), []byte(t.ContentType), t.Body)
 		return a
@@ -128,7 +128,7 @@
 	if !r.startWaiting(s.o.MaxWaiting) {
 		return *refuse(http.StatusTooManyRequests, step.CodeOverloaded, "too many steps of the program wait")
 	}
-	gap := gapTimer{remaining: s.o.GapWait}
+	gap := gapTimer{remaining: s.o.MissingStepTimeout}
 	followCtx, cancel := withDeadline(ctx, call, deadlineGrace)
 	defer cancel()
 	ctx, cancel = withDeadline(ctx, call, 0)
@@ -186,14 +186,15 @@
 	refusal  *step.Result
 	changed  <-chan struct{}
 	// idle indicates that the program has neither a step nor another change in flight, so that the
-	// wait counts towards Options.GapWait.
+	// wait counts towards Options.MissingStepTimeout.
 	idle bool
 	// draining indicates that no new step may start because of a planned stop.
 	draining bool
 }
 
 // chooseAction returns the call's next action and starts its flight if it is the call's turn.
-// gapOver indicates that the call has waited for missing earlier steps for Options.GapWait.
+// gapOver indicates that the call has waited for missing earlier steps for
+// Options.MissingStepTimeout.
 func (s *Service) chooseAction(r *resident, call step.Call, a program.Attempt, gapOver bool) action {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -352,7 +353,7 @@
 		return false
 	}
 	defer r.unclaim()
-	return s.save(r, s.o.Log.AppendOrHold, keepUnsaved) == nil
+	return s.save(r, s.o.Log.AppendOrReplicate, keepUnsaved) == nil
 }
 
 func (s *Service) logFailure(call step.Call, r step.Result) {
--- a/internal/owner/drain.go
+++ b/internal/owner/drain.go
@@ -5,14 +5,14 @@
 )
 
 // Drain prepares a planned stop: no new step starts, steps in flight complete, and pending events
-// are appended to the log. Calls that arrive meanwhile wait for HandedOver, so that the handoff
+// are appended to the log. Calls that arrive meanwhile wait for MarkMoved, so that the handoff
 // refuses none of them. It returns an error if steps are still in flight when ctx ends.
 func (s *Service) Drain(ctx context.Context) error {
 	err := s.flights.close(ctx)
 	for i := range s.shards {
 		for _, r := range s.shards[i].all() {
 			if r.hasUnsaved() && r.tryClaim() {
-				_ = s.save(r, s.o.Log.AppendOrHold, keepUnsaved)
+				_ = s.save(r, s.o.Log.AppendOrReplicate, keepUnsaved)
 				r.unclaim()
 			}
 		}
@@ -26,9 +26,9 @@
 	return len(r.pending) > 0 || len(r.deferred) > 0
 }
 
-// HandedOver records that successors own all programs, after a planned seal or because the log was
+// MarkMoved records that successors own all programs, after a planned seal or because the log was
 // found sealed. Every call is answered step.CodeMoved from then on.
-func (s *Service) HandedOver() {
+func (s *Service) MarkMoved() {
 	s.movedOnce.Do(func() {
 		s.moved.Store(true)
 		close(s.movedCh)
--- a/internal/owner/failure_test.go
+++ b/internal/owner/failure_test.go
@@ -241,7 +241,7 @@
 			w.stopAtGates()
 			again := w.call(w.owner(), call)
 			is.Equal(again.result.Outcome, step.Done)
-			is.Equal(again.result.Answer, message("assistant", "answer 1")) // the run is not repeated
+			is.Equal(again.result.AssistantMessage, message("assistant", "answer 1")) // the run is not repeated
 		})
 	}
 }
--- a/internal/owner/fakelog_test.go
+++ b/internal/owner/fakelog_test.go
@@ -32,18 +32,18 @@
 	case d == refused || d == expired || n.w.storeDown && d == ok:
 		return ErrUnavailable
 	case d == dropped:
-		return ErrUnsettled
+		return ErrOutcomeUnknown
 	case d == tooLarge:
 		return ErrTooLarge
 	case d == delayed:
 		n.delayed = append(n.delayed, records...)
-		return ErrUnsettled
+		return ErrOutcomeUnknown
 	}
 	n.records = append(append(n.records, n.delayed...), records...)
 	n.delayed = nil
 	switch d {
 	case responseLost:
-		return ErrUnsettled
+		return ErrOutcomeUnknown
 	case writtenThenCrash:
 		runtime.Goexit()
 	}
@@ -57,8 +57,8 @@
 	return !n.sealed
 }
 
-// AppendOrHold implements Log.
-func (n *node) AppendOrHold(ctx context.Context, records ...Record) error {
+// AppendOrReplicate implements Log.
+func (n *node) AppendOrReplicate(ctx context.Context, records ...Record) error {
 	if n.Available() {
 		return n.Append(ctx, records...)
 	}
--- a/internal/owner/fakeupstream_test.go
+++ b/internal/owner/fakeupstream_test.go
@@ -43,7 +43,7 @@
 }
 
 // Admit implements Executor.
-func (n *node) Admit(ctx context.Context, work *Work) (Placed, *step.Result) {
+func (n *node) Admit(ctx context.Context, work *Work) (PlacedStep, *step.Result) {
 	switch d := n.w.waitAtGate(ctx, &gate{kind: "admit", node: n, work: work}); d {
 	case refused, expired:
 		return nil, refuse(429, step.CodeOverloaded, "full")
@@ -111,7 +111,7 @@
 	case notSent:
 		return step.Refuse(503, step.CodeNoUpstream, "none")
 	case ok:
-		return step.Result{Outcome: step.Done, Status: 200, Answer: message("assistant", answer), Model: "m",
+		return step.Result{Outcome: step.Done, Status: 200, AssistantMessage: message("assistant", answer), Model: "m",
 			FinishReason: "stop", Usage: chat.Usage{PromptTokens: 10, CompletionTokens: 1}, Price: 100}
 	}
 	return step.Result{Outcome: step.Unknown, Status: 502, Code: step.CodeUpstreamFailed, Price: 100}
--- a/internal/owner/has.go
+++ b/internal/owner/has.go
@@ -2,8 +2,8 @@
 
 import "foxhall/internal/program"
 
-// Has reports whether the program is owned here and has not ended.
-func (s *Service) Has(id program.ID) bool {
+// Owns reports whether the program is owned here and has not ended.
+func (s *Service) Owns(id program.ID) bool {
 	r := s.lookup(id)
 	if r == nil {
 		return false
--- a/internal/owner/late.go
+++ b/internal/owner/late.go
@@ -43,7 +43,7 @@
 	}
 	defer r.unclaim()
 	if settled := r.resolutionEvents(events); len(settled) > 0 {
-		return s.save(r, s.o.Log.AppendOrHold, dropUnsaved, settled...)
+		return s.save(r, s.o.Log.AppendOrReplicate, dropUnsaved, settled...)
 	}
 	r.mu.Lock()
 	following := r.state.Following(events)
@@ -65,7 +65,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var settling []*programpb.Event
-	for _, resolution := range r.state.SettledBy(events) {
+	for _, resolution := range r.state.ResolutionsFrom(events) {
 		resolution.By = bySender
 		if event, refusal := r.state.Resolve(resolution, true); refusal == nil {
 			settling = append(settling, event)
--- a/internal/owner/late_test.go
+++ b/internal/owner/late_test.go
@@ -116,7 +116,7 @@
 		}
 		is.Equal(w.call(n, modelCall(unseen, 1, "x")).result.Code, step.CodeHistoryUncertain)
 		once := charge(id, 2, "10") // its intent may have been lost, whatever turn the caller has seen
-		once.After = seen
+		once.AfterTurn = seen
 		is.Equal(w.call(n, once).result.Code, step.CodeHistoryUncertain)
 		is.Equal(len(w.engineRuns), 2)
 		fullConversation := modelCall(id, 2, "")
--- a/internal/owner/listing.go
+++ b/internal/owner/listing.go
@@ -123,13 +123,13 @@
 		}
 		steps = append(steps, UnknownStep{
 			Program:     r.id,
-			Number:      recorded.Head.Number,
+			Number:      recorded.Identity.Number,
 			Customer:    r.state.Customer,
 			Service:     recorded.Tool.Service,
 			Method:      recorded.Tool.Method,
 			Path:        recorded.Tool.Path,
-			Key:         recorded.Head.Key,
-			UpstreamKey: upstreamKey(r.id, recorded.Head.Number),
+			Key:         recorded.Identity.Key,
+			UpstreamKey: upstreamKey(r.id, recorded.Identity.Number),
 			At:          recorded.At,
 		})
 	}
--- a/internal/owner/open.go
+++ b/internal/owner/open.go
@@ -31,7 +31,7 @@
 		s.finishOpening(r)
 		return *cancelledResult()
 	}
-	err := s.save(r, s.o.Log.AppendOrHold, dropUnsaved)
+	err := s.save(r, s.o.Log.AppendOrReplicate, dropUnsaved)
 	r.unclaim()
 	s.finishOpening(r)
 	switch {
@@ -77,7 +77,7 @@
 	r.mu.Unlock()
 	var err error
 	if !alreadyRequested {
-		err = s.save(r, s.o.Log.AppendOrHold, dropUnsaved, program.RequestEnd())
+		err = s.save(r, s.o.Log.AppendOrReplicate, dropUnsaved, program.RequestEnd())
 	}
 	r.unclaim()
 	switch {
--- a/internal/owner/operate_test.go
+++ b/internal/owner/operate_test.go
@@ -113,7 +113,7 @@
 		is := is.New(t)
 		svc := w.owner().svc
 		released := 0
-		svc.o.Released = []ReleaseHook{func(program.ID) { released++ }}
+		svc.o.ReleaseHooks = []ReleaseHook{func(program.ID) { released++ }}
 		abandoned := w.openProgram(t)
 		w.call(w.owner(), toolStep(abandoned, 1, "search", "trees"))
 		w.call(w.owner(), modelCall(abandoned, 2, "plan it"))
@@ -142,7 +142,7 @@
 		is := is.New(t)
 		svc := w.owner().svc
 		released := 0
-		svc.o.Released = []ReleaseHook{func(program.ID) { released++ }}
+		svc.o.ReleaseHooks = []ReleaseHook{func(program.ID) { released++ }}
 		id := w.openProgram(t)
 		w.call(w.owner(), modelCall(id, 1, "hello"))
 		otherPlan := &plan.Plan{Name: "other", Customer: "stranger"}
@@ -214,7 +214,7 @@
 		is.Equal(running.result.Outcome, step.Done)
 		old := w.owner()
 		n := w.takeOver(true, false)
-		old.svc.HandedOver()
+		old.svc.MarkMoved()
 		synctest.Wait()
 		is.Equal(waiting.result.Code, step.CodeMoved)
 		is.Equal(waiting.result.Outcome, step.NotRun)
--- a/internal/owner/oracle_test.go
+++ b/internal/owner/oracle_test.go
@@ -20,7 +20,7 @@
 	case step.Done:
 		got := string(r.Body)
 		if s.kind == turns {
-			got = text(r.Answer)
+			got = text(r.AssistantMessage)
 		}
 		if s.answer != "" && got != s.answer {
 			panic(fmt.Sprintf("%s was answered %q, then %q", s.body, s.answer, got))
--- a/internal/owner/ports.go
+++ b/internal/owner/ports.go
@@ -31,8 +31,8 @@
 	Kind    RecordKind
 }
 
-// Errors of a Log, to be tested with errors.Is. Any other error is treated as ErrUnsettled, which
-// guarantees least.
+// Errors of a Log, to be tested with errors.Is. Any other error is treated as ErrOutcomeUnknown,
+// which guarantees least.
 var (
 	// ErrUnavailable indicates that the records were not written and never will be.
 	ErrUnavailable = errors.New("owner: log unavailable, not written")
@@ -40,8 +40,8 @@
 	ErrFenced = errors.New("owner: log sealed by a successor, not written")
 	// ErrTooLarge indicates that the records exceed the size of a log entry; they were not written.
 	ErrTooLarge = errors.New("owner: records too large for the log, not written")
-	// ErrUnsettled indicates that the records may be in the log now or may appear there later.
-	ErrUnsettled = errors.New("owner: outcome of append not settled")
+	// ErrOutcomeUnknown indicates that the records may be in the log now or may appear there later.
+	ErrOutcomeUnknown = errors.New("owner: outcome of append not settled")
 )
 
 // Log is the log of this incarnation's cohort. The records of one append are written in order, and
@@ -49,9 +49,9 @@
 type Log interface {
 	// Append returns nil once the records are in the log.
 	Append(ctx context.Context, records ...Record) error
-	// AppendOrHold is Append, but while the log's store is unavailable it also succeeds once peers
-	// hold copies of the records.
-	AppendOrHold(ctx context.Context, records ...Record) error
+	// AppendOrReplicate is Append, but while the log's store is unavailable it also succeeds once
+	// peers hold copies of the records.
+	AppendOrReplicate(ctx context.Context, records ...Record) error
 	// Available reports whether Append would try to write at present.
 	Available() bool
 }
@@ -63,14 +63,14 @@
 	Number  int
 	// Root is the program that the customer started. Latency is accounted to it, sub-agents included.
 	Root program.ID
-	// Attained is the time that upstreams have spent on the root program and its sub-agents.
-	Attained time.Duration
+	// AttainedService is the time that upstreams have spent on the root program and its sub-agents.
+	AttainedService time.Duration
 	// Depth is 0 for a root program.
 	Depth int
 	// History is the full list of messages of a model step, including the new ones.
 	History []chat.Message
-	// Pauses are the latest intervals between the end of a turn and the start of the next.
-	Pauses []time.Duration
+	// ThinkTimes are the latest intervals between the end of a turn and the start of the next.
+	ThinkTimes []time.Duration
 	// Repeatable indicates that the call may be sent again after a failure.
 	Repeatable bool
 	// IdempotencyKey identifies the step to a tool service. It is the same for each attempt.
@@ -86,12 +86,12 @@
 type Executor interface {
 	// Admit applies limits, budget, queueing and placement, and sends nothing. It returns either
 	// the placed step or a refusal whose outcome is step.NotRun.
-	Admit(ctx context.Context, w *Work) (Placed, *step.Result)
+	Admit(ctx context.Context, w *Work) (PlacedStep, *step.Result)
 }
 
-// Placed is a step with an assigned upstream and a reservation. Exactly one of its methods is
+// PlacedStep is a step with an assigned upstream and a reservation. Exactly one of its methods is
 // called, exactly once.
-type Placed interface {
+type PlacedStep interface {
 	// Run sends the step. It returns soon after ctx ends, with step.Unknown if the step may have
 	// run. sink is nil if the response is not streamed.
 	Run(ctx context.Context, sink step.Sink) step.Result
--- a/internal/owner/resolve.go
+++ b/internal/owner/resolve.go
@@ -49,7 +49,7 @@
 	if refusal != nil {
 		return errors.Wrap(ErrNotUnknown, refusal.Message)
 	}
-	if err := s.save(r, s.o.Log.AppendOrHold, dropUnsaved, event); err != nil {
+	if err := s.save(r, s.o.Log.AppendOrReplicate, dropUnsaved, event); err != nil {
 		return err
 	}
 	s.log.WithField("program", string(id)).WithField("step", resolution.Number).
--- a/internal/owner/result.go
+++ b/internal/owner/result.go
@@ -78,7 +78,7 @@
 
 // replay returns the recorded response of a step. The resident's lock is held.
 func replay(state *program.State, recorded *program.Step) step.Result {
-	r := step.Result{Program: state.ID, Number: recorded.Head.Number, Replayed: true}
+	r := step.Result{Program: state.ID, Number: recorded.Identity.Number, Replayed: true}
 	if recorded.Model != nil {
 		replayTurn(&r, state, recorded)
 		return r
@@ -91,7 +91,7 @@
 	m := recorded.Model
 	r.Outcome, r.Status = step.Done, http.StatusOK
 	r.Upstream, r.Model, r.FinishReason, r.Usage = m.Upstream, m.Name, m.FinishReason, m.Usage
-	r.Answer = state.History[m.Message]
+	r.AssistantMessage = state.History[m.Message]
 	r.Turn = state.TurnToken()
 	r.ContentType = contentJSON
 	r.Body = completion(*r, recorded.At)
@@ -104,7 +104,7 @@
 		ID:           "chatcmpl-" + string(r.Program),
 		Created:      at.Unix(),
 		Model:        r.Model,
-		Answer:       r.Answer,
+		Answer:       r.AssistantMessage,
 		FinishReason: r.FinishReason,
 		Usage:        r.Usage,
 	}.Encode()
@@ -114,7 +114,7 @@
 	r.Upstream = t.Upstream
 	switch {
 	case verdict == program.Done && t.BodyDropped:
-		r.Outcome, r.Status, r.Code = step.Done, http.StatusGone, step.CodeAnswerNotKept
+		r.Outcome, r.Status, r.Code = step.Done, http.StatusGone, step.CodeResponseNotRetained
 		r.Message = "the step ran; its answer was too large to be kept, many later ones came, or it never reached foxhall"
 	case verdict == program.Done:
 		r.Outcome, r.Status, r.ContentType, r.Body = step.Done, t.Status, t.ContentType, t.Body
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -128,7 +128,7 @@
 	r.mu.Lock()
 	nothingToSave := len(r.pending) == 0 || len(r.state.Steps) == 0 && !r.saved
 	r.mu.Unlock()
-	return nothingToSave || s.save(r, s.o.Log.AppendOrHold, keepUnsaved) == nil
+	return nothingToSave || s.save(r, s.o.Log.AppendOrReplicate, keepUnsaved) == nil
 }
 
 // prepare checks the step against its program and describes it for the executor.
@@ -161,48 +161,48 @@
 	case call.Tool == nil:
 		return program.ModelKind
 	case s.mayRepeat(call.Tool):
-		return program.RepeatableKind
+		return program.RepeatableToolKind
 	}
-	return program.OnceKind
+	return program.NonRepeatableKind
 }
 
 func (s *Service) newWork(r *resident, f *flight, history []chat.Message) *Work {
 	return &Work{
-		Call:           f.call,
-		Program:        r.id,
-		Number:         f.head.Number,
-		Root:           r.state.Root,
-		Attained:       time.Duration(r.tree.attained.Load()),
-		Depth:          r.state.Depth,
-		History:        history,
-		Pauses:         append([]time.Duration(nil), r.state.Pauses...),
-		Repeatable:     s.stepKind(f.call) != program.OnceKind,
-		IdempotencyKey: upstreamKey(r.id, f.head.Number),
-		Deadline:       f.deadline,
-		MaySend:        s.maySend,
+		Call:            f.call,
+		Program:         r.id,
+		Number:          f.head.Number,
+		Root:            r.state.Root,
+		AttainedService: time.Duration(r.tree.attained.Load()),
+		Depth:           r.state.Depth,
+		History:         history,
+		ThinkTimes:      append([]time.Duration(nil), r.state.Pauses...),
+		Repeatable:      s.stepKind(f.call) != program.NonRepeatableKind,
+		IdempotencyKey:  upstreamKey(r.id, f.head.Number),
+		Deadline:        f.deadline,
+		MaySend:         s.maySend,
 	}
 }
 
 // runModel runs a model call and makes its turn durable before the end of the response is passed to
 // callers.
-func (s *Service) runModel(ctx context.Context, r *resident, f *flight, placed Placed, added []chat.Message) step.Result {
+func (s *Service) runModel(ctx context.Context, r *resident, f *flight, placed PlacedStep, added []chat.Message) step.Result {
 	result, record := s.runPlaced(ctx, r, f, placed)
 	if result.Outcome != step.Done {
 		s.recordFailure(r, record)
 		return result
 	}
-	if len(result.Answer.Raw) == 0 {
+	if len(result.AssistantMessage.Raw) == 0 {
 		s.recordFailure(r, record)
 		return upstreamFailed("the engine's answer holds no message")
 	}
 	turn := program.RecordTurn(record, program.Turn{
 		Added:        added,
-		Message:      result.Answer,
+		Message:      result.AssistantMessage,
 		Model:        result.Model,
 		FinishReason: result.FinishReason,
 		Usage:        result.Usage,
 	})
-	switch err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, turn); {
+	switch err := s.save(r, s.o.Log.AppendOrReplicate, keepUnsaved, turn); {
 	case err == nil:
 		return withBody(result, f)
 	case errors.Is(err, ErrFenced):
@@ -235,7 +235,7 @@
 }
 
 // runPlaced sends a placed step and measures its service time.
-func (s *Service) runPlaced(ctx context.Context, r *resident, f *flight, placed Placed) (step.Result, program.StepResult) {
+func (s *Service) runPlaced(ctx context.Context, r *resident, f *flight, placed PlacedStep) (step.Result, program.StepResult) {
 	var sink step.Sink
 	if f.call.Model != nil && f.call.Model.Stream {
 		sink = flightSink{f}
@@ -245,7 +245,7 @@
 	elapsed := time.Since(start)
 	r.tree.attained.Add(int64(elapsed))
 	return result, program.StepResult{
-		Head:        f.head,
+		Identity:    f.head,
 		Upstream:    result.Upstream,
 		ServiceTime: elapsed,
 		Earning:     earning(result, f.call),
@@ -275,20 +275,20 @@
 // recordFailure records the cost of a repeatable step that has no response.
 func (s *Service) recordFailure(r *resident, record program.StepResult) {
 	if record.Earning != (program.Earning{}) {
-		_ = s.save(r, s.o.Log.AppendOrHold, keepUnsaved, program.Fail(record))
+		_ = s.save(r, s.o.Log.AppendOrReplicate, keepUnsaved, program.RecordFailure(record))
 	}
 }
 
 // runRepeatable runs a tool call that may be repeated. Its response is returned only once it is
 // recorded: the log holds nothing else of the step, so a successor would refuse the caller's next
 // step because this one is missing. A step that was not recorded is run again when repeated.
-func (s *Service) runRepeatable(ctx context.Context, r *resident, f *flight, placed Placed) step.Result {
+func (s *Service) runRepeatable(ctx context.Context, r *resident, f *flight, placed PlacedStep) step.Result {
 	result, record := s.runPlaced(ctx, r, f, placed)
 	if result.Outcome != step.Done {
 		s.recordFailure(r, record)
 		return result
 	}
-	switch err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, outcomeEvent(f, result, record)); {
+	switch err := s.save(r, s.o.Log.AppendOrReplicate, keepUnsaved, outcomeEvent(f, result, record)); {
 	case err == nil:
 		return result
 	case errors.Is(err, ErrFenced):
@@ -304,7 +304,7 @@
 
 // outcomeEvent returns the event that records the outcome of a tool step.
 func outcomeEvent(f *flight, result step.Result, record program.StepResult) *programpb.Event {
-	return program.RecordOutcome(record, program.ToolAnswer{
+	return program.RecordOutcome(record, program.ToolResponse{
 		Call:        toolCall(f.call.Tool),
 		Verdict:     verdictOf(result.Outcome),
 		Status:      result.Status,
@@ -316,7 +316,7 @@
 // runOnce runs a tool call that may not be repeated. Its intent is in the log before the first byte
 // is sent. From the append of the intent on the step runs without regard to its callers, and an
 // owner that finds the intent without an outcome does not send the call.
-func (s *Service) runOnce(ctx context.Context, r *resident, f *flight, placed Placed) step.Result {
+func (s *Service) runOnce(ctx context.Context, r *resident, f *flight, placed PlacedStep) step.Result {
 	if !f.detach() {
 		placed.Cancel()
 		return *cancelledResult()
@@ -352,7 +352,7 @@
 	switch {
 	case errors.Is(err, ErrFenced):
 		return *movedResult()
-	case errors.Is(err, ErrUnsettled):
+	case errors.Is(err, ErrOutcomeUnknown):
 		r.applyPending(notRunEvent(f))
 	}
 	return *s.storeUnavailable()
@@ -360,7 +360,7 @@
 
 // notRunEvent returns the event that withdraws the step's intent.
 func notRunEvent(f *flight) *programpb.Event {
-	return program.RecordOutcome(program.StepResult{Head: f.head}, program.ToolAnswer{
+	return program.RecordOutcome(program.StepResult{Identity: f.head}, program.ToolResponse{
 		Call:    toolCall(f.call.Tool),
 		Verdict: program.NotRun,
 	})
@@ -369,7 +369,7 @@
 // withdrawIntent records that a step whose intent is in the log was not sent, and reports it to the
 // successor if the log is sealed.
 func (s *Service) withdrawIntent(r *resident, f *flight) {
-	err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, notRunEvent(f))
+	err := s.save(r, s.o.Log.AppendOrReplicate, keepUnsaved, notRunEvent(f))
 	if errors.Is(err, ErrFenced) {
 		s.startReport(r, program.Resolution{
 			Number:  f.head.Number,
@@ -386,7 +386,7 @@
 // is that of the append. After ErrFenced the outcome is to be reported to the successor, but only
 // for a step with an intent: the successor may have given another step's number to a different one.
 func (s *Service) recordOutcome(r *resident, f *flight, result step.Result, record program.StepResult) error {
-	err := s.save(r, s.o.Log.AppendOrHold, keepUnsaved, outcomeEvent(f, result, record))
+	err := s.save(r, s.o.Log.AppendOrReplicate, keepUnsaved, outcomeEvent(f, result, record))
 	if err != nil {
 		s.log.WithError(err).WithField("program", string(r.id)).WithField("step", f.head.Number).
 			Warn("outcome of a step not durable yet; a successor would treat the step as unknown")
--- a/internal/owner/save.go
+++ b/internal/owner/save.go
@@ -10,7 +10,7 @@
 	"foxhall/internal/program/programpb"
 )
 
-// appendFunc is Log.Append or Log.AppendOrHold.
+// appendFunc is Log.Append or Log.AppendOrReplicate.
 type appendFunc func(ctx context.Context, records ...Record) error
 
 // unsavedPolicy decides about events that were not written to the log.
@@ -26,7 +26,7 @@
 // save appends the pending events, the deferred and then the decided ones, and applies them to the
 // state once they are in the log. The caller has claimed the program.
 //
-// After ErrUnsettled the events are applied and appended again before any other event of the
+// After ErrOutcomeUnknown the events are applied and appended again before any other event of the
 // program. A duplicate in the log is harmless, since events are numbered.
 func (s *Service) save(r *resident, appendTo appendFunc, policy unsavedPolicy, decided ...*programpb.Event) error {
 	batch, numbered, deferredCount := r.numberEvents(decided)
@@ -38,20 +38,20 @@
 	cancel()
 	r.completeAppend(err, policy, batch, numbered, deferredCount)
 	if errors.Is(err, ErrFenced) {
-		s.HandedOver()
+		s.MarkMoved()
 	}
 	return err
 }
 
 // classifyAppendError returns err if it is nil or one of the errors of a Log, and otherwise wraps it
-// as ErrUnsettled.
+// as ErrOutcomeUnknown.
 func classifyAppendError(err error) error {
-	for _, known := range []error{ErrUnavailable, ErrFenced, ErrTooLarge, ErrUnsettled} {
+	for _, known := range []error{ErrUnavailable, ErrFenced, ErrTooLarge, ErrOutcomeUnknown} {
 		if err == nil || errors.Is(err, known) {
 			return err
 		}
 	}
-	return errors.Wrap(ErrUnsettled, err.Error())
+	return errors.Wrap(ErrOutcomeUnknown, err.Error())
 }
 
 // numberEvents numbers the deferred events and then the decided ones. batch is to be appended;
@@ -80,7 +80,7 @@
 		r.pending, r.saved = nil, true
 	case errors.Is(err, ErrFenced), errors.Is(err, ErrTooLarge):
 		return
-	case errors.Is(err, ErrUnsettled):
+	case errors.Is(err, ErrOutcomeUnknown):
 		r.pending, r.saved = batch, true
 	case policy == dropUnsaved:
 		return
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -32,12 +32,13 @@
 	Lease     Lease
 	Successor Successor
 	Residency Residency
-	// Released are the hooks called once when a program ends or expires.
-	Released []ReleaseHook
+	// ReleaseHooks are the hooks called once when a program ends or expires.
+	ReleaseHooks []ReleaseHook
 
-	// GapWait is how long a step waits for missing earlier steps while its program has no step in
-	// flight. Default 250 ms: steps that arrive out of order are a few milliseconds apart.
-	GapWait time.Duration
+	// MissingStepTimeout is how long a step waits for missing earlier steps while its program has
+	// no step in flight. Default 250 ms: steps that arrive out of order are a few milliseconds
+	// apart.
+	MissingStepTimeout time.Duration
 	// AppendTimeout bounds one append to the log. Default 5 s.
 	AppendTimeout time.Duration
 	// StepTimeout bounds a step if its plan sets no bound. Default 10 min.
@@ -82,7 +83,7 @@
 )
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.GapWait, defaultGapWait)
+	setDefault(&o.MissingStepTimeout, defaultGapWait)
 	setDefault(&o.AppendTimeout, defaultAppendTimeout)
 	setDefault(&o.StepTimeout, defaultStepTimeout)
 	setDefault(&o.RetryAfter, defaultRetryAfter)
--- a/internal/owner/settle.go
+++ b/internal/owner/settle.go
@@ -2,10 +2,10 @@
 
 import "context"
 
-// Settle waits until all steps in flight have ended and their outcomes are delivered to the
+// AwaitReports waits until all steps in flight have ended and their outcomes are delivered to the
 // programs' present owners, or until ctx ends. An incarnation that was fenced calls it before Close,
 // which cancels both.
-func (s *Service) Settle(ctx context.Context) error {
+func (s *Service) AwaitReports(ctx context.Context) error {
 	if err := s.flights.close(ctx); err != nil {
 		return err
 	}
--- a/internal/owner/succession_test.go
+++ b/internal/owner/succession_test.go
@@ -46,7 +46,7 @@
 				is.NoErr(state.Apply(event))
 			}
 		}
-		turn := program.RecordTurn(program.StepResult{Head: program.StepIdentity{Number: 1}},
+		turn := program.RecordTurn(program.StepResult{Identity: program.StepIdentity{Number: 1}},
 			program.Turn{Message: message("assistant", strings.Repeat("a", 1<<20))})
 		old.records = append(old.records, records(large, state.NumberEvents(time.Now(), turn))...)
 		n := w.takeOver(true, false)
--- a/internal/owner/sweep.go
+++ b/internal/owner/sweep.go
@@ -52,7 +52,7 @@
 				Warn("program with open work received no call for too long and is listed as stalled")
 		}
 		if found.unsaved && r.tryClaim() {
-			_ = s.save(r, s.o.Log.AppendOrHold, keepUnsaved)
+			_ = s.save(r, s.o.Log.AppendOrReplicate, keepUnsaved)
 			r.unclaim()
 		}
 		if found.lookUpAgain {
@@ -143,7 +143,7 @@
 		return errors.WithStack(ctx.Err())
 	}
 	err := s.appendEnds(ctx, sh, account, batch)
-	if errors.Is(err, ErrUnsettled) {
+	if errors.Is(err, ErrOutcomeUnknown) {
 		batch = nil // the claims stay, since no event may follow an append that may yet be written
 		return err
 	}
@@ -255,9 +255,9 @@
 
 const endReason = "over"
 
-// appendUntilSettled appends the records. After ErrUnsettled it repeats the append with the same
+// appendUntilSettled appends the records. After ErrOutcomeUnknown it repeats the append with the same
 // records until they are written or the log is sealed, since no other event may follow an append
-// that may yet be written. It returns ErrUnsettled if ctx ends first.
+// that may yet be written. It returns ErrOutcomeUnknown if ctx ends first.
 func (s *Service) appendUntilSettled(ctx context.Context, all []Record) error {
 	unsettled := false
 	for {
@@ -265,16 +265,16 @@
 		err := classifyAppendError(s.o.Log.Append(attempt, all...))
 		cancel()
 		if errors.Is(err, ErrFenced) {
-			s.HandedOver()
+			s.MarkMoved()
 		}
-		unsettled = unsettled || errors.Is(err, ErrUnsettled)
+		unsettled = unsettled || errors.Is(err, ErrOutcomeUnknown)
 		if err == nil || errors.Is(err, ErrFenced) || !unsettled {
 			return err
 		}
 		select {
 		case <-time.After(s.o.RetryAfter):
 		case <-ctx.Done():
-			return ErrUnsettled
+			return ErrOutcomeUnknown
 		}
 	}
 }
@@ -298,7 +298,7 @@
 	if done {
 		return
 	}
-	for _, hook := range s.o.Released {
+	for _, hook := range s.o.ReleaseHooks {
 		hook(r.id)
 	}
 }
--- a/internal/owner/world_test.go
+++ b/internal/owner/world_test.go
@@ -87,7 +87,7 @@
 	adopting atomic.Bool
 	sealed   bool
 	// records are those in the log, held those that only peers have, delayed those of appends that
-	// were answered with ErrUnsettled and are written later.
+	// were answered with ErrOutcomeUnknown and are written later.
 	records []Record
 	held    []Record
 	delayed []Record
--- a/internal/ownership/directory.go
+++ b/internal/ownership/directory.go
@@ -74,7 +74,7 @@
 		return owner, err
 	}
 	for _, member := range ring {
-		if err := d.Disowned(ctx, member); err != nil {
+		if err := d.ReadAgain(ctx, member); err != nil {
 			return Owner{}, err
 		}
 	}
@@ -142,9 +142,9 @@
 	return Owner{}, seal.Successors[shard], nil
 }
 
-// Disowned is called if the supposed owner of a cohort's programs is alive but disowns them, since
+// ReadAgain is called if the supposed owner of a cohort's programs is alive but disowns them, since
 // its log is sealed. It reads the cohort again.
-func (d *Directory) Disowned(ctx context.Context, c program.Cohort) error {
+func (d *Directory) ReadAgain(ctx context.Context, c program.Cohort) error {
 	d.cache.Remove(c)
 	_, err := d.read(ctx, c)
 	return err
--- a/internal/ownership/machine_test.go
+++ b/internal/ownership/machine_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// act performs one action. It leaves at least two instances reachable, and starts one only if fewer than
-// six are reachable.
+// act performs one action. It leaves at least two instances reachable, and starts one only if fewer
+// than six are reachable.
 func (m *machine) act(a action) {
 	up := m.all(reachable)
 	inst := up[a.A%len(up)]
@@ -213,8 +213,8 @@
 	m.call(having[a.B%len(having)], id, a.Timeout, a.Kind == "hold", a.Kind == "end")
 }
 
-// call appends one event, or the program's end, and records the outcome that is reported to the caller.
-// A paused instance continues its call when it is resumed; a crashed one reports nothing.
+// call appends one event, or the program's end, and records the outcome that is reported to the
+// caller. A paused instance continues its call when it is resumed; a crashed one reports nothing.
 func (m *machine) call(inst *instance, id program.ID, timeout time.Duration, hold, end bool) {
 	m.eventCount++
 	event := fmt.Sprintf("%d", m.eventCount)
@@ -235,7 +235,7 @@
 		defer cancel()
 		var err error
 		if hold {
-			err = inst.log.AppendOrHold(ctx, record)
+			err = inst.log.AppendOrReplicate(ctx, record)
 		} else {
 			err = inst.log.Append(ctx, record)
 		}
@@ -259,7 +259,7 @@
 			t.acked = append(t.acked, event)
 			t.markMoment(&t.ackedAt, event)
 			p.add(event)
-		case errors.Is(err, ledger.ErrUnsettled):
+		case errors.Is(err, ledger.ErrOutcomeUnknown):
 			t.unsettled++
 			p.ended = p.ended || end // it may have ended, so nothing more is appended
 		default:
@@ -322,9 +322,9 @@
 	return strings.Join(failures, "\n")
 }
 
-// replaceLast starts an instance if the plan left none that can take over: in operation dead instances
-// are replaced, and a fenced one restarts as a new incarnation. The plan of rapid seed 59, for example,
-// ends with four dead instances and the fifth fenced.
+// replaceLast starts an instance if the plan left none that can take over: in operation dead
+// instances are replaced, and a fenced one restarts as a new incarnation. The plan of rapid seed
+// 59, for example, ends with four dead instances and the fifth fenced.
 func (m *machine) replaceLast() {
 	fit := func(inst *instance) bool {
 		_, _, fenced := inst.log.Fenced()
@@ -386,9 +386,9 @@
 }
 
 // misplaced reports whether an event follows one whose append began only after the event was
-// acknowledged. Overlapping appends may be in any order: an owner that is paused between its write and
-// the response reports the write after its successor has continued (rapid seed 1152985: 2 written, log
-// sealed, 6 written, 6 acknowledged, 2 acknowledged).
+// acknowledged. Overlapping appends may be in any order: an owner that is paused between its write
+// and the response reports the write after its successor has continued (rapid seed 1152985: 2
+// written, log sealed, 6 written, 6 acknowledged, 2 acknowledged).
 func (t *callerView) misplaced(events []string) bool {
 	for i, early := range events {
 		for _, late := range events[i+1:] {
@@ -441,7 +441,7 @@
 		if _, _, fenced := to.log.Fenced(); !fenced {
 			return found, nil
 		}
-		if err := inst.reconciler.Directory().Disowned(context.Background(), found.Cohort); err != nil {
+		if err := inst.reconciler.Directory().ReadAgain(context.Background(), found.Cohort); err != nil {
 			return found, err
 		}
 	}
--- a/internal/ownership/offer.go
+++ b/internal/ownership/offer.go
@@ -41,7 +41,7 @@
 	if err != nil || owner.Cohort != c {
 		return owner, err
 	}
-	if err := rc.directory.Disowned(ctx, c); err != nil {
+	if err := rc.directory.ReadAgain(ctx, c); err != nil {
 		return Owner{}, err
 	}
 	return rc.directory.locateShard(ctx, c, shard)
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -58,8 +58,8 @@
 	// including this one. unreached is the number of those that did not respond, or that have died
 	// since and held copies in memory only.
 	Collect(ctx context.Context, c program.Cohort) (copies []ledger.Copy, unreached int)
-	// Forget has these instances drop all copies of the cohort.
-	Forget(ctx context.Context, c program.Cohort)
+	// DropAll has these instances drop all copies of the cohort.
+	DropAll(ctx context.Context, c program.Cohort)
 }
 
 // Outages records when the object API was down, as seen by this instance.
--- a/internal/ownership/retire.go
+++ b/internal/ownership/retire.go
@@ -50,7 +50,7 @@
 		return errors.Wrap(err, "ownership: retire")
 	}
 	if rc.options.Copies != nil {
-		rc.options.Copies.Forget(ctx, c.Cohort)
+		rc.options.Copies.DropAll(ctx, c.Cohort)
 	}
 	rc.mu.Lock()
 	delete(rc.absentSince, c.Cohort)
--- a/internal/ownership/world_test.go
+++ b/internal/ownership/world_test.go
@@ -56,8 +56,8 @@
 	panic(state)
 }
 
-// gate is a store client that blocks while its instance is paused, both before a call is sent and before
-// its response is returned. After a crash every call fails.
+// gate is a store client that blocks while its instance is paused, both before a call is sent and
+// before its response is returned. After a crash every call fails.
 type gate struct {
 	store.Client
 	world   *world
@@ -166,7 +166,7 @@
 	var err error
 	inst.log, err = ledger.Open(context.Background(), ledger.Options{
 		Cohort: cohort, Address: inst.self.Addr, Store: inst.tracked, Holders: inst, Successors: inst, Snapshots: inst.owner,
-		Registry: inst.metrics, Writes: 200, WriteTimeout: time.Second,
+		Registry: inst.metrics, WritesPerSecond: 200, WriteTimeout: time.Second,
 		Compaction: ledger.CompactionOptions{MinEntries: 6, MaxEntries: 12},
 	})
 	if err != nil {
@@ -266,13 +266,13 @@
 	return Member{}, false
 }
 
-// Dead implements Members. Every second crash is known at once. The others are noticed only by their
-// absence, unless they never created their cohort's object or their last heartbeat said that they rely
-// on peers' copies.
+// Dead implements Members. Every second crash is known at once. The others are noticed only by
+// their absence, unless they never created their cohort's object or their last heartbeat said that
+// they rely on peers' copies.
 func (inst *instance) Dead() []Dead {
 	var out []Dead
 	for i, other := range inst.world.all(func(*instance) bool { return true }) {
-		holding := other.log.Holding()
+		holding := other.log.ReliesOnCopies()
 		if !running(other) && (i%2 == 0 || holding || !other.log.Created()) {
 			out = append(out, Dead{Cohort: other.self.Cohort, Since: other.crashedAt, StoreDown: holding})
 		} else if other.paused && holding {
@@ -363,8 +363,8 @@
 	return copies, unreached
 }
 
-// Forget implements Copies.
-func (inst *instance) Forget(_ context.Context, c program.Cohort) {
+// DropAll implements Copies.
+func (inst *instance) DropAll(_ context.Context, c program.Cohort) {
 	inst.Release(context.Background(), c, ^uint64(0))
 }
 
@@ -392,8 +392,8 @@
 	return &fakeOwner{instance: inst, programs: map[program.ID]*fakeProgram{}, unproven: map[cohortShard]bool{}}
 }
 
-// markUnproven records the shards that can't be proven complete, as an owner has to for ids that it does
-// not know.
+// markUnproven records the shards that can't be proven complete, as an owner has to for ids that it
+// does not know.
 func (o *fakeOwner) markUnproven(a Adoption) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// DialThrough replaces the function that opens connections. It must be called before the first
+// SetDialer replaces the function that opens connections. It must be called before the first
 // call. Tests use it to run the client on a network with injected faults.
-func (c *Client) DialThrough(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
+func (c *Client) SetDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.http.Transport.(*http.Transport).DialContext = dial
 }
 
--- a/internal/peerload/peerload_test.go
+++ b/internal/peerload/peerload_test.go
@@ -117,7 +117,7 @@
 		is := is.New(t)
 		x, u := newTestExchange()
 		for range 3 {
-			u.Failed(time.Now(), upstream.Failure{Kind: upstream.Errored})
+			u.RecordFailure(time.Now(), upstream.Failure{Kind: upstream.Errored})
 		}
 		is.Equal(x.ownLoad().Erring, []uint64{xxhash.Sum64String("u")})
 		y, other := newTestExchange()
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -92,7 +92,7 @@
 	if excess <= 0 {
 		return 0
 	}
-	return float64(excess) * c.Speed.Call / float64(slots)
+	return float64(excess) * c.Speed.CallSeconds / float64(slots)
 }
 
 // coRunnerTime returns the total delay, in seconds, that the step causes to the calls already running
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -25,7 +25,7 @@
 			Condition: rapid.SampledFrom([]upstream.Condition{upstream.Usable, upstream.Usable, upstream.Full, upstream.Stalled, upstream.CircuitOpen, upstream.Draining}).Draw(t, "condition"),
 			Own:       total, Total: total, Slowness: rapid.Float64Range(0.5, 20).Draw(t, "slowness"),
 		},
-		Speed:        upstream.Speed{Prefill: rapid.Float64Range(10, 1e4).Draw(t, "prefill"), TokenBase: rapid.Float64Range(0.001, 0.1).Draw(t, "token"), Call: 2},
+		Speed:        upstream.Speed{Prefill: rapid.Float64Range(10, 1e4).Draw(t, "prefill"), TokenBase: rapid.Float64Range(0.001, 0.1).Draw(t, "token"), CallSeconds: 2},
 		CachedTokens: 64 * rapid.IntRange(0, 40).Draw(t, "cached"),
 		ViewAge:      time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second,
 		Rejection:    rapid.SampledFrom([]Reason{Allowed, Allowed, Allowed, NotGranted, Tried, NotLoaded}).Draw(t, "refused"),
@@ -76,7 +76,7 @@
 }
 
 func twoCandidates() []Candidate {
-	speed := upstream.Speed{Prefill: 1000, TokenBase: 0.02, TokenPerCall: 0.001, Call: 2}
+	speed := upstream.Speed{Prefill: 1000, TokenBase: 0.02, TokenPerCall: 0.001, CallSeconds: 2}
 	load := upstream.Load{Slowness: 1, Limit: 9}
 	return []Candidate{{ID: 1, Slots: 8, Load: load, Speed: speed, CachedTokens: 4096}, {ID: 2, Slots: 8, Load: load, Speed: speed}}
 }
--- a/internal/plan/parse.go
+++ b/internal/plan/parse.go
@@ -74,7 +74,7 @@
 	seenNames, seenCustomers := map[string]bool{}, map[string]bool{}
 	for i := range l.Plans {
 		p := &l.Plans[i]
-		checker.Enter("plan", i, p.Name)
+		checker.BeginEntry("plan", i, p.Name)
 		checker.Unique("name", seenNames, p.Name)
 		checker.Unique("customer", seenCustomers, p.Customer)
 		p.check(checker)
@@ -87,13 +87,13 @@
 func (p *Plan) checkKeys(checker *listfile.Checker) {
 	for _, text := range p.KeyHashes {
 		if _, ok := parseSum(text); !ok {
-			checker.Add("key_hashes", "SHA-256 sums in hex", "%q", text)
+			checker.AddProblem("key_hashes", "SHA-256 sums in hex", "%q", text)
 		}
 	}
 }
 
-// index builds the indexes by name and by key. If two plans list the same key, it belongs to the first
-// one; the second is reported to the checker unless that is nil.
+// index builds the indexes by name and by key. If two plans list the same key, it belongs to the
+// first one; the second is reported to the checker unless that is nil.
 func (l *List) index(checker *listfile.Checker) {
 	l.byName = make(map[string]*Plan, len(l.Plans))
 	l.byKey = make(map[[sha256.Size]byte]*Plan, len(l.Plans))
@@ -108,8 +108,8 @@
 			if other := l.byKey[sum]; other == nil {
 				l.byKey[sum] = p
 			} else if checker != nil {
-				checker.Enter("plan", i, p.Name)
-				checker.Add("key_hashes", "each key hash once", "%s is also listed by plan %q", text, other.Name)
+				checker.BeginEntry("plan", i, p.Name)
+				checker.AddProblem("key_hashes", "each key hash once", "%s is also listed by plan %q", text, other.Name)
 			}
 		}
 	}
--- a/internal/plan/rule.go
+++ b/internal/plan/rule.go
@@ -11,7 +11,8 @@
 const (
 	// MaxMoney is the largest money budget; it keeps sums of a plan's reservations far from overflow.
 	MaxMoney Micros = 1e15
-	// MaxTokens is the largest token budget; it keeps sums of reservations far from overflow, too.
+	// MaxOutputTokens is the largest token budget; it keeps sums of reservations far from overflow,
+	// too.
 	MaxTokens int64 = 1e15
 	// MinWindow is the shortest budget window. It is far above the permitted difference between the
 	// instances' clocks (see package budget).
@@ -34,47 +35,47 @@
 func (b Budget) Unlimited() bool { return b.Money == 0 && b.Tokens == 0 }
 
 func (p *Plan) check(c *listfile.Checker) {
-	c.Name("name", p.Name)
-	c.Name("customer", p.Customer)
-	c.Range("priority", int64(p.Priority), 0, MaxPriority)
-	c.Range("cut_basis_points", int64(p.CutBasisPoints), 0, FullCutBasisPoints)
+	c.ValidName("name", p.Name)
+	c.ValidName("customer", p.Customer)
+	c.IntRange("priority", int64(p.Priority), 0, MaxPriority)
+	c.IntRange("cut_basis_points", int64(p.CutBasisPoints), 0, FullCutBasisPoints)
 	p.Budget.check(c)
 	p.Limits.check(c)
 	p.Bounds.check(c)
 }
 
 func (b Budget) check(c *listfile.Checker) {
-	c.Range("budget.money_micros", int64(b.Money), 0, int64(MaxMoney))
-	c.Range("budget.tokens", b.Tokens, 0, MaxTokens)
+	c.IntRange("budget.money_micros", int64(b.Money), 0, int64(MaxMoney))
+	c.IntRange("budget.tokens", b.Tokens, 0, MaxTokens)
 	window := time.Duration(b.Window)
 	if b.Unlimited() && window == 0 {
 		return
 	}
 	if window < MinWindow || window > MaxWindow {
-		c.Add("budget.window", MinWindow.String()+" to "+MaxWindow.String()+" where money_micros or tokens is set", "%q", window)
+		c.AddProblem("budget.window", MinWindow.String()+" to "+MaxWindow.String()+" where money_micros or tokens is set", "%q", window)
 	}
 }
 
 func (l Limits) check(c *listfile.Checker) {
-	c.Number("limits.rate", l.Rate, MaxRate)
-	c.Range("limits.burst", int64(l.Burst), 0, maxCount)
-	c.Range("limits.concurrency", int64(l.Concurrency), 0, maxCount)
+	c.FloatRange("limits.rate", l.Rate, MaxRate)
+	c.IntRange("limits.burst", int64(l.Burst), 0, maxCount)
+	c.IntRange("limits.concurrency", int64(l.Concurrency), 0, maxCount)
 	if l.Burst > 0 && l.Rate == 0 {
-		c.Add("limits.burst", "limits.rate beside it", "%d", l.Burst)
+		c.AddProblem("limits.burst", "limits.rate beside it", "%d", l.Burst)
 	}
 }
 
 func (b Bounds) check(c *listfile.Checker) {
-	c.Range("bounds.steps", int64(b.Steps), 0, maxCount)
-	c.Range("bounds.depth", int64(b.Depth), 0, maxCount)
-	c.Range("bounds.children", int64(b.Children), 0, maxCount)
-	c.Range("bounds.history_tokens", int64(b.HistoryTokens), 0, maxHistoryTokens)
+	c.IntRange("bounds.steps", int64(b.Steps), 0, maxCount)
+	c.IntRange("bounds.depth", int64(b.Depth), 0, maxCount)
+	c.IntRange("bounds.children", int64(b.Children), 0, maxCount)
+	c.IntRange("bounds.history_tokens", int64(b.HistoryTokens), 0, maxHistoryTokens)
 	b.checkTime(c, "bounds.lifetime", b.Lifetime)
 	b.checkTime(c, "bounds.step_time", b.StepTime)
 }
 
 func (b Bounds) checkTime(c *listfile.Checker, key string, d Duration) {
 	if d < 0 || time.Duration(d) > maxLifetime {
-		c.Add(key, "0s to "+maxLifetime.String(), "%q", time.Duration(d))
+		c.AddProblem(key, "0s to "+maxLifetime.String(), "%q", time.Duration(d))
 	}
 }
--- a/internal/program/decide.go
+++ b/internal/program/decide.go
@@ -56,7 +56,7 @@
 
 // StepResult is the result of a placed step, apart from the upstream's response.
 type StepResult struct {
-	Head        StepIdentity
+	Identity    StepIdentity
 	Upstream    string
 	ServiceTime time.Duration
 	Earning     Earning
@@ -76,7 +76,7 @@
 // RecordTurn returns the event that completes a model step.
 func RecordTurn(r StepResult, t Turn) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Turn{Turn: &programpb.Turn{
-		Head:         identityTo(r.Head),
+		Head:         identityTo(r.Identity),
 		New:          messagesTo(t.Added),
 		Answer:       messageTo(t.Message),
 		Model:        t.Model,
@@ -89,8 +89,8 @@
 	}}}
 }
 
-// ToolAnswer is a tool's response and the verdict on its step.
-type ToolAnswer struct {
+// ToolResponse is a tool's response and the verdict on its step.
+type ToolResponse struct {
 	Call        ToolCall
 	Verdict     Verdict
 	Status      int
@@ -100,9 +100,9 @@
 
 // RecordOutcome returns the event that records the outcome of a tool step. The verdict NotRun
 // withdraws the step's intent. A body larger than MaxBody is not recorded.
-func RecordOutcome(r StepResult, t ToolAnswer) *programpb.Event {
+func RecordOutcome(r StepResult, t ToolResponse) *programpb.Event {
 	outcome := &programpb.Outcome{
-		Head:        identityTo(r.Head),
+		Head:        identityTo(r.Identity),
 		Verdict:     verdictTo(t.Verdict),
 		Status:      int32(t.Status),
 		ContentType: t.ContentType,
@@ -121,11 +121,11 @@
 	return &programpb.Event{Kind: &programpb.Event_Outcome{Outcome: outcome}}
 }
 
-// Fail returns the event for a placed, repeatable step that ended without a response: its cost is
-// counted, and its number is not used up.
-func Fail(r StepResult) *programpb.Event {
+// RecordFailure returns the event for a placed, repeatable step that ended without a response: its
+// cost is counted, and its number is not used up.
+func RecordFailure(r StepResult) *programpb.Event {
 	return &programpb.Event{Kind: &programpb.Event_Outcome{Outcome: &programpb.Outcome{
-		Head:      identityTo(r.Head),
+		Head:      identityTo(r.Identity),
 		Verdict:   programpb.Verdict_VERDICT_FAILED,
 		Upstream:  r.Upstream,
 		Earning:   earningTo(r.Earning),
@@ -136,7 +136,7 @@
 // Resolution is the outcome of a step that was recorded as unknown.
 type Resolution struct {
 	Number int
-	// Hash is the one in the step's Head; set if the step's sender reports the outcome.
+	// Hash is the one in the step's Identity; set if the step's sender reports the outcome.
 	Hash        [chainSize]byte
 	Verdict     Verdict
 	Status      int
@@ -158,7 +158,7 @@
 		return nil, refuse(ReasonNoStep, "the program has no tool step %d", r.Number)
 	}
 	step := &s.Steps[r.Number-1]
-	if bySender && r.Hash != step.Head.Hash {
+	if bySender && r.Hash != step.Identity.Hash {
 		return nil, refuse(ReasonNoStep, "the sender's step %d is another one", r.Number)
 	}
 	corrects := bySender && step.Verdict == NotRun && r.Verdict == Done
@@ -181,9 +181,9 @@
 	return &programpb.Event{Kind: &programpb.Event_Resolved{Resolved: resolved}}, nil
 }
 
-// SettledBy returns resolutions for the steps that are unknown here and recorded as done in the
+// ResolutionsFrom returns resolutions for the steps that are unknown here and recorded as done in the
 // events of a former owner.
-func (s *State) SettledBy(events []Event) []Resolution {
+func (s *State) ResolutionsFrom(events []Event) []Resolution {
 	var resolutions []Resolution
 	for _, e := range events {
 		o := e.pb.GetOutcome()
@@ -192,7 +192,7 @@
 			continue
 		}
 		step := &s.Steps[identity.Number-1]
-		if step.Verdict != Unknown || step.Head.Hash != identity.Hash {
+		if step.Verdict != Unknown || step.Identity.Hash != identity.Hash {
 			continue
 		}
 		resolutions = append(resolutions, Resolution{
@@ -208,9 +208,9 @@
 	return resolutions
 }
 
-// Recover returns the event by which a successor marks an intent without an outcome as unknown,
-// since the step may have been sent. It returns nil if there is no such intent.
-func (s *State) Recover() *programpb.Event {
+// MarkPendingUnknown returns the event by which a successor marks an intent without an outcome as
+// unknown, since the step may have been sent. It returns nil if there is no such intent.
+func (s *State) MarkPendingUnknown() *programpb.Event {
 	if len(s.Steps) == 0 {
 		return nil
 	}
@@ -218,7 +218,7 @@
 	if last.Verdict != Pending {
 		return nil
 	}
-	return RecordOutcome(StepResult{Head: last.Head}, ToolAnswer{Call: last.Tool.ToolCall, Verdict: Unknown})
+	return RecordOutcome(StepResult{Identity: last.Identity}, ToolResponse{Call: last.Tool.ToolCall, Verdict: Unknown})
 }
 
 // RequestEnd returns the event that records the caller's request to end the program.
--- a/internal/program/fold.go
+++ b/internal/program/fold.go
@@ -219,9 +219,9 @@
 	usage := usageFrom(t.Usage)
 	s.HistoryTokens = usage.PromptTokens + usage.CompletionTokens
 	s.Steps = append(s.Steps, Step{
-		Head:    identityFrom(t.Head),
-		Verdict: Done,
-		At:      at,
+		Identity: identityFrom(t.Head),
+		Verdict:  Done,
+		At:       at,
 		Model: &ModelStep{
 			Message:      len(s.History) - 1,
 			Name:         t.Model,
@@ -255,10 +255,10 @@
 
 func (s *State) applyIntent(at time.Time, i *programpb.Intent) {
 	s.Steps = append(s.Steps, Step{
-		Head:    identityFrom(i.Head),
-		Verdict: Pending,
-		At:      at,
-		Tool:    &ToolStep{ToolCall: ToolCall{i.Service, i.Method, i.Path}, Intent: true},
+		Identity: identityFrom(i.Head),
+		Verdict:  Pending,
+		At:       at,
+		Tool:     &ToolStep{ToolCall: ToolCall{i.Service, i.Method, i.Path}, Intent: true},
 	})
 }
 
@@ -276,7 +276,7 @@
 		return errors.Wrapf(ErrCorrupt, "%s: outcome of step %d, but only %d steps are recorded", s.ID, identity.Number, len(s.Steps))
 	}
 	if identity.Number == s.Next() {
-		s.Steps = append(s.Steps, Step{Head: identity, Tool: &ToolStep{ToolCall: ToolCall{o.Service, o.Method, o.Path}}})
+		s.Steps = append(s.Steps, Step{Identity: identity, Tool: &ToolStep{ToolCall: ToolCall{o.Service, o.Method, o.Path}}})
 	}
 	step := &s.Steps[identity.Number-1]
 	step.At = at
--- a/internal/program/history.go
+++ b/internal/program/history.go
@@ -68,10 +68,10 @@
 const (
 	// ModelKind is a model call.
 	ModelKind Kind = iota
-	// RepeatableKind is a tool call that may be repeated.
-	RepeatableKind
-	// OnceKind is a tool call that may not be repeated.
-	OnceKind
+	// RepeatableToolKind is a tool call that may be repeated.
+	RepeatableToolKind
+	// NonRepeatableKind is a tool call that may not be repeated.
+	NonRepeatableKind
 )
 
 // CheckHistory refuses a step if the history here differs, or may differ, from the one that the
@@ -99,11 +99,11 @@
 // CheckHistory.
 func (s *State) provesHistory(a Attempt, sent []chat.Message, k Kind) bool {
 	switch {
-	case k == OnceKind:
+	case k == NonRepeatableKind:
 		return false
 	case a.After != "":
 		return a.After == s.TurnToken()
-	case k == RepeatableKind:
+	case k == RepeatableToolKind:
 		return a.Number == s.Next()
 	case len(s.History) == 0 || len(sent) < len(s.History) || !chat.HasPrefix(sent, s.History):
 		return false
--- a/internal/program/place.go
+++ b/internal/program/place.go
@@ -33,10 +33,10 @@
 // matches one.
 func (s *State) Find(a Attempt) (Position, *Step) {
 	if step := s.byKey(a.Key); step != nil {
-		return a.compare(step.Head), step
+		return a.compare(step.Identity), step
 	}
-	if n := len(s.Steps); n > 0 && a.Matches(s.Steps[n-1].Head) {
-		return a.compare(s.Steps[n-1].Head), &s.Steps[n-1]
+	if n := len(s.Steps); n > 0 && a.Matches(s.Steps[n-1].Identity) {
+		return a.compare(s.Steps[n-1].Identity), &s.Steps[n-1]
 	}
 	switch {
 	case a.Number == 0, a.Number == s.Next():
@@ -45,7 +45,7 @@
 		return Early, nil
 	}
 	step := &s.Steps[a.Number-1]
-	return a.compare(step.Head), step
+	return a.compare(step.Identity), step
 }
 
 func (s *State) byKey(key string) *Step {
@@ -53,7 +53,7 @@
 		return nil
 	}
 	for i := len(s.Steps) - 1; i >= 0; i-- {
-		if s.Steps[i].Head.Key == key {
+		if s.Steps[i].Identity.Key == key {
 			return &s.Steps[i]
 		}
 	}
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -51,7 +51,7 @@
 }
 
 func (p *testProgram) nextResult() StepResult {
-	return StepResult{Head: p.nextIdentity(), Upstream: "u", ServiceTime: time.Second, Earning: Earning{Price: 10, Cut: 1}}
+	return StepResult{Identity: p.nextIdentity(), Upstream: "u", ServiceTime: time.Second, Earning: Earning{Price: 10, Cut: 1}}
 }
 
 func (p *testProgram) addTurn(user, answer string) {
@@ -72,21 +72,21 @@
 		p.addTurn(fmt.Sprint("q", n), fmt.Sprint("a", n))
 	case 2:
 		result := p.nextResult()
-		p.apply(RecordIntent(result.Head, chargeCall))
-		p.apply(RecordOutcome(result, ToolAnswer{Call: chargeCall, Verdict: Done, Status: 200, Body: bytes.Repeat([]byte("x"), n*20_000)}))
+		p.apply(RecordIntent(result.Identity, chargeCall))
+		p.apply(RecordOutcome(result, ToolResponse{Call: chargeCall, Verdict: Done, Status: 200, Body: bytes.Repeat([]byte("x"), n*20_000)}))
 	case 3:
 		result := p.nextResult()
-		p.apply(RecordIntent(result.Head, chargeCall))
-		p.apply(RecordOutcome(StepResult{Head: result.Head}, ToolAnswer{Call: chargeCall, Verdict: NotRun}))
+		p.apply(RecordIntent(result.Identity, chargeCall))
+		p.apply(RecordOutcome(StepResult{Identity: result.Identity}, ToolResponse{Call: chargeCall, Verdict: NotRun}))
 	case 4:
 		result := p.nextResult()
-		p.apply(RecordIntent(result.Head, chargeCall), RecordOutcome(result, ToolAnswer{Call: chargeCall, Verdict: Unknown}))
+		p.apply(RecordIntent(result.Identity, chargeCall), RecordOutcome(result, ToolResponse{Call: chargeCall, Verdict: Unknown}))
 		if rapid.Bool().Draw(rt, "resolve") {
 			event, _ := p.state.Resolve(Resolution{Number: n, Verdict: Done, Status: 200, By: "operator"}, false)
 			p.apply(event)
 		}
 	case 5:
-		p.apply(Fail(p.nextResult()))
+		p.apply(RecordFailure(p.nextResult()))
 	case 6:
 		p.apply(OpenChild(NewID("dc.i.x")))
 	}
@@ -142,7 +142,7 @@
 	if !errors.Is(err, ErrChain) || !got.Broken {
 		rt.Fatalf("event %d of %d is missing: expected ErrChain and a broken program", missing+1, len(p.events))
 	}
-	if got.CheckHistory(Attempt{Number: got.Next()}, nil, RepeatableKind) == nil {
+	if got.CheckHistory(Attempt{Number: got.Next()}, nil, RepeatableToolKind) == nil {
 		rt.Fatal("a step of a broken program was not refused")
 	}
 	if earned(got) != earned(p.state)-earnedBy(p.events[missing]) {
@@ -286,12 +286,12 @@
 		Raw: []byte(`{"role":"assistant","tool_calls":[{"id":"1"}]}`)}}))
 	is.True(p.state.HasOpenWork()) // the tool was not called yet
 	result := p.nextResult()
-	p.apply(RecordIntent(result.Head, chargeCall), RecordOutcome(result, ToolAnswer{Call: chargeCall, Verdict: Done}))
+	p.apply(RecordIntent(result.Identity, chargeCall), RecordOutcome(result, ToolResponse{Call: chargeCall, Verdict: Done}))
 	is.True(p.state.HasOpenWork()) // the model has not seen the tool's response
 	p.addTurn("q", "done")
 	is.True(!p.state.HasOpenWork())
 	result = p.nextResult()
-	p.apply(RecordIntent(result.Head, chargeCall), RecordOutcome(result, ToolAnswer{Call: chargeCall, Verdict: Unknown}))
+	p.apply(RecordIntent(result.Identity, chargeCall), RecordOutcome(result, ToolResponse{Call: chargeCall, Verdict: Unknown}))
 	p.addTurn("q", "done")
 	is.True(p.state.HasOpenWork()) // it is unknown whether the charge was made
 }
@@ -303,7 +303,7 @@
 	p := newTestProgram(Bounds{})
 	p.addTurn("q", "a")
 	result := p.nextResult()
-	p.apply(RecordIntent(result.Head, chargeCall), RecordOutcome(result, ToolAnswer{Call: chargeCall, Verdict: Unknown}))
+	p.apply(RecordIntent(result.Identity, chargeCall), RecordOutcome(result, ToolResponse{Call: chargeCall, Verdict: Unknown}))
 	_, refusal := p.state.Resolve(Resolution{Number: 1, Verdict: Done}, false)
 	is.Equal(refusal.Reason, ReasonNoStep)
 	event, refusal := p.state.Resolve(Resolution{Number: 2, Verdict: NotRun, By: "operator ana"}, false)
@@ -314,7 +314,7 @@
 	_, refusal = p.state.Resolve(Resolution{Number: 2, Verdict: Done, Hash: HashBody([]byte("other"))}, true)
 	is.True(refusal != nil) // the sender ran another step under the number
 	is.Equal(refusal.Reason, ReasonNoStep)
-	event, refusal = p.state.Resolve(Resolution{Number: 2, Verdict: Done, Hash: result.Head.Hash, Body: []byte("made")}, true)
+	event, refusal = p.state.Resolve(Resolution{Number: 2, Verdict: Done, Hash: result.Identity.Hash, Body: []byte("made")}, true)
 	is.True(refusal == nil)
 	p.apply(event)
 	is.Equal(string(p.state.Steps[1].Tool.Body), "made")
@@ -327,7 +327,7 @@
 	is := is.New(t)
 	for _, body := range [][]byte{make([]byte, MaxBody+1), nil} {
 		p := newTestProgram(Bounds{})
-		p.apply(RecordIntent(p.nextIdentity(), chargeCall), RecordOutcome(p.nextResult(), ToolAnswer{Call: chargeCall, Verdict: Unknown}))
+		p.apply(RecordIntent(p.nextIdentity(), chargeCall), RecordOutcome(p.nextResult(), ToolResponse{Call: chargeCall, Verdict: Unknown}))
 		event, _ := p.state.Resolve(Resolution{Number: 1, Verdict: Done, Status: 200, Body: body}, false)
 		p.apply(event)
 		is.True(p.state.Steps[0].Tool.BodyDropped)
@@ -345,7 +345,7 @@
 	p := newTestProgram(Bounds{})
 	search := ToolCall{Service: "search", Method: "GET", Path: "/?" + strings.Repeat("q", 28<<10)}
 	for range 40 {
-		p.apply(RecordOutcome(p.nextResult(), ToolAnswer{Call: search, Verdict: Done, Status: 200, Body: []byte("trees")}))
+		p.apply(RecordOutcome(p.nextResult(), ToolResponse{Call: search, Verdict: Done, Status: 200, Body: []byte("trees")}))
 	}
 	snapshot := p.state.Snapshot(p.now)
 	is.True(len(snapshot.Raw) <= maxSnapshot)
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -94,7 +94,7 @@
 	n := 0
 	for i := range s.Steps {
 		step := &s.Steps[i]
-		n += stepOverhead + len(step.Head.Key)
+		n += stepOverhead + len(step.Identity.Key)
 		if m := step.Model; m != nil {
 			n += len(m.Name) + len(m.FinishReason) + len(m.Upstream)
 			continue
@@ -137,7 +137,7 @@
 }
 
 func stepTo(step *Step) *programpb.Step {
-	pb := &programpb.Step{Head: identityTo(step.Head), Verdict: verdictTo(step.Verdict), At: step.At.UnixMilli()}
+	pb := &programpb.Step{Head: identityTo(step.Identity), Verdict: verdictTo(step.Verdict), At: step.At.UnixMilli()}
 	if m := step.Model; m != nil {
 		pb.Message = int32(m.Message)
 		pb.Model, pb.FinishReason = m.Name, m.FinishReason
@@ -154,7 +154,7 @@
 }
 
 func stepFrom(p *programpb.Step) Step {
-	step := Step{Head: identityFrom(p.Head), Verdict: verdictFrom(p.Verdict), At: time.UnixMilli(p.At)}
+	step := Step{Identity: identityFrom(p.Head), Verdict: verdictFrom(p.Verdict), At: time.UnixMilli(p.At)}
 	if !p.Tool {
 		step.Model = &ModelStep{
 			Message:      int(p.Message),
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -48,8 +48,8 @@
 
 // Step is a step that has a number in its program.
 type Step struct {
-	Head    StepIdentity
-	Verdict Verdict
+	Identity StepIdentity
+	Verdict  Verdict
 	// Tool is nil for a model step.
 	Tool *ToolStep
 	// Model is nil for a tool step.
@@ -186,5 +186,5 @@
 	if last.Tool != nil {
 		return len(s.History) > 0
 	}
-	return chat.AsksTool(s.History[last.Model.Message])
+	return chat.HasToolCalls(s.History[last.Model.Message])
 }
--- a/internal/scheduler/agent_test.go
+++ b/internal/scheduler/agent_test.go
@@ -168,7 +168,7 @@
 	for {
 		r := Request{
 			Plan: fmt.Sprint(a.plan), Grant: a.bench.grants[a.plan], Model: testModel, Program: a.name, Root: a.root, Critical: a.child,
-			Messages: a.conversation, MaxTokens: output, Deadline: a.requestDeadline(), Tried: tried,
+			Messages: a.conversation, MaxOutputTokens: output, Deadline: a.requestDeadline(), Tried: tried,
 		}
 		g, refusal := a.instance.Acquire(ctx, r)
 		switch {
@@ -229,7 +229,7 @@
 	_ = json.Unmarshal(response.Message.Raw, &got)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if got.Content != standin.AnswerText(testModel, a.conversation, output) {
+	if got.Content != standin.GeneratedText(testModel, a.conversation, output) {
 		b.outcome.wrong++
 	}
 	if time.Now().Before(b.warmUpEnd) {
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -23,7 +23,7 @@
 // sample can take the step.
 func (p *pool) decide(endpoints []*upstream.Endpoint, w *waiter, now time.Time) placement.Decision {
 	if p.key.service {
-		w.step.MeanCall = p.poolMeanSpeed(endpoints, now).Call
+		w.step.MeanCall = p.poolMeanSpeed(endpoints, now).CallSeconds
 	}
 	p.scheduler.view.Lookup(w.blockHashes, &p.matches)
 	policy := p.scheduler.settings.Policy
@@ -149,10 +149,10 @@
 		sum.Prefill += s.Prefill
 		sum.TokenBase += s.TokenBase
 		sum.TokenPerCall += s.TokenPerCall
-		sum.Call += s.Call
+		sum.CallSeconds += s.CallSeconds
 	}
 	if n == 0 {
 		return upstream.DefaultSpeed
 	}
-	return upstream.Speed{Prefill: sum.Prefill / n, TokenBase: sum.TokenBase / n, TokenPerCall: sum.TokenPerCall / n, Call: sum.Call / n}
+	return upstream.Speed{Prefill: sum.Prefill / n, TokenBase: sum.TokenBase / n, TokenPerCall: sum.TokenPerCall / n, CallSeconds: sum.CallSeconds / n}
 }
--- a/internal/scheduler/grant.go
+++ b/internal/scheduler/grant.go
@@ -110,7 +110,7 @@
 		cachedTokens:    c.CachedTokens,
 	}
 	if w.request.Service != "" && w.request.Repeatable {
-		g.HedgeAfter = time.Duration(hedgeFactor * endpoint.Speed().Call * float64(time.Second))
+		g.HedgeAfter = time.Duration(hedgeFactor * endpoint.Speed().CallSeconds * float64(time.Second))
 	}
 	p.planMove(g, d)
 	u.Begin(now.UnixNano(), g.uncachedTokens(), g.ProgressTimeout)
@@ -123,7 +123,7 @@
 // vary widely, so the timeout of a service call is based on the mean duration of a call.
 func progressTimeoutOf(w *waiter, endpoint *upstream.Endpoint, d *placement.Decision) time.Duration {
 	if w.request.Service != "" {
-		mean := time.Duration(endpoint.Speed().Call * float64(time.Second))
+		mean := time.Duration(endpoint.Speed().CallSeconds * float64(time.Second))
 		return max(serviceTimeoutMin, serviceTimeoutFactor*mean)
 	}
 	seconds := d.Estimate.Wait + d.Estimate.Prefill
@@ -179,23 +179,23 @@
 	s.moveRates.learn(float64(g.movedTokens)/max(1e-3, time.Since(begin).Seconds()), time.Now())
 }
 
-// MarkSent records that the step is about to be sent. Time spent between Acquire and MarkSent does not
-// count against the upstream.
+// MarkSent records that the step is about to be sent. Time spent between Acquire and MarkSent does
+// not count against the upstream.
 func (g *Grant) MarkSent() {
 	g.sentAt = time.Now()
-	g.endpoint.Upstream.Progress(g.sentAt.UnixNano())
+	g.endpoint.Upstream.RecordProgress(g.sentAt.UnixNano())
 }
 
 // RecordFirstToken records that the response has begun.
 func (g *Grant) RecordFirstToken() {
 	g.RecordProgress()
 	if g.prefillDone.CompareAndSwap(false, true) {
-		g.endpoint.Upstream.Prefilled(g.uncachedTokens())
+		g.endpoint.Upstream.RecordPrefilled(g.uncachedTokens())
 	}
 }
 
 // RecordProgress records that a part of the response has arrived.
-func (g *Grant) RecordProgress() { g.endpoint.Upstream.Progress(time.Now().UnixNano()) }
+func (g *Grant) RecordProgress() { g.endpoint.Upstream.RecordProgress(time.Now().UnixNano()) }
 
 // Done releases the slot and records the outcome of the step. Only the first call has an effect.
 func (g *Grant) Done(f Feedback) {
@@ -205,17 +205,17 @@
 	now := time.Now()
 	u := g.endpoint.Upstream
 	if g.prefillDone.CompareAndSwap(false, true) {
-		u.Prefilled(g.uncachedTokens())
+		u.RecordPrefilled(g.uncachedTokens())
 	}
 	u.Finish(now.UnixNano())
 	s := g.pool.scheduler
 	switch {
 	case f.Cancelled: // no evidence about the upstream
 	case f.Failure != nil:
-		u.Failed(now, *f.Failure)
+		u.RecordFailure(now, *f.Failure)
 		g.markModelUnloaded(f.Failure)
 	default:
-		u.Succeeded(now)
+		u.RecordSuccess(now)
 		s.learn(g, f, now)
 	}
 	u.ReleaseTrial(g.trial)
@@ -268,5 +268,5 @@
 	if speed.Samples == 0 {
 		return 0
 	}
-	return time.Duration(speed.Call * float64(time.Second))
+	return time.Duration(speed.CallSeconds * float64(time.Second))
 }
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -83,7 +83,7 @@
 		}
 		w.step.OutputTokens = r.OutputHint
 		if w.step.OutputTokens == 0 {
-			w.step.OutputTokens = s.outputLengths.expect(r.Plan, r.Model, r.MaxTokens)
+			w.step.OutputTokens = s.outputLengths.expect(r.Plan, r.Model, r.MaxOutputTokens)
 		}
 	}
 	s.prepareStep(w, now)
--- a/internal/scheduler/rules.go
+++ b/internal/scheduler/rules.go
@@ -69,7 +69,7 @@
 	if u.DataCentre == s.settings.DataCentre {
 		return
 	}
-	c.RTT = s.settings.DataCentreRTT[u.DataCentre]
+	c.RTT = s.settings.RemoteCosts[u.DataCentre]
 	c.ViewAge = placement.MaxViewAge + 1
 	if s.settings.RemoteViewAge != nil {
 		c.ViewAge = s.settings.RemoteViewAge(u.DataCentre)
@@ -91,7 +91,7 @@
 		return
 	}
 	speed := endpoints[0].Speed()
-	ratePerEngine := copyLoadThreshold * float64(max(1, endpoints[0].Upstream.Slots)) / max(0.01, speed.Call)
+	ratePerEngine := copyLoadThreshold * float64(max(1, endpoints[0].Upstream.Slots)) / max(0.01, speed.CallSeconds)
 	wanted := 1 + int(rate/ratePerEngine)
 	if wanted > 1 {
 		w.step.WantedCopies = wanted
@@ -159,7 +159,7 @@
 	if learned := p.learnedCallTime(); learned > 0 {
 		return learned
 	}
-	return time.Duration(upstream.DefaultSpeed.Call * float64(time.Second))
+	return time.Duration(upstream.DefaultSpeed.CallSeconds * float64(time.Second))
 }
 
 // learnedCallTime returns the mean duration of a call over the usable upstreams that have completed
@@ -171,7 +171,7 @@
 	for _, endpoint := range p.scheduler.endpoints(p.key) {
 		speed := endpoint.Speed()
 		if speed.Samples > 0 && endpoint.Upstream.Load(now).Condition <= upstream.Full {
-			sum += speed.Call
+			sum += speed.CallSeconds
 			n++
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -24,8 +24,8 @@
 type Settings struct {
 	// DataCentre is the data centre of this instance. Its upstreams are local.
 	DataCentre string
-	// DataCentreRTT is the round-trip time to each other data centre.
-	DataCentreRTT map[string]time.Duration
+	// RemoteCosts is the round-trip time to each other data centre.
+	RemoteCosts map[string]time.Duration
 	// Policy is the placement policy; empty for placement.Cost.
 	Policy placement.Policy
 	// QueueLimit bounds the number of steps that wait for one model or service; 0 for 4096.
@@ -45,7 +45,8 @@
 	MaxViewAge time.Duration
 	// Mover moves programs' caches between engines; nil for no moves.
 	Mover Mover
-	// ReleaseCache asks an engine to release a program's cache memory; nil for none. It must not block.
+	// ReleaseCache asks an engine to release a program's cache memory; nil for none. It must not
+	// block.
 	ReleaseCache func(address string, program string)
 }
 
@@ -86,8 +87,8 @@
 	LastUpstreamBlocks int
 	// OutputHint is the expected number of output tokens; 0 to estimate it from the plan's
 	// earlier responses.
-	OutputHint int
-	MaxTokens  int
+	OutputHint      int
+	MaxOutputTokens int
 	// NonStreaming reports whether the engine is asked for a single response instead of a stream,
 	// so that it shows no progress before the end.
 	NonStreaming bool
@@ -161,11 +162,11 @@
 	if refusal := s.check(&r); refusal != nil {
 		return nil, refusal
 	}
-	if len(r.Tried) > 0 && !s.retries.Take(time.Now()) {
+	if len(r.Tried) > 0 && !s.retries.TryTake(time.Now()) {
 		return nil, refuse(step.CodeOverloaded, 503, "the retry budget is used up", time.Second)
 	}
 	if len(r.Tried) == 0 {
-		s.retries.Attempt()
+		s.retries.RecordAttempt()
 	}
 	w := s.newWaiter(&r)
 	p := s.pool(&r)
@@ -185,9 +186,9 @@
 	members := s.table.Snapshot()
 	switch {
 	case r.Model != "" && r.Grant != nil && !r.Grant.AllowsModel(r.Model):
-		return refuse(step.CodeForbidden, 403, "the plan may not use the model", 0)
+		return refuse(step.CodeNotInPlan, 403, "the plan may not use the model", 0)
 	case r.Service != "" && r.Grant != nil && !r.Grant.AllowsService(r.Service):
-		return refuse(step.CodeForbidden, 403, "the plan may not use the service", 0)
+		return refuse(step.CodeNotInPlan, 403, "the plan may not use the service", 0)
 	case r.Model != "" && len(members.Model(r.Model)) == 0:
 		return refuse(step.CodeModelNotFound, 404, "no engine has the model", 0)
 	case r.Service != "" && len(members.Service(r.Service)) == 0:
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -54,7 +54,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		age := time.Second
-		s, _ := newTestScheduler(Settings{DataCentreRTT: map[string]time.Duration{"b": 50 * time.Millisecond}, RemoteViewAge: func(string) time.Duration { return age }},
+		s, _ := newTestScheduler(Settings{RemoteCosts: map[string]time.Duration{"b": 50 * time.Millisecond}, RemoteViewAge: func(string) time.Duration { return age }},
 			engineAt("local", "a", 2), engineAt("remote", "b", 2))
 		both := &usage.Grant{Models: []string{testModel}, DataCentres: []string{"a", "b"}, LatencyWeight: 1}
 		place := func(g *usage.Grant) string {
@@ -296,7 +296,7 @@
 		condition := func() upstream.Condition { return u.Load(time.Now().UnixNano()).Condition }
 		older := fillSlots(t, s, 2)
 		for range 3 {
-			u.Failed(time.Now(), upstream.Failure{Kind: upstream.Lost})
+			u.RecordFailure(time.Now(), upstream.Failure{Kind: upstream.Lost})
 		}
 		time.Sleep(time.Second)
 		trial, refusal := s.Acquire(t.Context(), testRequest("trial"))
@@ -317,7 +317,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		freshView := func(string) time.Duration { return time.Second }
-		s, _ := newTestScheduler(Settings{DataCentreRTT: map[string]time.Duration{"b": 0}, RemoteViewAge: freshView}, engineAt("busy", "b", 1), engineAt("idle", "a", 4))
+		s, _ := newTestScheduler(Settings{RemoteCosts: map[string]time.Duration{"b": 0}, RemoteViewAge: freshView}, engineAt("busy", "b", 1), engineAt("idle", "a", 4))
 		requestIn := func(program, dataCentre string) Request {
 			r := testRequest(program)
 			r.Grant = &usage.Grant{Models: []string{testModel}, DataCentres: []string{dataCentre}, LatencyWeight: 1}
--- a/internal/scheduler/start_test.go
+++ b/internal/scheduler/start_test.go
@@ -17,7 +17,7 @@
 		is := is.New(t)
 		s, _ := newTestScheduler(Settings{}, engineAt("e", "a", 4))
 		r := testRequest("hurried")
-		r.MaxTokens = 100
+		r.MaxOutputTokens = 100
 		r.Deadline = time.Now().Add(300 * time.Millisecond)
 		_, refusal := s.Acquire(t.Context(), r)
 		is.True(refusal == nil)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -108,7 +108,7 @@
 	timer        *time.Timer
 	events       eventLog
 	loads        loadLog
-	models       map[string]*engine.Loaded
+	models       map[string]*engine.LoadedModel
 	role         string
 	fencingToken uint64
 	counts       EngineCounts
@@ -121,12 +121,12 @@
 		config:     config,
 		cache:      newBlockCache(config.CacheTokens / engine.BlockTokens),
 		advancedTo: time.Now(),
-		models:     map[string]*engine.Loaded{},
+		models:     map[string]*engine.LoadedModel{},
 		role:       "both",
 		boot:       1,
 	}
 	for _, name := range config.Models {
-		e.models[name] = &engine.Loaded{Served: name, Model: name, Ready: true}
+		e.models[name] = &engine.LoadedModel{Served: name, Model: name, Ready: true}
 	}
 	return e
 }
--- a/internal/standin/enginecontrol.go
+++ b/internal/standin/enginecontrol.go
@@ -182,7 +182,7 @@
 	if e.models[o.Served] != nil {
 		return
 	}
-	loaded := &engine.Loaded{Served: o.Served, Model: o.Model, Version: o.Version, Adapter: o.Adapter}
+	loaded := &engine.LoadedModel{Served: o.Served, Model: o.Model, Version: o.Version, Adapter: o.Adapter}
 	e.models[o.Served] = loaded
 	if e.config.Fetch == nil {
 		loaded.Ready = true
@@ -204,7 +204,7 @@
 	e.schedule()
 }
 
-func (e *Engine) fetchWeights(o engine.Order, loaded *engine.Loaded) {
+func (e *Engine) fetchWeights(o engine.Order, loaded *engine.LoadedModel) {
 	err := e.config.Fetch(context.Background(), o.Model, o.Version)
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/enginehttp.go
+++ b/internal/standin/enginehttp.go
@@ -57,7 +57,7 @@
 		header.Set(engine.HeaderNotRun, "true")
 	}
 	if failure.Draining {
-		header.Set(engine.HeaderLeaving, "true")
+		header.Set(engine.HeaderDraining, "true")
 	}
 	if failure.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.Itoa(int(failure.RetryAfter/time.Second)))
--- a/internal/standin/enginesequence.go
+++ b/internal/standin/enginesequence.go
@@ -57,7 +57,7 @@
 		progress:     make(chan struct{}, 1),
 		done:         make(chan struct{}),
 	}
-	s.text = AnswerText(r.ServedModel(), r.Chat.Messages, r.Chat.MaxTokens)
+	s.text = GeneratedText(r.ServedModel(), r.Chat.Messages, r.Chat.MaxTokens)
 	s.outputTokens = engine.Tokens(len(s.text))
 	return s
 }
@@ -119,10 +119,10 @@
 	return a
 }
 
-// AnswerText returns the text that an engine generates. It contains the number and the hash of the
+// GeneratedText returns the text that an engine generates. It contains the number and the hash of the
 // request's messages, so that a test detects lost, mixed and reordered history. It is padded to
 // maxTokens tokens, or to a default length if maxTokens is not positive.
-func AnswerText(model string, messages []chat.Message, maxTokens int) string {
+func GeneratedText(model string, messages []chat.Message, maxTokens int) string {
 	if maxTokens <= 0 {
 		maxTokens = defaultOutputTokens
 	}
@@ -134,7 +134,7 @@
 	return prefix + strings.Repeat(" ...", paddingBytes/engine.TokenBytes+1)[:paddingBytes]
 }
 
-// MessagesHash returns the hash of the model's name and the messages that AnswerText contains.
+// MessagesHash returns the hash of the model's name and the messages that GeneratedText contains.
 func MessagesHash(model string, messages []chat.Message) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model)
--- a/internal/standin/store_faults_test.go
+++ b/internal/standin/store_faults_test.go
@@ -87,13 +87,14 @@
 	})
 }
 
-// TestLimitedStoreKeepsRateLimit: with a limit of ten writes per second and a burst, an instance makes
-// no more than that, however many are requested. A call whose deadline is too near is refused at once.
+// TestLimitedStoreKeepsRateLimit: with a limit of ten writes per second and a burst, an instance
+// makes no more than that, however many are requested. A call whose deadline is too near is refused
+// at once.
 func TestLimitedStoreKeepsRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		standIn := NewStore()
-		limited := store.Limit(standIn, store.Rates{Writes: 10}, nil)
+		limited := store.Limit(standIn, store.Rates{WritesPerSecond: 10}, nil)
 		started := time.Now()
 		for range 50 {
 			_, _ = limited.Put(t.Context(), store.Key{Kind: "k", Name: "n"}, nil, 0)
--- a/internal/standin/tool.go
+++ b/internal/standin/tool.go
@@ -40,13 +40,13 @@
 	effects map[string]int
 	// paths holds the path of the last call with an effect by key.
 	paths    map[string]string
-	outcomes map[string]tool.Finding
+	outcomes map[string]tool.LookupResponse
 	calls    int
 }
 
 // NewTool returns a service without faults.
 func NewTool(name string) *Tool {
-	return &Tool{name: name, effects: map[string]int{}, paths: map[string]string{}, outcomes: map[string]tool.Finding{}}
+	return &Tool{name: name, effects: map[string]int{}, paths: map[string]string{}, outcomes: map[string]tool.LookupResponse{}}
 }
 
 // SetFaults replaces the current faults.
@@ -100,7 +100,7 @@
 	defer t.mu.Unlock()
 	found, ok := t.outcomes[c.QueryParam("key")]
 	if !ok {
-		found = tool.Finding{State: tool.StateNotRun}
+		found = tool.LookupResponse{State: tool.StateNotRun}
 	}
 	return c.JSON(http.StatusOK, found)
 }
@@ -146,7 +146,7 @@
 	return inForce
 }
 
-func (t *Tool) run(r *http.Request, body []byte) tool.Finding {
+func (t *Tool) run(r *http.Request, body []byte) tool.LookupResponse {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.calls++
@@ -156,7 +156,7 @@
 		t.paths[key] = r.URL.Path
 	}
 	text := fmt.Sprintf(`{"service":%q,"call":%q,"number":%d,"bytes":%d}`, t.name, r.Method+" "+r.URL.Path, t.calls, len(body))
-	finding := tool.Finding{State: tool.StateDone, Status: http.StatusOK, ContentType: echo.MIMEApplicationJSON, Body: []byte(text)}
+	finding := tool.LookupResponse{State: tool.StateDone, Status: http.StatusOK, ContentType: echo.MIMEApplicationJSON, Body: []byte(text)}
 	t.outcomes[key] = finding
 	return finding
 }
@@ -165,7 +165,7 @@
 	c.Response().Header().Set(tool.HeaderNotRun, "true")
 	c.Response().Header().Set("Retry-After", "1")
 	if leaving {
-		c.Response().Header().Set(tool.HeaderLeaving, "true")
+		c.Response().Header().Set(tool.HeaderDraining, "true")
 	}
 	return c.NoContent(http.StatusServiceUnavailable)
 }
--- a/internal/standin/traffic.go
+++ b/internal/standin/traffic.go
@@ -11,26 +11,26 @@
 
 // Flow is the number of requests and of bytes received and sent, on connections that an instance
 // opened, for one kind of request.
-type Flow struct{ Calls, In, Out int64 }
+type Flow struct{ Calls, BytesReceived, BytesSent int64 }
 
-// Tally sums flows by kind of request.
-type Tally struct {
+// TrafficCounter sums flows by kind of request.
+type TrafficCounter struct {
 	mu    sync.Mutex
 	flows map[string]Flow
 }
 
-// NewTally returns an empty tally.
-func NewTally() *Tally { return &Tally{flows: map[string]Flow{}} }
+// NewTrafficCounter returns an empty tally.
+func NewTrafficCounter() *TrafficCounter { return &TrafficCounter{flows: map[string]Flow{}} }
 
-func (t *Tally) add(kind string, f Flow) {
+func (t *TrafficCounter) add(kind string, f Flow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum := t.flows[kind]
-	t.flows[kind] = Flow{sum.Calls + f.Calls, sum.In + f.In, sum.Out + f.Out}
+	t.flows[kind] = Flow{sum.Calls + f.Calls, sum.BytesReceived + f.BytesReceived, sum.BytesSent + f.BytesSent}
 }
 
 // Flows returns the sums so far by kind of request.
-func (t *Tally) Flows() map[string]Flow {
+func (t *TrafficCounter) Flows() map[string]Flow {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.flows)
@@ -39,7 +39,7 @@
 // CountedHost is a Host that counts the traffic of the connections it opens.
 type CountedHost struct {
 	*Host
-	Tally *Tally
+	Traffic *TrafficCounter
 }
 
 // DialContext calls Host.DialContext and counts the traffic of the connection.
@@ -48,14 +48,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: c, tally: h.Tally}, nil
+	return &countedConn{Conn: c, tally: h.Traffic}, nil
 }
 
 // countedConn counts bytes under the kind of the latest request sent; a connection carries one
 // request at a time.
 type countedConn struct {
 	net.Conn
-	tally *Tally
+	tally *TrafficCounter
 
 	mu   sync.Mutex
 	kind string
@@ -63,7 +63,7 @@
 
 // Write implements net.Conn.
 func (c *countedConn) Write(p []byte) (int, error) {
-	f := Flow{Out: int64(len(p))}
+	f := Flow{BytesSent: int64(len(p))}
 	c.mu.Lock()
 	if kind, ok := requestKind(p); ok {
 		c.kind, f.Calls = kind, 1
@@ -80,7 +80,7 @@
 	c.mu.Lock()
 	kind := c.kind
 	c.mu.Unlock()
-	c.tally.add(kind, Flow{In: int64(n)})
+	c.tally.add(kind, Flow{BytesReceived: int64(n)})
 	return n, err
 }
 
