--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -29,33 +29,33 @@
 
 // The codes of refusals and failures.
 const (
-	CodeBadRequest        Code = "bad_request"
-	CodeTooLarge          Code = "body_too_large"
-	CodeUnauthorized      Code = "unauthorized"
-	CodeForbidden         Code = "not_in_plan"
-	CodeNotFound          Code = "program_not_found"
-	CodeModelNotFound     Code = "model_not_found"
-	CodeMoved             Code = "moved"
-	CodeDeadline          Code = "deadline_exceeded"
-	CodeMissingStep       Code = "missing_step"
-	CodeKeyReused         Code = "idempotency_key_reused"
-	CodeHistoryConflict   Code = "history_conflict"
-	CodeHistoryUncertain  Code = "history_uncertain"
-	CodeBounds            Code = "program_bounds"
-	CodeBudget            Code = "budget_exhausted"
-	CodeRateLimited       Code = "rate_limited"
-	CodeOverloaded        Code = "overloaded"
-	CodeNoUpstream        Code = "no_upstream"
-	CodeStoreUnavailable  Code = "store_unavailable"
-	CodeUpstreamFailed    Code = "upstream_failed"
-	CodeOutcomeUnknown    Code = "outcome_unknown"
-	CodeOwnerUnreachable  Code = "owner_unreachable"
-	CodeShuttingDown      Code = "shutting_down"
-	CodeCancelled         Code = "cancelled"
-	CodeProgramEnded      Code = "program_ended"
-	CodeAnswerNotKept     Code = "answer_not_kept"
-	CodeSettledNotRun     Code = "settled_not_run"
-	CodeUnresolvedEarlier Code = "earlier_step_unresolved"
+	CodeBadRequest            Code = "bad_request"
+	CodeTooLarge              Code = "body_too_large"
+	CodeUnauthorized          Code = "unauthorized"
+	CodeNotInPlan             Code = "not_in_plan"
+	CodeNotFound              Code = "program_not_found"
+	CodeModelNotFound         Code = "model_not_found"
+	CodeMoved                 Code = "moved"
+	CodeDeadline              Code = "deadline_exceeded"
+	CodeMissingStep           Code = "missing_step"
+	CodeKeyReused             Code = "idempotency_key_reused"
+	CodeHistoryConflict       Code = "history_conflict"
+	CodeHistoryUncertain      Code = "history_uncertain"
+	CodeBounds                Code = "program_bounds"
+	CodeBudget                Code = "budget_exhausted"
+	CodeRateLimited           Code = "rate_limited"
+	CodeOverloaded            Code = "overloaded"
+	CodeNoUpstream            Code = "no_upstream"
+	CodeStoreUnavailable      Code = "store_unavailable"
+	CodeUpstreamFailed        Code = "upstream_failed"
+	CodeOutcomeUnknown        Code = "outcome_unknown"
+	CodeOwnerUnreachable      Code = "owner_unreachable"
+	CodeShuttingDown          Code = "shutting_down"
+	CodeCancelled             Code = "cancelled"
+	CodeProgramEnded          Code = "program_ended"
+	CodeResponseNotRetained   Code = "answer_not_kept"
+	CodeSettledNotRun         Code = "settled_not_run"
+	CodeEarlierStepUnresolved Code = "earlier_step_unresolved"
 )
 
 // Call is the request for one step.
@@ -70,8 +70,8 @@
 	Number int
 	// IdempotencyKey is the caller's own identifier of the step. It may be empty.
 	IdempotencyKey string
-	// After is the Turn of the last Result that the caller has received. It may be empty.
-	After string
+	// AfterTurn is the Turn of the last Result that the caller has received. It may be empty.
+	AfterTurn string
 	// Deadline is when the caller stops waiting, or zero for no deadline.
 	Deadline time.Time
 	// EndsProgram indicates that the caller does not need the program after this step.
@@ -111,13 +111,13 @@
 	ContentType string
 	Body        []byte
 	Usage       chat.Usage
-	// Answer is the complete assistant's message of a model step, streamed or not. Model is the model
-	// that generated it and FinishReason why generation stopped.
-	Answer       chat.Message
-	Model        string
-	FinishReason string
+	// AssistantMessage is the complete assistant's message of a model step, streamed or not. Model
+	// is the model that generated it and FinishReason why generation stopped.
+	AssistantMessage chat.Message
+	Model            string
+	FinishReason     string
 	// Turn identifies the turn together with all turns before it. A caller may send it back in
-	// Call.After.
+	// Call.AfterTurn.
 	Turn string
 	// Price is the price at which the step was settled. It may be set without a response.
 	Price plan.Micros
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -50,9 +50,9 @@
 	return &HTTP{base: base, client: &http.Client{Transport: transport}, timeout: timeout}
 }
 
-// DialThrough replaces the function that dials connections. It must be called before the first call.
+// SetDialer replaces the function that dials connections. It must be called before the first call.
 // Tests use it to run the client over a simulated network with faults.
-func (h *HTTP) DialThrough(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
+func (h *HTTP) SetDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	h.client.Transport.(*http.Transport).DialContext = dial
 }
 
@@ -125,7 +125,8 @@
 	return events, nil
 }
 
-// readEvents decodes events from the body of a watch and sends them until the stream breaks or ctx ends.
+// readEvents decodes events from the body of a watch and sends them until the stream breaks or ctx
+// ends.
 func (h *HTTP) readEvents(ctx context.Context, body io.ReadCloser, events chan<- Event) {
 	defer close(events)
 	defer body.Close()
--- a/internal/store/limited.go
+++ b/internal/store/limited.go
@@ -12,8 +12,8 @@
 // Rates are an instance's shares of the object API's rate limit, in calls per second. Zero means no
 // limit.
 type Rates struct {
-	Reads  float64
-	Writes float64
+	ReadsPerSecond  float64
+	WritesPerSecond float64
 }
 
 // burstSeconds is the part of a share that may be used at once after an idle time, in seconds of
@@ -41,14 +41,14 @@
 	waitTimes metrics.Histogram
 }
 
-// Limit returns a Limited over client for an instance, with metrics whose names begin with "store". The
-// registry may be nil.
+// Limit returns a Limited over client for an instance, with metrics whose names begin with "store".
+// The registry may be nil.
 func Limit(client Client, rates Rates, registry metrics.Registry) *Limited {
-	return newLimited(client, newLimiter(rates.Reads), newLimiter(rates.Writes), registry, "store")
+	return newLimited(client, newLimiter(rates.ReadsPerSecond), newLimiter(rates.WritesPerSecond), registry, "store")
 }
 
-// LimitShared returns a Limited over client for a part of an instance, with one limiter shared by reads
-// and writes and with metrics whose names begin with prefix. The registry may be nil.
+// LimitShared returns a Limited over client for a part of an instance, with one limiter shared by
+// reads and writes and with metrics whose names begin with prefix. The registry may be nil.
 func LimitShared(client Client, limiter *rate.Limiter, registry metrics.Registry, prefix string) *Limited {
 	return newLimited(client, limiter, limiter, registry, prefix)
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -2,8 +2,8 @@
 // and offers conditional updates and watches.
 //
 // The object API is the only means by which instances reach agreement, and the only storage that
-// outlives them. Each call and each waiting watch counts against a rate limit that all instances share,
-// so callers should batch their calls and prefer watches to polling.
+// outlives them. Each call and each waiting watch counts against a rate limit that all instances
+// share, so callers should batch their calls and prefer watches to polling.
 package store
 
 import (
@@ -50,21 +50,21 @@
 	// ErrUnavailable indicates that the store rejected the request or could not be reached before the
 	// request was sent; nothing was written.
 	ErrUnavailable = errors.New("store: unavailable")
-	// ErrRateLimited is an ErrUnavailable that does not indicate a fault of the store: the call exceeded
-	// the rate limit and can be repeated soon.
+	// ErrRateLimited is an ErrUnavailable that does not indicate a fault of the store: the call
+	// exceeded the rate limit and can be repeated soon.
 	ErrRateLimited = errors.Wrap(ErrUnavailable, "store: rate limited")
 	// ErrUnknown indicates that the response was lost: a write may or may not have taken effect, and
 	// the caller must read the object to find out.
 	ErrUnknown = errors.New("store: outcome unknown")
 	// ErrTooLarge indicates that the value exceeds MaxValue; nothing was written.
 	ErrTooLarge = errors.New("store: value too large")
-	// ErrGone indicates that a watch can't resume from the requested version; the caller must list the
-	// kind again.
+	// ErrGone indicates that a watch can't resume from the requested version; the caller must list
+	// the kind again.
 	ErrGone = errors.New("store: watch version gone")
 )
 
 // Conflict is an ErrConflict with the present object.
-type Conflict struct{ Present Object }
+type Conflict struct{ Current Object }
 
 // Error implements error.
 func (c *Conflict) Error() string { return ErrConflict.Error() }
@@ -74,11 +74,11 @@
 
 // Client is the part of the object API that the packages of foxhall use.
 //
-// Put writes the value on the condition that the object's version is still base; base 0 means that the
-// object must not exist. Delete has the same condition. List returns the objects of a kind whose names
-// start with prefix, ordered by name. Watch sends each write to the kind after version from, in order,
-// until ctx ends or the stream breaks. Then it closes the channel, and the caller can resume from the
-// last version received.
+// Put writes the value on the condition that the object's version is still base; base 0 means that
+// the object must not exist. Delete has the same condition. List returns the objects of a kind
+// whose names start with prefix, ordered by name. Watch sends each write to the kind after version
+// from, in order, until ctx ends or the stream breaks. Then it closes the channel, and the caller
+// can resume from the last version received.
 type Client interface {
 	Get(ctx context.Context, key Key) (Object, error)
 	Put(ctx context.Context, key Key, value []byte, base Version) (Version, error)
--- a/internal/tool/client.go
+++ b/internal/tool/client.go
@@ -27,8 +27,8 @@
 	HeaderKey = "Idempotency-Key"
 	// HeaderNotRun is set to "true" by a service that refused a call and did not run it.
 	HeaderNotRun = "Foxhall-Not-Run"
-	// HeaderLeaving is set to "true" by an upstream that drains and accepts no new work.
-	HeaderLeaving = "Foxhall-Leaving"
+	// HeaderDraining is set to "true" by an upstream that drains and accepts no new work.
+	HeaderDraining = "Foxhall-Leaving"
 )
 
 // The errors of a call, to be tested with errors.Is. Once a byte of the call has been sent, any
@@ -38,14 +38,14 @@
 	ErrNotSent = errors.New("tool: not sent")
 	// ErrRefused indicates that the service itself reported that it did not run the call.
 	ErrRefused = errors.New("tool: refused by the service")
-	// ErrLeaving is an ErrRefused from a service that drains.
-	ErrLeaving = errors.WithMessage(ErrRefused, "tool: leaving")
+	// ErrDraining is an ErrRefused from a service that drains.
+	ErrDraining = errors.WithMessage(ErrRefused, "tool: leaving")
 	// ErrUnknown indicates that the call may have run.
 	ErrUnknown = errors.New("tool: outcome unknown")
 )
 
-// Answer is a service's response to a call that ran.
-type Answer struct {
+// Response is a service's response to a call that ran.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -86,9 +86,9 @@
 	}
 }
 
-// DialThrough replaces the client's dial function. It must be called before the first call. Tests
+// SetDialer replaces the client's dial function. It must be called before the first call. Tests
 // use it to run the client on a simulated network with faults.
-func (c *Client) DialThrough(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
+func (c *Client) SetDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.pooled.Transport.(*http.Transport).DialContext = dial
 	c.unpooled.Transport.(*http.Transport).DialContext = dial
 }
@@ -102,19 +102,19 @@
 
 // Call sends one attempt and returns the service's response, or an error that shows whether the call
 // may have run.
-func (c *Client) Call(ctx context.Context, call Call) (Answer, error) {
+func (c *Client) Call(ctx context.Context, call Call) (Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	req, err := newRequest(httptrace.WithClientTrace(ctx, trace), call)
 	if err != nil {
-		return Answer{}, errors.Wrap(ErrNotSent, err.Error())
+		return Response{}, errors.Wrap(ErrNotSent, err.Error())
 	}
 	resp, err := c.httpClientFor(call).Do(req)
 	if err != nil && !connected.Load() {
-		return Answer{}, errors.Wrap(ErrNotSent, err.Error())
+		return Response{}, errors.Wrap(ErrNotSent, err.Error())
 	}
 	if err != nil {
-		return Answer{}, errors.Wrap(ErrUnknown, err.Error())
+		return Response{}, errors.Wrap(ErrUnknown, err.Error())
 	}
 	defer resp.Body.Close()
 	return c.readResponse(resp)
@@ -148,21 +148,21 @@
 	return path
 }
 
-func (c *Client) readResponse(resp *http.Response) (Answer, error) {
+func (c *Client) readResponse(resp *http.Response) (Response, error) {
 	if resp.Header.Get(HeaderNotRun) == "true" {
-		if resp.Header.Get(HeaderLeaving) == "true" {
-			return Answer{}, ErrLeaving
+		if resp.Header.Get(HeaderDraining) == "true" {
+			return Response{}, ErrDraining
 		}
-		return Answer{}, errors.Wrap(ErrRefused, resp.Status)
+		return Response{}, errors.Wrap(ErrRefused, resp.Status)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBodyBytes+1))
 	if err != nil {
-		return Answer{}, errors.Wrap(ErrUnknown, err.Error())
+		return Response{}, errors.Wrap(ErrUnknown, err.Error())
 	}
 	if int64(len(body)) > c.maxBodyBytes {
-		return Answer{}, errors.Wrap(ErrUnknown, "answer over "+strconv.FormatInt(c.maxBodyBytes, 10)+" bytes")
+		return Response{}, errors.Wrap(ErrUnknown, "answer over "+strconv.FormatInt(c.maxBodyBytes, 10)+" bytes")
 	}
-	return Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
+	return Response{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
 
 // State is the state of a call as reported by a service's lookup.
@@ -176,8 +176,8 @@
 	StateNotRun State = "not-run"
 )
 
-// Finding is a service's response to a lookup.
-type Finding struct {
+// LookupResponse is a service's response to a lookup.
+type LookupResponse struct {
 	State       State  `json:"state"`
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"content_type,omitempty"`
@@ -186,21 +186,21 @@
 
 // Lookup asks a service for the state of the call with the key. path is the service's lookup path in
 // the usage list.
-func (c *Client) Lookup(ctx context.Context, address, path, key string) (Finding, error) {
+func (c *Client) Lookup(ctx context.Context, address, path, key string) (LookupResponse, error) {
 	target := "http://" + address + "/" + trimLeadingSlashes(path) + "?key=" + url.QueryEscape(key)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
-		return Finding{}, errors.Wrap(err, "tool: lookup")
+		return LookupResponse{}, errors.Wrap(err, "tool: lookup")
 	}
 	resp, err := c.pooled.Do(req)
 	if err != nil {
-		return Finding{}, errors.Wrap(err, "tool: lookup")
+		return LookupResponse{}, errors.Wrap(err, "tool: lookup")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return Finding{}, errors.Errorf("tool: lookup: %s", resp.Status)
+		return LookupResponse{}, errors.Errorf("tool: lookup: %s", resp.Status)
 	}
-	var finding Finding
+	var finding LookupResponse
 	err = json.NewDecoder(io.LimitReader(resp.Body, c.maxBodyBytes)).Decode(&finding)
 	return finding, errors.Wrap(err, "tool: lookup")
 }
--- a/internal/upstream/breaker.go
+++ b/internal/upstream/breaker.go
@@ -58,9 +58,9 @@
 	return trial, u.trial.CompareAndSwap(0, trial)
 }
 
-// Succeeded records a successful call. It closes the breaker; if it was open, slow start begins.
-func (u *Upstream) Succeeded(now time.Time) {
-	u.Progress(now.UnixNano())
+// RecordSuccess records a successful call. It closes the breaker; if it was open, slow start begins.
+func (u *Upstream) RecordSuccess(now time.Time) {
+	u.RecordProgress(now.UnixNano())
 	if u.openUntil.Load() == 0 && !u.hasFailures() && u.errorRate.share.Load() == 0 {
 		return
 	}
@@ -82,9 +82,9 @@
 	return u.breaker.failures > 0
 }
 
-// Failed records a failed call. A drain signal marks the upstream as draining. Refusals, such as
-// those for a full queue, and invalid requests do not count against the upstream's health.
-func (u *Upstream) Failed(now time.Time, f Failure) {
+// RecordFailure records a failed call. A drain signal marks the upstream as draining. Refusals,
+// such as those for a full queue, and invalid requests do not count against the upstream's health.
+func (u *Upstream) RecordFailure(now time.Time, f Failure) {
 	if f.Draining {
 		u.MarkDraining(now)
 	}
@@ -94,7 +94,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if f.Kind == Errored {
-		u.Progress(now.UnixNano())
+		u.RecordProgress(now.UnixNano())
 		u.errorRate.record(now.UnixNano(), true)
 	}
 	u.breaker.failures++
--- a/internal/upstream/failure.go
+++ b/internal/upstream/failure.go
@@ -8,13 +8,13 @@
 	"foxhall/internal/engine"
 )
 
-// Kind is the kind of a failure, which determines its effect on the upstream's health.
-type Kind uint8
+// FailureKind is the kind of a failure, which determines its effect on the upstream's health.
+type FailureKind uint8
 
 // The kinds of failure.
 const (
 	// Lost indicates that the call may have run and its response is missing.
-	Lost Kind = iota
+	Lost FailureKind = iota
 	// NotSent indicates that the upstream could not be reached: no byte of the call was sent.
 	NotSent
 	// Refused indicates that the upstream itself reported that it did not run the call.
@@ -30,7 +30,7 @@
 
 // Failure describes a failed call to the table.
 type Failure struct {
-	Kind Kind
+	Kind FailureKind
 	// Draining indicates that the upstream drains.
 	Draining bool
 	// NotLoaded indicates that the engine has not loaded the model.
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -51,11 +51,11 @@
 	return h.calls[h.next]
 }
 
-// Report applies an engine's lagging load report. The calls of other instances are those reported
-// beyond the own calls in flight at the time of the report. A report with fewer calls than the own
-// ones is wrong and counts as no remote calls. The number of own calls is never taken from a
-// report, so an engine that misreports its load can hide only other instances' calls.
-func (u *Upstream) Report(now time.Time, l engine.Load) {
+// ApplyReport applies an engine's lagging load report. The calls of other instances are those
+// reported beyond the own calls in flight at the time of the report. A report with fewer calls than
+// the own ones is wrong and counts as no remote calls. The number of own calls is never taken from
+// a report, so an engine that misreports its load can hide only other instances' calls.
+func (u *Upstream) ApplyReport(now time.Time, l engine.Load) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	own := u.ownCalls.callsAt(now.Add(-l.Age()).UnixNano())
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -81,10 +81,10 @@
 	defer cancel()
 	load, err := r.Load(ctx, u.Address)
 	if err != nil {
-		u.Failed(time.Now(), FailureOf(err))
+		u.RecordFailure(time.Now(), FailureOf(err))
 		return
 	}
-	u.Report(time.Now(), load)
+	u.ApplyReport(time.Now(), load)
 	u.recordReachable(time.Now())
 }
 
--- a/internal/upstream/retry.go
+++ b/internal/upstream/retry.go
@@ -29,15 +29,15 @@
 	return &RetryBudget{floor: rate.NewLimiter(minRetriesPerSecond, minRetriesPerSecond)}
 }
 
-// Attempt records a first attempt.
-func (b *RetryBudget) Attempt() {
+// RecordAttempt records a first attempt.
+func (b *RetryBudget) RecordAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.saved = min(maxSavedRetries, b.saved+retriesPerAttempt)
 }
 
-// Take reports whether a retry is allowed now and, if so, counts it against the budget.
-func (b *RetryBudget) Take(now time.Time) bool {
+// TryTake reports whether a retry is allowed now and, if so, counts it against the budget.
+func (b *RetryBudget) TryTake(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.saved >= 1 {
--- a/internal/upstream/speed.go
+++ b/internal/upstream/speed.go
@@ -13,8 +13,8 @@
 	// TokenBase and TokenPerCall are in seconds: one decoded token takes TokenBase + TokenPerCall *
 	// batch size.
 	TokenBase, TokenPerCall float64
-	// Call is the mean duration of a complete call in seconds.
-	Call float64
+	// CallSeconds is the mean duration of a complete call in seconds.
+	CallSeconds float64
 	// Samples is the number of responses learned from.
 	Samples int
 }
@@ -25,7 +25,7 @@
 }
 
 // DefaultSpeed is the speed assumed before the first response: that of an average engine.
-var DefaultSpeed = Speed{Prefill: 6000, TokenBase: 0.02, TokenPerCall: 0.001, Call: 2}
+var DefaultSpeed = Speed{Prefill: 6000, TokenBase: 0.02, TokenPerCall: 0.001, CallSeconds: 2}
 
 // The parameters of learning.
 const (
@@ -80,7 +80,7 @@
 	e.speed.learnDecode(&next, s)
 	// The first responses outweigh the default, which may be far from the true value.
 	weight := max(callWeight, 1/float64(next.Samples))
-	next.Call += weight * (s.Total.Seconds() - next.Call)
+	next.CallSeconds += weight * (s.Total.Seconds() - next.CallSeconds)
 	e.speed.current.Store(&next)
 }
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -175,11 +175,12 @@
 	u.mu.Unlock()
 }
 
-// Progress records that a call to the upstream made progress: a first token, a chunk or its end.
-func (u *Upstream) Progress(now int64) { u.lastProgress.Store(now) }
+// RecordProgress records that a call to the upstream made progress: a first token, a chunk or its
+// end.
+func (u *Upstream) RecordProgress(now int64) { u.lastProgress.Store(now) }
 
-// Prefilled removes prompt tokens from the backlog.
-func (u *Upstream) Prefilled(tokens int) { u.backlog.Add(-int64(tokens)) }
+// RecordPrefilled removes prompt tokens from the backlog.
+func (u *Upstream) RecordPrefilled(tokens int) { u.backlog.Add(-int64(tokens)) }
 
 // Finish records the end of a call.
 func (u *Upstream) Finish(now int64) {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -52,7 +52,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(1, 40000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"drainAnswer": func(*rapid.T) {
-				u.Failed(now, FailureOf(&engine.Error{Class: engine.ErrNotRun, Draining: true}))
+				u.RecordFailure(now, FailureOf(&engine.Error{Class: engine.ErrNotRun, Draining: true}))
 				drainSignal(now)
 			},
 			"peer": func(t *rapid.T) {
@@ -77,9 +77,9 @@
 					drainSignal(now)
 				}
 			},
-			"report":        func(*rapid.T) { u.Report(now, engine.Load{}); signOfLife(now) },
-			"reportLeaving": func(*rapid.T) { u.Report(now, engine.Load{Draining: true}); drainSignal(now) },
-			"success":       func(*rapid.T) { u.Succeeded(now) },
+			"report":        func(*rapid.T) { u.ApplyReport(now, engine.Load{}); signOfLife(now) },
+			"reportLeaving": func(*rapid.T) { u.ApplyReport(now, engine.Load{Draining: true}); drainSignal(now) },
+			"success":       func(*rapid.T) { u.RecordSuccess(now) },
 			"": func(t *rapid.T) {
 				mayWork := !listDraining && (lastSignal.IsZero() || lastLife.Sub(lastSignal) >= DrainHold)
 				got := u.Load(now.UnixNano()).Condition != Draining
@@ -138,7 +138,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	_, u := oneEngine(now)
-	u.Failed(now, Failure{Kind: NotSent})
+	u.RecordFailure(now, Failure{Kind: NotSent})
 	is.Equal(u.Load(now.UnixNano()).Condition, CircuitOpen)
 	now = now.Add(openMax * 2)
 	is.Equal(u.Load(now.UnixNano()).Condition, Usable)
@@ -147,7 +147,7 @@
 	_, ok = u.TakeTrial()
 	is.True(!ok)
 	is.Equal(u.Load(now.UnixNano()).Condition, CircuitOpen) // for all calls but the trial
-	u.Succeeded(now)
+	u.RecordSuccess(now)
 	is.Equal(u.Load(now.UnixNano()).Limit, 1)
 	now = now.Add(rampDuration)
 	is.Equal(u.Load(now.UnixNano()).Limit, 4+overcommit)
@@ -159,11 +159,11 @@
 func TestProbeReadmitsUnreachableEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		for _, kind := range []Kind{NotSent, Lost} {
+		for _, kind := range []FailureKind{NotSent, Lost} {
 			table, u := oneEngine(time.Now())
 			table.Probe(t.Context(), "a", reporter{}, 1)
 			for range tripThreshold {
-				u.Failed(time.Now(), Failure{Kind: kind})
+				u.RecordFailure(time.Now(), Failure{Kind: kind})
 			}
 			is.Equal(u.Load(time.Now().UnixNano()).Condition, CircuitOpen)
 			if kind == NotSent {
@@ -171,7 +171,7 @@
 				is.Equal(u.Load(time.Now().UnixNano()).Condition, CircuitOpen)
 			}
 			table.Probe(t.Context(), "a", reporter{}, 1)
-			want := map[Kind]Condition{NotSent: Usable, Lost: CircuitOpen}[kind]
+			want := map[FailureKind]Condition{NotSent: Usable, Lost: CircuitOpen}[kind]
 			is.Equal(u.Load(time.Now().UnixNano()).Condition, want)
 		}
 	})
@@ -186,9 +186,9 @@
 	_, u := oneEngine(now)
 	u.Begin(now.UnixNano(), 100, 3*time.Second)
 	now = now.Add(4 * time.Second)
-	u.Report(now, engine.Load{Running: 1})
+	u.ApplyReport(now, engine.Load{Running: 1})
 	is.Equal(u.Load(now.UnixNano()).Condition, Stalled)
-	u.Progress(now.UnixNano())
+	u.RecordProgress(now.UnixNano())
 	is.Equal(u.Load(now.UnixNano()).Condition, Usable)
 }
 
@@ -203,13 +203,13 @@
 	u.Begin(now.UnixNano(), 0, time.Hour)
 	now = now.Add(1500 * time.Millisecond)
 	u.Finish(now.UnixNano())
-	u.Report(now.Add(500*time.Millisecond), engine.Load{Running: 3, AgeMillis: 1000})
+	u.ApplyReport(now.Add(500*time.Millisecond), engine.Load{Running: 3, AgeMillis: 1000})
 	l := u.Load(now.UnixNano())
 	is.Equal(l.Own, 1)
 	is.Equal(l.Total, 2)
-	u.Report(now.Add(600*time.Millisecond), engine.Load{})
+	u.ApplyReport(now.Add(600*time.Millisecond), engine.Load{})
 	is.Equal(u.Load(now.UnixNano()).Total, 1)
-	u.Report(now.Add(600*time.Millisecond), engine.Load{Running: 9})
+	u.ApplyReport(now.Add(600*time.Millisecond), engine.Load{Running: 9})
 	now = now.Add(time.Minute)
 	is.Equal(u.Load(now.UnixNano()).Total, 1) // an expired report does not count
 }
@@ -223,8 +223,8 @@
 	retries := 0
 	for range 6000 {
 		now = now.Add(10 * time.Millisecond)
-		b.Attempt()
-		for b.Take(now) {
+		b.RecordAttempt()
+		for b.TryTake(now) {
 			retries++
 		}
 	}
@@ -260,15 +260,15 @@
 	now := time.Now()
 	share := func() float64 { return u.Load(now.UnixNano()).ErrorRate }
 	is.Equal(share(), 0.0)
-	u.Failed(now, Failure{Kind: Errored})
+	u.RecordFailure(now, Failure{Kind: Errored})
 	is.True(share() >= 0.2)
 	is.True(!u.HasHighErrorRate(now))
-	u.Failed(now, Failure{Kind: Errored})
+	u.RecordFailure(now, Failure{Kind: Errored})
 	is.True(u.HasHighErrorRate(now))
 	now = now.Add(errorRateHalfLife)
 	is.True(!u.HasHighErrorRate(now))
 	before := share()
-	u.Succeeded(now)
+	u.RecordSuccess(now)
 	is.True(share() < before)
 	u.PeerReportedErrors(now.Add(time.Second))
 	is.Equal(share(), highErrorRate)
