--- a/internal/chat/completion.go
+++ b/internal/chat/completion.go
@@ -20,7 +20,7 @@
 	FinishReason string          `json:"finish_reason"`
 }
 
-// CompletionTokens is the recorded part of a response, sufficient to replay it.
+// Completion is the recorded part of a response, sufficient to replay it.
 type Completion struct {
 	ID string
 	// Created is in seconds since the Unix epoch.
--- a/internal/plan/rule.go
+++ b/internal/plan/rule.go
@@ -11,7 +11,7 @@
 const (
 	// MaxMoney is the largest money budget; it keeps sums of a plan's reservations far from overflow.
 	MaxMoney Micros = 1e15
-	// MaxOutputTokens is the largest token budget; it keeps sums of reservations far from overflow,
+	// MaxTokens is the largest token budget; it keeps sums of reservations far from overflow,
 	// too.
 	MaxTokens int64 = 1e15
 	// MinWindow is the shortest budget window. It is far above the permitted difference between the
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -24,7 +24,7 @@
 type Settings struct {
 	// DataCentre is the data centre of this instance. Its upstreams are local.
 	DataCentre string
-	// RemoteCosts is the round-trip time to each other data centre.
+	// RemoteCosts is the cost of a call to each other data centre, such as the round-trip time to it.
 	RemoteCosts map[string]time.Duration
 	// Policy is the placement policy; empty for placement.Cost.
 	Policy placement.Policy
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -78,7 +78,7 @@
 
 // Programs contains the timeouts of programs and their steps.
 type Programs struct {
-	// MissingStepTimeout is the maximum time that a step waits for an earlier step that has not
+	// GapWait is the maximum time that a step waits for an earlier step that has not
 	// arrived.
 	GapWait Duration `toml:"gap_wait"`
 	// IdleExpiry is the time without steps after which a program is ended.
@@ -94,7 +94,7 @@
 	Policy string `toml:"policy"`
 	// QueueLimit is the maximum number of steps that wait for one model or service.
 	QueueLimit int `toml:"queue_limit"`
-	// RemoteCosts maps the names of other data centres to the round-trip times to them.
+	// DataCentreRTT maps the names of other data centres to the round-trip times to them.
 	DataCentreRTT map[string]Duration `toml:"ways"`
 }
 
