--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,7 +16,7 @@
 // HeaderSecret is the request header with the secret shared by all instances.
 const HeaderSecret = "Foxhall-Peer-Secret"
 
-// maxRequest bounds a request in bytes. The largest are copies of a log entry
+// maxRequestBytes bounds a request. The largest are copies of a log entry
 // and configuration chunks, both at most a store value of 1 MB.
 const maxRequestBytes = 4 << 20
 
